--- a/internal/controlplane/confirm.go
+++ b/internal/controlplane/confirm.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"connectrpc.com/connect"
+	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
 	"curlewreach/proto/wire"
@@ -75,6 +76,23 @@
 	return m.scope.Clock.Mono() - began, known
 }
 
+// freshest gives the newest chart known here to be chosen, and for how long no newer one can have been chosen unseen:
+// the age of the last round of questions after which a majority held nothing newer. The age is nil while there was no
+// such round. The chart is read with the age, so that it is never older than the age claims.
+func (m *Server) freshest() (seen *view, freshMs *uint64) {
+	c := m.core.Load()
+	if c == nil {
+		return m.view.Load(), nil
+	}
+	before := m.view.Load() // loaded first: the version can't be older than it
+	version, asOf, known := c.replica.Fresh(ChartKey)
+	seen = before.next(m.scope, version)
+	if known {
+		freshMs = proto.Uint64(ms(m.scope.Clock.Mono()-asOf) + 1)
+	}
+	return seen, freshMs
+}
+
 // confirms tells whether a poll asks for a confirmed chart; nodes of the version before ask so by holding none.
 func confirms(ask *wire.HailRequest) bool { return ask.Confirm || ask.Wants && ask.Serial == 0 }
 
@@ -92,6 +110,9 @@
 		reply, fresh := m.tell(ask, seen)
 		reply.Confirmed, reply.Settled = read.confirmed, read.confirmed
 		held := s.Clock.Mono() - began
+		if read.confirmed {
+			reply.FreshMs, reply.HeldMs = proto.Uint64(ms(held)), ms(held) // the read began after the question came
+		}
 		if err := s.Err(); err != nil {
 			return nil, err
 		}
--- a/internal/controlplane/hail.go
+++ b/internal/controlplane/hail.go
@@ -29,8 +29,10 @@
 	began := s.Clock.Mono()
 	for {
 		news, moved := m.news.Heard(), m.roster.bell.Heard()
-		reply, fresh := m.tell(ask, m.view.Load())
 		held := s.Clock.Mono() - began
+		seen, freshMs := m.freshest()
+		reply, fresh := m.tell(ask, seen)
+		reply.FreshMs, reply.HeldMs = freshMs, ms(held)
 		if fresh || held >= hold || m.stopping.Load() {
 			return connect.NewResponse(reply), nil
 		}
@@ -54,6 +56,10 @@
 	if ask.Wants && (fresh || confirms(ask) && reply.Serial != ask.Serial) {
 		reply.Chart = seen.head.GetChart()
 	}
+	if ask.ConfigOnly {
+		reply.Whole, reply.Roster = false, ask.Roster
+		return reply, fresh
+	}
 	if odds := m.learning.Load().said.GetOdds(); odds.GetSerial() > ask.Odds {
 		reply.Odds, fresh = odds, true
 	}
--- /dev/null
+++ b/internal/dataplane/config_freshness.go
@@ -0,0 +1,182 @@
+package dataplane
+
+import (
+	"context"
+	"time"
+
+	"connectrpc.com/connect"
+
+	"curlewreach/base"
+	"curlewreach/proto/wire"
+	"curlewreach/proto/wire/wireconnect"
+)
+
+// How a node makes up for polls that fail to bring a newer configuration. All are ratios of the in-force bound; their sum,
+// with a status round of a control machine, stays below it (docs/control-plane-cutoff.md, the in-force bound).
+const (
+	// staleRatio is the age of what the node knows to be the newest from which it asks beyond its polls.
+	staleRatio = 0.5
+	// hintGraceRatio is how long the polls have to bring a configuration that a peer already serves.
+	hintGraceRatio = 0.075
+	// hintLifeRatio is how long a hint counts that no control machine bears out.
+	hintLifeRatio = 1.0
+	// refreshPauseRatio is the pause between two refreshes; each asks another control machine.
+	refreshPauseRatio = 0.075
+	// refreshWaitRatio is how long one refresh may take.
+	refreshWaitRatio = 0.5
+	// longestRefreshPauseRatio bounds the backoff of refreshes that bring nothing.
+	longestRefreshPauseRatio = 0.5
+	// eagerRefreshes follow each other without backoff.
+	eagerRefreshes = 4
+	// refreshesMost is how many refreshes may be in flight.
+	refreshesMost = 3
+)
+
+// configFreshness knows as of which moment the configuration in force is the newest acknowledged one, and whether a peer
+// has hinted at a newer one. All times are by the node's steady clock; the node's mu guards it.
+type configFreshness struct {
+	inForce   time.Duration // the in-force bound
+	asOf      time.Duration // no configuration acknowledged before is newer than the one in force
+	hinted    uint64        // the highest serial that a peer was seen to serve
+	hintedAt  time.Duration
+	refreshed time.Duration // when the last refresh was sent
+	fruitless int           // refreshes since the last progress
+	inFlight  int
+}
+
+func newConfigFreshness(inForce, now time.Duration) configFreshness {
+	return configFreshness{inForce: inForce, asOf: now, refreshed: now - inForce}
+}
+
+func (f *configFreshness) part(ratio float64) time.Duration { return portion(f.inForce, ratio) }
+
+// proven takes a proof that the configuration in force was the newest as of some moment.
+func (f *configFreshness) proven(asOf time.Duration) {
+	if asOf > f.asOf {
+		f.asOf, f.fruitless = asOf, 0
+	}
+}
+
+// hint notes that a peer serves a configuration newer than the one in force.
+func (f *configFreshness) hint(serial uint64, now time.Duration) {
+	if serial > f.hinted {
+		f.hinted, f.hintedAt, f.fruitless = serial, now, 0
+	}
+}
+
+// hintedAbove says whether a hint at a serial above the one in force still counts.
+func (f *configFreshness) hintedAbove(serial uint64, now time.Duration) bool {
+	return f.hinted > serial && now-f.hintedAt < f.part(hintLifeRatio)
+}
+
+// nextRefresh says when to ask beyond the polls, given the serial in force.
+func (f *configFreshness) nextRefresh(serial uint64, now time.Duration) time.Duration {
+	due := f.asOf + f.part(staleRatio)
+	if f.hintedAbove(serial, now) {
+		due = min(due, f.hintedAt+f.part(hintGraceRatio))
+	}
+	return max(due, f.refreshed+f.pause())
+}
+
+// pause doubles after each refresh that brought nothing, once the eager ones are over.
+func (f *configFreshness) pause() time.Duration {
+	pause, longest := f.part(refreshPauseRatio), f.part(longestRefreshPauseRatio)
+	for range f.fruitless - eagerRefreshes {
+		pause = min(2*pause, longest)
+	}
+	return pause
+}
+
+// begin notes that a refresh is sent; ok is false if too many are in flight.
+func (f *configFreshness) begin(now time.Duration) (ok bool) {
+	f.refreshed = now
+	f.fruitless++
+	if f.inFlight >= refreshesMost {
+		return false
+	}
+	f.inFlight++
+	return true
+}
+
+// peerServes takes the serial by which a peer handles requests. A peer that is ahead is a hint that the polls of this
+// node are late; it never ends one, since a poll that is ended again and again brings nothing at all.
+func (n *Node) peerServes(serial uint64) {
+	if serial <= n.serial() {
+		return
+	}
+	n.mu.Lock()
+	before := n.freshness.hinted
+	n.freshness.hint(serial, n.scope.Clock.Mono())
+	n.mu.Unlock()
+	if serial > before {
+		n.behind.Ring()
+	}
+}
+
+// proveFresh takes from a control machine's answer as of when no configuration newer than its serial had been
+// acknowledged. The question was held there before the answer was made, and it came no sooner than it was sent; so the
+// moment that the answer speaks of lies no earlier than the result, whatever stood still on either side and for however
+// long.
+func (n *Node) proveFresh(m *wire.HailReply, sent time.Duration) {
+	if m.FreshMs == nil {
+		return
+	}
+	age, held := milliseconds(*m.FreshMs), milliseconds(m.HeldMs)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.confirmed() && n.serial() >= m.Serial {
+		n.freshness.proven(sent + held - age)
+	}
+}
+
+// milliseconds reads a span that another process told, bounded so that sums of it don't overflow.
+func milliseconds(told uint64) time.Duration {
+	return time.Duration(min(told, 1<<40)) * time.Millisecond
+}
+
+// configAge is how long ago the configuration in force was last known to be the newest.
+func (n *Node) configAge() time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.scope.Clock.Mono() - n.freshness.asOf
+}
+
+// keepFresh asks a further control machine whenever the polls leave the node in doubt about the newest configuration.
+func (n *Node) keepFresh(s base.Scope) {
+	for s.Err() == nil {
+		hinted, now := n.behind.Heard(), s.Clock.Mono()
+		n.mu.Lock()
+		due := n.freshness.nextRefresh(n.serial(), now)
+		begins := now >= due && n.freshness.begin(now)
+		n.mu.Unlock()
+		if begins {
+			n.crew.Go(func() { n.refresh(s) })
+		}
+		if now < due {
+			base.Await(s, due-now, hinted)
+		}
+	}
+}
+
+// refresh asks one control machine for the newest configuration, apart from the polls and their connections.
+func (n *Node) refresh(s base.Scope) {
+	defer func() {
+		n.mu.Lock()
+		n.freshness.inFlight--
+		n.mu.Unlock()
+	}()
+	address := n.directory.chooseRefresh()
+	if address == "" {
+		return
+	}
+	ctx, cancel := context.WithTimeout(s, portion(n.params.InForce.AsDuration(), refreshWaitRatio))
+	defer cancel()
+	ask := &wire.HailRequest{Post: n.post(), Serial: n.known(), Wants: true, ConfigOnly: true, Confirm: !n.confirmed(), Odds: n.keeper.Serial()}
+	sent := s.Clock.Mono()
+	reply, err := wireconnect.NewMoorClient(n.web, "http://"+address).Hail(ctx, connect.NewRequest(ask))
+	if err != nil {
+		return
+	}
+	n.believe(ask, reply.Msg, sent)
+	n.directory.heard(address, reply.Msg.MajorityMs, reply.Msg.Keels)
+}
--- a/internal/dataplane/control_polls.go
+++ b/internal/dataplane/control_polls.go
@@ -12,11 +12,18 @@
 )
 
 const (
-	hailWait   = 600 * time.Millisecond
-	hailSlack  = 500 * time.Millisecond
-	hailPause  = 150 * time.Millisecond
-	fetchPause = 80 * time.Millisecond
-	freshSlack = 4 * hailWait
+	// longestPollHold is how long a control machine may at most hold a poll that it has no news for.
+	longestPollHold = 600 * time.Millisecond
+	// longestPollSlack is how long beyond the hold an answer may at most take.
+	longestPollSlack = 500 * time.Millisecond
+	// freshSlack is how long a control machine's word on absent peers counts after it last spoke.
+	freshSlack = 4 * longestPollHold
+
+	// Ratios of the in-force bound.
+	pollHoldRatio  = 0.3
+	pollSlackRatio = 0.25
+	pollPauseRatio = 0.075 // after a failed poll
+	fetchLeadRatio = 0.04  // others leave a fetch to the one that began it for so long
 )
 
 type controlPoll struct {
@@ -43,11 +50,12 @@
 // poll asks a control machine once; again says that it has a newer chart that is still to be fetched.
 func (n *Node) poll(s base.Scope, c *controlPoll, wants bool) (again bool) {
 	confirm := !n.confirmed()
-	wait := hailWait
+	inForce := n.params.InForce.AsDuration()
+	wait := min(longestPollHold, portion(inForce, pollHoldRatio))
 	if confirm {
-		wait = min(hailWait, portion(n.params.InForce.AsDuration(), vouchRatio/2))
+		wait = min(wait, portion(inForce, vouchRatio/2))
 	}
-	most := wait + hailSlack
+	most := wait + min(longestPollSlack, portion(inForce, pollSlackRatio))
 	if wants {
 		most *= 2
 	}
@@ -67,7 +75,7 @@
 	if err != nil {
 		_, _, now := n.instance.Now()
 		if s.Err() == nil && now+n.turns.Load() == told {
-			base.Await(s, hailPause)
+			base.Await(s, portion(inForce, pollPauseRatio))
 		}
 		return false
 	}
@@ -81,13 +89,15 @@
 			n.scope.Log.Warn("odds bounced", "reason", mishap.Reason)
 		}
 	}
-	n.believe(ask, m, s.Clock.Mono()-asked)
+	n.believe(ask, m, asked)
 	n.directory.heard(c.address, m.MajorityMs, m.Keels)
 	return m.Chart == nil && m.Serial > n.known()
 }
 
 // believe takes what an answer says of the chart. A confirmation that was long under way proves nothing any more.
-func (n *Node) believe(ask *wire.HailRequest, m *wire.HailReply, took time.Duration) {
+func (n *Node) believe(ask *wire.HailRequest, m *wire.HailReply, sent time.Duration) {
+	defer n.proveFresh(m, sent)
+	took := n.scope.Clock.Mono() - sent
 	vouched := m.Confirmed && ask.Confirm && took <= portion(n.params.InForce.AsDuration(), vouchRatio)
 	if vouched && m.Serial < ask.Serial {
 		n.correct(m.Chart, ask.Serial)
@@ -105,7 +115,7 @@
 		confirmed := n.confirmed()
 		wants = n.poll(s, c, wants || !confirmed) && n.fetches(s, c)
 		if !confirmed {
-			base.Await(s, fetchPause/4)
+			base.Await(s, n.fetchLead()/4)
 		}
 	}
 }
@@ -115,7 +125,7 @@
 	n.mu.Lock()
 	serial, busy := max(n.serial(), n.candidate.GetSerial()), false
 	for _, other := range n.keels {
-		busy = busy || other != c && other.wants && other.keel != "" && s.Clock.Mono()-other.asked < fetchPause
+		busy = busy || other != c && other.wants && other.keel != "" && s.Clock.Mono()-other.asked < n.fetchLead()
 	}
 	if !busy {
 		c.wants = true
@@ -124,10 +134,14 @@
 	if !busy {
 		return true
 	}
-	base.Await(s, fetchPause)
+	base.Await(s, n.fetchLead())
 	return n.known() == serial
 }
 
+func (n *Node) fetchLead() time.Duration {
+	return portion(n.params.InForce.AsDuration(), fetchLeadRatio)
+}
+
 // search keeps asking those control machines that the directory chooses.
 func (n *Node) search(s base.Scope) {
 	for s.Err() == nil {
@@ -171,21 +185,15 @@
 	}
 }
 
-func (n *Node) watchDock(s base.Scope) {
+// watchInstance tells the control machines at once when the upstream beside this node changes.
+func (n *Node) watchInstance(s base.Scope) {
 	_, _, told := n.instance.Now()
 	for s.Err() == nil {
-		heard, behind := n.instance.changed.Heard(), n.behind.Heard()
+		heard := n.instance.changed.Heard()
 		if _, _, now := n.instance.Now(); now != told {
 			told = now
 			n.repoll()
 		}
-		if base.Await(s, time.Minute, heard, behind) {
-			select {
-			case <-behind:
-				n.repoll()
-				base.Await(s, hailPause)
-			default:
-			}
-		}
+		base.Await(s, time.Minute, heard)
 	}
 }
--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -82,6 +82,28 @@
 		Expect(took).To(BeNumerically("<", time.Second), "the older chart was served for so long")
 	})
 
+	distant("given control machines 12 ms away, when peers that are ahead keep calling, then polls are let finish and the newer chart is in force at once", 12*time.Millisecond, func(s *stand) {
+		seeds, newest, _ := s.standKeels(3, 0)
+		n := s.node(1, seeds)
+		n.adopt(aChart(1), true)
+		newest.Store(1)
+		time.Sleep(2 * time.Second)
+		ahead := Forwarding{Service: books, Route: "index", Serial: 2}
+		for i := range 300 {
+			s.aside(func() {
+				time.Sleep(time.Duration(i) * 10 * time.Millisecond)
+				header := asking(fmt.Sprint("ahead-", i), time.Second)
+				header[wayHeader] = []string{ahead.text()}
+				s.ask(n.params.Inward, "/index/1", header)
+			})
+		}
+		time.Sleep(100 * time.Millisecond)
+		newest.Store(2)
+		took := s.until(5*time.Second, func() bool { return n.serial() == 2 })
+		s.crew.Wait()
+		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "the older chart was served for so long")
+	})
+
 	story("given three keels, when all tell of a newer chart, then it is fetched from one", func(s *stand) {
 		seeds, newest, asked := s.standKeels(3, 30*time.Millisecond)
 		n := s.node(1, seeds)
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -65,6 +65,7 @@
 	vouched             atomic.Bool
 	candidate           *wire.Chart // guarded by mu
 	patience            time.Duration
+	freshness           configFreshness // guarded by mu
 	directory           *directory
 	stopping            atomic.Bool
 	closed              atomic.Bool
@@ -133,7 +134,8 @@
 	}
 	n.crew.Go(func() { n.search(s) })
 	n.crew.Go(func() { n.serveUnconfirmed(s) })
-	n.crew.Go(func() { n.watchDock(s) })
+	n.crew.Go(func() { n.watchInstance(s) })
+	n.crew.Go(func() { n.keepFresh(s) })
 	n.crew.Go(func() { n.sink.Run(s, spanEvery) })
 	n.crew.Go(func() { base.Tick(s, sweepEvery, func(base.Scope) { n.sweep() }) })
 	s.Log.Info("started", "zone", p.Zone, "service", p.Service)
@@ -153,6 +155,7 @@
 	n.fences = newFences(s, n.incarnation, force, p.MemoryMb)
 	n.retries = NewRetryBudget(s.Clock, p.RepeatRatio, p.RepeatSlack, p.RepeatWindow.AsDuration(), n.peers.Size)
 	n.patience = portion(contact, patienceRatio)
+	n.freshness = newConfigFreshness(force, s.Clock.Mono())
 	n.directory = newDirectory(s.Clock, s.Rand, contact, p.Seeds)
 	n.sink = tracing.NewSink(s, n.web, n.directory.live, spansBound)
 	n.calls = NewCallTracker(s, p.Name, n.keeper, n.sink.Push)
--- a/internal/dataplane/directory.go
+++ b/internal/dataplane/directory.go
@@ -30,11 +30,12 @@
 
 // controlMachine is what a node knows of one control machine. All times are by the node's steady clock.
 type controlMachine struct {
-	listed   time.Duration // a list last named it
-	chosen   time.Duration // the node last began to ask it
-	answered time.Duration // it last answered
-	majority time.Duration // it last heard a majority, as far as it told
-	hailed   bool
+	listed    time.Duration // a list last named it
+	chosen    time.Duration // the node last began to ask it
+	answered  time.Duration // it last answered
+	majority  time.Duration // it last heard a majority, as far as it told
+	refreshed time.Duration // the node last asked it beyond its polls
+	hailed    bool
 }
 
 // directory knows the control machines that a node was told of and decides which of them it asks: those that heard a
@@ -73,7 +74,7 @@
 func (d *directory) row(address string) *controlMachine {
 	at := d.rows[address]
 	if at == nil {
-		at = &controlMachine{listed: never, chosen: never, answered: never, majority: never}
+		at = &controlMachine{listed: never, chosen: never, answered: never, majority: never, refreshed: never}
 		d.rows[address] = at
 	}
 	return at
@@ -191,6 +192,33 @@
 	})
 }
 
+// chooseRefresh picks whom to ask beyond the polls: of those that heard a majority lately, or of all where none did, the
+// one asked so the longest time ago. It returns "" if nobody is known.
+func (d *directory) chooseRefresh() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.clock.Mono()
+	guided := d.guided(now)
+	chosen := ""
+	for _, address := range slices.Sorted(maps.Keys(d.rows)) {
+		at := d.rows[address]
+		eligible := !guided || !d.lags(at, now) || at.majority == never && d.newest-at.listed <= d.contact
+		if eligible && (chosen == "" || d.beforeInRefresh(at, d.rows[chosen])) {
+			chosen = address
+		}
+	}
+	if chosen != "" {
+		d.rows[chosen].refreshed = now
+	}
+	return chosen
+}
+
+// beforeInRefresh orders control machines for a refresh: the one not asked so for longer first, then the one that heard a
+// majority later.
+func (d *directory) beforeInRefresh(a, b *controlMachine) bool {
+	return cmp.Or(cmp.Compare(a.refreshed, b.refreshed), cmp.Compare(b.majority, a.majority)) < 0
+}
+
 // worst names one to cease asking: the one silent for the longest time, else one that lags behind, as long as another
 // one that answers is left.
 func (d *directory) worst(now time.Duration, hurry bool) string {
--- a/internal/dataplane/peer_requests.go
+++ b/internal/dataplane/peer_requests.go
@@ -265,9 +265,7 @@
 		base.Reply(w, http.StatusBadRequest, map[string]string{"kind": string(base.Malformed), "reason": "this door is for mates"})
 		return
 	}
-	if f.way.Serial > n.serial() {
-		n.behind.Ring()
-	}
+	n.peerServes(f.way.Serial)
 	body, done, mishap := n.bodies.Read(r, n.bodies.most)
 	if mishap != nil && mishap.Kind == base.Malformed {
 		panic(http.ErrAbortHandler)
@@ -424,8 +422,8 @@
 func (h hop) answered(ctx context.Context, r *reply) outcome {
 	n := h.node
 	weight, weighed := readLoadReport(r.Header.Get(weightHeader))
-	if weighed && weight.Serial > n.serial() {
-		n.behind.Ring()
+	if weighed {
+		n.peerServes(weight.Serial)
 	}
 	n.fences.heard(h.to.node, r.Header.Get(memoryHeader))
 	said, isOutcome := readOutcome(r.Header.Get(outcomeHeader))
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -50,12 +50,19 @@
 
 func story(text string, tell func(s *stand)) { ginkgo.It(text, told(tell)) }
 
-func told(tell func(s *stand)) func() {
+// distant is a story whose machines are further apart than the usual millisecond, one way.
+func distant(text string, delay time.Duration, tell func(s *stand)) {
+	ginkgo.It(text, toldAt(delay, tell))
+}
+
+func told(tell func(s *stand)) func() { return toldAt(time.Millisecond, tell) }
+
+func toldAt(delay time.Duration, tell func(s *stand)) func() {
 	return func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
 			s := &stand{clock: rig.NewClock(time.Now())}
-			s.world = rig.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return time.Millisecond })
+			s.world = rig.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return delay })
 			defer s.end()
 			tell(s)
 		})
--- a/internal/replica/checker_test.go
+++ b/internal/replica/checker_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"strings"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -18,6 +19,7 @@
 	newest      *wire.Membership   // of generations
 	abandoned   []*wire.Membership // first generations that were never on a majority of disks
 	chosen      map[string][]*wire.Version
+	chosenAt    map[string][]time.Duration       // when each of chosen was first known to some replica
 	versions    map[string][]byte                // value by key, term and serial
 	owners      map[string]string                // process by key and term
 	promised    map[string]map[string]*wire.Term // highest granted, by identity and generation, then by key
@@ -37,11 +39,12 @@
 	state, durable *wire.ReplicaState
 	learned        *wire.Membership
 	chosen         map[string]*wire.Version
+	freshAt        map[string]time.Duration
 }
 
 func newChecker(w *world) *checker {
 	return &checker{
-		world: w, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, versions: map[string][]byte{},
+		world: w, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, chosenAt: map[string][]time.Duration{}, versions: map[string][]byte{},
 		owners: map[string]string{}, promised: map[string]map[string]*wire.Term{}, seals: map[string]bool{}, installed: map[string]uint64{},
 	}
 }
@@ -77,6 +80,27 @@
 			c.knowChosen(n, key, version)
 		}
 	}
+	c.observeFresh(n)
+}
+
+// observeFresh demands that a replica which claims to know the newest version as of some moment has missed none that
+// any replica knew to be chosen before.
+func (c *checker) observeFresh(n *node) {
+	for key, asOf := range n.machine.freshAt {
+		if seen, known := n.seen.freshAt[key]; known && seen == asOf {
+			continue
+		}
+		if n.seen.freshAt == nil {
+			n.seen.freshAt = map[string]time.Duration{}
+		}
+		n.seen.freshAt[key] = asOf
+		held := n.machine.chosen[key]
+		for i, version := range c.chosen[key] {
+			if c.chosenAt[key][i] < asOf && (held == nil || compareVersions(held, version) < 0) {
+				c.fail("%s claims to know %s as of %v, but misses %q %v, chosen at %v", n.address, key, asOf, version.Value, version.Term, c.chosenAt[key][i])
+			}
+		}
+	}
 }
 
 // knowSaved takes a membership that may not be saved, or be saved without its founder's knowledge. A first generation
@@ -198,6 +222,7 @@
 		}
 	}
 	c.chosen[key] = append(c.chosen[key], version)
+	c.chosenAt[key] = append(c.chosenAt[key], c.world.now)
 }
 
 // sent demands that a term and serial stand for one value, and a term for one owner's process.
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -113,8 +113,9 @@
 	copies     map[string]int      // of each key's newest version, as last seen
 	learners   map[string]*learner // by identity
 	rounds     uint64
-	confirmed  bool          // a majority has been heard since this replica started, or joined its generation
-	majorityAt time.Duration // when the last round began that a majority answered
+	confirmed  bool                     // a majority has been heard since this replica started, or joined its generation
+	majorityAt time.Duration            // when the last round began that a majority answered
+	freshAt    map[string]time.Duration // by key: when the last round began that found no version newer than the chosen one
 	pulling    bool
 	reconfig   reconfiguration
 	founding   foundingState
@@ -136,7 +137,8 @@
 	m := &Machine{
 		settings: settings, now: now, calmSince: now, ticked: now, nextStatus: now,
 		waiting: map[uint64]func(*wire.ReplicaReply){}, chosen: map[string]*wire.Version{}, owned: map[string]*ownership{},
-		highest: map[string]uint64{}, heard: map[string]time.Duration{}, unsettled: map[string]time.Duration{}, copies: map[string]int{}, learners: map[string]*learner{},
+		highest: map[string]uint64{}, heard: map[string]time.Duration{}, unsettled: map[string]time.Duration{}, freshAt: map[string]time.Duration{},
+		copies: map[string]int{}, learners: map[string]*learner{},
 	}
 	m.founding.since = now
 	if state == nil {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -256,6 +256,13 @@
 	return version
 }
 
+// Fresh gives the newest version of a key known here to be chosen, and a moment of the steady clock before which no
+// newer one was chosen; known is false while no majority has told.
+func (r *Replica) Fresh(key string) (version *wire.Version, asOf time.Duration, known bool) {
+	r.look(func(m *Machine) { version, asOf, known = m.Fresh(key) })
+	return version, asOf, known
+}
+
 // Held gives the version of a key on this replica's own disk, chosen or not, or nil.
 func (r *Replica) Held(key string) (version *wire.Version) {
 	r.look(func(m *Machine) { version = m.durable.Registers[key].GetAccepted() })
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -172,6 +172,7 @@
 	newest, settled := r.newest(have)
 	if agreed {
 		m.adopt(newest, settled)
+		m.noteFresh(began, settled)
 	}
 	if !r.complete() && (!all(settled) || m.awaits(r)) {
 		return
@@ -268,6 +269,23 @@
 	}
 }
 
+// noteFresh notes that no version chosen before the round began is newer than the chosen one known here: a majority
+// answered, every earlier majority shares a voter with it, and the newest version among its replies is chosen.
+func (m *Machine) noteFresh(began time.Duration, settled map[string]bool) {
+	for key, isSettled := range settled {
+		if isSettled && key != membershipKey {
+			m.freshAt[key] = max(m.freshAt[key], began)
+		}
+	}
+}
+
+// Fresh gives the newest version of a key known to be chosen, and a moment before which no newer one was chosen.
+// known is false if there was no round yet that could tell.
+func (m *Machine) Fresh(key string) (version *wire.Version, asOf time.Duration, known bool) {
+	asOf, known = m.freshAt[key]
+	return m.chosen[key], asOf, known
+}
+
 // keep takes a chosen version into this replica's own registers.
 func (m *Machine) keep(key string, version *wire.Version) {
 	held := m.register(key)
