--- a/deploy/daygen/catalogue.go
+++ b/deploy/daygen/catalogue.go
@@ -10,8 +10,14 @@
 	StressControl Stress = "control"
 	// StressRequests favours troubles of requests, upstreams and connections.
 	StressRequests Stress = "requests"
+	// StressConfig draws changes of the configuration throughout the day, and troubles that delay them on their way from
+	// an acknowledgement to the nodes.
+	StressConfig Stress = "config"
 )
 
+// stresses lists all of them.
+var stresses = []Stress{StressNone, StressControl, StressRequests, StressConfig}
+
 // Range bounds a number that is drawn evenly. The zero Range means that the field is left out.
 type Range struct{ Low, High float64 }
 
@@ -58,6 +64,10 @@
 	Series IntRange
 	// ControlWeight and RequestWeight are how often the kind is drawn on days that stress that side; 0 counts as 1.
 	ControlWeight, RequestWeight int
+	// ConfigWeight is how often the kind is drawn on days that stress the configuration; with 0 it isn't drawn there.
+	ConfigWeight int
+	// OnlyOn restricts the kind to days of one stress; empty: drawn on all.
+	OnlyOn Stress
 }
 
 const (
@@ -71,7 +81,7 @@
 // catalogue lists each kind of trouble, in the order of the bench's own list. A kind that may strike
 // core machines as well as others stands twice.
 var catalogue = []Kind{
-	{Name: "burst", Section: Faults, X: Range{1.3, 2}, ForS: Range{2, 5}, Place: Place{Zone: true, Class: true}, RequestWeight: raisedWeight},
+	{Name: "burst", Section: Faults, X: Range{1.3, 2}, ForS: Range{2, 5}, Place: Place{Zone: true, Class: true}, RequestWeight: raisedWeight, ConfigWeight: 1},
 	{Name: "shift", Section: Faults, Share: Range{.3, .6}, ForS: Range{4, 8}, Place: Place{Zone: true, ToZone: true}},
 	{Name: "retry_abuse", Section: Faults, Share: Range{.2, .6}, X: Range{1, 3}, ForS: Range{3, 8}, RequestWeight: heavyWeight},
 	{Name: "give_up", Section: Faults, Share: Range{.2, .6}, X: Range{60, 300}, ForS: Range{3, 8}, RequestWeight: heavyWeight},
@@ -90,36 +100,37 @@
 	{Name: "answer_lost", Section: Faults, Share: Range{.3, .6}, X: Range{.01, .06}, ForS: Range{4, 8}, Variants: []string{"", "reset"}, Place: Place{Service: true}, RequestWeight: heavyWeight},
 	{Name: "garble", Section: Faults, Share: Range{.3, .6}, X: Range{.01, .04}, ForS: Range{4, 8}, Variants: []string{"", "extra", "extra late"}, Place: Place{Service: true}, RequestWeight: heavyWeight},
 	{Name: "node_kill", Section: Faults, Share: Range{.08, .25}, ForS: Range{1, 5}, Variants: []string{"", "power"}, RequestWeight: raisedWeight},
-	{Name: "node_kill", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 5}, Variants: []string{"", "power"}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: raisedWeight},
-	{Name: "node_freeze", Section: Faults, Share: Range{.08, .2}, ForS: Range{1, 6}, RequestWeight: heavyWeight},
-	{Name: "node_freeze", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 8}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: heavyWeight},
-	{Name: "node_slow", Section: Faults, Share: Range{.08, .2}, X: Range{3, 8}, ForS: Range{2, 6}, RequestWeight: raisedWeight},
-	{Name: "node_slow", Section: Faults, OnCore: true, CountUpToTolerated: true, X: Range{3, 8}, ForS: Range{2, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight},
-	{Name: "roll_term", Section: Plan, Share: Range{.3, .6}, X: Range{1, 1}, GapS: Range{1, 1.5}, Modifiers: []string{"busy"}, RequestWeight: raisedWeight},
+	{Name: "node_kill", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 5}, Variants: []string{"", "power"}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "node_freeze", Section: Faults, Share: Range{.08, .2}, ForS: Range{1, 6}, RequestWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "node_freeze", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 8}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "node_slow", Section: Faults, Share: Range{.08, .2}, X: Range{3, 8}, ForS: Range{2, 6}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "node_slow", Section: Faults, OnCore: true, CountUpToTolerated: true, X: Range{3, 8}, ForS: Range{2, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "roll_term", Section: Plan, Share: Range{.3, .6}, X: Range{1, 1}, GapS: Range{1, 1.5}, Modifiers: []string{"busy"}, RequestWeight: raisedWeight, ConfigWeight: heavyWeight},
 	{Name: "roll_term", Section: Plan, Share: Range{.08, .2}, X: Range{1, 1}, GapS: Range{1, 1.5}, Variants: []string{"remove"}, Modifiers: []string{"busy"}},
-	{Name: "roll_term", Section: Plan, OnCore: true, Share: Range{.4, 1}, X: Range{1, 1}, GapS: Range{1, 3}, Modifiers: []string{"busy"}, ControlWeight: raisedWeight},
-	{Name: "herd_kill", Section: Faults, Share: Range{.45, .65}, ForS: Range{1, 3}, Variants: []string{"", "power"}},
-	{Name: "herd_kill", Section: Faults, OnCore: true, ForS: Range{1, 3}, Variants: []string{"", "power", "taken", "power taken"}, ControlWeight: heavyWeight},
-	{Name: "replace_core", Section: Faults, X: Range{.5, 4}, Targeting: Targeting{Roles: true}, Series: IntRange{1, 3}, ControlWeight: heavyWeight},
-	{Name: "replace_core", Section: Plan, X: Range{.5, 4}, Variants: []string{"planned"}, Targeting: Targeting{Roles: true}, Series: IntRange{1, 3}, ControlWeight: heavyWeight},
-	{Name: "seed_turnover", Section: Plan, ControlWeight: raisedWeight},
-	{Name: "after_ack_kill", Section: Faults, CountUpToTolerated: true, ForS: Range{1, 4}, Variants: []string{"", "kill"}, Modifiers: []string{"timed", "taken"}, ControlWeight: heavyWeight},
-	{Name: "after_ack_wipe", Section: Faults, CountUpToTolerated: true, ForS: Range{1, 4}, Variants: []string{"", "timed", "taken"}, ControlWeight: heavyWeight},
-	{Name: "disk_slow", Section: Faults, CountUpToTolerated: true, X: Range{20, 60}, ForS: Range{3, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight},
-	{Name: "disk_full", Section: Faults, CountUpToTolerated: true, ForS: Range{3, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight},
-	{Name: "disk_stall", Section: Faults, CountUpToTolerated: true, ForS: Range{2, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight},
-	{Name: "clock_step", Section: Faults, Share: Range{.15, .5}, X: Range{1000, 5000}, ForS: Range{3, 8}, Variants: []string{"", "back", "ahead"}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight},
-	{Name: "hup", Section: Plan, Share: Range{.2, .6}, GapS: Range{1, 3}, RequestWeight: raisedWeight},
-	{Name: "reset_conns", Section: Faults, Share: Range{.1, .5}, X: Range{.3, .9}, RequestWeight: heavyWeight},
-	{Name: "reset_conns", Section: Faults, OnCore: true, Share: Range{.3, 1}, X: Range{.3, .9}, ControlWeight: raisedWeight},
+	{Name: "roll_term", Section: Plan, OnCore: true, Share: Range{.4, 1}, X: Range{1, 1}, GapS: Range{1, 3}, Modifiers: []string{"busy"}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "herd_kill", Section: Faults, Share: Range{.45, .65}, ForS: Range{1, 3}, Variants: []string{"", "power"}, ConfigWeight: raisedWeight},
+	{Name: "herd_kill", Section: Faults, OnCore: true, ForS: Range{1, 3}, Variants: []string{"", "power", "taken", "power taken"}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "replace_core", Section: Faults, X: Range{.5, 4}, Targeting: Targeting{Roles: true}, Series: IntRange{1, 3}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "replace_core", Section: Plan, X: Range{.5, 4}, Variants: []string{"planned"}, Targeting: Targeting{Roles: true}, Series: IntRange{1, 3}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "seed_turnover", Section: Plan, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "after_ack_kill", Section: Faults, CountUpToTolerated: true, ForS: Range{1, 4}, Variants: []string{"", "kill"}, Modifiers: []string{"timed", "taken"}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "after_ack_wipe", Section: Faults, CountUpToTolerated: true, ForS: Range{1, 4}, Variants: []string{"", "timed", "taken"}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "disk_slow", Section: Faults, CountUpToTolerated: true, X: Range{20, 60}, ForS: Range{3, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: 1},
+	{Name: "disk_full", Section: Faults, CountUpToTolerated: true, ForS: Range{3, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: 1},
+	{Name: "disk_stall", Section: Faults, CountUpToTolerated: true, ForS: Range{2, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: 1},
+	{Name: "clock_step", Section: Faults, Share: Range{.15, .5}, X: Range{1000, 5000}, ForS: Range{3, 8}, Variants: []string{"", "back", "ahead"}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "hup", Section: Plan, Share: Range{.2, .6}, GapS: Range{1, 3}, RequestWeight: raisedWeight, ConfigWeight: heavyWeight},
+	{Name: "reset_conns", Section: Faults, Share: Range{.1, .5}, X: Range{.3, .9}, RequestWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "reset_conns", Section: Faults, OnCore: true, Share: Range{.3, 1}, X: Range{.3, .9}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "core_cut", Section: Faults, CountUpToTolerated: true, ForS: Range{3, 7}, LongForS: Range{16, 20}, Variants: []string{"", "one_way", "seeds", "both"}, Targeting: Targeting{Roles: true, Follow: true, CutStyles: true}, ControlWeight: heavyWeight},
-	{Name: "node_cut", Section: Faults, Share: Range{.08, .25}, ForS: Range{3, 8}, Variants: []string{"", "servers"}, Targeting: Targeting{CutStyles: true}, RequestWeight: raisedWeight},
-	{Name: "lossy", Section: Faults, X: Range{.01, .05}, ForS: Range{3, 8}, Place: Place{Zone: true}, RequestWeight: raisedWeight},
+	{Name: "core_cut", Section: Faults, OnlyOn: StressConfig, CountUpToTolerated: true, ForS: Range{3, 18}, Variants: []string{"", "one_way", "seeds", "both", "oldest", "behind", "split", "lure", "relieve", "near"}, ConfigWeight: 3 * heavyWeight},
+	{Name: "node_cut", Section: Faults, Share: Range{.08, .25}, ForS: Range{3, 8}, Variants: []string{"", "servers"}, Targeting: Targeting{CutStyles: true}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "lossy", Section: Faults, X: Range{.01, .05}, ForS: Range{3, 8}, Place: Place{Zone: true}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "config_change", Section: Plan, Variants: []string{"route", "weights", "timeout", "tenant", "quota", "idle"}, Series: IntRange{3, 8}, ControlWeight: heavyWeight},
-	{Name: "config_race", Section: Plan, Count: IntRange{1, 4}, GapS: Range{.6, 1.5}, Series: IntRange{1, 2}, ControlWeight: heavyWeight},
-	{Name: "bad_config", Section: Plan, Count: IntRange{1, 4}, GapS: Range{.6, 1.2}, Variants: []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"}, ControlWeight: raisedWeight},
-	{Name: "big_config", Section: Plan, Count: IntRange{100, 400}},
-	{Name: "ack_lost", Section: Faults, X: Range{.4, .9}, ForS: Range{4, 12}, ControlWeight: heavyWeight},
+	{Name: "config_race", Section: Plan, Count: IntRange{1, 4}, GapS: Range{.6, 1.5}, Series: IntRange{1, 2}, ControlWeight: heavyWeight, ConfigWeight: heavyWeight},
+	{Name: "bad_config", Section: Plan, Count: IntRange{1, 4}, GapS: Range{.6, 1.2}, Variants: []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"}, ControlWeight: raisedWeight, ConfigWeight: heavyWeight},
+	{Name: "big_config", Section: Plan, Count: IntRange{100, 400}, ConfigWeight: raisedWeight},
+	{Name: "ack_lost", Section: Faults, X: Range{.4, .9}, ForS: Range{4, 12}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
 }
 
 // closingKinds lists the closing faults with the variants of 'how' of each.
@@ -138,6 +149,8 @@
 		return max(k.ControlWeight, 1)
 	case StressRequests:
 		return max(k.RequestWeight, 1)
+	case StressConfig:
+		return k.ConfigWeight
 	default:
 		return 1
 	}
--- a/deploy/daygen/draw.go
+++ b/deploy/daygen/draw.go
@@ -26,12 +26,15 @@
 	longestDownS    = 2.0
 	decimals        = 1000
 	randomStreamDay = 17
+	fewestPauseS    = 0.6
+	morePauseS      = 2.5
 )
 
 var (
 	machineRoles  = []string{"leader", "reader", "seed"}
 	followingWork = []string{"meet", "race", "hard", "drain"}
 	cutStyles     = []string{"reset", "refuse"}
+	changesDrawn  = []string{"route", "route", "weights", "timeout", "idle"}
 )
 
 // DrawSettings says what to draw.
@@ -70,12 +73,25 @@
 	for range draws {
 		d.addTo(&day, d.drawKind(kinds))
 	}
+	if d.Stress == StressConfig {
+		day.Plan = append(day.Plan, d.drawChanges()...)
+	}
 	slices.SortStableFunc(day.Plan, earlier)
 	slices.SortStableFunc(day.Faults, earlier)
 	day.Closing = d.drawClosing()
 	return day, nil
 }
 
+// drawChanges lists changes of the configuration from the beginning of a day to its end.
+func (d drawer) drawChanges() []Entry {
+	var changes []Entry
+	pauses := Range{fewestPauseS, fewestPauseS + d.between(Range{0, morePauseS})}
+	for at := earliestS; at < d.site.LengthS-closingMarginS; at = round(at + d.between(pauses)) {
+		changes = append(changes, Entry{At: at, Kind: "config_change", How: pick(d.random, changesDrawn)})
+	}
+	return changes
+}
+
 func earlier(a, b Entry) int { return cmp.Compare(a.At, b.At) }
 
 func (d drawer) comment() string {
@@ -101,6 +117,9 @@
 		if slices.Contains(d.Without, kind.Name) {
 			continue
 		}
+		if kind.OnlyOn != "" && kind.OnlyOn != d.Stress || kind.weight(d.Stress) == 0 {
+			continue
+		}
 		if len(d.Only) > 0 && !slices.Contains(d.Only, kind.Name) {
 			continue
 		}
--- a/deploy/daygen/draw_test.go
+++ b/deploy/daygen/draw_test.go
@@ -118,6 +118,32 @@
 		}
 	})
 
+	ginkgo.It("changes the configuration all day long under config stress, with every variant of a cut core", func() {
+		site := readExample()
+		variants := map[string]bool{}
+		for _, day := range drawAll(site, DrawSettings{Stress: StressConfig}) {
+			changes := []float64{}
+			for _, entry := range day.Plan {
+				if entry.Kind == "config_change" {
+					changes = append(changes, entry.At)
+				}
+			}
+			Expect(changes).NotTo(BeEmpty())
+			for i, at := range changes[1:] {
+				Expect(at - changes[i]).To(BeNumerically("<=", fewestPauseS+morePauseS+0.01))
+			}
+			Expect(changes[len(changes)-1]).To(BeNumerically(">", site.LengthS-closingMarginS-fewestPauseS-morePauseS-0.01))
+			for _, entry := range day.Faults {
+				if entry.Kind == "core_cut" {
+					variants[entry.How] = true
+				}
+			}
+		}
+		for _, how := range []string{"oldest", "behind", "split", "lure", "relieve", "near", "seeds", "both", "one_way"} {
+			Expect(variants).To(HaveKey(how))
+		}
+	})
+
 	ginkgo.It("weighs each stress toward its own kinds", func() {
 		site := readExample()
 		control := entriesOf(drawAll(site, DrawSettings{Stress: StressControl}))
--- a/deploy/daygen/main.go
+++ b/deploy/daygen/main.go
@@ -22,7 +22,7 @@
 type dayArgs struct {
 	Site    string   `arg:"--site,required" help:"site file that the day is drawn for"`
 	Seed    uint64   `arg:"--seed,required" help:"the same seed draws the same day"`
-	Stress  Stress   `arg:"--stress" default:"none" help:"none, control or requests"`
+	Stress  Stress   `arg:"--stress" default:"none" help:"none, control, requests or config"`
 	Without []string `arg:"--without" help:"kinds that aren't drawn"`
 	Only    []string `arg:"--only" help:"the only kinds that are drawn"`
 	Entries int      `arg:"--entries" help:"how many times a kind is drawn; 4 to 9 when left out"`
@@ -36,6 +36,7 @@
 	CoreCount   int              `arg:"--cores" help:"core machines in all"`
 	Tolerate    int              `arg:"--tolerate" help:"core machines that may be lost at once"`
 	CrossZoneMs float64          `arg:"--cross-zone-ms" help:"delay between zones"`
+	CPUFactor   float64          `arg:"--cpu-factor" help:"share of each machine's processor that is left, such as 0.5"`
 	LagMs       int64            `arg:"--lag-ms" help:"lag of the discovery list"`
 	BeatMs      int64            `arg:"--beat-ms" help:"time between an upstream's beats"`
 	Contracts   []string         `arg:"--contracts" help:"contracts in force"`
@@ -88,8 +89,8 @@
 
 func (a dayArgs) problems() []string {
 	var problems []string
-	if !slices.Contains([]Stress{StressNone, StressControl, StressRequests}, a.Stress) {
-		problems = append(problems, fmt.Sprintf("--stress is none, control or requests, not %q", a.Stress))
+	if !slices.Contains(stresses, a.Stress) {
+		problems = append(problems, fmt.Sprintf("--stress is one of %v, not %q", stresses, a.Stress))
 	}
 	for _, name := range slices.Concat(a.Without, a.Only) {
 		if !slices.ContainsFunc(catalogue, func(kind Kind) bool { return kind.Name == name }) {
@@ -112,6 +113,7 @@
 		{"--cores", float64(a.CoreCount)},
 		{"--tolerate", float64(a.Tolerate)},
 		{"--cross-zone-ms", a.CrossZoneMs},
+		{"--cpu-factor", a.CPUFactor},
 		{"--lag-ms", float64(a.LagMs)},
 		{"--beat-ms", float64(a.BeatMs)},
 	}
@@ -159,7 +161,7 @@
 
 func (a siteArgs) run(out io.Writer) (int, error) {
 	path, err := CopySite(a.Site, a.Out, Variant{
-		LengthS: a.LengthS, CoreCount: a.CoreCount, Tolerate: a.Tolerate, CrossZoneMs: a.CrossZoneMs,
+		LengthS: a.LengthS, CoreCount: a.CoreCount, Tolerate: a.Tolerate, CrossZoneMs: a.CrossZoneMs, CPUFactor: a.CPUFactor,
 		LagMs: a.LagMs, BeatMs: a.BeatMs, Contracts: a.Contracts, Bounds: a.Bounds,
 	})
 	if err != nil {
--- a/deploy/daygen/variant.go
+++ b/deploy/daygen/variant.go
@@ -15,9 +15,11 @@
 	CoreCount   int
 	Tolerate    int
 	CrossZoneMs float64
-	LagMs       int64
-	BeatMs      int64
-	Contracts   []string
+	// CPUFactor multiplies the processor share of every machine.
+	CPUFactor float64
+	LagMs     int64
+	BeatMs    int64
+	Contracts []string
 	// Bounds are whole numbers that replace those of the table of that name.
 	Bounds map[string]int64
 }
@@ -74,6 +76,13 @@
 	if v.LengthS > 0 {
 		site["length_s"] = v.LengthS
 	}
+	if v.CPUFactor > 0 {
+		for _, machine := range machineEntries(site) {
+			if share, ok := machine["cpu_share"].(float64); ok {
+				machine["cpu_share"] = share * v.CPUFactor
+			}
+		}
+	}
 	if len(v.Contracts) > 0 {
 		site["contracts"] = v.Contracts
 	}
@@ -150,8 +159,19 @@
 	return nil
 }
 
-// coreEntries returns the entries of core machines, one a place, whether the file lists machines inline or not.
+// coreEntries returns the entries of core machines, one a place.
 func coreEntries(site document) []document {
+	var cores []document
+	for _, machine := range machineEntries(site) {
+		if machine["class"] == onCore {
+			cores = append(cores, machine)
+		}
+	}
+	return cores
+}
+
+// machineEntries returns the entries of machines, whether the file lists them inline or not.
+func machineEntries(site document) []document {
 	machines, _ := site["machines"].([]document)
 	if inline, ok := site["machines"].([]any); ok {
 		for _, item := range inline {
@@ -160,11 +180,5 @@
 			}
 		}
 	}
-	var cores []document
-	for _, machine := range machines {
-		if machine["class"] == onCore {
-			cores = append(cores, machine)
-		}
-	}
-	return cores
+	return machines
 }
