--- /dev/null
+++ b/internal/config/order.go
@@ -0,0 +1,69 @@
+package config
+
+import (
+	"curlewreach/base"
+	"curlewreach/proto/wire"
+)
+
+// Next returns the configuration that an operator's order leads to from the current one, which may be nil, or every
+// fault of the order. It is the only place that decides on an order: a whole configuration and a change of named items
+// are judged alike, by the configuration that they lead to.
+func Next(current *wire.Chart, order *wire.ChartProposal) (*wire.Chart, []*base.Mishap) {
+	if mishaps := checkForm(order); len(mishaps) > 0 {
+		return nil, mishaps
+	}
+	var found faults
+	serial := current.GetSerial()
+	if BaseOf(order) != serial {
+		found.stale(serial)
+	}
+	if SerialOf(order) <= serial {
+		found.add(base.OutOfRange, "serial", "must be above %d", serial)
+	}
+	next := order.Chart
+	if order.Change != nil {
+		next = Apply(current, order.Change)
+	}
+	found = append(found, Check(next)...)
+	if len(found) > 0 {
+		return nil, found
+	}
+	return next, nil
+}
+
+// CheckOrder returns the faults that an order has whatever configuration is current. Of a change, only its form can be
+// judged so: its items may refer to items that it doesn't hold.
+func CheckOrder(order *wire.ChartProposal) []*base.Mishap {
+	if mishaps := checkForm(order); len(mishaps) > 0 {
+		return mishaps
+	}
+	if order.Chart != nil {
+		return Check(order.Chart)
+	}
+	return nil
+}
+
+// checkForm returns the faults of an order that holds neither or both of a configuration and a change, or no number.
+func checkForm(order *wire.ChartProposal) []*base.Mishap {
+	var found faults
+	if (order.GetChart() == nil) == (order.GetChange() == nil) {
+		found.add(base.Malformed, "chart", "give a chart or a change")
+	} else if SerialOf(order) == 0 {
+		found.add(base.OutOfRange, "serial", "must be above 0")
+	}
+	return found
+}
+
+func (f *faults) stale(current uint64) {
+	f.add(base.StaleBase, "base", "serial %d is current", current)
+}
+
+// SerialOf returns the number that an order's configuration would have.
+func SerialOf(order *wire.ChartProposal) uint64 {
+	return max(order.GetChart().GetSerial(), order.GetChange().GetSerial())
+}
+
+// BaseOf returns the number of the configuration that an order builds on, 0 for the first.
+func BaseOf(order *wire.ChartProposal) uint64 {
+	return max(order.GetChart().GetBase(), order.GetChange().GetBase())
+}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -29,7 +29,7 @@
 
 func orderOf(p *wire.ChartProposal) order {
 	sum := config.Digest(&wire.ChartProposal{Chart: p.Chart, Change: p.Change})
-	return order{serialOf(p), binary.BigEndian.Uint64(sum)}
+	return order{config.SerialOf(p), binary.BigEndian.Uint64(sum)}
 }
 
 // recall says what the head knows of an order.
--- a/internal/controlplane/propose.go
+++ b/internal/controlplane/propose.go
@@ -35,8 +35,8 @@
 	defer cancel()
 	outcome := m.decide(s, c, p)
 	if outcome == nil {
-		m.scope.Log.Warn("chart undecided", "serial", serialOf(p))
-		return nil, base.Bounce(base.Uncertain, "", "whether serial %d is taken is not known yet", serialOf(p))
+		m.scope.Log.Warn("chart undecided", "serial", config.SerialOf(p))
+		return nil, base.Bounce(base.Uncertain, "", "whether serial %d is taken is not known yet", config.SerialOf(p))
 	}
 	m.told(p, outcome)
 	return outcome, nil
@@ -158,39 +158,24 @@
 
 // judge gives the head that an order leads to, or what to answer without one; neither where that can't be known.
 func judge(head *wire.ChartHead, p *wire.ChartProposal) (*wire.ChartHead, *wire.ChartOutcome) {
-	serial, current, asked := serialOf(p), head.GetChart().GetSerial(), orderOf(p)
+	serial, asked := config.SerialOf(p), orderOf(p)
 	switch recall(head, asked) {
 	case taken:
 		return nil, &wire.ChartOutcome{Serial: serial}
 	case forgotten:
 		return nil, nil
 	}
-	if baseOf(p) != current {
-		return nil, bounced(serial, base.Bounce(base.StaleBase, "base", "serial %d is current", current))
-	}
-	if serial <= current {
-		return nil, bounced(serial, base.Bounce(base.OutOfRange, "serial", "must be above %d", current))
-	}
-	next := p.Chart
-	if p.Change != nil {
-		next = config.Apply(head.GetChart(), p.Change)
-		if mishaps := config.Check(next); len(mishaps) > 0 {
-			return nil, bounced(serial, mishaps...)
-		}
+	next, mishaps := config.Next(head.GetChart(), p)
+	if len(mishaps) > 0 {
+		return nil, bounced(serial, mishaps...)
 	}
 	return &wire.ChartHead{Chart: next, Orders: remember(head, asked)}, &wire.ChartOutcome{Serial: serial}
 }
 
+// vet refuses what can be refused without knowing the newest chart.
 func vet(p *wire.ChartProposal) *wire.ChartOutcome {
-	switch {
-	case (p.GetChart() == nil) == (p.GetChange() == nil):
-		return bounced(0, base.Bounce(base.Malformed, "chart", "give a chart or a change"))
-	case serialOf(p) == 0:
-		return bounced(0, base.Bounce(base.OutOfRange, "serial", "must be above 0"))
-	case p.Chart != nil:
-		if mishaps := config.Check(p.Chart); len(mishaps) > 0 {
-			return bounced(p.Chart.Serial, mishaps...)
-		}
+	if mishaps := config.CheckOrder(p); len(mishaps) > 0 {
+		return bounced(config.SerialOf(p), mishaps...)
 	}
 	return nil
 }
@@ -203,14 +188,6 @@
 	return outcome
 }
 
-func serialOf(p *wire.ChartProposal) uint64 {
-	return max(p.GetChart().GetSerial(), p.GetChange().GetSerial())
-}
-
-func baseOf(p *wire.ChartProposal) uint64 {
-	return max(p.GetChart().GetBase(), p.GetChange().GetBase())
-}
-
 func (m *Server) told(p *wire.ChartProposal, outcome *wire.ChartOutcome) {
 	if outcome.Kind == "" {
 		m.scope.Log.Info("chart taken", "serial", outcome.Serial, "relayed", p.GetRelayed())
