--- /dev/null
+++ b/fleet/open/config_trouble_test.go
@@ -0,0 +1,156 @@
+package open
+
+import (
+	"time"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"curlewreach/base"
+	"curlewreach/proto/wire"
+)
+
+// coreTrouble disturbs the control machines until it is ended.
+type coreTrouble struct {
+	name  string
+	begin func(f *Fleet, m *Machine, random *base.Rand) (end func())
+}
+
+var coreTroubles = []coreTrouble{
+	{"one cut from the others, both ways or one way", func(f *Fleet, m *Machine, random *base.Rand) func() {
+		f.isolate(m, uint64(random.Below(3)))
+		return f.rejoin
+	}},
+	{"one cut off, nodes restarted beside it with seeds that begin with it", func(f *Fleet, m *Machine, random *base.Rand) func() {
+		f.isolate(m, 0)
+		f.seeds = append([]string{m.At(inwardPort)}, f.seeds...)
+		for range 2 {
+			f.restartOne(random)
+		}
+		return f.rejoin
+	}},
+	{"one cut off that was restarted meanwhile", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+		f.isolate(m, 0)
+		f.Kill(m)
+		f.Pass(200 * time.Millisecond)
+		f.revive(m)
+		return f.rejoin
+	}},
+	{"one cut off, the others killed as the cut heals", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+		f.isolate(m, 0)
+		return func() {
+			f.rejoin()
+			for _, other := range f.Keels {
+				if other != m {
+					f.Kill(other)
+				}
+			}
+			f.Pass(300 * time.Millisecond)
+			for _, other := range f.Keels {
+				if other != m {
+					f.revive(other)
+				}
+			}
+		}
+	}},
+	{"one cut off from half of the nodes, too", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+		f.isolate(m, 0)
+		end := []func(){}
+		for _, node := range f.nodes()[:len(f.nodes())/2] {
+			f.Cut(m, node)
+			end = append(end, f.Trouble(node.Name, "cut off"))
+		}
+		return func() {
+			f.rejoin()
+			for _, each := range end {
+				each()
+			}
+		}
+	}},
+	{"one frozen", func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) }},
+	{"one killed", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+		f.Kill(m)
+		return func() { f.revive(m) }
+	}},
+}
+
+// restartOne kills a node and raises it again.
+func (f *Fleet) restartOne(random *base.Rand) {
+	nodes := f.nodes()
+	m := nodes[random.Below(len(nodes))]
+	f.Kill(m)
+	f.Pass(100 * time.Millisecond)
+	f.revive(m)
+}
+
+// disturbNodes restarts, freezes and reloads single nodes and steps their clocks; the others stay in touch.
+func (f *Fleet) disturbNodes(random *base.Rand, till time.Duration) {
+	for f.History.Now() < till {
+		nodes := f.nodes()
+		m := nodes[random.Below(len(nodes))]
+		switch random.Below(4) {
+		case 0:
+			f.restartOne(random)
+		case 1:
+			thaw := f.Freeze(m)
+			f.Pass(time.Duration(random.Below(1500)) * time.Millisecond)
+			thaw()
+		case 2:
+			m.Clock.Jump(time.Duration(random.Below(9000)-4500) * time.Millisecond)
+		case 3:
+			p := f.params(m)
+			p.Seeds = []string{f.Keels[random.Below(len(f.Keels))].At(inwardPort)}
+			Expect(m.Node.Reload(p)).To(Succeed())
+		}
+		f.Pass(time.Duration(300+random.Below(1500)) * time.Millisecond)
+	}
+}
+
+// changeOften sends a change about every so often, and looks at every node which configurations are in force.
+func (f *Fleet) changeOften(every, till time.Duration) {
+	operator := f.Operator("one")
+	for turn := 0; f.History.Now() < till; turn++ {
+		next := shift(f.Chart(), turn)
+		if outcome := operator.Propose(&wire.ChartProposal{Chart: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
+			f.settle(next)
+		}
+		for back := range 4 {
+			f.prove(max(turn-back, 0)+1, every/4)
+		}
+	}
+}
+
+// troubledConfig lets one trouble of the core after the other come, with pauses long enough that nodes are in touch
+// between and amid them, while the configuration changes and single nodes are disturbed.
+func troubledConfig(f *Fleet) {
+	f.apart = []time.Duration{500 * time.Microsecond, 3 * time.Millisecond, 12 * time.Millisecond}[f.Seed%3]
+	random := f.rand("troubled configuration")
+	raised(f)
+	f.Visit(25)
+	f.Pass(time.Second)
+	till := f.History.Now() + 24*time.Second
+	every := time.Duration(500+random.Below(900)) * time.Millisecond
+	base.All([]func(){
+		func() { f.changeOften(every, till) },
+		func() { f.disturbNodes(f.rand("nodes"), till) },
+		func() {
+			for f.History.Now() < till {
+				trouble := coreTroubles[random.Below(len(coreTroubles))]
+				f.Scope.Note("core-trouble", trouble.name, "")
+				end := trouble.begin(f, f.Keels[random.Below(len(f.Keels))], random)
+				f.Pass(contact + time.Duration(random.Below(4000))*time.Millisecond)
+				end()
+				f.Pass(contact)
+			}
+		},
+	}, func(do func()) { do() })
+	f.World.HealAll()
+	f.Pass(contact + 50*time.Millisecond)
+	f.change(1000)
+	f.ReadBack()
+	sound(f, Twice, Config, Back, Race, Kept)
+}
+
+var _ = ginkgo.Describe("the configuration under trouble of the core", func() {
+	story("given cuts of every kind, restarts, freezes, clock steps and reloads, in zones up to 12 ms apart, when the configuration changes all the while, then no node in touch handles a request by one older than was acknowledged the bound before", []uint64{1, 3, 5}, troubledConfig)
+})
--- a/fleet/open/fleet.go
+++ b/fleet/open/fleet.go
@@ -43,6 +43,8 @@
 	repeatRatio   = 0.2
 	repeatWindow  = 10 * time.Second
 	repeatSlack   = 20
+	corePrefix    = "core"  // of the names of control machines, and the core as a whole
+	allLinks      = "links" // in a history, the links of all machines
 )
 
 // Machine is a simulated machine. Its process is either a replica of the control plane (Core) or a data
@@ -94,6 +96,7 @@
 	First    *wire.Chart
 	Story    string
 	zones    base.Table[string]
+	apart    time.Duration // delay between zones, one way
 	seeds    []string
 	born     time.Time
 	chart    *wire.Chart
@@ -107,7 +110,7 @@
 // New builds a fleet of so many control plane replicas and, for each service, so many nodes, spread over
 // three zones. No process runs until Raise.
 func New(seed uint64, keels int, services map[string]int) *Fleet {
-	f := &Fleet{Seed: seed, born: time.Now()}
+	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
 	f.World = rig.NewWorld(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
@@ -115,13 +118,13 @@
 		case f.zone(from) == f.zone(to):
 			return sameZone
 		}
-		return crossZone
+		return f.apart
 	})
 	f.Scope = f.scope("story", "10.9.9.9", rig.NewDisk(f.rand("story disk")), rig.NewClock(f.born), base.NewJournal(journalBound))
 	f.History = NewHistory(f.Scope.Clock)
 	f.Size = func(string) (int, int) { return 8, 16 }
 	for i := range keels {
-		m := f.machine(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
+		m := f.machine(fmt.Sprintf("%s-%d", corePrefix, i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
 		m.Core = true
 		f.Keels = append(f.Keels, m)
 		f.seeds = append(f.seeds, m.At(inwardPort))
@@ -197,6 +200,15 @@
 		m.Keel = keel
 		return err
 	}
+	node, err := dataplane.Start(s, f.params(m), dataplane.Plain, control)
+	f.living.Lock()
+	defer f.living.Unlock()
+	m.Node = node
+	return err
+}
+
+// params returns the settings that a node starts with.
+func (f *Fleet) params(m *Machine) *wire.FordParams {
 	params := &wire.FordParams{
 		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.At(upstreamPort), Outward: m.At(outwardPort), Inward: m.At(inwardPort),
 		Ready: m.At(readyPort), Control: m.At(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
@@ -206,11 +218,7 @@
 	if f.Tune != nil {
 		f.Tune(params)
 	}
-	node, err := dataplane.Start(s, params, dataplane.Plain, control)
-	f.living.Lock()
-	defer f.living.Unlock()
-	m.Node = node
-	return err
+	return params
 }
 
 // Seat starts an upstream beside a node.
--- a/fleet/open/rules.go
+++ b/fleet/open/rules.go
@@ -273,10 +273,19 @@
 	return all
 }
 
+// inTouch tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
+// from a contact bound before it until it was answered. Trouble of other nodes is no excuse.
+func (b *book) inTouch(ask *Ask, told *Told) bool {
+	return !slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
+		concerned := s.Node == ask.Node || strings.HasPrefix(s.Node, corePrefix) || s.Node == allLinks
+		return concerned && !s.Planned && overlaps(s, ask.At-contact, told.At)
+	})
+}
+
 func configRule(b *book) {
 	for _, ask := range b.asks {
 		told := b.told[ask.ID]
-		if told == nil || b.troubled(ask.At, told.At) {
+		if told == nil || !b.inTouch(ask, told) {
 			continue
 		}
 		charts := b.standing(ask.At, told.At)
