--- a/cmd/quiz/openwrong.go
+++ b/cmd/quiz/openwrong.go
@@ -153,6 +153,9 @@
 	if view.Serial > 0 && !view.Confirmed && len(view.Hailed) > 0 {
 		add("node %s serves a chart that no majority has vouched for since it started", name)
 	}
+	if view.ConfigStale {
+		add("node %s last knew its chart to be the newest %s ago", name, span(view.ConfigAgeMs))
+	}
 	switch {
 	case view.Stopping:
 		add("node %s is stopping", name)
--- a/internal/dataplane/config_freshness.go
+++ b/internal/dataplane/config_freshness.go
@@ -141,9 +141,30 @@
 	return n.scope.Clock.Mono() - n.freshness.asOf
 }
 
+// isStale tells whether so long without word of the newest configuration exceeds the in-force bound.
+func (n *Node) isStale(age time.Duration) bool { return age > n.params.InForce.AsDuration() }
+
+// logStale logs when the node begins to be in doubt about its configuration for longer than the in-force bound, and when
+// that is over.
+func (n *Node) logStale(was bool) (is bool) {
+	age := n.configAge()
+	is = n.isStale(age)
+	switch {
+	case is && !was:
+		n.scope.Log.Warn("configuration may be out of date", "serial", n.serial(), "age", age)
+		n.scope.Note("config-stale", "", "no control machine with a majority answers")
+	case was && !is:
+		n.scope.Log.Info("configuration known to be current again", "serial", n.serial())
+		n.scope.Note("config-current", "", "")
+	}
+	return is
+}
+
 // keepFresh asks a further control machine whenever the polls leave the node in doubt about the newest configuration.
 func (n *Node) keepFresh(s base.Scope) {
+	stale := false
 	for s.Err() == nil {
+		stale = n.logStale(stale)
 		hinted, now := n.behind.Heard(), s.Clock.Mono()
 		n.mu.Lock()
 		due := n.freshness.nextRefresh(n.serial(), now)
--- a/internal/dataplane/control_test.go
+++ b/internal/dataplane/control_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"connectrpc.com/connect"
+	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
 	"curlewreach/internal/tracing"
@@ -30,7 +31,9 @@
 	list      []string
 	freeze    time.Duration // how long the next answer stands still after it was made
 	asked     int
-	charts    int // sent whole
+	charts    int  // sent whole
+	refreshed int  // questions for nothing but the configuration
+	ages      bool // its answers tell as of when they are known to be the newest
 }
 
 func (c *standControl) set(change func()) {
@@ -54,6 +57,9 @@
 		age := ms(now - c.heard)
 		reply.MajorityMs = &age
 	}
+	if c.ages && c.heard > never {
+		reply.FreshMs = proto.Uint64(ms(now-c.heard) + 1)
+	}
 	reply.Confirmed = ask.Confirm && c.confirmed && c.serial > 0
 	fresh := c.serial > ask.Serial || reply.Whole || reply.Confirmed
 	if ask.Wants && c.serial != ask.Serial && (c.serial > ask.Serial || ask.Confirm) {
@@ -68,11 +74,17 @@
 
 func (c *standControl) Hail(ctx context.Context, request *connect.Request[wire.HailRequest]) (*connect.Response[wire.HailReply], error) {
 	ask, s := request.Msg, c.scope.Under(ctx)
-	c.set(func() { c.asked++ })
+	c.set(func() {
+		c.asked++
+		if ask.ConfigOnly {
+			c.refreshed++
+		}
+	})
 	began := s.Clock.Mono()
 	for {
 		reply, done, freeze := c.answer(ask)
 		held := s.Clock.Mono() - began
+		reply.HeldMs = ms(held)
 		if done || held >= time.Duration(ask.WaitMs)*time.Millisecond {
 			base.Await(s, freeze)
 			return connect.NewResponse(reply), s.Err()
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -50,6 +50,8 @@
 	}
 	view.Mates, view.Keels = n.peers.view()
 	view.Confirmed, view.Hailed = n.confirmed(), n.directory.view()
+	age := n.configAge()
+	view.ConfigAgeMs, view.ConfigStale = ms(age), n.isStale(age)
 	for what, count := range n.counts.All() {
 		view.Counts[what] = count.Load()
 	}
@@ -149,6 +151,8 @@
 	m.One("curlew_ready", "gauge", "whether visitors may come", base.Truth(view.Ready))
 	m.One("curlew_chart_serial", "gauge", "the chart in force here", float64(view.Serial))
 	m.One("curlew_chart_confirmed", "gauge", "whether a majority has vouched for the chart in force", base.Truth(view.Confirmed))
+	m.One("curlew_config_age_seconds", "gauge", "since the configuration in force was last known to be the newest", float64(view.ConfigAgeMs)/1000)
+	m.One("curlew_config_stale", "gauge", "whether that is longer ago than the in-force bound", base.Truth(view.ConfigStale))
 	m.One("curlew_upstream", "gauge", "whether an upstream is here", base.Truth(view.Berth != nil))
 	m.One("curlew_inside", "gauge", "requests of visitors and mates in flight here", float64(view.Inside))
 	m.One("curlew_gate_flying", "gauge", "requests at the upstream", float64(view.Gate.Flying))
