--- a/base/mishap.go
+++ b/base/fault.go
@@ -114,9 +114,9 @@
 	Internal:    {http.StatusInternalServerError, false},
 }
 
-// Mishap is an error with a kind. It is the one type of error that crosses the
+// Fault is an error with a kind. It is the one type of error that crosses the
 // network.
-type Mishap struct {
+type Fault struct {
 	Kind Kind `json:"kind"`
 	// Path is the field that the error is about, if any.
 	Path   string `json:"path,omitempty"`
@@ -129,31 +129,31 @@
 }
 
 // Later sets the wait before the caller's next try and returns m.
-func (m *Mishap) Later(after time.Duration) *Mishap {
+func (m *Fault) Later(after time.Duration) *Fault {
 	m.After = after
 	return m
 }
 
 // Error returns kind, path and reason as one line.
-func (m *Mishap) Error() string {
+func (m *Fault) Error() string {
 	if m.Path == "" {
 		return fmt.Sprintf("%s: %s", m.Kind, m.Reason)
 	}
 	return fmt.Sprintf("%s: %s: %s", m.Kind, m.Path, m.Reason)
 }
 
-// Bounce returns an error of a kind about a field (or "" for none), with a
+// NewFault returns an error of a kind about a field (or "" for none), with a
 // formatted reason.
-func Bounce(kind Kind, path, format string, args ...any) *Mishap {
-	return &Mishap{Kind: kind, Path: path, Reason: fmt.Sprintf(format, args...)}
+func NewFault(kind Kind, path, format string, args ...any) *Fault {
+	return &Fault{Kind: kind, Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// MishapOf returns the Mishap in the error's chain, or one of kind Internal
+// FaultOf returns the Fault in the error's chain, or one of kind Internal
 // with the error's text.
-func MishapOf(err error) *Mishap {
-	var mishap *Mishap
-	if errors.As(err, &mishap) {
-		return mishap
+func FaultOf(err error) *Fault {
+	var fault *Fault
+	if errors.As(err, &fault) {
+		return fault
 	}
-	return &Mishap{Kind: Internal, Reason: err.Error()}
+	return &Fault{Kind: Internal, Reason: err.Error()}
 }
--- a/base/params.go
+++ b/base/params.go
@@ -67,15 +67,15 @@
 	)
 }
 
-// Mishaps returns a validation error as sorted lines "field: reason".
-func Mishaps(err error) []string {
+// Faults returns a validation error as sorted lines "field: reason".
+func Faults(err error) []string {
 	var many validation.Errors
 	if !errors.As(err, &many) {
 		return []string{err.Error()}
 	}
 	var lines []string
 	for name, each := range many {
-		for _, line := range Mishaps(each) {
+		for _, line := range Faults(each) {
 			lines = append(lines, fmt.Sprintf("%s: %s", name, line))
 		}
 	}
@@ -85,6 +85,6 @@
 
 // Complain prints a program's bad params and exits with code 2.
 func Complain(program string, err error) {
-	fmt.Fprintf(os.Stderr, "%s: bad params\n  %s\n", program, strings.Join(Mishaps(err), "\n  "))
+	fmt.Fprintf(os.Stderr, "%s: bad params\n  %s\n", program, strings.Join(Faults(err), "\n  "))
 	os.Exit(2)
 }
--- a/base/views.go
+++ b/base/views.go
@@ -65,7 +65,7 @@
 func ReplyProto(w http.ResponseWriter, message proto.Message) {
 	body, err := protojson.Marshal(message)
 	if err != nil {
-		Reply(w, http.StatusInternalServerError, map[string]any{"mishap": MishapOf(err)})
+		Reply(w, http.StatusInternalServerError, map[string]any{"mishap": FaultOf(err)})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/cmd/drill/open.go
+++ b/cmd/drill/open.go
@@ -106,8 +106,8 @@
 	}
 	for i, address := range f.keels {
 		name := fmt.Sprintf("core-%d", i+1)
-		if err := f.start(openKeel, name, &wire.MoorParams{
-			Name: name, Zone: fmt.Sprintf("z%d", i+1), Mates: address, Operators: fmt.Sprintf("127.0.2.%d:7005", i+1), Seeds: f.keels,
+		if err := f.start(openKeel, name, &wire.ControllerParams{
+			Name: name, Zone: fmt.Sprintf("z%d", i+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", i+1), Seeds: f.keels,
 			Founding: true, Folder: filepath.Join(f.Folder, name), Log: f.Log,
 		}); err != nil {
 			return err
@@ -117,8 +117,8 @@
 		name, service := fmt.Sprintf("app-%d", i+1), []string{"books", "loans"}[i%2]
 		at := func(port int) string { return fmt.Sprintf("127.0.3.%d:%d", i+1, port) }
 		f.outward = append(f.outward, at(7001))
-		if err := f.start(openNode, name, &wire.FordParams{
-			Name: name, Zone: fmt.Sprintf("z%d", i%openKeels+1), Service: service, Upstream: at(8080), Outward: at(7001), Inward: at(7002), Ready: at(7003), Control: at(7004), Mates: at(openMates),
+		if err := f.start(openNode, name, &wire.NodeParams{
+			Name: name, Zone: fmt.Sprintf("z%d", i%openKeels+1), Service: service, Upstream: at(8080), Outward: at(7001), Inward: at(7002), Ready: at(7003), Control: at(7004), Peers: at(openMates),
 			Seeds: f.keels, Beat: durationpb.New(openBeat), Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(2 * time.Second), Grace: durationpb.New(6 * time.Second),
 			RepeatWindow: durationpb.New(10 * time.Second), RepeatSlack: 20, Log: f.Log,
 		}); err != nil {
@@ -168,20 +168,20 @@
 }
 
 func (f *openFleet) propose(ctx context.Context) error {
-	route := func(name, service string, repeat wire.Repeat, rank uint32) *wire.ChartRoute {
-		return &wire.ChartRoute{Name: name, Host: "open.example", Prefix: "/" + name + "/", Repeat: repeat, CutoffMs: 2000, AimMs: 500, Rank: rank, Tries: 2, Service: &service}
+	route := func(name, service string, repeat wire.Repeat, rank uint32) *wire.ConfigurationRoute {
+		return &wire.ConfigurationRoute{Name: name, Host: "open.example", Prefix: "/" + name + "/", Repeat: repeat, CutoffMs: 2000, AimMs: 500, Rank: rank, Tries: 2, Service: &service}
 	}
-	chart := &wire.Chart{
-		Serial: 1, Limits: &wire.ChartLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 15000},
-		Routes: []*wire.ChartRoute{route("search", "books", wire.Repeat_REPEATABLE, 2), route("lend", "loans", wire.Repeat_ONCE, 0)},
+	chart := &wire.Configuration{
+		Serial: 1, Limits: &wire.ConfigurationLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 15000},
+		Routes: []*wire.ConfigurationRoute{route("search", "books", wire.Repeat_REPEATABLE, 2), route("lend", "loans", wire.Repeat_ONCE, 0)},
 	}
 	for _, name := range []string{"books", "loans"} {
-		chart.Services = append(chart.Services, &wire.ChartService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
+		chart.Services = append(chart.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
 	}
 	keel := wireconnect.NewMoorClient(http.DefaultClient, "http://"+f.keels[0])
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		bounded, cancel := context.WithTimeout(ctx, 4*time.Second)
-		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ChartProposal{Chart: chart}))
+		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: chart}))
 		cancel()
 		switch {
 		case err == nil && outcome.Msg.Kind != "":
@@ -221,7 +221,7 @@
 func nobody[T any](T) http.Handler { return http.NotFoundHandler() }
 
 func openKeelMain(file string) error {
-	p := &wire.MoorParams{}
+	p := &wire.ControllerParams{}
 	if err := base.LoadParams(file, p); err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 }
 
 func openNodeMain(file string) error {
-	p := &wire.FordParams{}
+	p := &wire.NodeParams{}
 	if err := base.LoadParams(file, p); err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	berth := &wire.Berth{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
+	berth := &wire.Instance{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
 	door, err := base.Open(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openSlow))
 		w.Header().Set(dataplane.Plain.Attempt, r.Header.Get(dataplane.Plain.Attempt))
--- a/cmd/drill/replace.go
+++ b/cmd/drill/replace.go
@@ -127,8 +127,8 @@
 	name := fmt.Sprintf("core-%d", r.started)
 	seeds := r.fleet.keels
 	begun = time.Now()
-	err = r.fleet.start(openKeel, name, &wire.MoorParams{
-		Name: name, Zone: fmt.Sprintf("z%d", (r.started-1)%openKeels+1), Mates: address, Operators: fmt.Sprintf("127.0.2.%d:7005", r.started),
+	err = r.fleet.start(openKeel, name, &wire.ControllerParams{
+		Name: name, Zone: fmt.Sprintf("z%d", (r.started-1)%openKeels+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", r.started),
 		Seeds: seeds, Folder: filepath.Join(r.fleet.Folder, name), Log: r.fleet.Log,
 	})
 	r.fleet.keels = append(seeds[1:len(seeds):len(seeds)], address)
@@ -137,14 +137,14 @@
 }
 
 // awaitVote waits until the new control machine votes and the old one doesn't.
-func (r *replacement) awaitVote(ctx context.Context, address, old string) (*wire.KeelView, error) {
+func (r *replacement) awaitVote(ctx context.Context, address, old string) (*wire.ControllerView, error) {
 	for begun := time.Now(); time.Since(begun) < replaceWithin; time.Sleep(replacePoll) {
 		view, err := keelView(ctx, address)
-		if err != nil || view.Phase != "founded" || len(view.Mates) != openKeels {
+		if err != nil || view.Phase != "founded" || len(view.Peers) != openKeels {
 			continue
 		}
 		gone := true
-		for _, voter := range view.Mates {
+		for _, voter := range view.Peers {
 			gone = gone && voter.Address != old
 		}
 		if gone {
@@ -154,7 +154,7 @@
 	return nil, errors.Errorf("%s has not taken the place of %s within %s", address, old, replaceWithin)
 }
 
-func keelView(ctx context.Context, address string) (*wire.KeelView, error) {
+func keelView(ctx context.Context, address string) (*wire.ControllerView, error) {
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/view", nil)
 	if err != nil {
 		return nil, err
@@ -164,20 +164,20 @@
 		return nil, err
 	}
 	defer answer.Body.Close()
-	view := &wire.KeelView{}
+	view := &wire.ControllerView{}
 	return view, decodeJSON(answer.Body, view)
 }
 
 // change has a further change acknowledged by the new control machine.
 func (r *replacement) change(ctx context.Context, address string) error {
 	service := "books"
-	change := &wire.ChartChange{Serial: r.serial + 1, Base: r.serial, Routes: []*wire.ChartRoute{{
+	change := &wire.ConfigurationChange{Serial: r.serial + 1, Base: r.serial, Routes: []*wire.ConfigurationRoute{{
 		Name: "search", Host: "open.example", Prefix: fmt.Sprintf("/search/%d/", r.serial), Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 500, Tries: 2, Service: &service,
 	}}}
 	keel := wireconnect.NewMoorClient(http.DefaultClient, "http://"+address)
 	for begun := time.Now(); time.Since(begun) < replaceWithin; time.Sleep(replacePoll) {
 		bounded, cancel := context.WithTimeout(ctx, time.Second)
-		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ChartProposal{Change: change}))
+		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Change: change}))
 		cancel()
 		if err != nil {
 			continue
--- a/cmd/keel/main.go
+++ b/cmd/keel/main.go
@@ -74,7 +74,7 @@
 			err = keel.Reload(fresh)
 		}
 		if err != nil {
-			s.Log.Error("reload bounced; the old params stay", "mishaps", base.Mishaps(err))
+			s.Log.Error("reload bounced; the old params stay", "mishaps", base.Faults(err))
 			return
 		}
 		s.Log.Info("reloaded")
--- a/cmd/quiz/exit.go
+++ b/cmd/quiz/exit.go
@@ -24,7 +24,7 @@
 var errUnknown = errors.New("not known yet; ask again with status")
 
 func exitCode(err error) int {
-	var mishap *base.Mishap
+	var mishap *base.Fault
 	var bad badFile
 	switch {
 	case errors.As(err, &bad):
@@ -49,7 +49,7 @@
 		fmt.Printf("%s serial %d\n", strings.ToLower(outcome.Verdict.String()), outcome.Serial)
 	}
 	if mishap := outcome.Mishap; mishap != nil && outcome.Verdict == wire.Verdict_BOUNCED {
-		return &base.Mishap{Kind: base.Kind(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}
+		return &base.Fault{Kind: base.Kind(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}
 	}
 	if outcome.Verdict == wire.Verdict_UNKNOWN {
 		return errUnknown
--- a/cmd/quiz/open.go
+++ b/cmd/quiz/open.go
@@ -39,7 +39,7 @@
 
 // look is what the keels and nodes of an open fleet said of themselves.
 type look struct {
-	keels  map[string]*wire.KeelView
+	keels  map[string]*wire.ControllerView
 	silent []string
 	sights map[string]*sighted
 	views  map[string]*wire.NodeView
@@ -47,7 +47,7 @@
 
 // sighted is a node as the keels see it, the one that heard it last first of all.
 type sighted struct {
-	post      *wire.Post
+	post      *wire.NodeStatus
 	silenceMs uint64
 	there     []string
 	absent    []string
@@ -79,7 +79,7 @@
 }
 
 func (l *look) ask(ctx context.Context, clerk *helm.Clerk, addresses []string) {
-	found, silent := gather(ctx, addresses, func(ctx context.Context, address string) (*wire.KeelView, error) {
+	found, silent := gather(ctx, addresses, func(ctx context.Context, address string) (*wire.ControllerView, error) {
 		return at(clerk, address).KeelView(ctx)
 	})
 	maps.Copy(l.keels, found)
@@ -88,14 +88,14 @@
 
 // around asks the keels named, those that they name, and the nodes that any of them knows.
 func around(ctx context.Context, clerk *helm.Clerk) (*look, error) {
-	l := &look{keels: map[string]*wire.KeelView{}, sights: map[string]*sighted{}}
+	l := &look{keels: map[string]*wire.ControllerView{}, sights: map[string]*sighted{}}
 	l.ask(ctx, clerk, clerk.Keels)
 	if len(l.keels) == 0 {
 		return nil, helm.ErrNoKeel
 	}
 	var more []string
 	for _, keel := range l.keels {
-		for _, mate := range keel.Mates {
+		for _, mate := range keel.Peers {
 			if !slices.Contains(clerk.Keels, mate.Address) && !slices.Contains(more, mate.Address) {
 				more = append(more, mate.Address)
 			}
@@ -105,10 +105,10 @@
 	l.merge()
 	l.views, _ = gather(ctx, slices.Sorted(maps.Keys(l.sights)), func(ctx context.Context, name string) (*wire.NodeView, error) {
 		node := l.sights[name]
-		if node.gone() || node.post.Mates == "" {
+		if node.gone() || node.post.Peers == "" {
 			return nil, errors.New("can't be asked")
 		}
-		return at(clerk, node.post.Mates).NodeView(ctx)
+		return at(clerk, node.post.Peers).NodeView(ctx)
 	})
 	return l, nil
 }
@@ -117,18 +117,18 @@
 	for _, address := range slices.Sorted(maps.Keys(l.keels)) {
 		keel := l.keels[address]
 		for _, each := range keel.Nodes {
-			node := l.sights[each.Post.Node]
+			node := l.sights[each.NodeStatus.Node]
 			if node == nil {
-				node = &sighted{post: each.Post, silenceMs: each.SilenceMs}
-				l.sights[each.Post.Node] = node
+				node = &sighted{post: each.NodeStatus, silenceMs: each.SilenceMs}
+				l.sights[each.NodeStatus.Node] = node
 			}
 			if each.SilenceMs < node.silenceMs {
-				node.post, node.silenceMs = each.Post, each.SilenceMs
+				node.post, node.silenceMs = each.NodeStatus, each.SilenceMs
 			}
 			if each.Absent {
-				node.absent = append(node.absent, keel.Keel)
+				node.absent = append(node.absent, keel.Controller)
 			} else {
-				node.there = append(node.there, keel.Keel)
+				node.there = append(node.there, keel.Controller)
 			}
 		}
 	}
--- a/cmd/quiz/open_test.go
+++ b/cmd/quiz/open_test.go
@@ -39,15 +39,15 @@
 func nothing[T any](T) http.Handler { return http.NotFoundHandler() }
 
 func keel(seed string) *controlplane.Server {
-	m, err := controlplane.Start(scoped("core-1"), &wire.MoorParams{Name: "core-1", Zone: "a", Mates: seed, Operators: free(), Seeds: []string{seed}, Founding: true, Folder: "x", Ack: durationpb.New(time.Second)}, nothing[*controlplane.Server])
+	m, err := controlplane.Start(scoped("core-1"), &wire.ControllerParams{Name: "core-1", Zone: "a", Peers: seed, Operators: free(), Seeds: []string{seed}, Founding: true, Folder: "x", Ack: durationpb.New(time.Second)}, nothing[*controlplane.Server])
 	Expect(err).NotTo(HaveOccurred())
 	return m
 }
 
 func node(i int, seed string) *dataplane.Node {
 	second := durationpb.New(time.Second)
-	n, err := dataplane.Start(scoped("app"), &wire.FordParams{
-		Name: fmt.Sprint("app-", i), Zone: "a", Service: "books", Outward: free(), Inward: free(), Ready: free(), Control: free(), Seeds: []string{seed}, Mates: free(),
+	n, err := dataplane.Start(scoped("app"), &wire.NodeParams{
+		Name: fmt.Sprint("app-", i), Zone: "a", Service: "books", Outward: free(), Inward: free(), Ready: free(), Control: free(), Seeds: []string{seed}, Peers: free(),
 		Beat: second, Leaving: second, InForce: second, Grace: second, RepeatSlack: 10,
 	}, dataplane.Plain, nothing[*dataplane.Node])
 	Expect(err).NotTo(HaveOccurred())
@@ -81,15 +81,15 @@
 		defer first.Kill()
 		defer second.Kill()
 		Eventually(wrong, 8*time.Second, 50*time.Millisecond).Should(ContainElements("there is no chart yet: nodes serve nobody", "node app-1 is not ready: it has no chart"))
-		_, err := m.Propose(context.Background(), &wire.ChartProposal{Chart: &wire.Chart{
-			Serial: 1, Services: []*wire.ChartService{{Name: "books", Probe: "/h", ConnLimit: 9, Protocol: "h1"}}, Limits: &wire.ChartLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 9000},
-			Routes: []*wire.ChartRoute{{Name: "r", Host: "a.example", Prefix: "/", CutoffMs: 2000, AimMs: 500, Tries: 2, Service: proto.String("books")}},
+		_, err := m.Propose(context.Background(), &wire.ConfigurationProposal{Configuration: &wire.Configuration{
+			Serial: 1, Services: []*wire.ConfigurationService{{Name: "books", Probe: "/h", ConnLimit: 9, Protocol: "h1"}}, Limits: &wire.ConfigurationLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 9000},
+			Routes: []*wire.ConfigurationRoute{{Name: "r", Host: "a.example", Prefix: "/", CutoffMs: 2000, AimMs: 500, Tries: 2, Service: proto.String("books")}},
 		}})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(wrong, 8*time.Second, 50*time.Millisecond).Should(ContainElements("service books has no upstream anywhere", "the upstream beside node app-2 is silent"))
 		beat := func() {
 			for i, n := range []*dataplane.Node{first, second} {
-				Expect(n.Beat(&wire.Berth{Id: fmt.Sprint("i", i), Service: "books", Address: "127.0.0.1:9", Zone: "a", Capacity: 4})).To(BeNil())
+				Expect(n.Beat(&wire.Instance{Id: fmt.Sprint("i", i), Service: "books", Address: "127.0.0.1:9", Zone: "a", Capacity: 4})).To(BeNil())
 			}
 		}
 		Eventually(func() []string { beat(); return wrong() }, 12*time.Second, 50*time.Millisecond).Should(BeEmpty())
@@ -118,25 +118,25 @@
 		func(change func(l *look), said ...string) {
 			gate := &wire.GateView{Limit: 4}
 			l := &look{
-				keels:  map[string]*wire.KeelView{},
-				sights: map[string]*sighted{"app-1": {post: &wire.Post{Node: "app-1", Mates: "10.0.1.1:7"}, there: []string{"core-1", "core-2"}}},
-				views:  map[string]*wire.NodeView{"app-1": {Serial: 5, Ready: true, Berth: &wire.Berth{Service: "books"}, Gate: gate}},
+				keels:  map[string]*wire.ControllerView{},
+				sights: map[string]*sighted{"app-1": {post: &wire.NodeStatus{Node: "app-1", Peers: "10.0.1.1:7"}, there: []string{"core-1", "core-2"}}},
+				views:  map[string]*wire.NodeView{"app-1": {Serial: 5, Ready: true, Instance: &wire.Instance{Service: "books"}, Gate: gate}},
 			}
 			for i := range 2 {
 				address := fmt.Sprintf("10.0.0.%d:7", i+1)
-				l.keels[address] = &wire.KeelView{
-					Keel: fmt.Sprint("core-", i+1), Address: address, Phase: wholePhase, Settled: true, Serial: 5, Learner: "x", Keys: []*wire.KeyState{{Key: "chart", Copies: 2}},
-					Mates: []*wire.KeelMate{{Address: "10.0.0.1:7", Heard: true}, {Address: "10.0.0.2:7", Heard: true}},
+				l.keels[address] = &wire.ControllerView{
+					Controller: fmt.Sprint("core-", i+1), Address: address, Phase: wholePhase, Settled: true, Serial: 5, Learner: "x", Keys: []*wire.KeyState{{Key: "chart", Copies: 2}},
+					Peers: []*wire.ControllerPeer{{Address: "10.0.0.1:7", Heard: true}, {Address: "10.0.0.2:7", Heard: true}},
 				}
 			}
 			change(l)
-			Expect(l.wrong(&wire.Chart{Serial: 5, Services: []*wire.ChartService{{Name: "books"}}})).To(ConsistOf(said))
+			Expect(l.wrong(&wire.Configuration{Serial: 5, Services: []*wire.ConfigurationService{{Name: "books"}}})).To(ConsistOf(said))
 		},
 		ginkgo.Entry("nothing", func(*look) {}),
 		ginkgo.Entry("a keel out of reach", func(l *look) { l.silent = []string{"10.0.0.3:7"} }, "keel 10.0.0.3:7 can't be reached"),
 		ginkgo.Entry("a keel cut off", func(l *look) {
 			k := l.keels["10.0.0.1:7"]
-			k.Settled, k.AgreedMs, k.Mates[1].Heard, k.Serial = false, proto.Uint64(2500), false, 4
+			k.Settled, k.AgreedMs, k.Peers[1].Heard, k.Serial = false, proto.Uint64(2500), false, 4
 		}, "keel core-1 does not agree with a majority of disks; it last did 2.5s ago", "keel core-1 does not hear keel 10.0.0.2:7", "keel core-1 is on serial 4, the newest is 5"),
 		ginkgo.Entry("too few copies", func(l *look) { l.keels["10.0.0.1:7"].Keys[0].Copies = 1 }, "the newest chart is on 1 of 2 disks"),
 		ginkgo.Entry("a blank disk", func(l *look) { l.keels["10.0.0.2:7"].Phase = "blank" }, "keel core-2 has not recovered its disk: blank"),
@@ -145,22 +145,25 @@
 		}, "keel core-2 has no vote, and generation 4 has its voters"),
 		ginkgo.Entry("no voter to spare", func(l *look) {
 			k := l.keels["10.0.0.1:7"]
-			k.Mates = append(k.Mates, &wire.KeelMate{Address: "10.0.0.3:7"})
+			k.Peers = append(k.Peers, &wire.ControllerPeer{Address: "10.0.0.3:7"})
 			k.Generation, k.Sealed, k.Keys = 3, true, nil
-			k.Learners = []*wire.KeelLearner{{Address: "10.0.0.4:7"}, {Address: "10.0.0.5:7", CaughtUp: true}}
+			k.Learners = []*wire.ControllerLearner{{Address: "10.0.0.4:7"}, {Address: "10.0.0.5:7", CaughtUp: true}}
 		}, "keel core-1 hears so few of the 3 voters of generation 3 that one more lost would stop changes",
 			"keel core-1 has ended generation 3 and waits for the next", "keel core-1 sees 10.0.0.4:7 still catching up"),
 		ginkgo.Entry("a node behind", func(l *look) { l.views["app-1"].Serial = 4 }, "node app-1 is on serial 4, the newest is 5"),
 		ginkgo.Entry("a node beside a control machine that is cut off", func(l *look) {
-			l.views["app-1"].Hailed = []*wire.ControlView{{Address: "10.0.0.1:7"}}
+			l.views["app-1"].Polled = []*wire.ControlView{{Address: "10.0.0.1:7"}}
 		}, "node app-1 serves a chart that no majority has vouched for since it started"),
 		ginkgo.Entry("a node seen by one keel", func(l *look) {
 			l.sights["app-1"].there, l.sights["app-1"].absent = []string{"core-1"}, []string{"core-2"}
 		}, "node app-1 is not heard by core-2, though by core-1"),
-		ginkgo.Entry("a node that is mute", func(l *look) { delete(l.views, "app-1"); l.sights["app-1"].post.Berth = &wire.Berth{Service: "books"} }, "node app-1 did not reply at its door for views (10.0.1.1:7)"),
+		ginkgo.Entry("a node that is mute", func(l *look) {
+			delete(l.views, "app-1")
+			l.sights["app-1"].post.Instance = &wire.Instance{Service: "books"}
+		}, "node app-1 did not reply at its door for views (10.0.1.1:7)"),
 		ginkgo.Entry("a crowd", func(l *look) {
 			v := l.views["app-1"]
-			v.Gate.Flying, v.Gate.Waiting, v.Gate.RestMs, v.BacklogMs, v.Purses = 4, 2, 70, 300, []*wire.PurseView{{Service: "books", Spent: true}}
+			v.Gate.Flying, v.Gate.Waiting, v.Gate.RestMs, v.BacklogMs, v.RetryBudgets = 4, 2, 70, 300, []*wire.RetryBudgetView{{Service: "books", Spent: true}}
 		}, "the gate at node app-1 is full: 4 of 4 taken, 2 wait, a new request would wait 70ms", "the link of node app-1 is behind by 300ms", "node app-1 has spent its repeats for service books"),
 	)
 })
--- a/cmd/quiz/opentables.go
+++ b/cmd/quiz/opentables.go
@@ -68,7 +68,7 @@
 	return "well"
 }
 
-func upstream(berth *wire.Berth) string {
+func upstream(berth *wire.Instance) string {
 	switch {
 	case berth == nil:
 		return "none"
@@ -85,11 +85,11 @@
 	t := tableOf("NODE", "ZONE", "SERVICE", "STANDING", "SILENT", "SERIAL", "UPSTREAM", "GATE", "WAITING", "LOOK")
 	for _, name := range slices.Sorted(maps.Keys(l.sights)) {
 		node, view := l.sights[name], l.views[name]
-		serial, gate, waiting, berth := any("?"), "?", any("?"), node.post.Berth
+		serial, gate, waiting, berth := any("?"), "?", any("?"), node.post.Instance
 		if view != nil {
-			serial, gate, waiting, berth = view.Serial, fmt.Sprintf("%d/%d", view.Gate.GetFlying(), view.Gate.GetLimit()), view.Gate.GetWaiting(), view.Berth
+			serial, gate, waiting, berth = view.Serial, fmt.Sprintf("%d/%d", view.Gate.GetFlying(), view.Gate.GetLimit()), view.Gate.GetWaiting(), view.Instance
 		}
-		t.add(name, node.post.Zone, node.post.Service, node.standing(view), span(node.silenceMs), serial, upstream(berth), gate, waiting, cmp.Or(node.post.Mates, "-"))
+		t.add(name, node.post.Zone, node.post.Service, node.standing(view), span(node.silenceMs), serial, upstream(berth), gate, waiting, cmp.Or(node.post.Peers, "-"))
 	}
 	t.print(a.Sort, a.Filter)
 	for _, name := range l.mute() {
@@ -111,15 +111,15 @@
 	}
 	fmt.Printf("%s, zone %s, service %s, life %s, up %s, %s\n", view.Node, view.Zone, view.Service, view.Incarnation, span(view.UpMs), l.sights[name].standing(view))
 	fmt.Printf("serial %d, odds %d, %d requests inside, link behind by %s\n", view.Serial, view.Odds, view.Inside, span(view.BacklogMs))
-	fmt.Printf("upstream %s, heard %s ago; gate %d of %d, %d waiting, usual hold %s\n", upstream(view.Berth), span(view.BerthSilenceMs), view.Gate.GetFlying(), view.Gate.GetLimit(), view.Gate.GetWaiting(), span(view.Gate.GetHoldMs()))
-	for _, keel := range slices.Sorted(maps.Keys(view.Keels)) {
-		fmt.Printf("keel %s spoke %s ago\n", keel, span(view.Keels[keel]))
+	fmt.Printf("upstream %s, heard %s ago; gate %d of %d, %d waiting, usual hold %s\n", upstream(view.Instance), span(view.InstanceSilenceMs), view.Gate.GetFlying(), view.Gate.GetLimit(), view.Gate.GetWaiting(), span(view.Gate.GetHoldMs()))
+	for _, keel := range slices.Sorted(maps.Keys(view.Controllers)) {
+		fmt.Printf("keel %s spoke %s ago\n", keel, span(view.Controllers[keel]))
 	}
 	fmt.Println("counts:", sorted(view.Counts))
 	fmt.Println("further calls:", strings.Join(view.Further, " "))
 	fmt.Println()
 	t := tableOf("MATE", "ZONE", "SERVICE", "SEEN", "SPEED", "FLYING", "LAST NEWS")
-	for _, mate := range view.Mates {
+	for _, mate := range view.Peers {
 		seen := "there"
 		switch {
 		case mate.Absent:
@@ -128,9 +128,9 @@
 			seen = "avoided"
 		case mate.Stopping:
 			seen = "stopping"
-		case mate.Berth == "":
+		case mate.Instance == "":
 			seen = "no upstream"
-		case mate.Leaving || mate.Barred == mate.Berth:
+		case mate.Leaving || mate.Barred == mate.Instance:
 			seen = "leaving"
 		}
 		t.add(mate.Node, mate.Zone, mate.Service, seen, fmt.Sprintf("%.2f", mate.Speed), mate.Flying, span(mate.SilenceMs))
@@ -138,13 +138,13 @@
 	t.print(a.Sort, a.Filter)
 	fmt.Println()
 	t = tableOf("REPEATS OF", "HELD", "MOST", "REQUESTS LATELY")
-	for _, each := range view.Purses {
+	for _, each := range view.RetryBudgets {
 		t.add(each.Service, fmt.Sprintf("%.1f", each.Held), fmt.Sprintf("%.1f", each.Most), each.Lately)
 	}
 	t.print(a.Sort, a.Filter)
 	fmt.Println()
 	t = tableOf("ROUTE", "USUAL MS", "LONG MS", "ANSWERED")
-	for _, each := range view.Paces {
+	for _, each := range view.Latencies {
 		t.add(each.Route, fmt.Sprintf("%.1f", each.MeanMs), fmt.Sprintf("%.1f", each.LongMs), each.Seen)
 	}
 	t.print(a.Sort, a.Filter)
@@ -174,7 +174,7 @@
 			}
 			keys = append(keys, fmt.Sprintf("%s:%d%s", key.Key, key.Serial, sick))
 		}
-		t.add(keel.Keel, address, keel.Zone, keel.Phase, keel.Generation, keel.Spare, keel.Settled, agreed, keel.Serial, keel.Owner, keel.Learner, len(keel.Nodes), absent, strings.Join(keys, " "))
+		t.add(keel.Controller, address, keel.Zone, keel.Phase, keel.Generation, keel.Spare, keel.Settled, agreed, keel.Serial, keel.Owner, keel.Learner, len(keel.Nodes), absent, strings.Join(keys, " "))
 	}
 	t.print(a.Sort, a.Filter)
 	for _, address := range l.silent {
@@ -205,7 +205,7 @@
 func (l *look) paces() (slowest map[string]float64, further map[string]bool) {
 	slowest, further = map[string]float64{}, map[string]bool{}
 	for _, view := range l.views {
-		for _, each := range view.Paces {
+		for _, each := range view.Latencies {
 			slowest[each.Route] = max(slowest[each.Route], each.MeanMs)
 		}
 		for _, route := range view.Further {
@@ -216,9 +216,9 @@
 }
 
 // targets returns the services that a route leads to, with their weights.
-func targets(route *wire.ChartRoute) string {
+func targets(route *wire.ConfigurationRoute) string {
 	var to []string
-	for _, fork := range route.Forks {
+	for _, fork := range route.Destinations {
 		to = append(to, fmt.Sprintf("%s:%g", fork.Service, fork.Weight))
 	}
 	if route.Service != nil {
@@ -231,10 +231,10 @@
 	ask := a.Open.Journal
 	address := ""
 	if node := l.sights[ask.Node]; node != nil {
-		address = node.post.Mates
+		address = node.post.Peers
 	}
 	for _, keel := range l.keels {
-		if keel.Keel == ask.Node || keel.Address == ask.Node {
+		if keel.Controller == ask.Node || keel.Address == ask.Node {
 			address = keel.Address
 		}
 	}
--- a/cmd/quiz/openwrong.go
+++ b/cmd/quiz/openwrong.go
@@ -19,7 +19,7 @@
 )
 
 // wrong says in plain words what is wrong now; chart is nil if no keel could tell it.
-func (l *look) wrong(chart *wire.Chart) (found []string) {
+func (l *look) wrong(chart *wire.Configuration) (found []string) {
 	add := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	for _, address := range l.silent {
 		add("keel %s can't be reached", address)
@@ -54,7 +54,7 @@
 
 // nodeSeen adds what is wrong with a node and returns its upstream, as far as
 // it is known; nil if the node is gone.
-func (l *look) nodeSeen(name string, newest uint64, add func(string, ...any)) *wire.Berth {
+func (l *look) nodeSeen(name string, newest uint64, add func(string, ...any)) *wire.Instance {
 	node, view := l.sights[name], l.views[name]
 	if node.gone() {
 		add("node %s is absent, silent for %s", name, span(node.silenceMs))
@@ -64,15 +64,15 @@
 		add("node %s is not heard by %s, though by %s", name, strings.Join(node.absent, ", "), strings.Join(node.there, ", "))
 	}
 	if view == nil {
-		add("node %s did not reply at its door for views (%s)", name, node.post.Mates)
-		return node.post.Berth
+		add("node %s did not reply at its door for views (%s)", name, node.post.Peers)
+		return node.post.Instance
 	}
 	nodeWrong(name, view, newest, add)
-	return view.Berth
+	return view.Instance
 }
 
-func (l *look) keelWrong(keel *wire.KeelView, newest uint64, add func(string, ...any)) {
-	name := keel.Keel
+func (l *look) keelWrong(keel *wire.ControllerView, newest uint64, add func(string, ...any)) {
+	name := keel.Controller
 	switch keel.Phase {
 	case wholePhase:
 	case catchingUp:
@@ -93,7 +93,7 @@
 	if keel.Stopping {
 		add("keel %s is stopping", name)
 	}
-	for _, mate := range keel.Mates {
+	for _, mate := range keel.Peers {
 		if !mate.Heard && l.keels[mate.Address] != nil {
 			add("keel %s does not hear keel %s", name, mate.Address)
 		}
@@ -106,28 +106,28 @@
 }
 
 // keelMembers tells what stands between a keel's voters and the next loss.
-func keelMembers(keel *wire.KeelView, add func(string, ...any)) {
-	if keel.Phase == wholePhase && len(keel.Mates) >= fewestSpared && keel.Spare < 1 {
-		add("keel %s hears so few of the %d voters of generation %d that one more lost would stop changes", keel.Keel, len(keel.Mates), keel.Generation)
+func keelMembers(keel *wire.ControllerView, add func(string, ...any)) {
+	if keel.Phase == wholePhase && len(keel.Peers) >= fewestSpared && keel.Spare < 1 {
+		add("keel %s hears so few of the %d voters of generation %d that one more lost would stop changes", keel.Controller, len(keel.Peers), keel.Generation)
 	}
 	if keel.Sealed {
-		add("keel %s has ended generation %d and waits for the next", keel.Keel, keel.Generation)
+		add("keel %s has ended generation %d and waits for the next", keel.Controller, keel.Generation)
 	}
 	for _, learner := range keel.Learners {
 		if !learner.CaughtUp {
-			add("keel %s sees %s still catching up", keel.Keel, learner.Address)
+			add("keel %s sees %s still catching up", keel.Controller, learner.Address)
 		}
 	}
 }
 
-func keelRepairs(keel *wire.KeelView, add func(string, ...any)) {
+func keelRepairs(keel *wire.ControllerView, add func(string, ...any)) {
 	for _, key := range keel.Keys {
 		if key.Sick {
-			add("keel %s repairs the key %s on its disk", keel.Keel, key.Key)
+			add("keel %s repairs the key %s on its disk", keel.Controller, key.Key)
 		}
 	}
 	if keel.Owed > 0 {
-		add("keel %s owes %d batches of spans to a mate", keel.Keel, keel.Owed)
+		add("keel %s owes %d batches of spans to a mate", keel.Controller, keel.Owed)
 	}
 }
 
@@ -138,7 +138,7 @@
 		for _, key := range keel.Keys {
 			copies, known := fewest[key.Key]
 			if key.Copies > 0 && (!known || int(key.Copies) < copies) {
-				fewest[key.Key], of[key.Key] = int(key.Copies), len(keel.Mates)
+				fewest[key.Key], of[key.Key] = int(key.Copies), len(keel.Peers)
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 func nodeWrong(name string, view *wire.NodeView, newest uint64, add func(string, ...any)) {
-	if view.Serial > 0 && !view.Confirmed && len(view.Hailed) > 0 {
+	if view.Serial > 0 && !view.Confirmed && len(view.Polled) > 0 {
 		add("node %s serves a chart that no majority has vouched for since it started", name)
 	}
 	if view.ConfigStale {
@@ -164,7 +164,7 @@
 	case view.Serial < newest:
 		add("node %s is on serial %d, the newest is %d", name, view.Serial, newest)
 	}
-	if view.Berth == nil {
+	if view.Instance == nil {
 		add("the upstream beside node %s is silent", name)
 	}
 	if gate := view.Gate; gate.GetWaiting() > 0 && gate.GetFlying() >= gate.GetLimit() {
@@ -173,12 +173,12 @@
 	if view.BacklogMs > muchBehind {
 		add("the link of node %s is behind by %s", name, span(view.BacklogMs))
 	}
-	for _, purse := range view.Purses {
+	for _, purse := range view.RetryBudgets {
 		if purse.Spent {
 			add("node %s has spent its repeats for service %s", name, purse.Service)
 		}
 	}
-	for _, mate := range view.Mates {
+	for _, mate := range view.Peers {
 		if mate.AvoidedMs > 0 && !mate.Absent {
 			add("node %s could lately not reach node %s", name, mate.Node)
 		}
--- a/cmd/quiz/quiz_test.go
+++ b/cmd/quiz/quiz_test.go
@@ -22,7 +22,7 @@
 var _ = ginkgo.Describe("the shell's answers", func() {
 	ginkgo.DescribeTable("given a mishap, when quiz ends, then its exit code tells which",
 		func(err error, code int) { Expect(exitCode(err)).To(Equal(code)) },
-		ginkgo.Entry("bounced", errors.Wrap(base.Bounce(base.StaleBase, "base", "newer"), "apply"), exitBounced),
+		ginkgo.Entry("bounced", errors.Wrap(base.NewFault(base.StaleBase, "base", "newer"), "apply"), exitBounced),
 		ginkgo.Entry("unknown", errors.WithStack(errUnknown), exitUnknown),
 		ginkgo.Entry("unreachable", errors.Wrap(helm.ErrNoKeel, "show"), exitUnreachable),
 		ginkgo.Entry("a bad file", badFile{errors.New("no JSON")}, exitBadFile),
--- a/fleet/desk_test.go
+++ b/fleet/desk_test.go
@@ -22,13 +22,13 @@
 	"curlewreach/proto/wire"
 )
 
-func (f *Fleet) post(path, body string) (int, *base.Mishap) {
+func (f *Fleet) post(path, body string) (int, *base.Fault) {
 	response, err := f.Clerk.Web.Post("http://"+f.Clerk.Keels[1]+path, "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	said, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	var reply struct{ Mishap *base.Mishap }
+	var reply struct{ Mishap *base.Fault }
 	Expect(json.NewDecoder(bytes.NewReader(said)).Decode(&reply)).To(Succeed(), string(said))
 	return response.StatusCode, reply.Mishap
 }
@@ -39,7 +39,7 @@
 	return reply.Sealed
 }
 
-func (f *Fleet) handIn(id string, sealed *wire.Sealed) (int, *base.Mishap) {
+func (f *Fleet) handIn(id string, sealed *wire.Sealed) (int, *base.Fault) {
 	body, err := protojson.Marshal(&wire.SignRequest{Submission: id, Sealed: sealed})
 	Expect(err).NotTo(HaveOccurred())
 	return f.post("/v1/sign", string(body))
@@ -62,7 +62,7 @@
 		for _, m := range f.Keels {
 			before = append(before, bundleFiles(m))
 		}
-		expect := func(status int, mishap *base.Mishap, wanted base.Kind) {
+		expect := func(status int, mishap *base.Fault, wanted base.Kind) {
 			Expect(mishap).NotTo(BeNil())
 			Expect(mishap.Kind).To(Equal(wanted), mishap.Reason)
 			Expect(status).To(Equal(base.Answers[wanted].Status))
@@ -181,10 +181,10 @@
 	ginkgo.It("given many things wrong, when checked, then all are listed at once", func() {
 		vane := &wire.VaneParams{Name: "Bad Name", Mates: "nowhere", Seeds: []string{"1.2.3.4"}, Log: "loud", Held: 1}
 		flow.Usual(vane)
-		Expect(len(base.Mishaps(flow.Check(vane)))).To(BeNumerically(">=", 10))
+		Expect(len(base.Faults(flow.Check(vane)))).To(BeNumerically(">=", 10))
 		keel := &wire.KeelParams{Name: "k", Serials: 1}
 		helm.Usual(keel)
-		Expect(len(base.Mishaps(helm.Check(keel)))).To(BeNumerically(">=", 6))
+		Expect(len(base.Faults(helm.Check(keel)))).To(BeNumerically(">=", 6))
 	})
 
 	story("given visitors calling, when params are reloaded, then good ones turn, bad ones are bounced, and nothing is dropped", []uint64{1}, func(f *Fleet) {
--- a/fleet/open/client.go
+++ b/fleet/open/client.go
@@ -203,14 +203,14 @@
 	id := response.Header.Get(dataplane.Plain.Attempt)
 	mark := response.Header.Get(dataplane.Plain.Seal)
 	told.Sealed = mark != ""
-	berth, _, _ := strings.Cut(mark, ".")
+	instance, _, _ := strings.Cut(mark, ".")
 	success := told.Status >= 200 && told.Status < 300
 	switch {
 	case id != "" && id != a.ID:
 		told.Mixed = "the answer of " + id
 	case success && mark == "":
 		told.Mixed = "a success without a seal"
-	case success && mark != seal(a.ID, berth, body):
+	case success && mark != seal(a.ID, instance, body):
 		told.Mixed = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
 	}
 	if again, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
--- a/fleet/open/config_trouble_test.go
+++ b/fleet/open/config_trouble_test.go
@@ -40,13 +40,13 @@
 		f.isolate(m, 0)
 		return func() {
 			f.rejoin()
-			for _, other := range f.Keels {
+			for _, other := range f.Controllers {
 				if other != m {
 					f.Kill(other)
 				}
 			}
 			f.Pass(300 * time.Millisecond)
-			for _, other := range f.Keels {
+			for _, other := range f.Controllers {
 				if other != m {
 					f.revive(other)
 				}
@@ -99,7 +99,7 @@
 			m.Clock.Jump(time.Duration(random.Below(9000)-4500) * time.Millisecond)
 		case 3:
 			p := f.params(m)
-			p.Seeds = []string{f.Keels[random.Below(len(f.Keels))].At(inwardPort)}
+			p.Seeds = []string{f.Controllers[random.Below(len(f.Controllers))].At(inwardPort)}
 			Expect(m.Node.Reload(p)).To(Succeed())
 		}
 		f.Pass(time.Duration(300+random.Below(1500)) * time.Millisecond)
@@ -110,8 +110,8 @@
 func (f *Fleet) changeOften(every, till time.Duration) {
 	operator := f.Operator("one")
 	for turn := 0; f.History.Now() < till; turn++ {
-		next := shift(f.Chart(), turn)
-		if outcome := operator.Propose(&wire.ChartProposal{Chart: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
+		next := shift(f.Configuration(), turn)
+		if outcome := operator.Propose(&wire.ConfigurationProposal{Configuration: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
 			f.settle(next)
 		}
 		for back := range 4 {
@@ -137,7 +137,7 @@
 			for f.History.Now() < till {
 				trouble := coreTroubles[random.Below(len(coreTroubles))]
 				f.Scope.Note("core-trouble", trouble.name, "")
-				end := trouble.begin(f, f.Keels[random.Below(len(f.Keels))], random)
+				end := trouble.begin(f, f.Controllers[random.Below(len(f.Controllers))], random)
 				f.Pass(contact + time.Duration(random.Below(4000))*time.Millisecond)
 				end()
 				f.Pass(contact)
--- a/fleet/open/cutoff_test.go
+++ b/fleet/open/cutoff_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	startBound = 150 * time.Millisecond // from a start to a confirmed chart
+	startBound = 150 * time.Millisecond // from a start to a confirmed configuration
 	coreRound  = 400 * time.Millisecond // 0.1 of the ack bound
 )
 
 // isolate cuts a control machine from the others, not from nodes: both ways, or only what it sends, or only what comes in.
 func (f *Fleet) isolate(m *Machine, way uint64) {
 	end := f.Trouble(m.Name, "cut from the core")
-	for _, other := range f.Keels {
+	for _, other := range f.Controllers {
 		if other == m {
 			continue
 		}
@@ -40,7 +40,7 @@
 	end()
 }
 
-// restart kills and raises a node at once and tells how long it took to a confirmed chart.
+// restart kills and raises a node at once and tells how long it took to a confirmed configuration.
 func (f *Fleet) restart(m *Machine) time.Duration {
 	f.Kill(m)
 	f.Pass(100 * time.Millisecond)
@@ -53,27 +53,27 @@
 	return f.Scope.Clock.Mono() - begun
 }
 
-// change pushes a chart and shows, once nodes are in touch, that every node has it in force in time.
+// change pushes a configuration and shows, once nodes are in touch, that every node has it in force in time.
 func (f *Fleet) change(turn int) {
-	outcome := f.Push(shift(f.Chart(), turn), 10*time.Second)
+	outcome := f.Push(shift(f.Configuration(), turn), 10*time.Second)
 	Expect(outcome).NotTo(BeNil(), f.Story)
 	Expect(outcome.Kind).To(BeEmpty(), f.Story)
 	f.Pass(inForceBound + 50*time.Millisecond)
 	f.prove(turn+2, 200*time.Millisecond)
 }
 
-// held is the control machine that owns the chart, or another, by seed.
+// held is the control machine that owns the configuration, or another, by seed.
 func (f *Fleet) held(seed uint64) *Machine {
-	for _, m := range f.Keels {
-		if owns := f.keel(m).Owner == m.At(inwardPort); owns == (seed%2 == 0) {
+	for _, m := range f.Controllers {
+		if owns := f.controller(m).Owner == m.At(inwardPort); owns == (seed%2 == 0) {
 			return m
 		}
 	}
-	return f.Keels[0]
+	return f.Controllers[0]
 }
 
 var _ = ginkgo.Describe("a control machine that is cut off", func() {
-	story("given one cut from the core for 20 s, both ways or one way, while charts change and clocks step, when nodes start beside it, then none in touch serves an old chart past the bound", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
+	story("given one cut from the core for 20 s, both ways or one way, while configurations change and clocks step, when nodes start beside it, then none in touch serves an old configuration past the bound", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
 		raised(f)
 		f.Visit(20)
 		f.Pass(time.Second)
@@ -82,11 +82,11 @@
 		turn := 0
 		longest := coreRound + startBound // a core that has just lost one waits for it, one round long
 		for _, m := range []*Machine{f.Of("books")[0], f.Of("loans")[1]} {
-			f.Push(shift(f.Chart(), turn), 10*time.Second)
+			f.Push(shift(f.Configuration(), turn), 10*time.Second)
 			turn++
 			Expect(f.restart(m)).To(BeNumerically("<", longest), f.Story)
 			longest = startBound
-			Expect(m.Node.View().Serial).To(Equal(f.Chart().Base), f.Story)
+			Expect(m.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
 			cut.Clock.Jump(7 * time.Second)
 			m.Clock.Jump(-5 * time.Second)
 			f.Pass(contact + 50*time.Millisecond)
@@ -100,16 +100,16 @@
 		sound(f, Twice, Config, Back, Race, Kept)
 	})
 
-	story("given nodes whose settings name only the one that is cut off, when they start beside it, then they find those with a majority and none in touch serves an old chart past the bound", []uint64{1, 2, 3}, func(f *Fleet) {
-		f.Tune = func(p *wire.FordParams) { p.Seeds = []string{f.Keels[0].At(inwardPort)} }
+	story("given nodes whose settings name only the one that is cut off, when they start beside it, then they find those with a majority and none in touch serves an old configuration past the bound", []uint64{1, 2, 3}, func(f *Fleet) {
+		f.Tune = func(p *wire.NodeParams) { p.Seeds = []string{f.Controllers[0].At(inwardPort)} }
 		raised(f)
 		f.Visit(20)
 		f.Pass(time.Second)
-		f.isolate(f.Keels[0], f.Seed)
-		Expect(f.Push(shift(f.Chart(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
+		f.isolate(f.Controllers[0], f.Seed)
+		Expect(f.Push(shift(f.Configuration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
 		for _, m := range []*Machine{f.Of("books")[0], f.Of("loans")[1]} {
 			Expect(f.restart(m)).To(BeNumerically("<", 1500*time.Millisecond), f.Story)
-			Expect(m.Node.View().Serial).To(Equal(f.Chart().Base), f.Story)
+			Expect(m.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
 		}
 		f.Pass(contact + 50*time.Millisecond)
 		f.change(1)
@@ -119,16 +119,16 @@
 		sound(f, Config, Back)
 	})
 
-	story("given a node that reaches only the one that is cut off, when it starts, then it serves the old chart marked unconfirmed, and goes on to the newest as soon as it reaches a majority", []uint64{1, 2, 3}, func(f *Fleet) {
+	story("given a node that reaches only the one that is cut off, when it starts, then it serves the old configuration marked unconfirmed, and goes on to the newest as soon as it reaches a majority", []uint64{1, 2, 3}, func(f *Fleet) {
 		looked(f)
 		f.Visit(20)
 		f.Pass(time.Second)
-		m, cut := f.Of("books")[1], f.Keels[2]
+		m, cut := f.Of("books")[1], f.Controllers[2]
 		f.isolate(cut, 0)
 		end := f.Trouble(m.Name, "cut off")
-		f.Cut(m, f.Keels[0])
-		f.Cut(m, f.Keels[1])
-		Expect(f.Push(shift(f.Chart(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
+		f.Cut(m, f.Controllers[0])
+		f.Cut(m, f.Controllers[1])
+		Expect(f.Push(shift(f.Configuration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
 		f.Kill(m)
 		f.Pass(100 * time.Millisecond)
 		Expect(f.Raise(m)).To(Succeed())
@@ -151,26 +151,26 @@
 		sound(f, Config, Back)
 	})
 
-	storyOf("given five control machines, two of a node's three seeds among them dead, when it starts and charts change, then it asks living ones and is in time", 5, small, []uint64{1, 2}, func(f *Fleet) {
-		f.Tune = func(p *wire.FordParams) { p.Seeds = p.Seeds[:3] }
+	storyOf("given five control machines, two of a node's three seeds among them dead, when it starts and configurations change, then it asks living ones and is in time", 5, small, []uint64{1, 2}, func(f *Fleet) {
+		f.Tune = func(p *wire.NodeParams) { p.Seeds = p.Seeds[:3] }
 		raised(f)
 		f.Visit(20)
-		f.PowerLoss(f.Keels[0])
-		f.PowerLoss(f.Keels[1])
+		f.PowerLoss(f.Controllers[0])
+		f.PowerLoss(f.Controllers[1])
 		f.Pass(2 * time.Second)
 		m := f.Of("books")[0]
 		Expect(f.restart(m)).To(BeNumerically("<", 200*time.Millisecond), f.Story)
 		f.Pass(contact)
-		living := []string{f.Keels[2].At(inwardPort), f.Keels[3].At(inwardPort), f.Keels[4].At(inwardPort)}
+		living := []string{f.Controllers[2].At(inwardPort), f.Controllers[3].At(inwardPort), f.Controllers[4].At(inwardPort)}
 		var asked []string
-		for _, each := range m.Node.View().Hailed {
+		for _, each := range m.Node.View().Polled {
 			asked = append(asked, each.Address)
 		}
 		Expect(asked).To(ConsistOf(living), f.Story)
 		f.change(0)
 	})
 
-	story("given a control machine that is frozen while nodes start and charts change, when it thaws and sends what it had made, then no node takes the old for confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
+	story("given a control machine that is frozen while nodes start and configurations change, when it thaws and sends what it had made, then no node takes the old for confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		raised(f)
 		f.Visit(20)
 		f.Pass(time.Second)
@@ -182,7 +182,7 @@
 			Expect(f.Raise(m)).To(Succeed())
 			f.Pass(time.Duration(f.Seed) * 700 * time.Microsecond)
 			thaw := f.Freeze(frozen)
-			outcome := f.Push(shift(f.Chart(), turn), 10*time.Second)
+			outcome := f.Push(shift(f.Configuration(), turn), 10*time.Second)
 			Expect(outcome.GetKind()).To(BeEmpty(), f.Story)
 			f.Pass(time.Duration(f.Seed) * 600 * time.Millisecond)
 			thaw()
@@ -194,12 +194,12 @@
 		sound(f, Twice, Config, Back, Kept)
 	})
 
-	story("given a calm core, or one whose third machine is dark, when nodes start, then their first confirmed chart comes within a few round trips", []uint64{1, 2, 3}, func(f *Fleet) {
+	story("given a calm core, or one whose third machine is dark, when nodes start, then their first confirmed configuration comes within a few round trips", []uint64{1, 2, 3}, func(f *Fleet) {
 		raised(f)
 		var told []string
 		for _, dark := range []bool{false, true} {
 			if dark {
-				f.PowerLoss(f.Keels[2])
+				f.PowerLoss(f.Controllers[2])
 				f.Pass(2 * time.Second)
 			}
 			for _, m := range f.Nodes {
@@ -208,6 +208,6 @@
 				Expect(took).To(BeNumerically("<", startBound), f.Story)
 			}
 		}
-		ginkgo.AddReportEntry("ms to a confirmed chart, calm and beside one dark of three", strings.Join(told, " "))
+		ginkgo.AddReportEntry("ms to a confirmed configuration, calm and beside one dark of three", strings.Join(told, " "))
 	})
 })
--- a/fleet/open/day_test.go
+++ b/fleet/open/day_test.go
@@ -62,7 +62,7 @@
 	},
 	func(f *Fleet, m *Machine, random *base.Rand) func() {
 		end := f.Trouble(m.Name, "cut off")
-		all := append(f.nodes(), f.Keels...)
+		all := append(f.nodes(), f.Controllers...)
 		var cut []*Machine
 		for _, other := range all {
 			if other != m && random.Float64() < 0.6 {
@@ -80,7 +80,7 @@
 	},
 }
 
-var ofKeels = []misfortune{
+var ofControllers = []misfortune{
 	func(f *Fleet, m *Machine, _ *base.Rand) func() {
 		f.Kill(m)
 		return func() { f.revive(m) }
@@ -93,7 +93,7 @@
 		return func() {
 			f.Power(m)
 			f.revive(m)
-			f.Until(8*time.Second, m.Keel.Ready)
+			f.Until(8*time.Second, m.Controller.Ready)
 		}
 	},
 	func(f *Fleet, m *Machine, _ *base.Rand) func() {
@@ -103,13 +103,13 @@
 	func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) },
 	func(f *Fleet, m *Machine, _ *base.Rand) func() {
 		end := f.Trouble(m.Name, "cut off")
-		for _, other := range f.Keels {
+		for _, other := range f.Controllers {
 			if other != m {
 				f.Cut(m, other)
 			}
 		}
 		return func() {
-			for _, other := range f.Keels {
+			for _, other := range f.Controllers {
 				f.World.Heal(m.IP, other.IP)
 				f.World.Heal(other.IP, m.IP)
 			}
@@ -130,7 +130,7 @@
 }
 
 var _ = ginkgo.Describe("a bad day", func() {
-	story("given random troubles of nodes, upstreams, keels and links at once, when charts change amid load, then every rule is kept and all is well once they end", []uint64{1, 2}, func(f *Fleet) {
+	story("given random troubles of nodes, upstreams, control machines and links at once, when configurations change amid load, then every rule is kept and all is well once they end", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
 		f.Visit(60)
 		f.Pass(500 * time.Millisecond)
@@ -146,12 +146,12 @@
 		base.All([]func(){
 			func() { f.lane("even", even, ofNodes, till) },
 			func() { f.lane("odd", odd, ofNodes, till) },
-			func() { f.lane("core", f.Keels, ofKeels, till) },
+			func() { f.lane("core", f.Controllers, ofControllers, till) },
 			func() {
 				operator := f.Operator("one")
 				for turn := 0; f.History.Now() < till; turn++ {
-					next := shift(f.Chart(), turn)
-					if outcome := operator.Propose(&wire.ChartProposal{Chart: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
+					next := shift(f.Configuration(), turn)
+					if outcome := operator.Propose(&wire.ConfigurationProposal{Configuration: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
 						f.settle(next)
 					}
 					f.prove(turn+1, time.Second)
--- a/fleet/open/doors.go
+++ b/fleet/open/doors.go
@@ -23,17 +23,17 @@
 func control(n *dataplane.Node) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /berths/{id}", func(w http.ResponseWriter, r *http.Request) {
-		berth := &wire.Berth{}
-		if err := json.NewDecoder(r.Body).Decode(berth); err != nil {
+		instance := &wire.Instance{}
+		if err := json.NewDecoder(r.Body).Decode(instance); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		if mishap := n.Beat(berth); mishap != nil {
+		if fault := n.Beat(instance); fault != nil {
 			w.WriteHeader(http.StatusUnprocessableEntity)
 		}
 	})
 	mux.HandleFunc("DELETE /berths/{id}", func(w http.ResponseWriter, r *http.Request) {
-		if mishap := n.Leave(r.PathValue("id")); mishap != nil {
+		if fault := n.Leave(r.PathValue("id")); fault != nil {
 			w.WriteHeader(http.StatusUnprocessableEntity)
 		}
 	})
@@ -44,7 +44,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /chart", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
-		proposal := &wire.ChartProposal{}
+		proposal := &wire.ConfigurationProposal{}
 		if err != nil || proto.Unmarshal(body, proposal) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -53,22 +53,22 @@
 		answer(w, outcome, err)
 	})
 	mux.HandleFunc("GET /chart", func(w http.ResponseWriter, r *http.Request) {
-		chart, err := m.Chart(r.Context())
-		answer(w, chart, err)
+		configuration, err := m.Configuration(r.Context())
+		answer(w, configuration, err)
 	})
 	return mux
 }
 
 func answer(w http.ResponseWriter, message proto.Message, err error) {
 	if err != nil {
-		w.WriteHeader(base.Answers[base.MishapOf(err).Kind].Status)
+		w.WriteHeader(base.Answers[base.FaultOf(err).Kind].Status)
 		return
 	}
 	body, _ := proto.Marshal(message)
 	_, _ = w.Write(body)
 }
 
-// Operator sends a proposal from keel to keel until one gives a clear answer.
+// Operator sends a proposal from control machine to control machine until one gives a clear answer.
 type Operator struct {
 	fleet *Fleet
 	scope base.Scope
@@ -104,16 +104,16 @@
 // Propose sends a proposal to one replica after the other until one returns an outcome, and records it as
 // the configuration whole. An outcome with a Kind is a refusal; nil means that none came within longest, so
 // that the proposal may or may not be accepted.
-func (o *Operator) Propose(p *wire.ChartProposal, whole *wire.Chart, longest time.Duration) *wire.ChartOutcome {
+func (o *Operator) Propose(p *wire.ConfigurationProposal, whole *wire.Configuration, longest time.Duration) *wire.ConfigurationOutcome {
 	h := o.fleet.History
-	sent := &Sent{Chart: whole, At: h.Now(), Acked: -1}
+	sent := &Sent{Configuration: whole, At: h.Now(), Acked: -1}
 	note(h, &h.sent, sent)
 	body, _ := proto.Marshal(p)
-	at := o.scope.Rand.Below(len(o.fleet.Keels))
+	at := o.scope.Rand.Below(len(o.fleet.Controllers))
 	for i := 0; h.Now()-sent.At < longest; i++ {
-		outcome := &wire.ChartOutcome{}
-		keel := o.fleet.Keels[(at+i)%len(o.fleet.Keels)]
-		if err := o.call(http.MethodPost, keel.At(operatorsPort), body, outcome); err != nil {
+		outcome := &wire.ConfigurationOutcome{}
+		controller := o.fleet.Controllers[(at+i)%len(o.fleet.Controllers)]
+		if err := o.call(http.MethodPost, controller.At(operatorsPort), body, outcome); err != nil {
 			base.Await(o.scope, time.Duration(min(50*(i+1), 500))*time.Millisecond)
 			continue
 		}
@@ -131,40 +131,40 @@
 
 // Read returns the configuration that one control plane replica serves. It fails on a transport error, a
 // status other than 200 or a malformed body.
-func (o *Operator) Read(keel *Machine) (*wire.Chart, error) {
-	chart := &wire.Chart{}
-	err := o.call(http.MethodGet, keel.At(operatorsPort), nil, chart)
-	return chart, err
+func (o *Operator) Read(controller *Machine) (*wire.Configuration, error) {
+	configuration := &wire.Configuration{}
+	err := o.call(http.MethodGet, controller.At(operatorsPort), nil, configuration)
+	return configuration, err
 }
 
-// Push puts a whole chart on top of the one that was current.
-func (f *Fleet) Push(next *wire.Chart, longest time.Duration) *wire.ChartOutcome {
-	outcome := f.Operator("one").Propose(&wire.ChartProposal{Chart: next}, next, longest)
+// Push puts a whole configuration on top of the one that was current.
+func (f *Fleet) Push(next *wire.Configuration, longest time.Duration) *wire.ConfigurationOutcome {
+	outcome := f.Operator("one").Propose(&wire.ConfigurationProposal{Configuration: next}, next, longest)
 	if outcome != nil && outcome.Kind == "" {
 		f.settle(next)
 	}
 	return outcome
 }
 
-func (f *Fleet) settle(next *wire.Chart) {
+func (f *Fleet) settle(next *wire.Configuration) {
 	f.living.Lock()
 	defer f.living.Unlock()
-	if next.Serial > f.chart.GetSerial() {
-		f.chart = next
+	if next.Serial > f.configuration.GetSerial() {
+		f.configuration = next
 	}
 }
 
-// ReadBack asks keels for the chart until one answers.
+// ReadBack asks control machines for the configuration until one answers.
 func (f *Fleet) ReadBack() {
 	o := f.Operator("reader")
-	for i := range 4 * len(f.Keels) {
-		keel := f.Keels[i%len(f.Keels)]
-		chart, err := o.Read(keel)
-		if err != nil && i < 4*len(f.Keels)-1 {
+	for i := range 4 * len(f.Controllers) {
+		controller := f.Controllers[i%len(f.Controllers)]
+		configuration, err := o.Read(controller)
+		if err != nil && i < 4*len(f.Controllers)-1 {
 			f.Pass(100 * time.Millisecond)
 			continue
 		}
-		note(f.History, &f.History.reads, Readback{f.History.Now(), keel.Name, chart, err})
+		note(f.History, &f.History.reads, Readback{f.History.Now(), controller.Name, configuration, err})
 		return
 	}
 }
--- a/fleet/open/fleet.go
+++ b/fleet/open/fleet.go
@@ -1,4 +1,4 @@
-// Package open runs an open fleet in memory: keels, nodes with an upstream beside each, visitors and an operator.
+// Package open runs an open fleet in memory: control machines, nodes with an upstream beside each, visitors and an operator.
 package open
 
 import (
@@ -48,27 +48,27 @@
 )
 
 // Machine is a simulated machine. Its process is either a replica of the control plane (Core) or a data
-// plane node with an Upstream beside it; Keel and Node are nil while no process runs.
+// plane node with an Upstream beside it; Control machine and Node are nil while no process runs.
 type Machine struct {
-	Name     string
-	Zone     string
-	IP       string
-	Service  string
-	Core     bool
-	Disk     *rig.Disk
-	Clock    *rig.Clock
-	Journal  *base.Journal
-	Node     *dataplane.Node
-	Keel     *controlplane.Server
-	Upstream *Upstream
-	mount    *rig.Mount
-	visitors *client
-	lives    atomic.Int64
-	in       atomic.Bool
-	retired  atomic.Bool
-	misses   int
-	back     func()
-	cancel   context.CancelFunc
+	Name       string
+	Zone       string
+	IP         string
+	Service    string
+	Core       bool
+	Disk       *rig.Disk
+	Clock      *rig.Clock
+	Journal    *base.Journal
+	Node       *dataplane.Node
+	Controller *controlplane.Server
+	Upstream   *Upstream
+	mount      *rig.Mount
+	visitors   *client
+	lives      atomic.Int64
+	in         atomic.Bool
+	retired    atomic.Bool
+	misses     int
+	back       func()
+	cancel     context.CancelFunc
 }
 
 // At returns the machine's address for a port, as "ip:port".
@@ -81,35 +81,35 @@
 // returns their capacity and queue length in requests, and Tune, if set, adjusts the settings of each node
 // before it starts. The same Seed gives the same random choices.
 type Fleet struct {
-	Scope    base.Scope
-	Seed     uint64
-	World    *rig.World
-	Keels    []*Machine
-	Nodes    []*Machine
-	gone     []*Machine
-	enrolled int
-	History  *History
-	Plan     []Plan
-	Habits   []Habit
-	Size     func(service string) (capacity, queue int)
-	Tune     func(*wire.FordParams)
-	First    *wire.Chart
-	Story    string
-	zones    base.Table[string]
-	apart    time.Duration // delay between zones, one way
-	seeds    []string
-	born     time.Time
-	chart    *wire.Chart
-	visiting context.CancelFunc
-	crew     base.Crew
-	living   sync.Mutex
-	uppers   atomic.Int64
-	count    atomic.Int64
+	Scope         base.Scope
+	Seed          uint64
+	World         *rig.World
+	Controllers   []*Machine
+	Nodes         []*Machine
+	gone          []*Machine
+	enrolled      int
+	History       *History
+	Plan          []Plan
+	Habits        []Habit
+	Size          func(service string) (capacity, queue int)
+	Tune          func(*wire.NodeParams)
+	First         *wire.Configuration
+	Story         string
+	zones         base.Table[string]
+	apart         time.Duration // delay between zones, one way
+	seeds         []string
+	born          time.Time
+	configuration *wire.Configuration
+	visiting      context.CancelFunc
+	crew          base.Crew
+	living        sync.Mutex
+	uppers        atomic.Int64
+	count         atomic.Int64
 }
 
 // New builds a fleet of so many control plane replicas and, for each service, so many nodes, spread over
 // three zones. No process runs until Raise.
-func New(seed uint64, keels int, services map[string]int) *Fleet {
+func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
 	f.World = rig.NewWorld(f.rand("world"), func(from, to string) time.Duration {
 		switch {
@@ -123,10 +123,10 @@
 	f.Scope = f.scope("story", "10.9.9.9", rig.NewDisk(f.rand("story disk")), rig.NewClock(f.born), base.NewJournal(journalBound))
 	f.History = NewHistory(f.Scope.Clock)
 	f.Size = func(string) (int, int) { return 8, 16 }
-	for i := range keels {
+	for i := range controllers {
 		m := f.machine(fmt.Sprintf("%s-%d", corePrefix, i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
 		m.Core = true
-		f.Keels = append(f.Keels, m)
+		f.Controllers = append(f.Controllers, m)
 		f.seeds = append(f.seeds, m.At(inwardPort))
 	}
 	for _, service := range sorted(services) {
@@ -191,13 +191,13 @@
 		m.back = nil
 	}
 	if m.Core {
-		keel, err := controlplane.Start(s, &wire.MoorParams{
-			Name: m.Name, Zone: m.Zone, Mates: m.At(inwardPort), Operators: m.At(operatorsPort), Seeds: f.seeds, Founding: m.lives.Load() == 1, Folder: "data",
+		controller, err := controlplane.Start(s, &wire.ControllerParams{
+			Name: m.Name, Zone: m.Zone, Peers: m.At(inwardPort), Operators: m.At(operatorsPort), Seeds: f.seeds, Founding: m.lives.Load() == 1, Folder: "data",
 			Ack: durationpb.New(4 * time.Second), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
 		}, desk)
 		f.living.Lock()
 		defer f.living.Unlock()
-		m.Keel = keel
+		m.Controller = controller
 		return err
 	}
 	node, err := dataplane.Start(s, f.params(m), dataplane.Plain, control)
@@ -208,8 +208,8 @@
 }
 
 // params returns the settings that a node starts with.
-func (f *Fleet) params(m *Machine) *wire.FordParams {
-	params := &wire.FordParams{
+func (f *Fleet) params(m *Machine) *wire.NodeParams {
+	params := &wire.NodeParams{
 		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.At(upstreamPort), Outward: m.At(outwardPort), Inward: m.At(inwardPort),
 		Ready: m.At(readyPort), Control: m.At(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
 		Beat: durationpb.New(beatEvery), Leaving: durationpb.New(leavingBound), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
@@ -267,7 +267,7 @@
 }
 
 func (f *Fleet) dark(m *Machine, cut bool) {
-	for _, other := range append(append([]*Machine{}, f.Keels...), f.Nodes...) {
+	for _, other := range append(append([]*Machine{}, f.Controllers...), f.Nodes...) {
 		switch {
 		case other == m:
 		case cut:
@@ -288,8 +288,8 @@
 	end := f.History.Spell(m.Name, "stop", true)
 	if m.Node != nil {
 		m.Node.Stop()
-	} else if m.Keel != nil {
-		m.Keel.Stop()
+	} else if m.Controller != nil {
+		m.Controller.Stop()
 	}
 	f.kill(m, false)
 	time.AfterFunc(time.Second, end)
@@ -302,15 +302,15 @@
 	m.cancel()
 	m.mount.Unmount()
 	f.World.Crash(m.IP, m.owner(), silent)
-	if m.Keel != nil {
-		m.Keel.Kill()
+	if m.Controller != nil {
+		m.Controller.Kill()
 	}
 	if m.Node != nil {
 		m.Node.Kill()
 	}
 	f.living.Lock()
 	defer f.living.Unlock()
-	m.Keel, m.Node, m.cancel = nil, nil, nil
+	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
 // End stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
@@ -324,7 +324,7 @@
 		f.kill(m, false)
 		m.visitors.close()
 	}
-	for _, m := range f.Keels {
+	for _, m := range f.Controllers {
 		f.kill(m, false)
 	}
 	f.World.Close()
@@ -358,18 +358,18 @@
 // as ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
-		if m.Keel != nil && !m.Keel.Ready() || m.Node != nil && !m.Node.Ready() {
+		if m.Controller != nil && !m.Controller.Ready() || m.Node != nil && !m.Node.Ready() {
 			return false
 		}
 	}
 	return true
 }
 
-// Chart copies the newest acked chart, to be changed and pushed on top of it.
-func (f *Fleet) Chart() *wire.Chart {
+// Configuration copies the newest acked configuration, to be changed and pushed on top of it.
+func (f *Fleet) Configuration() *wire.Configuration {
 	f.living.Lock()
 	defer f.living.Unlock()
-	next := proto.Clone(f.chart).(*wire.Chart)
+	next := proto.Clone(f.configuration).(*wire.Configuration)
 	next.Base, next.Serial = next.Serial, next.Serial+2
 	return next
 }
--- a/fleet/open/history.go
+++ b/fleet/open/history.go
@@ -56,21 +56,21 @@
 // one whose response was spoilt by a Fault, and Gone one whose caller closed the connection before the work
 // ended.
 type Arrival struct {
-	ID      string
-	At      time.Duration
-	Ended   time.Duration
-	Service string
-	Berth   string
-	Method  string
-	Host    string
-	Target  string
-	Digest  string
-	Caller  string
-	Missed  bool
-	Ran     bool
-	Status  int
-	Broke   bool
-	Gone    bool
+	ID       string
+	At       time.Duration
+	Ended    time.Duration
+	Service  string
+	Instance string
+	Method   string
+	Host     string
+	Target   string
+	Digest   string
+	Caller   string
+	Missed   bool
+	Ran      bool
+	Status   int
+	Broke    bool
+	Gone     bool
 }
 
 // Job records one client operation with all its retries. At and Ended are readings of the History's
@@ -94,27 +94,27 @@
 // monotonic clock; Acked is -1 until the control plane accepts it. Bad marks a configuration that must be
 // refused.
 type Sent struct {
-	Chart   *wire.Chart
-	At      time.Duration
-	Acked   time.Duration
-	Refused bool
-	Bad     bool
+	Configuration *wire.Configuration
+	At            time.Duration
+	Acked         time.Duration
+	Refused       bool
+	Bad           bool
 }
 
 // Departure records when the node acknowledged that an instance is leaving, as a reading of the History's
 // monotonic clock.
 type Departure struct {
-	Berth string
-	Acked time.Duration
+	Instance string
+	Acked    time.Duration
 }
 
 // Readback records the configuration that a control plane replica returned at a time, or the error of the
 // read.
 type Readback struct {
-	At    time.Duration
-	Keel  string
-	Chart *wire.Chart
-	Err   error
+	At            time.Duration
+	Controller    string
+	Configuration *wire.Configuration
+	Err           error
 }
 
 // History collects everything observed in a run, for Check to judge. It is safe for concurrent use; its
@@ -214,6 +214,6 @@
 	return hex.EncodeToString(sum.Sum(nil)[:8])
 }
 
-func seal(id, berth string, body []byte) string {
-	return berth + "." + digest([]byte(id), []byte(berth), body)
+func seal(id, instance string, body []byte) string {
+	return instance + "." + digest([]byte(id), []byte(instance), body)
 }
--- a/fleet/open/idle_test.go
+++ b/fleet/open/idle_test.go
@@ -21,7 +21,7 @@
 			Expect(each).To(BeNumerically("<", 5500), what)
 		}
 		measure("calm")
-		f.PowerLoss(f.Keels[2])
+		f.PowerLoss(f.Controllers[2])
 		f.Pass(5 * time.Second)
 		measure("beside one dark of three")
 	})
--- a/fleet/open/judge_test.go
+++ b/fleet/open/judge_test.go
@@ -20,8 +20,8 @@
 func planted() *History {
 	h := NewHistory(still{})
 	h.sent = []*Sent{
-		{Chart: &wire.Chart{Serial: 3, Routes: []*wire.ChartRoute{{Name: "a", Host: "h", Prefix: "/a/", Service: to("s")}, {Name: "b", Host: "h", Prefix: "/b/", Service: to("s")}}, Services: []*wire.ChartService{{Name: "s"}, {Name: "t"}}}, At: 0, Acked: second},
-		{Chart: &wire.Chart{Serial: 5, Base: 3, Routes: []*wire.ChartRoute{{Name: "a", Host: "h", Prefix: "/a/", Service: to("t")}}, Services: []*wire.ChartService{{Name: "s"}, {Name: "t"}}}, At: 20 * second, Acked: 21 * second},
+		{Configuration: &wire.Configuration{Serial: 3, Routes: []*wire.ConfigurationRoute{{Name: "a", Host: "h", Prefix: "/a/", Service: to("s")}, {Name: "b", Host: "h", Prefix: "/b/", Service: to("s")}}, Services: []*wire.ConfigurationService{{Name: "s"}, {Name: "t"}}}, At: 0, Acked: second},
+		{Configuration: &wire.Configuration{Serial: 5, Base: 3, Routes: []*wire.ConfigurationRoute{{Name: "a", Host: "h", Prefix: "/a/", Service: to("t")}}, Services: []*wire.ConfigurationService{{Name: "s"}, {Name: "t"}}}, At: 20 * second, Acked: 21 * second},
 	}
 	return h
 }
@@ -39,7 +39,7 @@
 	for _, each := range arrivals {
 		each.ID, each.Method, each.Host, each.Target, each.Digest, each.Caller = id, ask.Method, ask.Host, ask.Target, ask.Digest, ask.Service
 		if each.Service == "" {
-			each.Service, each.Berth = "s", "i"
+			each.Service, each.Instance = "s", "i"
 		}
 		h.arrivals = append(h.arrivals, each)
 	}
@@ -49,7 +49,7 @@
 func came(at time.Duration) *Arrival { return &Arrival{At: at, Ran: true, Status: 200} }
 
 func cameTo(service string, at time.Duration) *Arrival {
-	return &Arrival{At: at, Ran: true, Status: 200, Service: service, Berth: "i-" + service}
+	return &Arrival{At: at, Ran: true, Status: 200, Service: service, Instance: "i-" + service}
 }
 
 var _ = ginkgo.Describe("the judge", func() {
@@ -92,7 +92,7 @@
 		ginkgo.Entry("a run nobody asked", Unasked, func(h *History) { h.arrivals = []*Arrival{{ID: "z", Service: "s", Ran: true}} }),
 		ginkgo.Entry("a changed body", Unasked, func(h *History) { h.plant("x", 3*second, 0, good(), came(3*second)).Digest = "other" }),
 		ginkgo.Entry("a caller that is another", Unasked, func(h *History) { h.plant("x", 3*second, 0, good(), came(3*second)).Service = "t" }),
-		ginkgo.Entry("a service that no chart names", Routed, func(h *History) { h.plant("x", 3*second, 0, good(), cameTo("u", 3*second)) }),
+		ginkgo.Entry("a service that no configuration names", Routed, func(h *History) { h.plant("x", 3*second, 0, good(), cameTo("u", 3*second)) }),
 		ginkgo.Entry("an arrival long after leaving", Drain, func(h *History) {
 			h.left = []Departure{{"i", 3 * second}}
 			h.plant("x", 6*second, 0, good(), came(6*second))
@@ -124,7 +124,7 @@
 			h.plant("x", 24*second, 0, good(), came(24*second)).Target = "/b/x"
 			h.arrivals[0].Target = "/b/x"
 		}),
-		ginkgo.Entry("a refused chart in force", Config, func(h *History) {
+		ginkgo.Entry("a refused configuration in force", Config, func(h *History) {
 			h.sent[1].Acked, h.sent[1].Refused = -1, true
 			h.plant("x", 24*second, 0, good(), cameTo("t", 24*second))
 		}),
@@ -138,12 +138,14 @@
 			h.plant("z", 21*second+second/10, 0, good(), came(21*second+second/10))
 		}),
 		ginkgo.Entry("two acks on one base", Race, func(h *History) {
-			h.sent = append(h.sent, &Sent{Chart: &wire.Chart{Serial: 6, Base: 3}, At: 20 * second, Acked: 21 * second})
+			h.sent = append(h.sent, &Sent{Configuration: &wire.Configuration{Serial: 6, Base: 3}, At: 20 * second, Acked: 21 * second})
 		}),
-		ginkgo.Entry("a bad chart acked", Race, func(h *History) { h.sent[1].Bad = true }),
-		ginkgo.Entry("an older chart read back", Kept, func(h *History) { h.reads = []Readback{{At: 40 * second, Chart: h.sent[0].Chart}} }),
-		ginkgo.Entry("another chart read back", Kept, func(h *History) { h.reads = []Readback{{At: 40 * second, Chart: &wire.Chart{Serial: 5}}} }),
-		ginkgo.Entry("the newest chart read back", "", func(h *History) { h.reads = []Readback{{At: 40 * second, Chart: h.sent[1].Chart}} }),
+		ginkgo.Entry("a bad configuration acked", Race, func(h *History) { h.sent[1].Bad = true }),
+		ginkgo.Entry("an older configuration read back", Kept, func(h *History) { h.reads = []Readback{{At: 40 * second, Configuration: h.sent[0].Configuration}} }),
+		ginkgo.Entry("another configuration read back", Kept, func(h *History) {
+			h.reads = []Readback{{At: 40 * second, Configuration: &wire.Configuration{Serial: 5}}}
+		}),
+		ginkgo.Entry("the newest configuration read back", "", func(h *History) { h.reads = []Readback{{At: 40 * second, Configuration: h.sent[1].Configuration}} }),
 		ginkgo.Entry("many repeats", Budget, func(h *History) {
 			for i := range 40 {
 				at := 3*second + time.Duration(i)*second/20
--- a/fleet/open/look_test.go
+++ b/fleet/open/look_test.go
@@ -43,22 +43,22 @@
 	return view
 }
 
-func (f *Fleet) keel(m *Machine) *wire.KeelView {
-	view := &wire.KeelView{}
+func (f *Fleet) controller(m *Machine) *wire.ControllerView {
+	view := &wire.ControllerView{}
 	f.view(m.At(inwardPort), view)
 	return view
 }
 
 func looked(f *Fleet) {
-	f.Tune = func(p *wire.FordParams) {
+	f.Tune = func(p *wire.NodeParams) {
 		host, _, _ := strings.Cut(p.Inward, ":")
-		p.Mates = host + ":7006"
+		p.Peers = host + ":7006"
 	}
 	raised(f)
 }
 
 var _ = ginkgo.Describe("looking at an open fleet", func() {
-	storyOf("given a fleet with visitors, when nodes and keels are looked at, then they tell what they hold, see and carried", 3, small, []uint64{1}, func(f *Fleet) {
+	storyOf("given a fleet with visitors, when nodes and control machines are looked at, then they tell what they hold, see and carried", 3, small, []uint64{1}, func(f *Fleet) {
 		looked(f)
 		f.Visit(60)
 		f.Pass(5 * time.Second)
@@ -68,12 +68,12 @@
 			Expect(view.Node).To(Equal(m.Name), f.Story)
 			Expect(view.Serial).To(Equal(uint64(3)), f.Story)
 			Expect(view.Ready).To(BeTrue(), f.Story)
-			Expect(view.Berth.GetService()).To(Equal(m.Service), f.Story)
+			Expect(view.Instance.GetService()).To(Equal(m.Service), f.Story)
 			Expect(view.Gate.GetLimit()).To(Equal(uint32(8)), f.Story)
-			Expect(view.Mates).To(HaveLen(len(f.Nodes)), f.Story)
-			Expect(view.Keels).To(HaveLen(3), f.Story)
-			Expect(view.Purses).NotTo(BeEmpty(), f.Story)
-			Expect(view.Paces).NotTo(BeEmpty(), f.Story)
+			Expect(view.Peers).To(HaveLen(len(f.Nodes)), f.Story)
+			Expect(view.Controllers).To(HaveLen(3), f.Story)
+			Expect(view.RetryBudgets).NotTo(BeEmpty(), f.Story)
+			Expect(view.Latencies).NotTo(BeEmpty(), f.Story)
 			Expect(view.Counts["answered"]).To(BeNumerically(">", 20), f.Story)
 		}
 		page := f.see(f.Nodes[0].At(viewsPort), "/metrics")
@@ -81,33 +81,33 @@
 		Expect(page).To(MatchRegexp(`(?m)^curlew_request_seconds_bucket\{kind="repeatable",le="\+Inf"\} [1-9]`), f.Story)
 		Expect(page).To(ContainSubstring("\ncurlew_chart_serial 3\n"), f.Story)
 		owners := map[string]bool{}
-		for _, m := range f.Keels {
-			view := f.keel(m)
+		for _, m := range f.Controllers {
+			view := f.controller(m)
 			Expect(view.Phase).To(Equal("founded"), f.Story)
 			Expect(view.Settled).To(BeTrue(), f.Story)
 			Expect(view.Serial).To(Equal(uint64(3)), f.Story)
 			Expect(view.Nodes).To(HaveLen(len(f.Nodes)), f.Story)
-			Expect(view.Nodes[0].Post.Mates).To(HaveSuffix(":7006"), f.Story)
-			Expect(view.Mates).To(HaveLen(3), f.Story)
+			Expect(view.Nodes[0].NodeStatus.Peers).To(HaveSuffix(":7006"), f.Story)
+			Expect(view.Peers).To(HaveLen(3), f.Story)
 			owners[view.Owner] = true
 			Expect(f.see(m.At(inwardPort), "/metrics")).To(MatchRegexp(`(?m)^curlew_nodes\{state="there"\} 5$`), f.Story)
 		}
 		Expect(owners).To(HaveLen(1), f.Story)
 	})
 
-	storyOf("given a node that lost its power and a silent upstream, when they are looked at, then the keels and mates tell", 3, small, []uint64{2}, func(f *Fleet) {
+	storyOf("given a node that lost its power and a silent upstream, when they are looked at, then the control machines and peers tell", 3, small, []uint64{2}, func(f *Fleet) {
 		looked(f)
 		gone, mute := f.Nodes[0], f.Nodes[1]
 		f.PowerLoss(gone)
 		mute.Upstream.Kill()
 		f.Pass(4 * time.Second)
-		Expect(f.node(mute).Berth).To(BeNil(), f.Story)
-		for _, each := range f.node(mute).Mates {
+		Expect(f.node(mute).Instance).To(BeNil(), f.Story)
+		for _, each := range f.node(mute).Peers {
 			Expect(each.Absent).To(Equal(each.Node == gone.Name), f.Story)
 		}
-		for _, m := range f.Keels {
-			for _, each := range f.keel(m).Nodes {
-				Expect(each.Absent).To(Equal(each.Post.Node == gone.Name), f.Story)
+		for _, m := range f.Controllers {
+			for _, each := range f.controller(m).Nodes {
+				Expect(each.Absent).To(Equal(each.NodeStatus.Node == gone.Name), f.Story)
 			}
 			var told struct{ Happenings []struct{ Topic string } }
 			Expect(json.Unmarshal([]byte(f.see(m.At(inwardPort), "/journal?last=1&subject="+gone.Name)), &told)).To(Succeed(), f.Story)
--- a/fleet/open/machines_test.go
+++ b/fleet/open/machines_test.go
@@ -25,7 +25,7 @@
 	return j.Node == o.node && j.At < o.to && max(j.Ended, j.At) >= o.from
 }
 
-// repeatable tells of each route of the first chart whether its requests may run more than once.
+// repeatable tells of each route of the first configuration whether its requests may run more than once.
 func (f *Fleet) repeatable() map[string]bool {
 	repeatable := map[string]bool{}
 	for _, route := range f.First.Routes {
@@ -225,7 +225,7 @@
 		f.Pass(time.Second)
 		end := f.Trouble("links", "cut")
 		for _, one := range f.Nodes {
-			for _, other := range append(f.Nodes, f.Keels...) {
+			for _, other := range append(f.Nodes, f.Controllers...) {
 				if one.Zone == "a" && other.Zone != "a" {
 					f.Cut(one, other)
 				}
--- a/fleet/open/replace_test.go
+++ b/fleet/open/replace_test.go
@@ -15,7 +15,7 @@
 // replace puts an empty control machine at an address of its own in the place of another, which is gone for good: lost
 // before, or stopped once the new one runs. Settings that are written from then on name the new one.
 func (f *Fleet) replace(place int, planned bool) *Machine {
-	old := f.Keels[place]
+	old := f.Controllers[place]
 	number := f.newest() + 1
 	next := f.machine(fmt.Sprint("core-", number), fmt.Sprintf("10.9.0.%d", number), place)
 	next.Core = true
@@ -30,10 +30,10 @@
 		f.Stop(old)
 		f.PowerLoss(old)
 	}
-	f.Keels[place] = next
+	f.Controllers[place] = next
 	f.seeds = slices.Clone(f.seeds) // processes that run keep the list that they were started with
 	f.seeds[place] = next.At(inwardPort)
-	Expect(f.Until(converged, next.Keel.Ready)).To(BeTrue(), f.Story)
+	Expect(f.Until(converged, next.Controller.Ready)).To(BeTrue(), f.Story)
 	end()
 	if old.back != nil {
 		old.back()
@@ -44,7 +44,7 @@
 
 // newest is the highest number of a control machine.
 func (f *Fleet) newest() (number int) {
-	for _, m := range f.Keels {
+	for _, m := range f.Controllers {
 		var each int
 		_, err := fmt.Sscanf(m.Name, "core-%d", &each)
 		Expect(err).NotTo(HaveOccurred())
@@ -54,21 +54,21 @@
 }
 
 var _ = ginkgo.Describe("control machines replaced", func() {
-	story("given load and changes, when all are replaced in turn, lost or by plan, while nodes start anew, then none in touch serves an old chart and what was acknowledged outlives a loss of all power", []uint64{1, 2, 3, 4}, func(f *Fleet) {
+	story("given load and changes, when all are replaced in turn, lost or by plan, while nodes start anew, then none in touch serves an old configuration and what was acknowledged outlives a loss of all power", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		raised(f)
 		f.Visit(20)
 		f.Pass(time.Second)
 		for turn := range 4 {
-			f.replace(turn%len(f.Keels), (uint64(turn)+f.Seed)%2 == 0)
+			f.replace(turn%len(f.Controllers), (uint64(turn)+f.Seed)%2 == 0)
 			node := f.nodes()[turn%len(f.nodes())]
 			Expect(f.restart(node)).To(BeNumerically("<", coreRound+startBound), f.Story)
-			Expect(node.Node.View().Serial).To(Equal(f.Chart().Base), f.Story)
+			Expect(node.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
 			f.Pass(contact + 50*time.Millisecond)
 			f.change(turn)
 		}
-		f.allKeels(f.PowerLoss)
+		f.allControllers(f.PowerLoss)
 		f.Pass(500 * time.Millisecond)
-		f.allKeels(func(m *Machine) {
+		f.allControllers(func(m *Machine) {
 			f.Power(m)
 			Expect(f.Raise(m)).To(Succeed())
 		})
--- a/fleet/open/rules.go
+++ b/fleet/open/rules.go
@@ -73,7 +73,7 @@
 		runs[each.ID] = append(runs[each.ID], each)
 	}
 	for _, sent := range h.sent {
-		tables[sent] = config.NewTable(sent.Chart)
+		tables[sent] = config.NewTable(sent.Configuration)
 	}
 	rules := []struct {
 		name  string
@@ -108,7 +108,7 @@
 		}
 		b.judged()
 		if ran := count(arrivals, (*Arrival).ran); ran > 1 {
-			b.found("%s ran %d times, first by %s, last by %s", id, ran, arrivals[0].Berth, arrivals[len(arrivals)-1].Berth)
+			b.found("%s ran %d times, first by %s, last by %s", id, ran, arrivals[0].Instance, arrivals[len(arrivals)-1].Instance)
 		}
 	}
 }
@@ -163,11 +163,11 @@
 		ask := b.by[each.ID]
 		switch {
 		case ask == nil:
-			b.found("%s came to %s, which nobody asked", each.ID, each.Berth)
+			b.found("%s came to %s, which nobody asked", each.ID, each.Instance)
 		case each.Method != ask.Method || each.Target != ask.Target || each.Host != ask.Host || each.Digest != ask.Digest:
-			b.found("%s came to %s as %s %s%s (%s)", each.ID, each.Berth, each.Method, each.Host, each.Target, each.Digest)
+			b.found("%s came to %s as %s %s%s (%s)", each.ID, each.Instance, each.Method, each.Host, each.Target, each.Digest)
 		case each.Caller != ask.Service:
-			b.found("%s came to %s as a call of %q", each.ID, each.Berth, each.Caller)
+			b.found("%s came to %s as a call of %q", each.ID, each.Instance, each.Caller)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		}
 		b.judged()
 		if !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
-			b.found("%s %s%s ran at %s of %s", each.ID, ask.Host, ask.Target, each.Berth, each.Service)
+			b.found("%s %s%s ran at %s of %s", each.ID, ask.Host, ask.Target, each.Instance, each.Service)
 		}
 	}
 }
@@ -203,12 +203,12 @@
 func drain(b *book) {
 	for _, left := range b.left {
 		for _, each := range b.arrivals {
-			if each.Berth != left.Berth || each.Missed || each.At <= left.Acked {
+			if each.Instance != left.Instance || each.Missed || each.At <= left.Acked {
 				continue
 			}
 			b.judged()
 			if late := each.At - left.Acked; late > leavingBound {
-				b.found("%s came to %s %s after its leaving was acked", each.ID, left.Berth, late)
+				b.found("%s came to %s %s after its leaving was acked", each.ID, left.Instance, late)
 			}
 		}
 		b.judged()
@@ -256,17 +256,17 @@
 	}
 }
 
-// standing lists the charts that may rule a request sent at one time and ended at another.
+// standing lists the configurations that may rule a request sent at one time and ended at another.
 func (b *book) standing(from, till time.Duration) []*Sent {
 	newest := uint64(0)
 	for _, each := range b.sent {
 		if each.Acked >= 0 && each.Acked+inForceBound < from {
-			newest = max(newest, each.Chart.Serial)
+			newest = max(newest, each.Configuration.Serial)
 		}
 	}
 	var all []*Sent
 	for _, each := range b.sent {
-		if each.Chart.Serial >= newest && !each.Refused && each.At <= till {
+		if each.Configuration.Serial >= newest && !each.Refused && each.At <= till {
 			all = append(all, each)
 		}
 	}
@@ -288,26 +288,26 @@
 		if told == nil || !b.inTouch(ask, told) {
 			continue
 		}
-		charts := b.standing(ask.At, told.At)
-		b.judgeRuns(ask, charts)
+		configurations := b.standing(ask.At, told.At)
+		b.judgeRuns(ask, configurations)
 		if told.noRoute() {
 			b.judged()
-			if !slices.ContainsFunc(charts, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
+			if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
 				b.found("%s %s%s, asked at %s of %s, had no route", ask.ID, ask.Host, ask.Target, ask.At, ask.Node)
 			}
 		}
 	}
 }
 
-// judgeRuns looks whether one of the charts allows each run of a request.
-func (b *book) judgeRuns(ask *Ask, charts []*Sent) {
+// judgeRuns looks whether one of the configurations allows each run of a request.
+func (b *book) judgeRuns(ask *Ask, configurations []*Sent) {
 	for _, each := range b.runs[ask.ID] {
 		if !each.Ran {
 			continue
 		}
 		b.judged()
-		if !slices.ContainsFunc(charts, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
-			b.found("%s %s%s, asked at %s of %s, ran at %s, which only older or refused charts allow", ask.ID, ask.Host, ask.Target, ask.At, ask.Node, each.Berth)
+		if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
+			b.found("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", ask.ID, ask.Host, ask.Target, ask.At, ask.Node, each.Instance)
 		}
 	}
 }
@@ -318,10 +318,10 @@
 func (b *book) span(fits func(*Sent) bool) (low, high uint64) {
 	for _, each := range b.sent {
 		if fits(each) {
-			if low == 0 || each.Chart.Serial < low {
-				low = each.Chart.Serial
+			if low == 0 || each.Configuration.Serial < low {
+				low = each.Configuration.Serial
 			}
-			high = max(high, each.Chart.Serial)
+			high = max(high, each.Configuration.Serial)
 		}
 	}
 	return low, high
@@ -340,7 +340,7 @@
 	}
 }
 
-// effects lists, by life of a node, what upstreams and visitors saw of the charts in force there.
+// effects lists, by life of a node, what upstreams and visitors saw of the configurations in force there.
 func (b *book) effects() map[string][]effect {
 	lives := map[string][]effect{}
 	for _, ask := range b.asks {
@@ -360,7 +360,7 @@
 	return lives
 }
 
-// neverBack looks whether each effect in a life fits the newest chart seen there before its request was sent.
+// neverBack looks whether each effect in a life fits the newest configuration seen there before its request was sent.
 func (b *book) neverBack(life string, effects []effect) {
 	slices.SortFunc(effects, func(a, b effect) int { return cmp.Compare(a.seen, b.seen) })
 	newest := make([]uint64, len(effects)+1)
@@ -381,15 +381,15 @@
 	for _, each := range b.sent {
 		b.judged()
 		if each.Bad && each.Acked >= 0 {
-			b.found("%d is bad, yet was acked", each.Chart.Serial)
+			b.found("%d is bad, yet was acked", each.Configuration.Serial)
 		}
 		if each.Acked < 0 {
 			continue
 		}
-		if other, held := bases[each.Chart.Base]; held && other != each.Chart.Serial {
-			b.found("%d and %d were both acked on top of %d", other, each.Chart.Serial, each.Chart.Base)
+		if other, held := bases[each.Configuration.Base]; held && other != each.Configuration.Serial {
+			b.found("%d and %d were both acked on top of %d", other, each.Configuration.Serial, each.Configuration.Base)
 		}
-		bases[each.Chart.Base] = each.Chart.Serial
+		bases[each.Configuration.Base] = each.Configuration.Serial
 	}
 }
 
@@ -398,19 +398,19 @@
 		newest := uint64(0)
 		for _, each := range b.sent {
 			if each.Acked >= 0 && each.Acked < read.At {
-				newest = max(newest, each.Chart.Serial)
+				newest = max(newest, each.Configuration.Serial)
 			}
 		}
 		b.judged()
 		if read.Err != nil {
-			b.found("%s: %s", read.Keel, read.Err)
+			b.found("%s: %s", read.Controller, read.Err)
 			continue
 		}
-		if read.Chart.Serial < newest {
-			b.found("%s reads %d, acked was %d", read.Keel, read.Chart.Serial, newest)
+		if read.Configuration.Serial < newest {
+			b.found("%s reads %d, acked was %d", read.Controller, read.Configuration.Serial, newest)
 		}
-		if newest > 0 && !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return proto.Equal(sent.Chart, read.Chart) }) {
-			b.found("%s reads a chart %d that nobody sent", read.Keel, read.Chart.Serial)
+		if newest > 0 && !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return proto.Equal(sent.Configuration, read.Configuration) }) {
+			b.found("%s reads a configuration %d that nobody sent", read.Controller, read.Configuration.Serial)
 		}
 	}
 }
@@ -462,7 +462,7 @@
 	return asked
 }
 
-// named gives the services to which any chart lets a request go.
+// named gives the services to which any configuration lets a request go.
 func (b *book) named(ask *Ask) map[string]bool {
 	named := map[string]bool{}
 	for _, sent := range b.sent {
@@ -470,7 +470,7 @@
 		if !known {
 			continue
 		}
-		for _, service := range sent.Chart.Services {
+		for _, service := range sent.Configuration.Services {
 			if route.Names(service.Name) {
 				named[service.Name] = true
 			}
@@ -530,8 +530,8 @@
 		}
 		b.judged()
 		own := told.Broken == "" && !told.Sealed && told.Status >= 300 && told.Status < 500 && !promised(told)
-		charts := b.standing(ask.At, told.At)
-		if own && len(charts) > 0 && !slices.ContainsFunc(charts, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
+		configurations := b.standing(ask.At, told.At)
+		if own && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
 			many++
 			first = fmt.Sprintf("%s told %d %s", ask.ID, told.Status, told.Kind)
 		}
--- a/fleet/open/suite_test.go
+++ b/fleet/open/suite_test.go
@@ -32,12 +32,12 @@
 
 func story(text string, seeds []uint64, tell func(f *Fleet)) { storyOf(text, 3, usual, seeds, tell) }
 
-func storyOf(text string, keels int, services map[string]int, seeds []uint64, tell func(f *Fleet)) {
+func storyOf(text string, controllers int, services map[string]int, seeds []uint64, tell func(f *Fleet)) {
 	ginkgo.It(text, func() {
 		base.All(few(seeds), func(seed uint64) {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
-				f := New(seed, keels, services)
+				f := New(seed, controllers, services)
 				f.Story = fmt.Sprint(text, ", seed ", seed)
 				f.Habits, f.Plan = habits(), plan
 				defer f.End()
@@ -84,25 +84,25 @@
 
 func to(service string) *string { return &service }
 
-func first() *wire.Chart {
-	c := &wire.Chart{Serial: 3}
+func first() *wire.Configuration {
+	c := &wire.Configuration{Serial: 3}
 	for _, name := range []string{"books", "loans", "gates"} {
-		c.Services = append(c.Services, &wire.ChartService{Name: name, Probe: "/health", ConnLimit: 130, Protocol: "h1"})
+		c.Services = append(c.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 130, Protocol: "h1"})
 	}
-	c.Routes = []*wire.ChartRoute{
+	c.Routes = []*wire.ConfigurationRoute{
 		{Name: "search", Host: "books.example", Prefix: "/search/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 400, Rank: 2, Tries: 3, Service: to("books")},
 		{Name: "scans", Host: "books.example", Prefix: "/scans/", Repeat: wire.Repeat_BULK, CutoffMs: 2000, AimMs: 600, Rank: 3, Tries: 2, Service: to("books")},
 		{Name: "lend", Host: "loans.example", Prefix: "/lend/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 0, Tries: 2, Service: to("loans")},
 		{Name: "browse", Host: "loans.example", Prefix: "/browse/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 500, Rank: 2, Tries: 3, Service: to("loans")},
 		{Name: "return", Host: "loans.example", Prefix: "/return/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 1, Tries: 3, Service: to("loans")},
 		{Name: "pass", Host: "gates.example", Prefix: "/pass/", Repeat: wire.Repeat_ONCE, CutoffMs: 1500, AimMs: 300, Rank: 0, Tries: 2, Service: to("gates")},
-		{Name: "mix", Host: "mix.example", Prefix: "/mix/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 1500, AimMs: 300, Rank: 1, Tries: 2, Forks: []*wire.Fork{{Service: "books", Weight: 80}, {Service: "gates", Weight: 20}}},
+		{Name: "mix", Host: "mix.example", Prefix: "/mix/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 1500, AimMs: 300, Rank: 1, Tries: 2, Destinations: []*wire.Destination{{Service: "books", Weight: 80}, {Service: "gates", Weight: 20}}},
 	}
 	return c
 }
 
 func raised(f *Fleet) {
-	for _, m := range f.Keels {
+	for _, m := range f.Controllers {
 		Expect(f.Raise(m)).To(Succeed())
 	}
 	if f.First == nil {
--- a/fleet/open/tell_test.go
+++ b/fleet/open/tell_test.go
@@ -31,7 +31,7 @@
 			told := f.History.told[id]
 			fmt.Println("     ", told.At, told.Status, told.Kind, told.Broken, "again in", told.Again)
 			for _, each := range f.History.Arrivals(id) {
-				fmt.Println("        ", each.At, each.Berth, "missed", each.Missed, "ran", each.Ran, "status", each.Status, "broke", each.Broke, "gone", each.Gone)
+				fmt.Println("        ", each.At, each.Instance, "missed", each.Missed, "ran", each.Ran, "status", each.Status, "broke", each.Broke, "gone", each.Gone)
 			}
 		}
 	}
--- a/fleet/open/upstream.go
+++ b/fleet/open/upstream.go
@@ -132,16 +132,16 @@
 	return longRest
 }
 
-// Berth returns the body of the next heartbeat, with a new sequence number.
-func (u *Upstream) Berth() *wire.Berth {
+// Instance returns the body of the next heartbeat, with a new sequence number.
+func (u *Upstream) Instance() *wire.Instance {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sequence++
-	return &wire.Berth{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.Boast), Leaving: u.leaving, Sequence: u.sequence}
+	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.Boast), Leaving: u.leaving, Sequence: u.sequence}
 }
 
 func (u *Upstream) beat(s base.Scope) bool {
-	body, _ := json.Marshal(u.Berth())
+	body, _ := json.Marshal(u.Instance())
 	return u.report(s, http.MethodPut, body)
 }
 
@@ -272,7 +272,7 @@
 	h, speech := u.fleet.History, dataplane.Plain
 	began := h.Now()
 	id, wanted := r.Header.Get(speech.Attempt), r.Header.Get(speech.Target)
-	row := &Arrival{ID: id, At: began, Service: u.Service, Berth: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(speech.Caller)}
+	row := &Arrival{ID: id, At: began, Service: u.Service, Instance: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(speech.Caller)}
 	row.Missed = wanted != "" && wanted != u.ID
 	h.Arrived(row)
 	tagged := []string{speech.Attempt + ": " + id}
--- a/fleet/open/upstreams_test.go
+++ b/fleet/open/upstreams_test.go
@@ -159,14 +159,14 @@
 		sound(f, Twice, Drain)
 	})
 
-	story("given the only upstream of a service, when it leaves with the keels cut off, then its node still hands it nothing past the bound", []uint64{1, 2}, func(f *Fleet) {
+	story("given the only upstream of a service, when it leaves with the control machines cut off, then its node still hands it nothing past the bound", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
 		f.Visit(50)
 		f.Pass(time.Second)
 		m := f.Of("gates")[0]
 		end := f.Trouble("core", "cut off")
-		for _, keel := range f.Keels {
-			f.Cut(m, keel)
+		for _, controller := range f.Controllers {
+			f.Cut(m, controller)
 		}
 		m.Upstream.Announce()
 		f.Pass(4 * time.Second)
--- a/fleet/open/visitors.go
+++ b/fleet/open/visitors.go
@@ -127,13 +127,13 @@
 	return f.Plan[0]
 }
 
-// ask fills in what the newest acked chart says of a call "METHOD host/path".
+// ask fills in what the newest acked configuration says of a call "METHOD host/path".
 func (f *Fleet) ask(m *Machine, call, id string) *Ask {
 	var method, host, path string
 	_, _ = fmt.Sscanf(call, "%s %s %s", &method, &host, &path)
 	a := &Ask{At: f.History.Now(), ID: id, First: id, Node: m.Name, Life: int(m.lives.Load()), Service: m.Service, Method: method, Host: host, Target: path, Digest: digest(nil)}
 	f.living.Lock()
-	current := f.chart
+	current := f.configuration
 	f.living.Unlock()
 	if route, known := config.NewTable(current).Find(host, path); known {
 		a.Route, a.Repeat, a.Aim = route.Name(), route.Raw.Repeat, route.Aim()
--- a/fleet/scale/child.go
+++ b/fleet/scale/child.go
@@ -138,8 +138,8 @@
 }
 
 func startKeel(s base.Scope, task Task) (func() bool, func(), error) {
-	p := &wire.MoorParams{
-		Name: task.Name, Zone: "zone-0", Mates: address(task.Ip, task.Port), Operators: address(task.Ip, task.Port+1), Seeds: task.Seeds, Founding: true,
+	p := &wire.ControllerParams{
+		Name: task.Name, Zone: "zone-0", Peers: address(task.Ip, task.Port), Operators: address(task.Ip, task.Port+1), Seeds: task.Seeds, Founding: true,
 		Folder: task.Folder, Log: "error",
 	}
 	m, err := controlplane.Start(s, p, func(*controlplane.Server) http.Handler { return http.NotFoundHandler() })
@@ -150,7 +150,7 @@
 }
 
 func startNode(s base.Scope, task Task) (func() bool, func(), error) {
-	p := &wire.FordParams{
+	p := &wire.NodeParams{
 		Name: task.Name, Zone: "zone-0", Service: serviceName(0), Outward: address(task.Ip, task.Port+2), Inward: address(task.Ip, task.Port+3),
 		Ready: address(task.Ip, task.Port+4), Control: address(task.Ip, task.Port+5), Seeds: task.Seeds, Beat: durationpb.New(beatEvery),
 		Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(2 * time.Second), Grace: durationpb.New(6 * time.Second), RepeatSlack: 10, Log: "error",
@@ -160,7 +160,7 @@
 		return nil, nil, err
 	}
 	go func() {
-		berth := &wire.Berth{Id: "i-" + task.Name, Service: serviceName(0), Address: address(task.Ip, task.Port+6), Zone: "zone-0", Capacity: 8}
+		berth := &wire.Instance{Id: "i-" + task.Name, Service: serviceName(0), Address: address(task.Ip, task.Port+6), Zone: "zone-0", Capacity: 8}
 		for s.Err() == nil {
 			berth.Sequence++
 			_ = n.Beat(berth)
--- a/fleet/scale/crowd.go
+++ b/fleet/scale/crowd.go
@@ -65,7 +65,7 @@
 type Crowd struct {
 	scope   base.Scope
 	task    Task
-	hailers []*connect.Client[wire.HailRequest, Glance]
+	hailers []*connect.Client[wire.PollRequest, Glance]
 	lenses  []wireconnect.LensClient
 	rand    *base.Rand
 	crew    base.Crew
@@ -90,7 +90,7 @@
 	web := &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: lanesKept, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
 	for _, seed := range task.Seeds {
 		if len(c.hailers) < keelsAsked {
-			c.hailers = append(c.hailers, connect.NewClient[wire.HailRequest, Glance](web, "http://"+seed+wireconnect.MoorHailProcedure, connect.WithCodec(thin{})))
+			c.hailers = append(c.hailers, connect.NewClient[wire.PollRequest, Glance](web, "http://"+seed+wireconnect.MoorHailProcedure, connect.WithCodec(thin{})))
 		}
 		c.lenses = append(c.lenses, wireconnect.NewLensClient(web, "http://"+seed))
 	}
@@ -162,13 +162,13 @@
 	}
 }
 
-func (c *Crowd) post(m *member, life string, serial uint64) *wire.Post {
+func (c *Crowd) post(m *member, life string, serial uint64) *wire.NodeStatus {
 	service := serviceName(m.at % c.task.Services)
 	ip := fmt.Sprintf("10.%d.%d.%d", 64+m.at>>16, m.at>>8&255, m.at&255)
 	zone := "zone-" + strconv.Itoa(m.at%zones)
-	return &wire.Post{
+	return &wire.NodeStatus{
 		Node: m.name, Incarnation: life, Number: 1, Inward: ip + ":7002", Zone: zone, Service: service, Serial: serial,
-		Berth: &wire.Berth{Id: "i-" + m.name, Service: service, Address: ip + ":8080", Zone: zone, Capacity: 8, Sequence: uint64((now() - m.born) / time.Second)},
+		Instance: &wire.Instance{Id: "i-" + m.name, Service: service, Address: ip + ":8080", Zone: zone, Capacity: 8, Sequence: uint64((now() - m.born) / time.Second)},
 	}
 }
 
@@ -184,8 +184,8 @@
 		}
 		ctx, cancel := context.WithTimeout(s, wait+hailSlack)
 		c.hails.Add(1)
-		reply, err := c.hailers[k].CallUnary(ctx, connect.NewRequest(&wire.HailRequest{
-			Post: c.post(m, life, serial), Serial: serial, Wants: wants, Odds: odds, Keel: keel, Roster: roster, WaitMs: uint64(wait.Milliseconds()),
+		reply, err := c.hailers[k].CallUnary(ctx, connect.NewRequest(&wire.PollRequest{
+			NodeStatus: c.post(m, life, serial), Serial: serial, Wants: wants, Odds: odds, Controller: keel, Registry: roster, WaitMs: uint64(wait.Milliseconds()),
 		}))
 		cancel()
 		if err != nil {
--- a/fleet/scale/field.go
+++ b/fleet/scale/field.go
@@ -101,7 +101,7 @@
 	}); err != nil {
 		return err
 	}
-	if err := f.change(&wire.ChartProposal{Chart: f.chart()}); err != nil {
+	if err := f.change(&wire.ConfigurationProposal{Configuration: f.chart()}); err != nil {
 		return err
 	}
 	for first := 0; first < f.point.nodes; first += f.settings.Each {
--- a/fleet/scale/glance_test.go
+++ b/fleet/scale/glance_test.go
@@ -10,14 +10,14 @@
 
 var _ = ginkgo.Describe("a glance at a keel's answer", func() {
 	ginkgo.It("given an answer, when it is read thinly, then its outline is the whole one's", func() {
-		body, err := proto.Marshal(&wire.HailReply{
-			Keel: "k", Serial: 8, Roster: 77, Chart: &wire.Chart{Serial: 8, Routes: []*wire.ChartRoute{{Name: "r", AimMs: 3.5}}}, Odds: &wire.Odds{Serial: 3, Epsilon: 0.1, Table: map[string]float64{"a": 1}},
-			Sights: []*wire.Sight{
-				{Post: &wire.Post{Node: "a", Incarnation: "first1"}},
-				{Post: &wire.Post{Node: "b", Incarnation: "first2"}, Absent: true, SilenceMs: 1600},
-				{Post: &wire.Post{Node: "c", Incarnation: again + "3"}},
+		body, err := proto.Marshal(&wire.PollReply{
+			Controller: "k", Serial: 8, Registry: 77, Configuration: &wire.Configuration{Serial: 8, Routes: []*wire.ConfigurationRoute{{Name: "r", AimMs: 3.5}}}, Odds: &wire.Odds{Serial: 3, Epsilon: 0.1, Table: map[string]float64{"a": 1}},
+			Observations: []*wire.Observation{
+				{NodeStatus: &wire.NodeStatus{Node: "a", Incarnation: "first1"}},
+				{NodeStatus: &wire.NodeStatus{Node: "b", Incarnation: "first2"}, Absent: true, SilenceMs: 1600},
+				{NodeStatus: &wire.NodeStatus{Node: "c", Incarnation: again + "3"}},
 			},
-			Keels: []string{"x", "y"},
+			Controllers: []string{"x", "y"},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		g := &Glance{}
--- a/fleet/scale/measure_test.go
+++ b/fleet/scale/measure_test.go
@@ -35,7 +35,7 @@
 		beliefs.Beliefs = append(beliefs.Beliefs, &wire.Belief{Identifier: id, Alpha: 3.1, Beta: 5.2, Mean: 0.4, Odds: 0.05, Utility: 0.3, Samples: 400})
 	}
 	for name, size := range map[string]int{
-		"post": proto.Size(c.post(m, "first123", 1)), "sight": proto.Size(&wire.HailReply{Sights: []*wire.Sight{{Post: c.post(m, "first123", 1), SilenceMs: 300}}}),
+		"post": proto.Size(c.post(m, "first123", 1)), "sight": proto.Size(&wire.PollReply{Observations: []*wire.Observation{{NodeStatus: c.post(m, "first123", 1), SilenceMs: 300}}}),
 		"span": proto.Size(&wire.Batch{Spans: []*wire.Span{c.span(m)}}), "route": (proto.Size(whole) - 40) / len(whole.Routes),
 		"chart": proto.Size(whole), "delta": proto.Size(f.next()), "odds": proto.Size(odds), "beliefs": proto.Size(beliefs),
 	} {
@@ -79,7 +79,7 @@
 func adoptChart(b *testing.B, body []byte) {
 	b.ReportAllocs()
 	for b.Loop() {
-		read := &wire.Chart{}
+		read := &wire.Configuration{}
 		if err := proto.Unmarshal(body, read); err != nil {
 			b.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-func judgeChange(b *testing.B, whole *wire.Chart, change *wire.ChartChange) {
+func judgeChange(b *testing.B, whole *wire.Configuration, change *wire.ConfigurationChange) {
 	b.ReportAllocs()
 	for b.Loop() {
 		if faults := config.Check(config.Apply(whole, change)); len(faults) > 0 {
--- a/flow/answer.go
+++ b/flow/answer.go
@@ -93,7 +93,7 @@
 	return nil, false
 }
 
-func bounceTo(w http.ResponseWriter, mishap *base.Mishap) {
+func bounceTo(w http.ResponseWriter, mishap *base.Fault) {
 	answer := base.Answers[mishap.Kind]
 	outcome := "not-run"
 	if mishap.Run {
--- a/flow/catch.go
+++ b/flow/catch.go
@@ -21,10 +21,10 @@
 	flowing bool
 	roomy   int64
 	whole   bool
-	mishap  *base.Mishap
+	mishap  *base.Fault
 }
 
-var errForeign = base.Bounce(base.Garbled, "", "a piece of another attempt's answer")
+var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
 
 func (c *catch) take(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
@@ -41,7 +41,7 @@
 		if piece.Mishap.Attempt != c.attempt.Name {
 			return errForeign
 		}
-		c.mishap = &base.Mishap{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
+		c.mishap = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // is passed on only now.
 func (c *catch) takeTail(tail *wire.CarryTail) error {
 	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
-		return base.Bounce(base.Garbled, "", "the seal does not fit the answer")
+		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
 	}
 	c.whole = true
 	if c.flowing {
--- a/flow/claims.go
+++ b/flow/claims.go
@@ -287,20 +287,20 @@
 	return connect.NewResponse(reply), nil
 }
 
-func (n *Node) abreast(s base.Scope, serial uint64) *base.Mishap {
+func (n *Node) abreast(s base.Scope, serial uint64) *base.Fault {
 	until := s.Clock.Mono() + time.Duration(float64(n.claims.length)*behindRatio)
 	for {
 		heard := n.risenBell.Heard()
 		held, _, _ := n.claims.Held()
 		switch {
 		case held != nil && held.Serial > serial:
-			return base.Bounce(base.Stale, "", "serial %d is in force here, not %d", held.Serial, serial)
+			return base.NewFault(base.Stale, "", "serial %d is in force here, not %d", held.Serial, serial)
 		case held != nil && held.Serial == serial && n.claims.Good(serial):
 			return nil
 		}
 		left := until - s.Clock.Mono()
 		if left <= 0 || s.Err() != nil {
-			return base.Bounce(base.Uncertain, "", "no majority vouches here that serial %d is the newest", serial)
+			return base.NewFault(base.Uncertain, "", "no majority vouches here that serial %d is the newest", serial)
 		}
 		base.Await(s, left, heard)
 	}
--- a/flow/far.go
+++ b/flow/far.go
@@ -24,7 +24,7 @@
 // emit sends a piece of an answer to the asking node.
 type emit func(*wire.CarryReply) error
 
-func mishapPiece(attempt string, mishap *base.Mishap) *wire.CarryReply {
+func mishapPiece(attempt string, mishap *base.Fault) *wire.CarryReply {
 	return &wire.CarryReply{Piece: &wire.CarryReply_Mishap{Mishap: &wire.CarryMishap{
 		Attempt: attempt, Kind: string(mishap.Kind), Reason: mishap.Reason, Run: mishap.Run, AfterUs: uint64(mishap.After.Microseconds()),
 	}}}
@@ -38,16 +38,16 @@
 	return nil
 }
 
-func (n *Node) carry(ctx context.Context, ask *wire.CarryRequest, tell emit) *base.Mishap {
+func (n *Node) carry(ctx context.Context, ask *wire.CarryRequest, tell emit) *base.Fault {
 	s := n.scope.Under(ctx)
 	if n.stopping.Load() && ask.NotAfterUs > time.Duration(n.ends.Load()).Microseconds() {
-		return base.Bounce(base.Stopping, "", "this node stops before the attempt's deadline")
+		return base.NewFault(base.Stopping, "", "this node stops before the attempt's deadline")
 	}
 	if ask.Incarnation != n.member.Incarnation() {
-		return base.Bounce(base.Fenced, "", "meant for an earlier process here")
+		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
 	if !n.fences.Start(ask.Attempt) {
-		mishap := base.Bounce(base.Fenced, "", "this attempt was barred or came twice")
+		mishap := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
 		mishap.Run = !n.fences.Bar(ask.Attempt)
 		return mishap
 	}
@@ -56,7 +56,7 @@
 	until := time.Duration(ask.NotAfterUs) * time.Microsecond
 	left := until - s.Clock.Mono()
 	if left <= 0 {
-		return base.Bounce(base.Expired, "", "the attempt came after its deadline")
+		return base.NewFault(base.Expired, "", "the attempt came after its deadline")
 	}
 	s, cancel := s.Within(left)
 	defer cancel()
@@ -66,17 +66,17 @@
 // carryOn carries an attempt that may run, under the bundle it was sent under:
 // in its turn at the upstream's gate, and apart from requests that it can't be
 // told from.
-func (n *Node) carryOn(s base.Scope, ask *wire.CarryRequest, until time.Duration, tell emit) *base.Mishap {
+func (n *Node) carryOn(s base.Scope, ask *wire.CarryRequest, until time.Duration, tell emit) *base.Fault {
 	if mishap := n.abreast(s, ask.Serial); mishap != nil {
 		return mishap
 	}
 	bundle := n.slice.Load()
 	if bundle.Serial != ask.Serial {
-		return base.Bounce(base.Stale, "", "serial %d is in force here", bundle.Serial)
+		return base.NewFault(base.Stale, "", "serial %d is in force here", bundle.Serial)
 	}
 	way, known := bundle.Way(ask.Service, ask.Route)
 	if !known {
-		return base.Bounce(base.NoRoute, "", "no bundle here names %s/%s", ask.Service, ask.Route)
+		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", ask.Service, ask.Route)
 	}
 	at, mishap := n.seats.Find(ask.Service, ask.Seat)
 	if mishap != nil {
@@ -89,7 +89,7 @@
 	defer out()
 	target, err := url.ParseRequestURI(ask.Target)
 	if err != nil {
-		return base.Bounce(base.Malformed, "", "%s", err)
+		return base.NewFault(base.Malformed, "", "%s", err)
 	}
 	f := &flight{span: n.scope.Rand.Name(8), trail: ask.Trail, way: way, seat: at}
 	headers := http.Header{}
@@ -107,21 +107,21 @@
 	return n.hand(s, ask, at, f, target, headers, tell)
 }
 
-func (n *Node) hand(s base.Scope, ask *wire.CarryRequest, at *seat, f *flight, target *url.URL, headers http.Header, tell emit) *base.Mishap {
+func (n *Node) hand(s base.Scope, ask *wire.CarryRequest, at *seat, f *flight, target *url.URL, headers http.Header, tell emit) *base.Fault {
 	conn, err := n.outward.NewClientConn(s, "http", at.said().Address)
 	if err != nil {
 		n.scope.Note("dial-failed", ask.Service, strconv.Itoa(int(ask.Ordinal)))
 		if s.Err() == nil {
 			n.seats.Void(at, "dial: "+err.Error())
 		}
-		return base.Bounce(base.Unreachable, "", "the upstream could not be dialled")
+		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
 	}
 	defer conn.Close()
 	if !n.seats.Held(at) {
 		n.seats.Void(at, "another process listens there now")
 	}
 	if now, mishap := n.seats.Find(ask.Service, ask.Seat); mishap != nil || now != at {
-		return base.Bounce(base.NoSeat, "", "the upstream's standing changed")
+		return base.NewFault(base.NoSeat, "", "the upstream's standing changed")
 	}
 	headers.Set(serialHeader, strconv.FormatUint(ask.Serial, 10))
 	request := (&http.Request{
@@ -133,10 +133,10 @@
 		request.Body = io.NopCloser(bytes.NewReader(ask.Body))
 	}
 	if !n.claims.Good(ask.Serial) {
-		return base.Bounce(base.Stale, "", "serial %d is no longer sure here", ask.Serial)
+		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", ask.Serial)
 	}
 	if s.Err() != nil || !n.fences.Hand(ask.Attempt) {
-		return base.Bounce(base.Fenced, "", "this attempt was barred or ran out of time")
+		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
 	keeps := f.trail.GetSampled() && n.keeper.Keep(f.way.Identifier()) && n.budget.Spend(f.way.Group)
 	n.ties.Board(f)
@@ -165,15 +165,15 @@
 }
 
 // ran returns an error about a request that may have run.
-func ran(kind base.Kind, format string, args ...any) *base.Mishap {
-	mishap := base.Bounce(kind, "", format, args...)
+func ran(kind base.Kind, format string, args ...any) *base.Fault {
+	mishap := base.NewFault(kind, "", format, args...)
 	mishap.Run = true
 	return mishap
 }
 
 // exchange sends the request and passes the answer on. It returns the answer's
 // status, 0 if there was none.
-func (n *Node) exchange(s base.Scope, conn *http.ClientConn, request *http.Request, ask *wire.CarryRequest, tell emit) (int, *base.Mishap) {
+func (n *Node) exchange(s base.Scope, conn *http.ClientConn, request *http.Request, ask *wire.CarryRequest, tell emit) (int, *base.Fault) {
 	response, err := conn.RoundTrip(request)
 	if err != nil {
 		if s.Err() != nil {
@@ -186,7 +186,7 @@
 }
 
 // relay passes an answer on under a seal over its head and body.
-func relay(response *http.Response, attempt string, tell emit) *base.Mishap {
+func relay(response *http.Response, attempt string, tell emit) *base.Fault {
 	digest, given := promised(response.Header)
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || given
 	if !framed || response.StatusCode == http.StatusSwitchingProtocols {
@@ -213,7 +213,7 @@
 
 // relayBody passes a body on in pieces, also to the digests, and returns its
 // size in bytes.
-func relayBody(body io.Reader, digests io.Writer, tell emit) (size uint64, mishap *base.Mishap) {
+func relayBody(body io.Reader, digests io.Writer, tell emit) (size uint64, mishap *base.Fault) {
 	chunk := make([]byte, chunkSize)
 	for {
 		got, err := body.Read(chunk)
--- a/flow/gate.go
+++ b/flow/gate.go
@@ -20,7 +20,7 @@
 
 type waiter struct {
 	until time.Duration
-	grant chan *base.Mishap
+	grant chan *base.Fault
 	gone  bool
 }
 
@@ -81,7 +81,7 @@
 // Enter waits to be let in until the time given. The caller calls leave when
 // its request has ended. The error is of kind Crowded if it can't be let in in
 // time or the queue is full, and Expired if the time passed.
-func (g *Gate) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), mishap *base.Mishap) {
+func (g *Gate) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), mishap *base.Fault) {
 	g.mu.Lock()
 	at := g.lanes[group]
 	if at == nil {
@@ -99,13 +99,13 @@
 	after := time.Duration(wait * float64(time.Second))
 	if g.hold > 0 && wait > left {
 		g.mu.Unlock()
-		return nil, base.Bounce(base.Crowded, "", "the wait would outlast the deadline").Later(after)
+		return nil, base.NewFault(base.Crowded, "", "the wait would outlast the deadline").Later(after)
 	}
 	if g.waiting >= g.bound && !g.evict(at) {
 		g.mu.Unlock()
-		return nil, base.Bounce(base.Crowded, "", "the queue of group %q is full", group).Later(after)
+		return nil, base.NewFault(base.Crowded, "", "the queue of group %q is full", group).Later(after)
 	}
-	mine := &waiter{until: until, grant: make(chan *base.Mishap, 1)}
+	mine := &waiter{until: until, grant: make(chan *base.Fault, 1)}
 	if at.waiting.Len() == 0 {
 		at.pass = max(at.pass, g.now)
 	}
@@ -136,7 +136,7 @@
 		mine.gone = true
 		g.waiting--
 	}
-	return nil, base.Bounce(base.Expired, "", "the deadline passed in the queue")
+	return nil, base.NewFault(base.Expired, "", "the deadline passed in the queue")
 }
 
 func (g *Gate) ahead(at *lane) float64 {
@@ -162,7 +162,7 @@
 	last := fullest.waiting.PopBack()
 	if !last.gone {
 		g.waiting--
-		last.grant <- base.Bounce(base.Crowded, "", "the queue is full and another group is owed its place")
+		last.grant <- base.NewFault(base.Crowded, "", "the queue is full and another group is owed its place")
 	}
 	return true
 }
@@ -204,7 +204,7 @@
 		at.waiting.PopFront()
 		if !first.gone {
 			g.waiting--
-			first.grant <- base.Bounce(base.Crowded, "", "too little time was left when its turn came")
+			first.grant <- base.NewFault(base.Crowded, "", "too little time was left when its turn came")
 		}
 	}
 }
--- a/flow/ledger.go
+++ b/flow/ledger.go
@@ -40,7 +40,7 @@
 	Started   time.Duration
 	Ended     time.Duration
 	State     State
-	Mishap    *base.Mishap
+	Mishap    *base.Fault
 }
 
 // Move is what to do next about a request.
@@ -150,12 +150,12 @@
 }
 
 // Verdict returns the error to tell the caller on giving up.
-func (l *Ledger) Verdict(now time.Duration) *base.Mishap {
-	verdict := base.Bounce(base.NoSeat, "", "no upstream of %s could be reached", l.Way.Service.Name)
+func (l *Ledger) Verdict(now time.Duration) *base.Fault {
+	verdict := base.NewFault(base.NoSeat, "", "no upstream of %s could be reached", l.Way.Service.Name)
 	if last := l.Last(); last != nil && last.Mishap != nil {
-		verdict = &base.Mishap{Kind: last.Mishap.Kind, Path: last.Mishap.Path, Reason: last.Mishap.Reason, After: last.Mishap.After}
+		verdict = &base.Fault{Kind: last.Mishap.Kind, Path: last.Mishap.Path, Reason: last.Mishap.Reason, After: last.Mishap.After}
 	} else if now >= l.Until {
-		verdict = base.Bounce(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
+		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
 	}
 	verdict.Run = l.Doubtful()
 	return verdict
--- a/flow/near.go
+++ b/flow/near.go
@@ -37,7 +37,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		response, err := ask(r.Context(), &errand{request: r, inner: inner, w: w})
 		if err != nil {
-			bounceTo(w, base.MishapOf(err))
+			bounceTo(w, base.FaultOf(err))
 			return
 		}
 		if whole := response.(*answer); whole != nil {
@@ -55,7 +55,7 @@
 		response, err := next(ctx, request)
 		if err != nil {
 			e := request.(*errand)
-			n.scope.Note("bounce-"+string(base.MishapOf(err).Kind), e.w.Header().Get(traceHeader), e.request.URL.Path+": "+base.MishapOf(err).Reason)
+			n.scope.Note("bounce-"+string(base.FaultOf(err).Kind), e.w.Header().Get(traceHeader), e.request.URL.Path+": "+base.FaultOf(err).Reason)
 		}
 		return response, err
 	}
@@ -66,7 +66,7 @@
 	s := n.scope.Under(ctx)
 	signed := n.slice.Load()
 	if signed == nil {
-		return nil, base.Bounce(base.Uncertain, "", "no bundle is held here yet")
+		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
 	if !n.claims.Good(signed.Serial) {
 		if mishap := n.abreast(s, signed.Serial); mishap != nil && mishap.Kind != base.Stale {
@@ -76,11 +76,11 @@
 	}
 	way, known := signed.Match(e.request.Method, e.request.URL.Path)
 	if !known {
-		return nil, base.Bounce(base.NoRoute, "", "no route for %s %s", e.request.Method, e.request.URL.Path)
+		return nil, base.NewFault(base.NoRoute, "", "no route for %s %s", e.request.Method, e.request.URL.Path)
 	}
 	until := s.Clock.Mono() + way.Deadline()
 	if n.stopping.Load() && !e.inner && until > time.Duration(n.ends.Load()) {
-		return nil, base.Bounce(base.Stopping, "", "this node stops before the deadline of %s", way.Identifier()).Later(time.Duration(n.ends.Load()) - s.Clock.Mono())
+		return nil, base.NewFault(base.Stopping, "", "this node stops before the deadline of %s", way.Identifier()).Later(time.Duration(n.ends.Load()) - s.Clock.Mono())
 	}
 	s, cancel := s.Within(way.Deadline())
 	defer cancel()
@@ -99,26 +99,26 @@
 
 // body reads a request's body within the time given. The caller calls give when
 // it is no longer needed.
-func (n *Node) body(e *errand, within time.Duration) (body []byte, give func(), mishap *base.Mishap) {
+func (n *Node) body(e *errand, within time.Duration) (body []byte, give func(), mishap *base.Fault) {
 	longest := n.dials.Load().Longest
 	room := int64(longest) + 1
 	if e.request.ContentLength >= 0 {
 		room = min(room, e.request.ContentLength)
 	}
 	if !n.room.take(room) {
-		return nil, nil, base.Bounce(base.Crowded, "", "no room in memory for the request's body")
+		return nil, nil, base.NewFault(base.Crowded, "", "no room in memory for the request's body")
 	}
 	give = func() { n.room.give(room) }
 	_ = http.NewResponseController(e.w).SetReadDeadline(time.Now().Add(within))
 	body, err := io.ReadAll(io.LimitReader(e.request.Body, int64(longest)+1))
 	if err != nil {
 		give()
-		return nil, nil, base.Bounce(base.Malformed, "", "the request's body broke off")
+		return nil, nil, base.NewFault(base.Malformed, "", "the request's body broke off")
 	}
 	_ = http.NewResponseController(e.w).SetReadDeadline(time.Time{})
 	if len(body) > longest {
 		give()
-		return nil, nil, base.Bounce(base.TooLarge, "", "%d bytes at most", longest)
+		return nil, nil, base.NewFault(base.TooLarge, "", "%d bytes at most", longest)
 	}
 	return body, give, nil
 }
@@ -196,7 +196,7 @@
 // next picks an instance for the next attempt, under the bundle to use for it.
 // The error is what to tell the caller if there is none, or if no repeat is
 // left to spend.
-func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, place, *base.Mishap) {
+func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, place, *base.Fault) {
 	if last := ledger.Last(); last != nil && last.Mishap.Kind == base.Stale {
 		fresh, mishap := n.renew(s, ledger)
 		if mishap != nil {
@@ -216,12 +216,12 @@
 
 // renew waits a moment for a newer bundle and looks the request's route up in
 // the one held then.
-func (n *Node) renew(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Mishap) {
+func (n *Node) renew(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
 	base.Await(s, time.Duration(float64(n.claims.length)*behindRatio/4), n.risenBell.Heard())
 	signed := n.slice.Load()
 	fresh, known := signed.Way(ledger.Way.Service.Name, ledger.Way.Route.Name)
 	if !known {
-		return nil, base.Bounce(base.NoRoute, "", "serial %d has no such route", signed.Serial)
+		return nil, base.NewFault(base.NoRoute, "", "serial %d has no such route", signed.Serial)
 	}
 	ledger.Way = fresh
 	return signed, nil
@@ -300,10 +300,10 @@
 		if err != nil {
 			reason = err.Error()
 		}
-		attempt.Mishap = base.Bounce(base.Lost, "", "%s", reason)
+		attempt.Mishap = base.NewFault(base.Lost, "", "%s", reason)
 		attempt.State = Doubtful
 		if s.Err() != nil {
-			attempt.Mishap = base.Bounce(base.Expired, "", "no answer within the deadline")
+			attempt.Mishap = base.NewFault(base.Expired, "", "no answer within the deadline")
 		}
 		if undialled(err) || n.neverRan(s, picked, attempt) {
 			attempt.State = NotRun
--- a/flow/seats.go
+++ b/flow/seats.go
@@ -46,7 +46,7 @@
 
 // Report takes in an instance's report. A new one must accept a connection. The
 // error is of kind Unreachable.
-func (t *Seats) Report(s base.Scope, report *wire.Seat) *base.Mishap {
+func (t *Seats) Report(s base.Scope, report *wire.Seat) *base.Fault {
 	t.mu.Lock()
 	known := t.seats[report.Address]
 	fresh := known == nil || known.void != "" || known.said().Service != report.Service
@@ -65,11 +65,11 @@
 	holder := t.scope.Net.Holder(report.Address)
 	probe, err := t.scope.Net.Dial(bounded, "tcp", report.Address)
 	if err != nil {
-		return base.Bounce(base.Unreachable, "address", "%s", err)
+		return base.NewFault(base.Unreachable, "address", "%s", err)
 	}
 	if s.Err() != nil || t.scope.Net.Holder(report.Address) != holder {
 		_ = probe.Close()
-		return base.Bounce(base.Unreachable, "address", "the reporter is gone or its address passed on")
+		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
 	}
 	next := &seat{at: t.scope.Clock.Mono(), probe: probe, holder: holder, gate: NewGate(t.scope.Clock, int(report.Capacity), t.queue)}
 	next.report.Store(report)
@@ -138,17 +138,17 @@
 
 // Find returns the instance of a service at an address. The error is of kind
 // NoSeat.
-func (t *Seats) Find(service, address string) (*seat, *base.Mishap) {
+func (t *Seats) Find(service, address string) (*seat, *base.Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.seats[address]
 	switch {
 	case at == nil || !t.live(at):
-		return nil, base.Bounce(base.NoSeat, "", "no upstream is known at that address now")
+		return nil, base.NewFault(base.NoSeat, "", "no upstream is known at that address now")
 	case at.said().Service != service:
-		return nil, base.Bounce(base.NoSeat, "", "that address belongs to another service now")
+		return nil, base.NewFault(base.NoSeat, "", "that address belongs to another service now")
 	case at.said().Leaving:
-		return nil, base.Bounce(base.NoSeat, "", "the upstream is leaving")
+		return nil, base.NewFault(base.NoSeat, "", "the upstream is leaving")
 	}
 	return at, nil
 }
--- a/flow/servers.go
+++ b/flow/servers.go
@@ -76,7 +76,7 @@
 		}.Filter()
 	}
 	if err != nil {
-		bounceTo(w, base.Bounce(base.Malformed, "", "%s", strings.Join(base.Mishaps(err), "; ")))
+		bounceTo(w, base.NewFault(base.Malformed, "", "%s", strings.Join(base.Faults(err), "; ")))
 		return
 	}
 	seat := &wire.Seat{Service: said.Service, Address: said.Address, Zone: said.Zone, Capacity: max(said.Capacity, 1), Leaving: said.Leaving, Weight: max(said.Weight, 0)}
--- a/flow/tie.go
+++ b/flow/tie.go
@@ -210,7 +210,7 @@
 // Apart waits until no other request is at work whose further calls couldn't be
 // told from those of f. The caller calls leave when f has ended. An impatient
 // caller is turned back at once, with kind Apart.
-func (t *Ties) Apart(s base.Scope, f *flight, until time.Duration, patient bool) (leave func(), mishap *base.Mishap) {
+func (t *Ties) Apart(s base.Scope, f *flight, until time.Duration, patient bool) (leave func(), mishap *base.Fault) {
 	keys := t.keysOf(f)
 	turns := map[int]func(){}
 	var kept []func()
@@ -261,19 +261,19 @@
 	return keys
 }
 
-func (t *Ties) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), mishap *base.Mishap) {
+func (t *Ties) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), mishap *base.Fault) {
 	at, ahead, usual := t.turn(key, identifier)
 	if ahead > 0 && !patient {
 		t.quit(key)
-		return nil, base.Bounce(base.Apart, "", "another such request has the turn here")
+		return nil, base.NewFault(base.Apart, "", "another such request has the turn here")
 	}
 	if t.clock.Mono()+time.Duration(ahead)*usual > until {
 		t.quit(key)
-		return nil, base.Bounce(base.Apart, "", "its turn would come after the deadline")
+		return nil, base.NewFault(base.Apart, "", "its turn would come after the deadline")
 	}
 	if !at.latch.Take(s) {
 		t.quit(key)
-		return nil, base.Bounce(base.Expired, "", "the deadline passed while kept apart")
+		return nil, base.NewFault(base.Expired, "", "the deadline passed while kept apart")
 	}
 	began := t.clock.Mono()
 	return func() {
--- a/helm/clerk.go
+++ b/helm/clerk.go
@@ -82,7 +82,7 @@
 // but for outcomes, which tell it themselves.
 func read(response *http.Response, said []byte, reply proto.Message) error {
 	if _, verdict := reply.(*wire.Outcome); response.StatusCode >= http.StatusMultipleChoices && !verdict {
-		var bounced struct{ Mishap *base.Mishap }
+		var bounced struct{ Mishap *base.Fault }
 		if json.Unmarshal(said, &bounced) == nil && bounced.Mishap != nil {
 			return bounced.Mishap
 		}
--- a/helm/desk.go
+++ b/helm/desk.go
@@ -36,7 +36,7 @@
 	serve("GET /v1/bundle", func(ctx context.Context, request any) (any, error) {
 		serial, err := strconv.ParseUint("0"+request.(*http.Request).URL.Query().Get("serial"), 10, 64)
 		if err != nil {
-			return nil, base.Bounce(base.Malformed, "serial", "%s", err)
+			return nil, base.NewFault(base.Malformed, "serial", "%s", err)
 		}
 		return h.Read(ctx, serial)
 	}, whole)
@@ -61,7 +61,7 @@
 	serve("GET /v1/state", func(context.Context, any) (any, error) { return h.State(), nil }, whole)
 	serve("POST /v1/adopt", func(ctx context.Context, _ any) (any, error) {
 		if !h.trove.Adopt(h.scope.Under(ctx)) {
-			return nil, base.Bounce(base.Amnesiac, "", "this disk could not be adopted now: one whole disk must be reachable")
+			return nil, base.NewFault(base.Amnesiac, "", "this disk could not be adopted now: one whole disk must be reachable")
 		}
 		return h.State(), nil
 	}, whole)
@@ -118,14 +118,14 @@
 	return func(_ context.Context, r *http.Request) (any, error) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, int64(2*h.limits.Bytes)+1))
 		if err != nil {
-			return nil, base.Bounce(base.Malformed, "", "%s", err)
+			return nil, base.NewFault(base.Malformed, "", "%s", err)
 		}
 		if len(body) > 2*h.limits.Bytes {
-			return nil, base.Bounce(base.TooLarge, "", "%d bytes at most", 2*h.limits.Bytes)
+			return nil, base.NewFault(base.TooLarge, "", "%d bytes at most", 2*h.limits.Bytes)
 		}
 		message := blank()
 		if err := protojson.Unmarshal(body, message); err != nil {
-			return nil, base.Bounce(base.Malformed, "", "%s", err)
+			return nil, base.NewFault(base.Malformed, "", "%s", err)
 		}
 		return message, nil
 	}
@@ -159,6 +159,6 @@
 }
 
 func refuse(_ context.Context, err error, w http.ResponseWriter) {
-	mishap := base.MishapOf(err)
+	mishap := base.FaultOf(err)
 	base.Reply(w, base.Answers[mishap.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": mishap})
 }
--- a/helm/helm.go
+++ b/helm/helm.go
@@ -249,18 +249,18 @@
 		current = signed.Raw
 	}
 	if request.Base != current.Serial {
-		return nil, base.Bounce(base.StaleBase, "base", "the newest serial is %d", current.Serial)
+		return nil, base.NewFault(base.StaleBase, "base", "the newest serial is %d", current.Serial)
 	}
 	var next *wire.Bundle
 	switch {
 	case request.Bundle != nil && request.Change != nil:
-		return nil, base.Bounce(base.Malformed, "change", "give a bundle or a change, not both")
+		return nil, base.NewFault(base.Malformed, "change", "give a bundle or a change, not both")
 	case request.Bundle != nil:
 		next = proto.Clone(request.Bundle).(*wire.Bundle)
 	case request.Change != nil:
 		next = bundle.Apply(current, request.Change)
 	default:
-		return nil, base.Bounce(base.Malformed, "bundle", "give a bundle or a change")
+		return nil, base.NewFault(base.Malformed, "bundle", "give a bundle or a change")
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
 	bundle.Normalise(next, h.limits)
@@ -274,30 +274,30 @@
 	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
 }
 
-func bounced(submission string, mishap *base.Mishap) *wire.Outcome {
+func bounced(submission string, mishap *base.Fault) *wire.Outcome {
 	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}}
 }
 
-func (h *Helm) vet(request *wire.SignRequest) (*wire.Manifest, *base.Mishap) {
+func (h *Helm) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
 	if request.Submission == "" || len(request.Submission) > 128 {
-		return nil, base.Bounce(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
+		return nil, base.NewFault(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
 	}
 	if proto.Size(request.Sealed) > h.limits.Bytes {
-		return nil, base.Bounce(base.TooLarge, "sealed", "%d bytes at most", h.limits.Bytes)
+		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", h.limits.Bytes)
 	}
 	manifest, mishap := h.trust.Load().Verify(request.Sealed)
 	if mishap != nil {
 		return nil, mishap
 	}
 	if !bundle.Whole(request.Sealed, manifest) {
-		return nil, base.Bounce(base.Malformed, "sealed.parts", "parts are missing")
+		return nil, base.NewFault(base.Malformed, "sealed.parts", "parts are missing")
 	}
 	raw, mishap := bundle.Open(request.Sealed)
 	if mishap != nil {
 		return nil, mishap
 	}
 	if manifest.Serial != manifest.Base+1 {
-		return nil, base.Bounce(base.Malformed, "manifest.serial", "serial follows base by one")
+		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
 	}
 	return manifest, bundle.Check(raw, h.limits)
 }
@@ -307,7 +307,7 @@
 func (h *Helm) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
 	current := h.Current()
 	if current == nil {
-		return nil, base.Bounce(base.Missing, "serial", "no bundle has been taken yet")
+		return nil, base.NewFault(base.Missing, "serial", "no bundle has been taken yet")
 	}
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
@@ -322,7 +322,7 @@
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
 	}
-	return nil, base.Bounce(base.Missing, "serial", "serial %d is not kept here", serial)
+	return nil, base.NewFault(base.Missing, "serial", "serial %d is not kept here", serial)
 }
 
 // Holdings returns which node holds which bundle, and the machines never heard.
--- a/helm/news.go
+++ b/helm/news.go
@@ -27,10 +27,10 @@
 	h := v.helm
 	sign := request.Msg.Sign
 	if sign == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.Bounce(base.Malformed, "sign", "nothing was handed in"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "nothing was handed in"))
 	}
 	if !h.trove.Mine(BundleKey) {
-		return nil, base.Bounce(base.Outranked, BundleKey, "another keel owns it")
+		return nil, base.NewFault(base.Outranked, BundleKey, "another keel owns it")
 	}
 	var outcome *wire.Outcome
 	if sign.Sealed == nil {
--- a/helm/open.go
+++ b/helm/open.go
@@ -10,8 +10,8 @@
 )
 
 // KeelView returns the state of an open fleet's core process.
-func (c *Clerk) KeelView(ctx context.Context) (*wire.KeelView, error) {
-	return fetch[wire.KeelView](ctx, c, http.MethodGet, "/view", nil)
+func (c *Clerk) KeelView(ctx context.Context) (*wire.ControllerView, error) {
+	return fetch[wire.ControllerView](ctx, c, http.MethodGet, "/view", nil)
 }
 
 // NodeView returns the state of an open fleet's node.
@@ -20,8 +20,8 @@
 }
 
 // Chart returns the configuration in force in an open fleet.
-func (c *Clerk) Chart(ctx context.Context) (*wire.Chart, error) {
-	return fetch[wire.Chart](ctx, c, http.MethodGet, "/chart", nil)
+func (c *Clerk) Chart(ctx context.Context) (*wire.Configuration, error) {
+	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/chart", nil)
 }
 
 // OpenOdds returns what was learned in an open fleet.
--- a/helm/rollout.go
+++ b/helm/rollout.go
@@ -82,14 +82,14 @@
 	})
 }
 
-func (h *Helm) gone(ctx context.Context, forsaken []string) *base.Mishap {
+func (h *Helm) gone(ctx context.Context, forsaken []string) *base.Fault {
 	current := h.Current()
 	if len(forsaken) == 0 || current == nil {
 		return nil
 	}
 	now := h.scope.Clock.Mono()
 	if now-h.born < h.silence {
-		return base.Bounce(base.Uncertain, "forsaken", "this keel has listened for less than %s", h.silence)
+		return base.NewFault(base.Uncertain, "forsaken", "this keel has listened for less than %s", h.silence)
 	}
 	heard := map[string]time.Duration{}
 	for sighting := range h.member.View().All() {
@@ -101,20 +101,20 @@
 		path := fmt.Sprintf("forsaken[%d]", i)
 		machine := current.Machine(name)
 		if machine == nil || machine.Core {
-			return base.Bounce(base.Dangling, path, "%q is no application machine of serial %d", name, current.Serial)
+			return base.NewFault(base.Dangling, path, "%q is no application machine of serial %d", name, current.Serial)
 		}
 		if silence, known := heard[name]; known && silence < h.silence {
-			return base.Bounce(base.Alive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), h.silence)
+			return base.NewFault(base.Alive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), h.silence)
 		}
 		if confirmed, known := h.confirms.Get(name); known && now-confirmed.at < h.silence {
-			return base.Bounce(base.Alive, path, "%q asked for news %s ago", name, (now - confirmed.at).Round(time.Millisecond))
+			return base.NewFault(base.Alive, path, "%q asked for news %s ago", name, (now - confirmed.at).Round(time.Millisecond))
 		}
 	}
 	return h.answering(s, current, forsaken)
 }
 
 // answering returns an error if any of the machines still answers.
-func (h *Helm) answering(s base.Scope, current *bundle.Bundle, names []string) *base.Mishap {
+func (h *Helm) answering(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
 	var alive atomic.Pointer[string]
 	base.All(names, func(name string) {
 		if h.member.Reaches(s, current.Machine(name).Address) {
@@ -122,7 +122,7 @@
 		}
 	})
 	if name := alive.Load(); name != nil {
-		return base.Bounce(base.Alive, "forsaken", "%q still answers", *name)
+		return base.NewFault(base.Alive, "forsaken", "%q still answers", *name)
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 		}
 		pause := time.Duration(float64(h.force) * pollRatio)
 		if err != nil {
-			mishap := base.MishapOf(err)
+			mishap := base.FaultOf(err)
 			h.scope.Note("change-failed", request.Submission, mishap.Error())
 			unknown.Mishap = &wire.Mishap{Kind: string(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}
 			pause = time.Duration(float64(pause) * (2 + 8*s.Rand.Float64()))
@@ -217,7 +217,7 @@
 			return nil, nil
 		}
 		if committed := serialOf(head.Sealed); wanted != committed {
-			outcome = bounced(request.Submission, base.Bounce(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
+			outcome = bounced(request.Submission, base.NewFault(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
 			return nil, nil
 		}
 		mine = true
@@ -244,7 +244,7 @@
 	outcome := &wire.Outcome{Submission: head.Submission, Verdict: wire.Verdict_TAKEN, Serial: serialOf(head.Staged)}
 	next := &wire.Head{Sealed: head.Staged}
 	if !taken {
-		outcome = bounced(head.Submission, base.Bounce(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
+		outcome = bounced(head.Submission, base.NewFault(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
 		next.Sealed = head.Sealed
 	}
 	next.Outcomes = append(slices.Clone(head.Outcomes), outcome)
@@ -312,7 +312,7 @@
 		_, err := h.resolve(s, false)
 		return nil, err
 	}
-	return bounced(submission, base.Bounce(base.Missing, "submission", "no such submission was taken")), nil
+	return bounced(submission, base.NewFault(base.Missing, "submission", "no such submission was taken")), nil
 }
 
 func (h *Helm) mend(s base.Scope) {
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -114,11 +114,11 @@
 }
 
 // inquest collects the first fault found.
-type inquest struct{ found *base.Mishap }
+type inquest struct{ found *base.Fault }
 
 func (q *inquest) bounce(kind base.Kind, path, format string, args ...any) {
 	if q.found == nil {
-		q.found = base.Bounce(kind, path, format, args...)
+		q.found = base.NewFault(kind, path, format, args...)
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // Check returns the first fault of a normalised bundle, or nil.
-func Check(b *wire.Bundle, limits Limits) *base.Mishap {
+func Check(b *wire.Bundle, limits Limits) *base.Fault {
 	q := &inquest{}
 	q.machines(b, limits)
 	q.services(b, limits)
--- a/internal/bundle/seal.go
+++ b/internal/bundle/seal.go
@@ -85,24 +85,24 @@
 // Verify checks signature and digests, and returns the manifest. The error is
 // of kind Unsigned, Untrusted or Malformed. Parts may be missing, as in a
 // slice, but none may be altered or added.
-func (t Trust) Verify(sealed *wire.Sealed) (*wire.Manifest, *base.Mishap) {
+func (t Trust) Verify(sealed *wire.Sealed) (*wire.Manifest, *base.Fault) {
 	if len(sealed.GetSignature()) == 0 {
-		return nil, base.Bounce(base.Unsigned, "sealed.signature", "the manifest is not signed")
+		return nil, base.NewFault(base.Unsigned, "sealed.signature", "the manifest is not signed")
 	}
 	key, ok := t[sealed.Signer]
 	if !ok {
-		return nil, base.Bounce(base.Untrusted, "sealed.signer", "signer %q is not trusted here", sealed.Signer)
+		return nil, base.NewFault(base.Untrusted, "sealed.signer", "signer %q is not trusted here", sealed.Signer)
 	}
 	if !ed25519.Verify(key, append([]byte(domain), sealed.Manifest...), sealed.Signature) {
-		return nil, base.Bounce(base.Untrusted, "sealed.signature", "the signature does not fit the manifest")
+		return nil, base.NewFault(base.Untrusted, "sealed.signature", "the signature does not fit the manifest")
 	}
 	return digests(sealed)
 }
 
-func digests(sealed *wire.Sealed) (*wire.Manifest, *base.Mishap) {
+func digests(sealed *wire.Sealed) (*wire.Manifest, *base.Fault) {
 	manifest := &wire.Manifest{}
 	if err := proto.Unmarshal(sealed.Manifest, manifest); err != nil {
-		return nil, base.Bounce(base.Malformed, "sealed.manifest", "%s", err)
+		return nil, base.NewFault(base.Malformed, "sealed.manifest", "%s", err)
 	}
 	listed := map[string][]byte{}
 	for _, part := range manifest.Parts {
@@ -111,7 +111,7 @@
 	for _, part := range sealed.Parts {
 		digest := sha256.Sum256(part.Body)
 		if !bytes.Equal(listed[part.Name], digest[:]) {
-			return nil, base.Bounce(base.Malformed, "sealed.parts", "part %q does not fit the manifest", part.Name)
+			return nil, base.NewFault(base.Malformed, "sealed.parts", "part %q does not fit the manifest", part.Name)
 		}
 		delete(listed, part.Name)
 	}
@@ -126,7 +126,7 @@
 
 // Open decodes the parts after checking their digests, but not the signature.
 // The error is of kind Malformed.
-func Open(sealed *wire.Sealed) (*wire.Bundle, *base.Mishap) {
+func Open(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
 	manifest, mishap := digests(sealed)
 	if mishap != nil {
 		return nil, mishap
@@ -136,21 +136,21 @@
 		if part.Name == commonPart {
 			b.Common = &wire.Common{}
 			if err := proto.Unmarshal(part.Body, b.Common); err != nil {
-				return nil, base.Bounce(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
+				return nil, base.NewFault(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
 			}
 			continue
 		}
 		service := &wire.Service{}
 		if err := proto.Unmarshal(part.Body, service); err != nil {
-			return nil, base.Bounce(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
+			return nil, base.NewFault(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
 		}
 		if servePart+service.Name != part.Name {
-			return nil, base.Bounce(base.Malformed, "sealed.parts", "part %q holds service %q", part.Name, service.Name)
+			return nil, base.NewFault(base.Malformed, "sealed.parts", "part %q holds service %q", part.Name, service.Name)
 		}
 		b.Services = append(b.Services, service)
 	}
 	if b.Common == nil {
-		return nil, base.Bounce(base.Malformed, "sealed.parts", "the common part is missing")
+		return nil, base.NewFault(base.Malformed, "sealed.parts", "the common part is missing")
 	}
 	return b, nil
 }
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -1,5 +1,5 @@
 // Package config holds the configuration of an open fleet: routes, services and
-// limits, called a chart on the wire. It checks one, applies a change to one,
+// limits, called a configuration on the wire. It checks one, applies a change to one,
 // and looks requests up in it.
 package config
 
@@ -13,16 +13,16 @@
 
 // Apply returns the configuration that a change leads to. The old one, which
 // may be nil, is left as it is.
-func Apply(old *wire.Chart, change *wire.ChartChange) *wire.Chart {
-	next := &wire.Chart{
+func Apply(old *wire.Configuration, change *wire.ConfigurationChange) *wire.Configuration {
+	next := &wire.Configuration{
 		Serial: change.GetSerial(), Base: change.GetBase(), Limits: old.GetLimits(),
-		Routes:   merge(old.GetRoutes(), change.GetRoutes(), change.GetDropRoutes(), (*wire.ChartRoute).GetName),
-		Services: merge(old.GetServices(), change.GetServices(), change.GetDropServices(), (*wire.ChartService).GetName),
+		Routes:   merge(old.GetRoutes(), change.GetRoutes(), change.GetDropRoutes(), (*wire.ConfigurationRoute).GetName),
+		Services: merge(old.GetServices(), change.GetServices(), change.GetDropServices(), (*wire.ConfigurationService).GetName),
 	}
 	if change.GetLimits() != nil {
 		next.Limits = change.Limits
 	}
-	return proto.Clone(next).(*wire.Chart)
+	return proto.Clone(next).(*wire.Configuration)
 }
 
 func merge[T any](current, put []T, drop []string, name func(T) string) []T {
--- a/internal/config/change_test.go
+++ b/internal/config/change_test.go
@@ -8,14 +8,14 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("changing a chart", func() {
-	ginkgo.It("given puts and drops, when they are applied, then names are replaced in place, appended or gone, and the old chart is as before", func() {
+var _ = ginkgo.Describe("changing a configuration", func() {
+	ginkgo.It("given puts and drops, when they are applied, then names are replaced in place, appended or gone, and the old configuration is as before", func() {
 		old := example()
-		next := Apply(old, &wire.ChartChange{
+		next := Apply(old, &wire.ConfigurationChange{
 			Serial: 9, Base: 7,
-			Routes:       []*wire.ChartRoute{{Name: "search", Tries: 5}, {Name: "shelf", Tries: 1}},
+			Routes:       []*wire.ConfigurationRoute{{Name: "search", Tries: 5}, {Name: "shelf", Tries: 1}},
 			DropRoutes:   []string{"loan", "unknown"},
-			Services:     []*wire.ChartService{{Name: "ledger", ConnLimit: 5}, {Name: "third"}},
+			Services:     []*wire.ConfigurationService{{Name: "ledger", ConnLimit: 5}, {Name: "third"}},
 			DropServices: []string{"desk"},
 		})
 		Expect(proto.Equal(old, example())).To(BeTrue())
@@ -31,13 +31,13 @@
 		Expect(old.Limits.IdleMs).To(BeEquivalentTo(15000))
 	})
 	ginkgo.It("given limits, when they are applied, then they stand in place of the old ones", func() {
-		next := Apply(example(), &wire.ChartChange{Serial: 9, Limits: &wire.ChartLimits{IdleMs: 4}})
-		Expect(proto.Equal(next.Limits, &wire.ChartLimits{IdleMs: 4})).To(BeTrue())
+		next := Apply(example(), &wire.ConfigurationChange{Serial: 9, Limits: &wire.ConfigurationLimits{IdleMs: 4}})
+		Expect(proto.Equal(next.Limits, &wire.ConfigurationLimits{IdleMs: 4})).To(BeTrue())
 	})
-	ginkgo.It("given no chart yet, when a change is applied, then it stands alone", func() {
-		Expect(Apply(nil, &wire.ChartChange{Serial: 1, Services: []*wire.ChartService{{Name: "a"}}}).Services).To(HaveLen(1))
+	ginkgo.It("given no configuration yet, when a change is applied, then it stands alone", func() {
+		Expect(Apply(nil, &wire.ConfigurationChange{Serial: 1, Services: []*wire.ConfigurationService{{Name: "a"}}}).Services).To(HaveLen(1))
 	})
-	ginkgo.It("given equal and unlike charts, when digests are made, then only equal ones agree", func() {
+	ginkgo.It("given equal and unlike configurations, when digests are made, then only equal ones agree", func() {
 		Expect(Digest(example())).To(Equal(Digest(example())))
 		other := example()
 		other.Routes[0].Tries++
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,14 +9,14 @@
 	"curlewreach/proto/wire"
 )
 
-type faults []*base.Mishap
+type faults []*base.Fault
 
 func (f *faults) add(kind base.Kind, path, format string, args ...any) {
-	*f = append(*f, base.Bounce(kind, path, format, args...))
+	*f = append(*f, base.NewFault(kind, path, format, args...))
 }
 
 // Check returns every fault of a configuration, none if it may be served.
-func Check(c *wire.Chart) []*base.Mishap {
+func Check(c *wire.Configuration) []*base.Fault {
 	var found faults
 	if c.GetSerial() == 0 {
 		found.add(base.OutOfRange, "serial", "must be above 0")
@@ -66,7 +66,7 @@
 	taken[name] = true
 }
 
-func (f *faults) place(path string, route *wire.ChartRoute, taken map[place]string) {
+func (f *faults) place(path string, route *wire.ConfigurationRoute, taken map[place]string) {
 	host, prefix := hostOf(route.GetHost()), route.GetPrefix()
 	if host == "" {
 		f.add(base.OutOfRange, path+".host", "is empty")
@@ -82,26 +82,26 @@
 	taken[at] = called(route.GetName(), len(taken))
 }
 
-func (f *faults) target(path string, route *wire.ChartRoute, services map[string]bool) {
-	if route.Service == nil && len(route.Forks) == 0 {
+func (f *faults) target(path string, route *wire.ConfigurationRoute, services map[string]bool) {
+	if route.Service == nil && len(route.Destinations) == 0 {
 		f.add(base.Malformed, path, "names neither a service nor forks")
 	}
 	if route.Service != nil && !services[*route.Service] {
 		f.add(base.Dangling, path+".service", "there is no service %q", *route.Service)
 	}
 	total := 0.0
-	for i, fork := range route.Forks {
+	for i, destination := range route.Destinations {
 		at := fmt.Sprintf("%s.forks.%d", path, i)
-		if !services[fork.GetService()] {
-			f.add(base.Dangling, at+".service", "there is no service %q", fork.GetService())
+		if !services[destination.GetService()] {
+			f.add(base.Dangling, at+".service", "there is no service %q", destination.GetService())
 		}
-		if !(fork.GetWeight() >= 0) || math.IsInf(fork.GetWeight(), 1) {
+		if !(destination.GetWeight() >= 0) || math.IsInf(destination.GetWeight(), 1) {
 			f.add(base.OutOfRange, at+".weight", "must not be negative")
 			continue
 		}
-		total += fork.GetWeight()
+		total += destination.GetWeight()
 	}
-	if len(route.Forks) > 0 && !(total > 0) {
+	if len(route.Destinations) > 0 && !(total > 0) {
 		f.add(base.OutOfRange, path+".forks", "the weights come to nothing")
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,17 +15,17 @@
 	ginkgo.RunSpecs(t, "config")
 }
 
-func example() *wire.Chart {
-	return &wire.Chart{
+func example() *wire.Configuration {
+	return &wire.Configuration{
 		Serial: 7, Base: 5,
-		Routes: []*wire.ChartRoute{
+		Routes: []*wire.ConfigurationRoute{
 			{
 				Name: "search", Host: "a.example", Prefix: "/books/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 3000, AimMs: 500, Rank: 2, Tries: 2,
-				Forks: []*wire.Fork{{Service: "desk", Weight: 90}, {Service: "ledger", Weight: 10}},
+				Destinations: []*wire.Destination{{Service: "desk", Weight: 90}, {Service: "ledger", Weight: 10}},
 			},
 			{Name: "loan", Host: "a.example", Prefix: "/books/loans/", CutoffMs: 4000, AimMs: 600, Rank: 1, Tries: 2, Service: proto.String("ledger")},
 		},
-		Services: []*wire.ChartService{{Name: "desk", Probe: "/health", ConnLimit: 110, Protocol: "h1"}, {Name: "ledger", Probe: "/health", ConnLimit: 110, Protocol: "h1"}},
-		Limits:   &wire.ChartLimits{HeaderBytes: 16384, BodyBytes: 1 << 26, HeaderMs: 3000, IdleMs: 15000},
+		Services: []*wire.ConfigurationService{{Name: "desk", Probe: "/health", ConnLimit: 110, Protocol: "h1"}, {Name: "ledger", Probe: "/health", ConnLimit: 110, Protocol: "h1"}},
+		Limits:   &wire.ConfigurationLimits{HeaderBytes: 16384, BodyBytes: 1 << 26, HeaderMs: 3000, IdleMs: 15000},
 	}
 }
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -8,9 +8,9 @@
 // Next returns the configuration that an operator's order leads to from the current one, which may be nil, or every
 // fault of the order. It is the only place that decides on an order: a whole configuration and a change of named items
 // are judged alike, by the configuration that they lead to.
-func Next(current *wire.Chart, order *wire.ChartProposal) (*wire.Chart, []*base.Mishap) {
-	if mishaps := checkForm(order); len(mishaps) > 0 {
-		return nil, mishaps
+func Next(current *wire.Configuration, order *wire.ConfigurationProposal) (*wire.Configuration, []*base.Fault) {
+	if faults := checkForm(order); len(faults) > 0 {
+		return nil, faults
 	}
 	var found faults
 	serial := current.GetSerial()
@@ -20,7 +20,7 @@
 	if SerialOf(order) <= serial {
 		found.add(base.OutOfRange, "serial", "must be above %d", serial)
 	}
-	next := order.Chart
+	next := order.Configuration
 	if order.Change != nil {
 		next = Apply(current, order.Change)
 	}
@@ -33,21 +33,21 @@
 
 // CheckOrder returns the faults that an order has whatever configuration is current. Of a change, only its form can be
 // judged so: its items may refer to items that it doesn't hold.
-func CheckOrder(order *wire.ChartProposal) []*base.Mishap {
-	if mishaps := checkForm(order); len(mishaps) > 0 {
-		return mishaps
+func CheckOrder(order *wire.ConfigurationProposal) []*base.Fault {
+	if faults := checkForm(order); len(faults) > 0 {
+		return faults
 	}
-	if order.Chart != nil {
-		return Check(order.Chart)
+	if order.Configuration != nil {
+		return Check(order.Configuration)
 	}
 	return nil
 }
 
 // checkForm returns the faults of an order that holds neither or both of a configuration and a change, or no number.
-func checkForm(order *wire.ChartProposal) []*base.Mishap {
+func checkForm(order *wire.ConfigurationProposal) []*base.Fault {
 	var found faults
-	if (order.GetChart() == nil) == (order.GetChange() == nil) {
-		found.add(base.Malformed, "chart", "give a chart or a change")
+	if (order.GetConfiguration() == nil) == (order.GetChange() == nil) {
+		found.add(base.Malformed, "chart", "give a configuration or a change")
 	} else if SerialOf(order) == 0 {
 		found.add(base.OutOfRange, "serial", "must be above 0")
 	}
@@ -59,11 +59,11 @@
 }
 
 // SerialOf returns the number that an order's configuration would have.
-func SerialOf(order *wire.ChartProposal) uint64 {
-	return max(order.GetChart().GetSerial(), order.GetChange().GetSerial())
+func SerialOf(order *wire.ConfigurationProposal) uint64 {
+	return max(order.GetConfiguration().GetSerial(), order.GetChange().GetSerial())
 }
 
 // BaseOf returns the number of the configuration that an order builds on, 0 for the first.
-func BaseOf(order *wire.ChartProposal) uint64 {
-	return max(order.GetChart().GetBase(), order.GetChange().GetBase())
+func BaseOf(order *wire.ConfigurationProposal) uint64 {
+	return max(order.GetConfiguration().GetBase(), order.GetChange().GetBase())
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -13,7 +13,7 @@
 
 // Route is one route of a table, prepared for requests. It doesn't change.
 type Route struct {
-	Raw         *wire.ChartRoute
+	Raw         *wire.ConfigurationRoute
 	cutoff, aim time.Duration
 	steps       []step
 }
@@ -24,13 +24,13 @@
 }
 
 // NewRoute prepares a route. Services with a weight of 0 are left out.
-func NewRoute(raw *wire.ChartRoute) *Route {
+func NewRoute(raw *wire.ConfigurationRoute) *Route {
 	r := &Route{Raw: raw, cutoff: span(raw.GetCutoffMs()), aim: span(raw.GetAimMs())}
 	total := 0.0
-	for _, fork := range raw.GetForks() {
-		if fork.GetWeight() > 0 {
-			total += fork.Weight
-			r.steps = append(r.steps, step{total, fork.Service})
+	for _, destination := range raw.GetDestinations() {
+		if destination.GetWeight() > 0 {
+			total += destination.Weight
+			r.steps = append(r.steps, step{total, destination.Service})
 		}
 	}
 	for i := range r.steps {
--- a/internal/config/route_test.go
+++ b/internal/config/route_test.go
@@ -11,7 +11,7 @@
 
 var _ = ginkgo.Describe("a route", func() {
 	ginkgo.It("given weights, when services are picked evenly, then each gets its part and one of no weight gets none", func() {
-		r := NewRoute(&wire.ChartRoute{Forks: []*wire.Fork{{Service: "none"}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "last"}}})
+		r := NewRoute(&wire.ConfigurationRoute{Destinations: []*wire.Destination{{Service: "none"}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "last"}}})
 		got := map[string]int{}
 		for i := range 1000 {
 			got[r.Pick(float64(i)/1000)]++
@@ -32,7 +32,7 @@
 		Expect(r.Repeatable()).To(BeFalse())
 	})
 	ginkgo.It("given each kind, when it is asked, then only what may be repeated is", func() {
-		of := func(kind wire.Repeat) *Route { return NewRoute(&wire.ChartRoute{Repeat: kind}) }
+		of := func(kind wire.Repeat) *Route { return NewRoute(&wire.ConfigurationRoute{Repeat: kind}) }
 		Expect(of(wire.Repeat_REPEATABLE).Repeatable()).To(BeTrue())
 		Expect(of(wire.Repeat_REPEATABLE).Bulk()).To(BeFalse())
 		Expect(of(wire.Repeat_BULK).Repeatable()).To(BeTrue())
@@ -40,6 +40,6 @@
 		Expect(of(wire.Repeat_ONCE).Pick(0)).To(BeEmpty())
 	})
 	ginkgo.It("given a cutoff beyond all bounds, when it is asked, then it stays a span", func() {
-		Expect(NewRoute(&wire.ChartRoute{CutoffMs: 1e300}).Cutoff()).To(Equal(longest))
+		Expect(NewRoute(&wire.ConfigurationRoute{CutoffMs: 1e300}).Cutoff()).To(Equal(longest))
 	})
 })
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -9,9 +9,9 @@
 // Table looks up the routes and services of one configuration. It doesn't
 // change.
 type Table struct {
-	chart    *wire.Chart
-	hosts    map[string]*host
-	services map[string]*wire.ChartService
+	configuration *wire.Configuration
+	hosts         map[string]*host
+	services      map[string]*wire.ConfigurationService
 }
 
 type host struct {
@@ -20,8 +20,8 @@
 }
 
 // NewTable prepares a configuration, which must not be changed afterwards.
-func NewTable(c *wire.Chart) *Table {
-	t := &Table{chart: c, hosts: map[string]*host{}, services: make(map[string]*wire.ChartService, len(c.GetServices()))}
+func NewTable(c *wire.Configuration) *Table {
+	t := &Table{configuration: c, hosts: map[string]*host{}, services: make(map[string]*wire.ConfigurationService, len(c.GetServices()))}
 	for _, service := range c.GetServices() {
 		t.services[service.GetName()] = service
 	}
@@ -39,11 +39,11 @@
 }
 
 // Serial returns the number of the configuration.
-func (t *Table) Serial() uint64 { return t.chart.GetSerial() }
+func (t *Table) Serial() uint64 { return t.configuration.GetSerial() }
 
-// Chart returns the configuration that the table was made from. It must not be
+// Configuration returns the configuration that the table was made from. It must not be
 // changed.
-func (t *Table) Chart() *wire.Chart { return t.chart }
+func (t *Table) Configuration() *wire.Configuration { return t.configuration }
 
 // Find returns the route of the host whose prefix is the longest that begins
 // the path.
@@ -66,7 +66,7 @@
 }
 
 // Service returns a service by its name.
-func (t *Table) Service(name string) (*wire.ChartService, bool) {
+func (t *Table) Service(name string) (*wire.ConfigurationService, bool) {
 	service, known := t.services[name]
 	return service, known
 }
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -12,11 +12,11 @@
 )
 
 var _ = ginkgo.Describe("a table", func() {
-	c := &wire.Chart{Serial: 3, Services: []*wire.ChartService{{Name: "s", ConnLimit: 4}}}
+	c := &wire.Configuration{Serial: 3, Services: []*wire.ConfigurationService{{Name: "s", ConnLimit: 4}}}
 	for _, prefix := range []string{"/a/", "/a/b/", "/a/b/c/d/", "/long/"} {
-		c.Routes = append(c.Routes, &wire.ChartRoute{Name: prefix, Host: "A.example", Prefix: prefix})
+		c.Routes = append(c.Routes, &wire.ConfigurationRoute{Name: prefix, Host: "A.example", Prefix: prefix})
 	}
-	c.Routes = append(c.Routes, &wire.ChartRoute{Name: "root", Host: "b.example", Prefix: "/"})
+	c.Routes = append(c.Routes, &wire.ConfigurationRoute{Name: "root", Host: "b.example", Prefix: "/"})
 	table := NewTable(c)
 	ginkgo.DescribeTable("given routes, when a path is looked up, then the longest prefix that begins it wins",
 		func(host, path, name string) {
@@ -39,14 +39,14 @@
 		ginkgo.Entry("no path", "b.example", "", ""),
 		ginkgo.Entry("many slashes", "a.example", strings.Repeat("/", 8192), ""),
 	)
-	ginkgo.It("given a chart, when services and the serial are asked, then they are told", func() {
+	ginkgo.It("given a configuration, when services and the serial are asked, then they are told", func() {
 		service, known := table.Service("s")
 		Expect(known).To(BeTrue())
 		Expect(service.ConnLimit).To(BeEquivalentTo(4))
 		_, known = table.Service("t")
 		Expect(known).To(BeFalse())
 		Expect(table.Serial()).To(BeEquivalentTo(3))
-		Expect(table.Chart()).To(BeIdenticalTo(c))
+		Expect(table.Configuration()).To(BeIdenticalTo(c))
 	})
 	ginkgo.It("given odd hosts, when they are brought to one form, then ports go and names stay", func() {
 		Expect(hostOf("X.y:80")).To(Equal("x.y"))
@@ -55,7 +55,7 @@
 		Expect(hostOf("x:y")).To(Equal("x:y"))
 		Expect(hostOf(":80")).To(BeEmpty())
 	})
-	ginkgo.It("given no chart, when it is looked up, then there is nothing", func() {
+	ginkgo.It("given no configuration, when it is looked up, then there is nothing", func() {
 		_, known := NewTable(nil).Find("a.example", "/a/")
 		Expect(known).To(BeFalse())
 		Expect(NewTable(nil).Serial()).To(BeZero())
@@ -63,9 +63,9 @@
 })
 
 func BenchmarkFind(b *testing.B) {
-	c := &wire.Chart{}
+	c := &wire.Configuration{}
 	for i := range 800 {
-		c.Routes = append(c.Routes, &wire.ChartRoute{Host: "a.example", Prefix: fmt.Sprintf("/p%d/q%d/", i%40, i)})
+		c.Routes = append(c.Routes, &wire.ConfigurationRoute{Host: "a.example", Prefix: fmt.Sprintf("/p%d/q%d/", i%40, i)})
 	}
 	table := NewTable(c)
 	b.ReportAllocs()
--- a/internal/controlplane/confirm.go
+++ b/internal/controlplane/confirm.go
@@ -14,29 +14,29 @@
 // question marks the moment at which a question came, by the majority reads begun until then.
 type question uint64
 
-// chartReads shares majority reads of the chart among all questions that wait for one.
+// configurationReads shares majority reads of the configuration among all questions that wait for one.
 // Which read serves which question is decided by their numbers alone: no clock, freeze or clock step can blur it.
-type chartReads struct {
+type configurationReads struct {
 	latch base.Latch
 	begun atomic.Uint64
-	last  chartRead // guarded by latch
+	last  configurationRead // guarded by latch
 }
 
-// chartRead is the outcome of one majority read.
-type chartRead struct {
+// configurationRead is the outcome of one majority read.
+type configurationRead struct {
 	view      *view
 	confirmed bool
 }
 
-func newChartReads() *chartReads { return &chartReads{latch: base.NewLatch()} }
+func newConfigurationReads() *configurationReads { return &configurationReads{latch: base.NewLatch()} }
 
 // ask marks the present moment.
-func (r *chartReads) ask() question { return question(r.begun.Load()) }
+func (r *configurationReads) ask() question { return question(r.begun.Load()) }
 
 // since gives the outcome of a read that began after the question; it begins one unless another question already did.
-func (r *chartReads) since(s base.Scope, asked question, read func() chartRead) chartRead {
+func (r *configurationReads) since(s base.Scope, asked question, read func() configurationRead) configurationRead {
 	if !r.latch.Take(s) {
-		return chartRead{}
+		return configurationRead{}
 	}
 	defer r.latch.Drop()
 	if question(r.begun.Load()) == asked {
@@ -46,24 +46,24 @@
 	return r.last
 }
 
-// confirmSince gives the newest acknowledged chart, as a majority read that began after the question found it.
-func (m *Server) confirmSince(s base.Scope, asked question) chartRead {
-	return m.reads.since(s, asked, m.readChart)
+// confirmSince gives the newest acknowledged configuration, as a majority read that began after the question found it.
+func (m *Server) confirmSince(s base.Scope, asked question) configurationRead {
+	return m.reads.since(s, asked, m.readConfiguration)
 }
 
-// readChart reads the chart from a majority now. It never takes the register over: a change under way stays undisturbed.
-func (m *Server) readChart() chartRead {
+// readConfiguration reads the configuration from a majority now. It never takes the register over: a change under way stays undisturbed.
+func (m *Server) readConfiguration() configurationRead {
 	c := m.core.Load()
 	if c == nil {
-		return chartRead{}
+		return configurationRead{}
 	}
 	s, cancel := m.scope.Within(part(m.params.Load().Ack, callRatio))
 	defer cancel()
-	survey := c.replica.Survey(s, ChartKey)
+	survey := c.replica.Survey(s, ConfigurationKey)
 	if !survey.Agreed || !survey.Settled {
-		return chartRead{}
+		return configurationRead{}
 	}
-	return chartRead{view: m.view.Load().next(m.scope, survey.Version), confirmed: true}
+	return configurationRead{view: m.view.Load().next(m.scope, survey.Version), confirmed: true}
 }
 
 // majorityAge is how long ago the last round that heard a majority began, if this control machine ever heard one.
@@ -76,16 +76,16 @@
 	return m.scope.Clock.Mono() - began, known
 }
 
-// freshest gives the newest chart known here to be chosen, and for how long no newer one can have been chosen unseen:
+// freshest gives the newest configuration known here to be chosen, and for how long no newer one can have been chosen unseen:
 // the age of the last round of questions after which a majority held nothing newer. The age is nil while there was no
-// such round. The chart is read with the age, so that it is never older than the age claims.
+// such round. The configuration is read with the age, so that it is never older than the age claims.
 func (m *Server) freshest() (seen *view, freshMs *uint64) {
 	c := m.core.Load()
 	if c == nil {
 		return m.view.Load(), nil
 	}
 	before := m.view.Load() // loaded first: the version can't be older than it
-	version, asOf, known := c.replica.Fresh(ChartKey)
+	version, asOf, known := c.replica.Fresh(ConfigurationKey)
 	seen = before.next(m.scope, version)
 	if known {
 		freshMs = proto.Uint64(ms(m.scope.Clock.Mono()-asOf) + 1)
@@ -93,12 +93,12 @@
 	return seen, freshMs
 }
 
-// confirms tells whether a poll asks for a confirmed chart; nodes of the version before ask so by holding none.
-func confirms(ask *wire.HailRequest) bool { return ask.Confirm || ask.Wants && ask.Serial == 0 }
+// confirms tells whether a poll asks for a confirmed configuration; nodes of the version before ask so by holding none.
+func confirms(ask *wire.PollRequest) bool { return ask.Confirm || ask.Wants && ask.Serial == 0 }
 
 // answerConfirmed answers once a majority read that began after the question is over. Without a majority it tells what
 // is known here, unconfirmed, as soon as that is news to the node, and else goes on trying for as long as the node waits.
-func (m *Server) answerConfirmed(s base.Scope, ask *wire.HailRequest, hold time.Duration) (*connect.Response[wire.HailReply], error) {
+func (m *Server) answerConfirmed(s base.Scope, ask *wire.PollRequest, hold time.Duration) (*connect.Response[wire.PollReply], error) {
 	began := s.Clock.Mono()
 	for {
 		news := m.news.Heard()
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// ChartKey names the replicated register that holds the current configuration.
-	ChartKey = "chart"
+	// ConfigurationKey names the replicated register that holds the current configuration.
+	ConfigurationKey = "chart"
 	// LearningKey names the replicated register that holds the sampling odds and findings of tracing.
 	LearningKey = "learning"
 
@@ -40,7 +40,7 @@
 // Server is one control machine of an open fleet.
 type Server struct {
 	scope       base.Scope
-	params      atomic.Pointer[wire.MoorParams]
+	params      atomic.Pointer[wire.ControllerParams]
 	self        string
 	incarnation string
 	web         *http.Client
@@ -48,23 +48,23 @@
 	doors       []*base.Door
 	crew        base.Crew
 	core        atomic.Pointer[core]
-	roster      *roster
+	registry    *registry
 	news        base.Bell
 	view        atomic.Pointer[view]
 	learning    atomic.Pointer[learning]
 	stopping    atomic.Bool
 	started     time.Duration
-	reads       *chartReads
+	reads       *configurationReads
 }
 
 // Start opens the servers of a control machine; it joins its peers in the background.
-func Start(s base.Scope, p *wire.MoorParams, desk func(*Server) http.Handler) (*Server, error) {
+func Start(s base.Scope, p *wire.ControllerParams, desk func(*Server) http.Handler) (*Server, error) {
 	SetDefaults(p)
 	if err := Check(p); err != nil {
 		return nil, err
 	}
 	s, cancel := s.Child()
-	m := &Server{scope: s, self: p.Mates, incarnation: s.Rand.Name(8), web: base.Wire(s), cancel: cancel, roster: newRoster(s.Clock), reads: newChartReads()}
+	m := &Server{scope: s, self: p.Peers, incarnation: s.Rand.Name(8), web: base.Wire(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
 	m.started = s.Clock.Mono()
 	m.params.Store(p)
 	m.view.Store(&view{})
@@ -77,7 +77,7 @@
 	for _, each := range []struct {
 		address string
 		handler http.Handler
-	}{{p.Mates, mux}, {p.Operators, desk(m)}} {
+	}{{p.Peers, mux}, {p.Operators, desk(m)}} {
 		door, err := base.Open(s, each.address, each.handler)
 		if err != nil {
 			m.Kill()
@@ -115,7 +115,7 @@
 
 func (m *Server) sweep(s base.Scope) {
 	base.Tick(s, part(m.params.Load().Absent, 1.0/absentTicks), func(s base.Scope) {
-		for _, node := range m.roster.sweep(m.params.Load().Absent.AsDuration()) {
+		for _, node := range m.registry.sweep(m.params.Load().Absent.AsDuration()) {
 			s.Log.Warn("node absent", "of", node)
 			s.Note("absent", node, "")
 		}
@@ -135,7 +135,7 @@
 
 func (m *Server) look(c *core) {
 	before := m.view.Load()
-	if seen := before.next(m.scope, c.replica.Chosen(ChartKey)); seen != before {
+	if seen := before.next(m.scope, c.replica.Chosen(ConfigurationKey)); seen != before {
 		m.view.Store(seen)
 		m.news.Ring()
 	}
@@ -156,9 +156,9 @@
 }
 
 func (l *memberLog) log(s base.Scope, c *core) {
-	if owns := c.replica.Mine(ChartKey); owns != l.owns {
+	if owns := c.replica.Mine(ConfigurationKey); owns != l.owns {
 		l.owns = owns
-		s.Log.Info("ownership of the chart", "mine", owns)
+		s.Log.Info("ownership of the configuration", "mine", owns)
 	}
 	view := c.replica.View()
 	votes := view.Generation > 0
@@ -174,13 +174,13 @@
 	return c != nil && c.replica.Votes()
 }
 
-// Settled says whether this control machine votes and lately agreed with a majority on the newest chart.
+// Settled says whether this control machine votes and lately agreed with a majority on the newest configuration.
 func (m *Server) Settled() bool {
 	c := m.core.Load()
 	if c == nil || !c.replica.Votes() {
 		return false
 	}
-	began, ok := c.replica.Settled(ChartKey)
+	began, ok := c.replica.Settled(ConfigurationKey)
 	return ok && m.lasts(began, latelyRatio)
 }
 
@@ -206,7 +206,7 @@
 		if err := c.replica.Leave(hand); err != nil {
 			m.scope.Log.Warn("not replaced before the stop", "error", err)
 		}
-		c.replica.HandOver(hand, ChartKey, LearningKey)
+		c.replica.HandOver(hand, ConfigurationKey, LearningKey)
 		cancel()
 	}
 	m.stopping.Store(true)
@@ -228,13 +228,13 @@
 }
 
 // Reload takes changed settings; addresses, the name and the folder change only with a restart.
-func (m *Server) Reload(p *wire.MoorParams) error {
+func (m *Server) Reload(p *wire.ControllerParams) error {
 	SetDefaults(p)
 	if err := Check(p); err != nil {
 		return err
 	}
 	old := m.params.Load()
-	if p.Name != old.Name || p.Mates != old.Mates || p.Operators != old.Operators || p.Folder != old.Folder {
+	if p.Name != old.Name || p.Peers != old.Peers || p.Operators != old.Operators || p.Folder != old.Folder {
 		return errors.New("names, addresses and the folder change only with a restart")
 	}
 	m.params.Store(p)
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -120,11 +120,11 @@
 	return c.replica.Hears(address, lately)
 }
 
-// Keels lists the voters.
-func (v rpcService) Keels(_ context.Context, _ *connect.Request[wire.KeelsRequest]) (*connect.Response[wire.KeelsReply], error) {
+// Control machines lists the voters.
+func (v rpcService) Keels(_ context.Context, _ *connect.Request[wire.ControllersRequest]) (*connect.Response[wire.ControllersReply], error) {
 	c := v.server.core.Load()
 	if c == nil || len(c.replica.Voters()) == 0 {
-		return nil, base.Bounce(base.Amnesiac, "", "no voters are known here")
+		return nil, base.NewFault(base.Amnesiac, "", "no voters are known here")
 	}
-	return connect.NewResponse(&wire.KeelsReply{Keels: c.replica.Voters()}), nil
+	return connect.NewResponse(&wire.ControllersReply{Controllers: c.replica.Voters()}), nil
 }
--- a/internal/controlplane/join_test.go
+++ b/internal/controlplane/join_test.go
@@ -13,7 +13,7 @@
 
 func (f *fleet) wipe(i int) {
 	f.fell(i, true)
-	f.keels[i].disk.Wipe()
+	f.controllers[i].disk.Wipe()
 }
 
 var _ = ginkgo.Describe("a wiped machine", func() {
@@ -26,7 +26,7 @@
 		begun := time.Now()
 		f.agree(2)
 		Expect(time.Since(begun)).To(BeNumerically("<", 3*time.Second))
-		for i := range f.keels {
+		for i := range f.controllers {
 			if i != gone {
 				f.powerLoss(i)
 			}
@@ -44,12 +44,12 @@
 		f.raise(2, false)
 		time.Sleep(10 * time.Second)
 		for _, i := range []int{1, 2} {
-			Expect(f.keels[i].moor.Ready()).To(BeFalse())
+			Expect(f.controllers[i].server.Ready()).To(BeFalse())
 			_, err := f.propose(i, whole(1, 0, "/other/"))
 			Expect(err).To(HaveOccurred())
-			_, err = f.keels[i].moor.Chart(f.scope)
+			_, err = f.controllers[i].server.Configuration(f.scope)
 			Expect(err).To(HaveOccurred())
-			reply, err := f.hail(i, &wire.HailRequest{})
+			reply, err := f.poll(i, &wire.PollRequest{})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.Settled).To(BeFalse())
 		}
@@ -57,50 +57,50 @@
 
 	story("given all machines wiped, when they return without founding, then nothing is begun anew", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
-		for i := range f.keels {
+		for i := range f.controllers {
 			f.wipe(i)
 		}
-		for i := range f.keels {
+		for i := range f.controllers {
 			f.raise(i, false)
 		}
 		time.Sleep(10 * time.Second)
-		for _, k := range f.keels {
-			Expect(k.moor.Ready()).To(BeFalse())
+		for _, k := range f.controllers {
+			Expect(k.server.Ready()).To(BeFalse())
 		}
 	})
 
-	story("given seeds that lag, when keels restart, then they go by the list that they kept, and a wiped one asks for it", func(f *fleet) {
+	story("given seeds that lag, when control machines restart, then they go by the list that they kept, and a wiped one asks for it", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
-		f.tuning = func(p *wire.MoorParams) { p.Seeds = []string{"10.9.0.77:7005", ip(1) + ":7005"} }
+		f.tuning = func(p *wire.ControllerParams) { p.Seeds = []string{"10.9.0.77:7005", ip(1) + ":7005"} }
 		for _, i := range []int{0, 1, 2} {
 			f.kill(i)
 			f.raise(i, false)
 			f.agree(1)
-			Expect(f.keels[i].moor.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
+			Expect(f.controllers[i].server.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
 		}
 		f.wipe(0)
 		f.raise(0, false)
 		f.agree(1)
-		Expect(f.keels[0].moor.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
-		f.tuning = func(p *wire.MoorParams) { p.Seeds = nil }
+		Expect(f.controllers[0].server.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
+		f.tuning = func(p *wire.ControllerParams) { p.Seeds = nil }
 		f.powerLoss(0)
 		f.raise(0, false)
 		f.agree(1)
 	})
 
-	story("given keels killed at any moment of the founding, when they return without founding, then the fleet still begins", func(f *fleet) {
+	story("given control machines killed at any moment of the founding, when they return without founding, then the fleet still begins", func(f *fleet) {
 		for round := range 6 {
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.wipe(i)
 			}
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.raise(i, true)
 			}
 			time.Sleep(time.Duration(f.scope.Rand.Below(300)+5*round) * time.Millisecond)
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.powerLoss(i)
 			}
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.raise(i, false)
 			}
 			Expect(f.until(f.ready)).To(BeTrue())
@@ -110,10 +110,10 @@
 
 	story("given a founder that loses its disk before the first generation, when it returns without founding, then the fleet still begins", func(f *fleet) {
 		for round := range 6 {
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.wipe(i)
 			}
-			for i := range f.keels {
+			for i := range f.controllers {
 				f.raise(i, true)
 			}
 			time.Sleep(time.Duration(100+f.scope.Rand.Below(800)) * time.Millisecond)
@@ -126,7 +126,7 @@
 		}
 	})
 
-	storyOf(5, "given five keels, when any two are wiped again and again, then what was acked by the barest majority stays", func(f *fleet) {
+	storyOf(5, "given five control machines, when any two are wiped again and again, then what was acked by the barest majority stays", func(f *fleet) {
 		on := uint64(0)
 		for round := range 6 {
 			order := []int{0, 1, 2, 3, 4}
@@ -154,7 +154,7 @@
 		}
 	})
 
-	storyOf(5, "given five keels with two wiped and one away, when the wiped return, then they wait for a third that is whole", func(f *fleet) {
+	storyOf(5, "given five control machines with two wiped and one away, when the wiped return, then they wait for a third that is whole", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
 		f.kill(4)
 		f.wipe(0)
@@ -162,8 +162,8 @@
 		f.raise(0, false)
 		f.raise(1, false)
 		time.Sleep(5 * time.Second)
-		Expect(f.keels[0].moor.Ready()).To(BeFalse())
-		Expect(f.keels[1].moor.Ready()).To(BeFalse())
+		Expect(f.controllers[0].server.Ready()).To(BeFalse())
+		Expect(f.controllers[1].server.Ready()).To(BeFalse())
 		_, err := f.propose(0, whole(2, 1))
 		Expect(err).To(HaveOccurred())
 		f.raise(4, false)
--- a/internal/controlplane/learn.go
+++ b/internal/controlplane/learn.go
@@ -66,8 +66,8 @@
 func (l *learner) run(s base.Scope) {
 	cycled := -time.Hour
 	for s.Err() == nil {
-		chart, learned := l.server.view.Load().head.GetChart(), l.server.learning.Load().said
-		if chart == nil || !l.core.replica.Votes() {
+		configuration, learned := l.server.view.Load().head.GetConfiguration(), l.server.learning.Load().said
+		if configuration == nil || !l.core.replica.Votes() {
 			base.Await(s, part(l.server.params.Load().InForce, 1.0/shortestCycles))
 			continue
 		}
@@ -75,7 +75,7 @@
 		mine := holder == l.server.self
 		if mine && s.Clock.Mono()-cycled >= l.cycle/2 || l.overdue(s, learned) || holder == "" && l.core.replica.Voters()[0] == l.server.self {
 			cycled = s.Clock.Mono()
-			l.learn(s, chart, holder)
+			l.learn(s, configuration, holder)
 		}
 		var handed <-chan struct{}
 		if !mine {
@@ -104,7 +104,7 @@
 	return now-l.moved > missedCycles*l.cycle && !l.core.hears(learned.GetHolder(), missedCycles*l.cycle)
 }
 
-func (l *learner) learn(s base.Scope, chart *wire.Chart, holder string) {
+func (l *learner) learn(s base.Scope, configuration *wire.Configuration, holder string) {
 	bounded, cancel := s.Within(l.cycle)
 	defer cancel()
 	l.kept = newest(l.kept, l.recent(bounded), recentMost)
@@ -121,7 +121,7 @@
 			return nil, nil
 		}
 		prior.Holder = l.server.self
-		return proto.Marshal(tracing.Learn(prior, spans, l.tracing, s.Rand, names(chart)))
+		return proto.Marshal(tracing.Learn(prior, spans, l.tracing, s.Rand, names(configuration)))
 	})
 	if err != nil {
 		s.Note("learner-stuck", LearningKey, err.Error())
@@ -175,14 +175,14 @@
 	return spans
 }
 
-func names(chart *wire.Chart) func(identifier string) bool {
+func names(configuration *wire.Configuration) func(identifier string) bool {
 	known := map[string]bool{}
-	for _, route := range chart.GetRoutes() {
+	for _, route := range configuration.GetRoutes() {
 		if route.Service != nil {
 			known[route.GetService()+"/"+route.Name] = true
 		}
-		for _, fork := range route.Forks {
-			known[fork.Service+"/"+route.Name] = true
+		for _, destination := range route.Destinations {
+			known[destination.Service+"/"+route.Name] = true
 		}
 	}
 	return func(identifier string) bool { return known[identifier] }
@@ -193,7 +193,7 @@
 		return
 	}
 	voters := c.replica.Voters()
-	at := slices.IndexFunc(voters, func(mate string) bool { return mate != m.self && c.hears(mate, m.lately()) })
+	at := slices.IndexFunc(voters, func(peer string) bool { return peer != m.self && c.hears(peer, m.lately()) })
 	if at < 0 {
 		return
 	}
--- a/internal/controlplane/learn_test.go
+++ b/internal/controlplane/learn_test.go
@@ -23,10 +23,10 @@
 }
 
 func (f *fleet) holder() int {
-	for i, k := range f.keels {
-		if k.moor != nil {
-			holder := k.moor.learning.Load().said.GetHolder()
-			for j := range f.keels {
+	for i, k := range f.controllers {
+		if k.server != nil {
+			holder := k.server.learning.Load().said.GetHolder()
+			for j := range f.controllers {
 				if holder == at(j) {
 					return j
 				}
@@ -38,13 +38,13 @@
 }
 
 var _ = ginkgo.Describe("learning", func() {
-	story("given spans of a route in the chart, when a cycle has passed, then all nodes are told odds, of that route only", func(f *fleet) {
+	story("given spans of a route in the configuration, when a cycle has passed, then all nodes are told odds, of that route only", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
 		f.spans(1, 40)
-		Expect(f.until(func() bool { return f.keels[2].moor.learning.Load().said.GetOdds() != nil })).To(BeTrue())
+		Expect(f.until(func() bool { return f.controllers[2].server.learning.Load().said.GetOdds() != nil })).To(BeTrue())
 		f.spans(2, 40)
-		Expect(f.until(func() bool { return len(f.keels[2].moor.learning.Load().said.GetOdds().GetTable()) > 0 })).To(BeTrue())
-		reply, err := f.hail(2, &wire.HailRequest{})
+		Expect(f.until(func() bool { return len(f.controllers[2].server.learning.Load().said.GetOdds().GetTable()) > 0 })).To(BeTrue())
+		reply, err := f.poll(2, &wire.PollRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Odds.Table).To(HaveLen(1))
 		Expect(reply.Odds.Table).To(HaveKey("loans/r-0"))
@@ -54,11 +54,11 @@
 	story("given no new spans, when cycles pass, then nothing is written and nobody takes the duty", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
 		f.spans(1, 40)
-		Expect(f.until(func() bool { return f.keels[2].moor.learning.Load().said.GetOdds() != nil })).To(BeTrue())
+		Expect(f.until(func() bool { return f.controllers[2].server.learning.Load().said.GetOdds() != nil })).To(BeTrue())
 		time.Sleep(12 * time.Second)
-		entry := f.keels[2].moor.learning.Load().entry
+		entry := f.controllers[2].server.learning.Load().entry
 		time.Sleep(2 * time.Minute)
-		Expect(f.keels[2].moor.learning.Load().entry).To(BeIdenticalTo(entry))
+		Expect(f.controllers[2].server.learning.Load().entry).To(BeIdenticalTo(entry))
 	})
 
 	story("given a holder, when it stops in order, then a successor is named; when that one dies, then another takes over and learns on", func(f *fleet) {
@@ -67,7 +67,7 @@
 		Expect(f.until(func() bool { return f.holder() >= 0 })).To(BeTrue())
 		f.agree(1)
 		first := f.holder()
-		f.keels[first].moor.Stop()
+		f.controllers[first].server.Stop()
 		f.kill(first)
 		Expect(f.within(3*time.Second, func() bool { return f.holder() != first })).To(BeTrue())
 		f.raise(first, false)
@@ -75,9 +75,9 @@
 		second := f.holder()
 		f.kill(second)
 		Expect(f.within(30*time.Second, func() bool { f.spans(first, 1); time.Sleep(time.Second); return f.holder() != second })).To(BeTrue())
-		cycle := f.keels[first].moor.learning.Load().said.GetCycle()
+		cycle := f.controllers[first].server.learning.Load().said.GetCycle()
 		f.spans(first, 40)
-		Expect(f.within(12*time.Second, func() bool { return f.keels[first].moor.learning.Load().said.GetCycle() > cycle })).To(BeTrue())
+		Expect(f.within(12*time.Second, func() bool { return f.controllers[first].server.learning.Load().said.GetCycle() > cycle })).To(BeTrue())
 	})
 })
 
@@ -90,7 +90,7 @@
 		alone := f.holder()
 		f.isolate(alone)
 		serial := func(i int) uint64 {
-			reply, err := f.hail(i, &wire.HailRequest{})
+			reply, err := f.poll(i, &wire.PollRequest{})
 			Expect(err).NotTo(HaveOccurred())
 			return reply.Odds.GetSerial()
 		}
@@ -109,21 +109,21 @@
 })
 
 var _ = ginkgo.Describe("stopping", func() {
-	story("given a keel that holds hails and owns the chart, when it stops, then hails are answered, another owns it, and it is gone well within the grace", func(f *fleet) {
+	story("given a control machine that holds polls and owns the configuration, when it stops, then polls are answered, another owns it, and it is gone well within the grace", func(f *fleet) {
 		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
 		owner := f.owner()
-		first, err := f.hail(owner, &wire.HailRequest{Post: post("n1", 1)})
+		first, err := f.poll(owner, &wire.PollRequest{NodeStatus: nodeStatus("n1", 1)})
 		Expect(err).NotTo(HaveOccurred())
 		answers := make(chan error, 12)
 		for n := range cap(answers) {
 			go func() {
-				_, err := f.hail(owner, &wire.HailRequest{Post: post(fmt.Sprint("n", n), 2), Keel: first.Keel, Roster: 1 << 40, Odds: 1 << 40, WaitMs: 2000, Serial: 1})
+				_, err := f.poll(owner, &wire.PollRequest{NodeStatus: nodeStatus(fmt.Sprint("n", n), 2), Controller: first.Controller, Registry: 1 << 40, Odds: 1 << 40, WaitMs: 2000, Serial: 1})
 				answers <- err
 			}()
 		}
 		time.Sleep(200 * time.Millisecond)
 		begun := time.Now()
-		f.keels[owner].moor.Stop()
+		f.controllers[owner].server.Stop()
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 		Expect(f.owner()).To(And(BeNumerically(">=", 0), Not(Equal(owner))))
 		for range cap(answers) {
@@ -143,7 +143,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer spare.Close()
 		begun := time.Now()
-		f.keels[1].moor.Stop()
+		f.controllers[1].server.Stop()
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 })
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -8,7 +8,7 @@
 	"curlewreach/proto/wire"
 )
 
-// ordersRemembered bounds how many taken orders a chart's head tells apart. An operator with eight orders under way
+// ordersRemembered bounds how many taken orders a configuration's head tells apart. An operator with eight orders under way
 // asks again within seconds; at 17,000 changes a day so many reach back almost three hours, in about 20 KB.
 const ordersRemembered = 2048
 
@@ -27,13 +27,13 @@
 	digest uint64
 }
 
-func orderOf(p *wire.ChartProposal) order {
-	sum := config.Digest(&wire.ChartProposal{Chart: p.Chart, Change: p.Change})
+func orderOf(p *wire.ConfigurationProposal) order {
+	sum := config.Digest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change})
 	return order{config.SerialOf(p), binary.BigEndian.Uint64(sum)}
 }
 
 // recall says what the head knows of an order.
-func recall(head *wire.ChartHead, o order) recollection {
+func recall(head *wire.ConfigurationHead, o order) recollection {
 	orders := ordersOf(head)
 	at, found := slices.BinarySearch(orders.Serials, o.serial)
 	switch {
@@ -48,7 +48,7 @@
 }
 
 // remember gives the orders with one more, the newest; the oldest beyond the bound are forgotten.
-func remember(head *wire.ChartHead, o order) *wire.TakenOrders {
+func remember(head *wire.ConfigurationHead, o order) *wire.TakenOrders {
 	orders := ordersOf(head)
 	next := &wire.TakenOrders{
 		Serials:   append(slices.Clone(orders.Serials), o.serial),
@@ -63,7 +63,7 @@
 }
 
 // ordersOf reads the orders of a head, also of one that the version before the last wrote.
-func ordersOf(head *wire.ChartHead) *wire.TakenOrders {
+func ordersOf(head *wire.ConfigurationHead) *wire.TakenOrders {
 	if head.GetOrders() != nil {
 		return head.Orders
 	}
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -12,8 +12,8 @@
 	"curlewreach/proto/wire"
 )
 
-func partial(serial, on uint64, prefix string) *wire.ChartProposal {
-	return &wire.ChartProposal{Change: &wire.ChartChange{Serial: serial, Base: on, Routes: []*wire.ChartRoute{
+func partial(serial, on uint64, prefix string) *wire.ConfigurationProposal {
+	return &wire.ConfigurationProposal{Change: &wire.ConfigurationChange{Serial: serial, Base: on, Routes: []*wire.ConfigurationRoute{
 		{Name: "r-partial", Host: "b.example", Prefix: prefix, CutoffMs: 2000, AimMs: 500, Tries: 2, Service: service("loans")},
 	}}}
 }
@@ -21,7 +21,7 @@
 // climb has orders taken one on top of the other.
 func (f *fleet) climb(from, to uint64) {
 	for serial := from; serial <= to; serial++ {
-		Expect(f.insist(int(serial)%len(f.keels), partial(serial, serial-1, fmt.Sprintf("/p%d/", serial))).Kind).To(BeEmpty())
+		Expect(f.insist(int(serial)%len(f.controllers), partial(serial, serial-1, fmt.Sprintf("/p%d/", serial))).Kind).To(BeEmpty())
 	}
 }
 
@@ -30,7 +30,7 @@
 		first := whole(1, 0)
 		Expect(f.taken(0, first)).To(BeTrue())
 		f.climb(2, 300)
-		for i := range f.keels {
+		for i := range f.controllers {
 			Expect(f.insist(i, first).Kind).To(BeEmpty())
 			Expect(f.insist(i, partial(2, 1, "/p2/")).Kind).To(BeEmpty())
 			Expect(f.insist(i, partial(2, 1, "/other/")).Kind).To(Equal(string(base.StaleBase)), "another order under the same number lost")
@@ -42,12 +42,12 @@
 		first := whole(1, 0)
 		Expect(f.taken(0, first)).To(BeTrue())
 		f.climb(2, 80)
-		for i := range f.keels {
+		for i := range f.controllers {
 			f.wipe(i)
 			f.raise(i, false)
 			f.agree(80)
 		}
-		for i := range f.keels {
+		for i := range f.controllers {
 			Expect(f.insist(i, first).Kind).To(BeEmpty())
 			Expect(f.insist(i, whole(1, 0, "/rival/")).Kind).To(Equal(string(base.StaleBase)))
 		}
@@ -86,10 +86,10 @@
 })
 
 var _ = ginkgo.Describe("the orders remembered", func() {
-	head := func(orders int) *wire.ChartHead {
-		head := &wire.ChartHead{}
+	head := func(orders int) *wire.ConfigurationHead {
+		head := &wire.ConfigurationHead{}
 		for serial := range uint64(orders) {
-			head = &wire.ChartHead{Orders: remember(head, order{10 + 2*serial, serial})}
+			head = &wire.ConfigurationHead{Orders: remember(head, order{10 + 2*serial, serial})}
 		}
 		return head
 	}
@@ -112,7 +112,7 @@
 
 	ginkgo.It("given the edge, when a forgotten order is judged, then there is no clear answer, and a newer stale one is refused", func() {
 		over := head(ordersRemembered + 1)
-		over.Chart = &wire.Chart{Serial: over.Orders.Serials[ordersRemembered-1]}
+		over.Configuration = &wire.Configuration{Serial: over.Orders.Serials[ordersRemembered-1]}
 		next, outcome := judge(over, whole(10, 0))
 		Expect(next).To(BeNil())
 		Expect(outcome).To(BeNil())
@@ -122,7 +122,7 @@
 
 	ginkgo.It("given a head of the version before the last, when an order in its marks comes again, then it is known", func() {
 		p := whole(7, 0)
-		old := &wire.ChartHead{Chart: p.Chart, Marks: []*wire.ChartMark{{Serial: 7, Digest: config.Digest(p)}}}
+		old := &wire.ConfigurationHead{Configuration: p.Configuration, Marks: []*wire.ConfigurationMark{{Serial: 7, Digest: config.Digest(p)}}}
 		Expect(recall(old, orderOf(p))).To(Equal(taken))
 		Expect(recall(old, orderOf(whole(6, 0)))).To(Equal(unseen))
 	})
--- a/internal/controlplane/params.go
+++ b/internal/controlplane/params.go
@@ -14,7 +14,7 @@
 )
 
 // SetDefaults fills in what was left out.
-func SetDefaults(p *wire.MoorParams) {
+func SetDefaults(p *wire.ControllerParams) {
 	usual := func(at **durationpb.Duration, d time.Duration) {
 		if (*at).AsDuration() == 0 {
 			*at = durationpb.New(d)
@@ -33,7 +33,7 @@
 }
 
 // Check tells what is wrong with the settings.
-func Check(p *wire.MoorParams) error {
+func Check(p *wire.ControllerParams) error {
 	within := func(low, high time.Duration) validation.Rule {
 		return validation.By(func(value any) error {
 			return validation.Validate(value.(*durationpb.Duration).AsDuration(), validation.Min(low), validation.Max(high))
@@ -41,7 +41,7 @@
 	}
 	return validation.ValidateStruct(p,
 		validation.Field(&p.Name, validation.Required),
-		validation.Field(&p.Mates, validation.Required, base.IsAddress),
+		validation.Field(&p.Peers, validation.Required, base.IsAddress),
 		validation.Field(&p.Operators, validation.Required, base.IsAddress),
 		validation.Field(&p.Seeds, validation.Each(base.IsAddress)),
 		validation.Field(&p.Folder, validation.Required),
@@ -55,8 +55,8 @@
 
 // replicaSeeds lists the addresses of the seeds' replicas, this machine's own among them if it is a seed: a founder that
 // has lost its disk recognises by that list that it is the one to found again.
-func replicaSeeds(p *wire.MoorParams) []string {
-	_, port, _ := net.SplitHostPort(p.Mates)
+func replicaSeeds(p *wire.ControllerParams) []string {
+	_, port, _ := net.SplitHostPort(p.Peers)
 	var found []string
 	for _, seed := range p.Seeds {
 		if at, err := netip.ParseAddrPort(seed); err == nil {
--- a/internal/controlplane/hail.go
+++ b/internal/controlplane/poll.go
@@ -15,11 +15,11 @@
 
 type rpcService struct{ server *Server }
 
-func (v rpcService) Hail(ctx context.Context, request *connect.Request[wire.HailRequest]) (*connect.Response[wire.HailReply], error) {
+func (v rpcService) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
 	m, ask := v.server, request.Msg
-	if m.roster.hear(ask.Post) {
-		m.scope.Log.Info("node back", "of", ask.Post.Node)
-		m.scope.Note("back", ask.Post.Node, "")
+	if m.registry.hear(ask.NodeStatus) {
+		m.scope.Log.Info("node back", "of", ask.NodeStatus.Node)
+		m.scope.Note("back", ask.NodeStatus.Node, "")
 	}
 	s := m.scope.Under(ctx)
 	hold := min(time.Duration(min(ask.WaitMs, 1<<20))*time.Millisecond, longestHold)
@@ -28,7 +28,7 @@
 	}
 	began := s.Clock.Mono()
 	for {
-		news, moved := m.news.Heard(), m.roster.bell.Heard()
+		news, moved := m.news.Heard(), m.registry.bell.Heard()
 		held := s.Clock.Mono() - began
 		seen, freshMs := m.freshest()
 		reply, fresh := m.tell(ask, seen)
@@ -43,26 +43,26 @@
 	}
 }
 
-// tell answers a poll with the chart seen and all else that is news to the node; fresh says whether anything is.
-func (m *Server) tell(ask *wire.HailRequest, seen *view) (reply *wire.HailReply, fresh bool) {
-	reply = &wire.HailReply{Keel: m.incarnation, Serial: seen.serial(), Whole: ask.Keel != m.incarnation}
+// tell answers a poll with the configuration seen and all else that is news to the node; fresh says whether anything is.
+func (m *Server) tell(ask *wire.PollRequest, seen *view) (reply *wire.PollReply, fresh bool) {
+	reply = &wire.PollReply{Controller: m.incarnation, Serial: seen.serial(), Whole: ask.Controller != m.incarnation}
 	if age, known := m.majorityAge(); known {
 		reply.MajorityMs = proto.Uint64(ms(age))
 	}
 	if c := m.core.Load(); c != nil {
-		reply.Keels = c.replica.Voters()
+		reply.Controllers = c.replica.Voters()
 	}
 	fresh = reply.Serial > ask.Serial
 	if ask.Wants && (fresh || confirms(ask) && reply.Serial != ask.Serial) {
-		reply.Chart = seen.head.GetChart()
+		reply.Configuration = seen.head.GetConfiguration()
 	}
 	if ask.ConfigOnly {
-		reply.Whole, reply.Roster = false, ask.Roster
+		reply.Whole, reply.Registry = false, ask.Registry
 		return reply, fresh
 	}
 	if odds := m.learning.Load().said.GetOdds(); odds.GetSerial() > ask.Odds {
 		reply.Odds, fresh = odds, true
 	}
-	reply.Sights, reply.Roster = m.roster.since(ask.Roster, reply.Whole, ask.Post.GetNode())
-	return reply, fresh || reply.Whole || len(reply.Sights) > 0
+	reply.Observations, reply.Registry = m.registry.since(ask.Registry, reply.Whole, ask.NodeStatus.GetNode())
+	return reply, fresh || reply.Whole || len(reply.Observations) > 0
 }
