--- a/fleet/rig/net.go
+++ b/fleet/rig/net.go
@@ -35,6 +35,7 @@
 	even      bool
 	frozen    map[string]chan struct{}
 	links     map[[2]string]Link
+	thin      map[string]*thinLink
 	crossing  map[[2]string]*crossed
 	dead      map[string]bool
 	sent      atomic.Uint64
@@ -46,7 +47,7 @@
 func NewWorld(rand *base.Rand, latency Latency) *World {
 	return &World{
 		rand: rand, latency: latency, listeners: map[string]*listener{}, ends: map[*end]bool{}, cuts: map[[2]string]bool{},
-		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, crossing: map[[2]string]*crossed{}, dead: map[string]bool{},
+		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, thin: map[string]*thinLink{}, crossing: map[[2]string]*crossed{}, dead: map[string]bool{},
 	}
 }
 
--- a/fleet/rig/pipe.go
+++ b/fleet/rig/pipe.go
@@ -34,8 +34,9 @@
 
 func newPipe(w *World, from, to string) *pipe { return &pipe{world: w, from: from, to: to} }
 
-func (p *pipe) arrival() time.Time {
-	at := time.Now().Add(p.world.delay(p.from, p.to))
+// arrival is when a packet of so many bytes that is sent now has come in, after what was sent before it.
+func (p *pipe) arrival(bytes int) time.Time {
+	at := p.world.through(p.to, time.Now().Add(p.world.delay(p.from, p.to)), bytes)
 	if at.Before(p.last) {
 		at = p.last
 	}
@@ -58,7 +59,7 @@
 			p.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		case p.size < windowMax:
-			p.packets = append(p.packets, packet{p.arrival(), append([]byte(nil), data...)})
+			p.packets = append(p.packets, packet{p.arrival(len(data)), append([]byte(nil), data...)})
 			p.size += len(data)
 			p.mu.Unlock()
 			p.world.sent.Add(uint64(len(data)))
@@ -124,7 +125,7 @@
 	p.mu.Lock()
 	if !p.ended {
 		p.ended = true
-		p.packets = append(p.packets, packet{at: p.arrival()})
+		p.packets = append(p.packets, packet{at: p.arrival(0)})
 	}
 	p.mu.Unlock()
 	p.bell.Ring()
--- a/fleet/rig/trouble.go
+++ b/fleet/rig/trouble.go
@@ -29,6 +29,34 @@
 	w.links[[2]string{from, to}] = link
 }
 
+// thinLink is the link of one machine, on which all that comes in waits its turn.
+type thinLink struct {
+	bytesPerSecond float64
+	free           time.Time // when what is on the way has come in
+}
+
+// SetBandwidth limits what comes in at a machine, from all others together.
+func (w *World) SetBandwidth(ip string, bytesPerSecond float64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.thin[ip] = &thinLink{bytesPerSecond: bytesPerSecond}
+}
+
+// through is when so many bytes have come in at a machine that reach its link at a time.
+func (w *World) through(ip string, at time.Time, bytes int) time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	link := w.thin[ip]
+	if link == nil {
+		return at
+	}
+	if link.free.After(at) {
+		at = link.free
+	}
+	link.free = at.Add(time.Duration(float64(bytes) / link.bytesPerSecond * float64(time.Second)))
+	return link.free
+}
+
 // Troubled reports whether anything is cut, changed or frozen.
 func (w *World) Troubled() bool {
 	w.mu.Lock()
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -54,6 +54,7 @@
 	learning    atomic.Pointer[learning]
 	stopping    atomic.Bool
 	started     time.Duration
+	recent      recentConfigurations
 	reads       *configurationReads
 }
 
@@ -67,7 +68,7 @@
 	m := &Server{scope: s, self: p.Peers, incarnation: s.Rand.Name(8), web: base.Wire(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
 	m.started = s.Clock.Mono()
 	m.params.Store(p)
-	m.view.Store(&view{})
+	m.view.Store(newView(nil, nil))
 	m.learning.Store(&learning{})
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewMoorHandler(rpcService{m}, connect.WithCompressMinBytes(largestSpeak), connect.WithReadMaxBytes(largestSpeak)))
@@ -137,6 +138,7 @@
 	before := m.view.Load()
 	if seen := before.next(m.scope, c.replica.Chosen(ConfigurationKey)); seen != before {
 		m.view.Store(seen)
+		m.recent.add(seen)
 		m.news.Ring()
 	}
 	was := m.learning.Load()
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -54,7 +54,7 @@
 	}
 	fresh = reply.Serial > ask.Serial
 	if ask.Wants && (fresh || confirms(ask) && reply.Serial != ask.Serial) {
-		reply.Configuration = seen.head.GetConfiguration()
+		m.attach(reply, ask, seen)
 	}
 	if ask.ConfigOnly {
 		reply.Whole, reply.Registry = false, ask.Registry
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -9,9 +9,15 @@
 	"curlewreach/proto/wire"
 )
 
+// view is a version of the configuration's register, decoded. It doesn't change, but for what is encoded of it.
 type view struct {
-	entry *wire.Version
-	head  *wire.ConfigurationHead
+	entry     *wire.Version
+	head      *wire.ConfigurationHead
+	transfers *transfers
+}
+
+func newView(entry *wire.Version, head *wire.ConfigurationHead) *view {
+	return &view{entry: entry, head: head, transfers: &transfers{changes: map[uint64][]byte{}}}
 }
 
 func (v *view) next(s base.Scope, entry *wire.Version) *view {
@@ -19,14 +25,14 @@
 		return v
 	}
 	if v.entry != nil && string(v.entry.Value) == string(entry.Value) {
-		return &view{entry: entry, head: v.head}
+		return &view{entry: entry, head: v.head, transfers: v.transfers}
 	}
 	head := &wire.ConfigurationHead{}
 	if err := proto.Unmarshal(entry.Value, head); err != nil {
 		s.Note("configuration-unreadable", ConfigurationKey, err.Error())
 		return v
 	}
-	return &view{entry: entry, head: head}
+	return newView(entry, head)
 }
 
 func (v *view) serial() uint64 { return v.head.GetConfiguration().GetSerial() }
--- a/internal/dataplane/config_freshness.go
+++ b/internal/dataplane/config_freshness.go
@@ -22,8 +22,12 @@
 	hintLifeRatio = 1.0
 	// refreshPauseRatio is the pause between two refreshes; each asks another control machine.
 	refreshPauseRatio = 0.075
-	// refreshWaitRatio is how long one refresh may take.
+	// refreshWaitRatio is how long one refresh may take, and fetchWaitRatio how long it may take to fetch a configuration.
 	refreshWaitRatio = 0.5
+	fetchWaitRatio   = 1.0
+	// refreshDialRatio is how long a refresh waits for a connection. It is below twice the pause, so that no more than two
+	// such connections are coming up at a time.
+	refreshDialRatio = 0.145
 	// longestRefreshPauseRatio bounds the backoff of refreshes that bring nothing.
 	longestRefreshPauseRatio = 0.5
 	// eagerRefreshes follow each other without backoff.
@@ -40,12 +44,13 @@
 	hinted    uint64        // the highest serial that a peer was seen to serve
 	hintedAt  time.Duration
 	refreshed time.Duration // when the last refresh was sent
+	fetched   time.Duration // when the last refresh began to fetch a configuration
 	fruitless int           // refreshes since the last progress
 	inFlight  int
 }
 
 func newConfigFreshness(inForce, now time.Duration) configFreshness {
-	return configFreshness{inForce: inForce, asOf: now, refreshed: now - inForce}
+	return configFreshness{inForce: inForce, asOf: now, refreshed: now - inForce, fetched: now - inForce}
 }
 
 func (f *configFreshness) part(ratio float64) time.Duration { return portion(f.inForce, ratio) }
@@ -190,14 +195,37 @@
 	if address == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(s, portion(n.params.InForce.AsDuration(), refreshWaitRatio))
+	newer := n.refreshFrom(s, address, false, refreshWaitRatio)
+	if newer && n.beginFetch(s.Clock.Mono()) {
+		n.refreshFrom(s, address, true, fetchWaitRatio)
+	}
+}
+
+// beginFetch notes that a refresh fetches a configuration, unless somebody else began to a moment ago.
+func (n *Node) beginFetch(now time.Duration) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.fetchUnderWay(nil, now) {
+		return false
+	}
+	n.freshness.fetched = now
+	return true
+}
+
+// refreshFrom asks one control machine for nothing but the configuration and says whether it has a newer one, still to be
+// fetched. waitRatio is of the in-force bound.
+func (n *Node) refreshFrom(s base.Scope, address string, wants bool, waitRatio float64) (newer bool) {
+	ctx, cancel := context.WithTimeout(s, portion(n.params.InForce.AsDuration(), waitRatio))
 	defer cancel()
-	ask := &wire.PollRequest{NodeStatus: n.nodeStatus(), Serial: n.known(), Wants: true, ConfigOnly: true, Confirm: !n.confirmed(), Odds: n.keeper.Serial()}
+	ask, held := n.pollRequest(wants)
+	ask.ConfigOnly, ask.Confirm = true, !n.confirmed()
 	sent := s.Clock.Mono()
-	reply, err := wireconnect.NewMoorClient(n.web, "http://"+address).Hail(ctx, connect.NewRequest(ask))
+	reply, err := wireconnect.NewMoorClient(n.refreshWeb, "http://"+address).Hail(ctx, connect.NewRequest(ask))
 	if err != nil {
-		return
+		return false
 	}
-	n.applyPollReply(ask, reply.Msg, sent)
-	n.directory.heard(address, reply.Msg.MajorityMs, reply.Msg.Controllers)
+	m := reply.Msg
+	n.applyPollReply(ask, held, m, sent)
+	n.directory.heard(address, m.MajorityMs, m.Controllers)
+	return m.Configuration == nil && m.Serial > n.known()
 }
--- a/internal/dataplane/configuration.go
+++ b/internal/dataplane/configuration.go
@@ -23,6 +23,19 @@
 	return max(n.serial(), n.candidate.GetSerial())
 }
 
+// held is the newest configuration this node holds, in force or waiting to be confirmed; nil if there is none.
+func (n *Node) held() *wire.Configuration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.candidate.GetSerial() > n.serial() {
+		return n.candidate
+	}
+	if table := n.table.Load(); table != nil {
+		return table.Configuration()
+	}
+	return nil
+}
+
 // adopt takes a configuration. A node without a confirmed one keeps an unconfirmed configuration aside, and serves it only when its
 // patience is over. Serials only rise.
 func (n *Node) adopt(c *wire.Configuration, isConfirmed bool) {
--- a/internal/dataplane/configuration_test.go
+++ b/internal/dataplane/configuration_test.go
@@ -28,6 +28,30 @@
 		Expect(n.View().Confirmed).To(BeTrue())
 	})
 
+	story("given 620 routes, 80 peers and a link of 0.25 Mbit/s, when a node starts beside four control machines, then its first configuration is confirmed before it would serve an unconfirmed one", func(s *stand) {
+		all := s.controls(4)
+		for _, c := range all {
+			c.set(func() { c.routes, c.peers = 620, 80 })
+		}
+		s.world.SetBandwidth("10.9.1.1", 0.25e6/8)
+		n := s.node(1, addresses(all))
+		Expect(s.until(30*time.Second, n.confirmed)).To(BeNumerically("<", contact/2))
+		Expect(n.table.Load().Configuration().Routes).To(HaveLen(623))
+	})
+
+	story("given 620 routes and a link of 0.5 Mbit/s, when the configuration changes, then it is in force within the bound", func(s *stand) {
+		all := s.controls(3)
+		for _, c := range all {
+			c.set(func() { c.routes = 620 })
+		}
+		s.world.SetBandwidth("10.9.1.1", 0.5e6/8)
+		n := s.node(1, addresses(all))
+		s.until(10*time.Second, n.confirmed)
+		time.Sleep(5 * time.Second)
+		raise(7, all...)
+		Expect(s.until(30*time.Second, func() bool { return n.serial() == 7 })).To(BeNumerically("<", inForce/4))
+	})
+
 	story("given one that is cut off and answers first, when a node starts beside it, then it waits for the confirmed configuration of another", func(s *stand) {
 		all := s.controls(3)
 		cutOff(all[0])
@@ -104,19 +128,19 @@
 		n.born -= time.Minute
 		n.adopt(aConfiguration(7), false)
 		Expect(n.serial()).To(Equal(uint64(7)))
-		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 3}, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, 0)
+		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 3}, nil, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, n.scope.Clock.Mono())
 		Expect(n.serial()).To(Equal(uint64(7)))
-		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 6}, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, 0)
+		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 6}, nil, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, n.scope.Clock.Mono())
 		Expect(n.serial()).To(Equal(uint64(7)))
 	})
 
 	story("given a confirmed configuration, when others tell of newer and older ones, then it takes the newer from anyone and never an older", func(s *stand) {
 		n := s.node(1, noControllers)
 		n.adopt(aConfiguration(5), true)
-		n.applyPollReply(&wire.PollRequest{Serial: 5}, &wire.PollReply{Serial: 7, Configuration: aConfiguration(7)}, time.Minute)
+		n.applyPollReply(&wire.PollRequest{Serial: 5}, nil, &wire.PollReply{Serial: 7, Configuration: aConfiguration(7)}, n.scope.Clock.Mono()-time.Minute)
 		Expect(n.serial()).To(Equal(uint64(7)))
-		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 7}, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, 0)
-		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 0}, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, 0)
+		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 7}, nil, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, n.scope.Clock.Mono())
+		n.applyPollReply(&wire.PollRequest{Confirm: true, Serial: 0}, nil, &wire.PollReply{Confirmed: true, Serial: 5, Configuration: aConfiguration(5)}, n.scope.Clock.Mono())
 		Expect(n.serial()).To(Equal(uint64(7)))
 		Expect(n.confirmed()).To(BeTrue())
 	})
--- a/internal/dataplane/control_polls.go
+++ b/internal/dataplane/control_polls.go
@@ -7,6 +7,7 @@
 	"connectrpc.com/connect"
 
 	"curlewreach/base"
+	"curlewreach/internal/config"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -14,16 +15,17 @@
 const (
 	// longestPollHold is how long a control machine may at most hold a poll that it has no news for.
 	longestPollHold = 600 * time.Millisecond
-	// longestPollSlack is how long beyond the hold an answer may at most take.
-	longestPollSlack = 500 * time.Millisecond
+	// pollSlack is how long beyond the hold an answer may take, twice that and the hold if it brings a configuration. It is
+	// no ratio of the in-force bound: a poll that is ended early on a thin link begins anew and brings nothing at all, and
+	// keepFresh makes up for one that hangs.
+	pollSlack = 500 * time.Millisecond
 	// freshSlack is how long a control machine's word on absent peers counts after it last spoke.
 	freshSlack = 4 * longestPollHold
 
 	// Ratios of the in-force bound.
 	pollHoldRatio  = 0.3
-	pollSlackRatio = 0.25
 	pollPauseRatio = 0.075 // after a failed poll
-	fetchLeadRatio = 0.04  // others leave a fetch to the one that began it for so long
+	fetchLeadRatio = 0.1   // others leave a fetch to the one that began it for so long
 )
 
 type controlPoll struct {
@@ -55,7 +57,7 @@
 	if confirm {
 		wait = min(wait, portion(inForce, confirmationRatio/2))
 	}
-	most := wait + min(longestPollSlack, portion(inForce, pollSlackRatio))
+	most := wait + pollSlack
 	if wants {
 		most *= 2
 	}
@@ -66,10 +68,8 @@
 	n.mu.Unlock()
 	_, _, sent := n.instance.Now()
 	told := sent + n.turns.Load()
-	ask := &wire.PollRequest{
-		NodeStatus: n.nodeStatus(), Serial: n.known(), Wants: wants, Odds: n.keeper.Serial(), Controller: c.controller, Registry: c.registry, WaitMs: uint64(wait.Milliseconds()),
-		Confirm: confirm,
-	}
+	ask, held := n.pollRequest(wants)
+	ask.Confirm, ask.Controller, ask.Registry, ask.WaitMs = confirm, c.controller, c.registry, uint64(wait.Milliseconds())
 	asked := s.Clock.Mono()
 	reply, err := c.client.Hail(ctx, connect.NewRequest(ask))
 	if err != nil {
@@ -89,13 +89,53 @@
 			n.scope.Log.Warn("odds rejected", "reason", fault.Reason)
 		}
 	}
-	n.applyPollReply(ask, m, asked)
+	n.applyPollReply(ask, held, m, asked)
 	n.directory.heard(c.address, m.MajorityMs, m.Controllers)
 	return m.Configuration == nil && m.Serial > n.known()
 }
 
-// believe takes what an answer says of the configuration. A confirmation that was long under way proves nothing any more.
-func (n *Node) applyPollReply(ask *wire.PollRequest, m *wire.PollReply, sent time.Duration) {
+// pollRequest asks by what this node holds. Where the configuration is wanted it returns the one held as well, from which
+// a change in the answer leads on.
+func (n *Node) pollRequest(wants bool) (ask *wire.PollRequest, held *wire.Configuration) {
+	ask = &wire.PollRequest{NodeStatus: n.nodeStatus(), Wants: wants, Odds: n.keeper.Serial(), Unpacks: true}
+	if !wants {
+		ask.Serial = n.known()
+		return ask, nil
+	}
+	held = n.held()
+	ask.Serial = held.GetSerial()
+	if held != nil {
+		ask.Fingerprint = config.Fingerprint(held)
+	}
+	return ask, held
+}
+
+// unpack puts a configuration that came compressed, or as a change from the one held, in its usual place in the answer.
+func unpack(m *wire.PollReply, held *wire.Configuration) error {
+	switch {
+	case m.PackedChange != nil:
+		change := &wire.ConfigurationChange{}
+		if err := config.Unpack(m.PackedChange, change); err != nil {
+			return err
+		}
+		m.Configuration = config.Apply(held, change)
+	case m.PackedConfiguration != nil:
+		whole := &wire.Configuration{}
+		if err := config.Unpack(m.PackedConfiguration, whole); err != nil {
+			return err
+		}
+		m.Configuration = whole
+	}
+	m.PackedChange, m.PackedConfiguration = nil, nil
+	return nil
+}
+
+// applyPollReply takes what an answer says of the configuration. A confirmation that was long under way proves nothing any more.
+func (n *Node) applyPollReply(ask *wire.PollRequest, held *wire.Configuration, m *wire.PollReply, sent time.Duration) {
+	if err := unpack(m, held); err != nil {
+		n.scope.Log.Warn("configuration can't be read", "serial", m.Serial, "error", err)
+		return
+	}
 	defer n.proveFresh(m, sent)
 	took := n.scope.Clock.Mono() - sent
 	isConfirmed := m.Confirmed && ask.Confirm && took <= portion(n.params.InForce.AsDuration(), confirmationRatio)
@@ -123,10 +163,8 @@
 // fetches tells whether this caller is to fetch the newer configuration; while another that answers just began to, it gives that one a moment.
 func (n *Node) fetches(s base.Scope, c *controlPoll) bool {
 	n.mu.Lock()
-	serial, busy := max(n.serial(), n.candidate.GetSerial()), false
-	for _, other := range n.controllers {
-		busy = busy || other != c && other.wants && other.controller != "" && s.Clock.Mono()-other.asked < n.fetchLead()
-	}
+	serial := max(n.serial(), n.candidate.GetSerial())
+	busy := n.fetchUnderWay(c, s.Clock.Mono())
 	if !busy {
 		c.wants = true
 	}
@@ -138,6 +176,19 @@
 	return n.known() == serial
 }
 
+// fetchUnderWay says whether somebody but c began to fetch a configuration a moment ago; n.mu is held.
+func (n *Node) fetchUnderWay(c *controlPoll, now time.Duration) bool {
+	if now-n.freshness.fetched < n.fetchLead() {
+		return true
+	}
+	for _, other := range n.controllers {
+		if other != c && other.wants && other.controller != "" && now-other.asked < n.fetchLead() {
+			return true
+		}
+	}
+	return false
+}
+
 func (n *Node) fetchLead() time.Duration {
 	return portion(n.params.InForce.AsDuration(), fetchLeadRatio)
 }
--- a/internal/dataplane/control_test.go
+++ b/internal/dataplane/control_test.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/config"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -33,6 +34,8 @@
 	asked          int
 	configurations int  // sent whole
 	refreshed      int  // questions for nothing but the configuration
+	routes         int  // more in its configuration
+	peers          int  // that it tells of in its first answer to a node
 	ages           bool // its answers tell as of when they are known to be the newest
 }
 
@@ -61,9 +64,12 @@
 		reply.FreshMs = proto.Uint64(ms(now-c.heard) + 1)
 	}
 	reply.Confirmed = ask.Confirm && c.confirmed && c.serial > 0
+	if reply.Whole {
+		reply.Observations = registry(c.peers)
+	}
 	fresh := c.serial > ask.Serial || reply.Whole || reply.Confirmed
 	if ask.Wants && c.serial != ask.Serial && (c.serial > ask.Serial || ask.Confirm) {
-		reply.Configuration = aConfiguration(c.serial)
+		c.attach(reply, ask.Unpacks)
 		c.configurations++
 	}
 	if fresh {
@@ -72,6 +78,39 @@
 	return reply, fresh, freeze
 }
 
+// attach puts the configuration into a reply, compressed for nodes that can read it.
+func (c *standControl) attach(reply *wire.PollReply, unpacks bool) {
+	whole := aConfiguration(c.serial)
+	for i := range c.routes {
+		service := books
+		whole.Routes = append(whole.Routes, &wire.ConfigurationRoute{
+			Name: fmt.Sprintf("r-%07x", 7919*i), Host: fmt.Sprintf("h%05x.example", 104729*i%999983), Prefix: fmt.Sprintf("/p%06x/", 15485863*i%9999991),
+			CutoffMs: 2000, AimMs: 500, Rank: 2, Tries: 2, Service: &service,
+		})
+	}
+	if !unpacks {
+		reply.Configuration = whole
+		return
+	}
+	packed, err := config.Pack(whole)
+	if err != nil {
+		panic(err)
+	}
+	reply.PackedConfiguration = packed
+}
+
+// registry is what a control machine knows of so many peers.
+func registry(peers int) (all []*wire.Observation) {
+	for i := range peers {
+		name := fmt.Sprintf("sidecar-hall-%d", i)
+		all = append(all, &wire.Observation{NodeStatus: &wire.NodeStatus{
+			Node: name, Incarnation: fmt.Sprintf("%06x", i), Inward: "10.8.0.1:7002", Zone: "a", Service: books, Peers: "10.8.0.1:7003",
+			Instance: &wire.Instance{Id: fmt.Sprintf("i-%010x", i), Service: books, Address: "10.8.0.1:8080", Zone: "a", Capacity: 6},
+		}})
+	}
+	return all
+}
+
 func (c *standControl) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
 	ask, s := request.Msg, c.scope.Under(ctx)
 	c.set(func() {
@@ -103,7 +142,7 @@
 	c.list = []string{c.address()}
 	c.spans = tracing.OpenStore(c.scope, 1000)
 	mux := http.NewServeMux()
-	mux.Handle(wireconnect.NewMoorHandler(c))
+	mux.Handle(wireconnect.NewMoorHandler(c, connect.WithCompressMinBytes(32<<20))) // as control machines do
 	mux.Handle(tracing.Handler(c.spans))
 	door, err := base.Open(c.scope, c.address(), mux)
 	if err != nil {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -46,6 +46,7 @@
 	incarnation         string
 	born                time.Duration
 	web                 *http.Client
+	refreshWeb          *http.Client // apart from web, so that a refresh never waits behind a poll's connection
 	peerConnections     *ConnectionPool
 	instanceConnections *ConnectionPool
 	peers               *PeerTable
@@ -154,6 +155,7 @@
 	n.peers.live = n.load
 	n.fences = newFences(s, n.incarnation, force, p.MemoryMb)
 	n.retries = NewRetryBudget(s.Clock, p.RepeatRatio, p.RepeatSlack, p.RepeatWindow.AsDuration(), n.peers.Size)
+	n.refreshWeb = base.WireWithin(s, portion(force, refreshDialRatio))
 	n.patience = portion(contact, patienceRatio)
 	n.freshness = newConfigFreshness(force, s.Clock.Mono())
 	n.directory = newDirectory(s.Clock, s.Rand, contact, p.Seeds)
--- a/internal/dataplane/directory.go
+++ b/internal/dataplane/directory.go
@@ -48,6 +48,9 @@
 	seeds   []string
 	rows    map[string]*controlMachine
 	newest  time.Duration // when the newest list came
+	// unanswered counts the control machines given up as silent since any last answered: where all are slow to answer,
+	// giving up one after the other ends what they are about to say.
+	unanswered int
 }
 
 func newDirectory(clock base.Clock, rand *base.Rand, contact time.Duration, seeds []string) *directory {
@@ -103,7 +106,7 @@
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
 	at := d.row(address)
-	at.answered = now
+	at.answered, d.unanswered = now, 0
 	if majorityMs != nil {
 		at.majority = max(at.majority, now-time.Duration(min(*majorityMs, 1<<40))*time.Millisecond)
 	}
@@ -153,6 +156,9 @@
 	if worst == "" || next == "" {
 		return nil, nil
 	}
+	if now-d.rows[worst].last() > d.patience(hurry) {
+		d.unanswered++
+	}
 	d.rows[worst].polled = false
 	d.begin(next, now)
 	return []string{next}, []string{worst}
@@ -222,10 +228,7 @@
 // worst names one to cease asking: the one silent for the longest time, else one that lags behind, as long as another
 // one that answers is left.
 func (d *directory) worst(now time.Duration, hurry bool) string {
-	patience := d.part(silencePatience)
-	if hurry {
-		patience = d.part(hurryPatience)
-	}
+	patience := d.patience(hurry)
 	silent, laggard, answering := "", "", 0
 	for _, address := range slices.Sorted(maps.Keys(d.rows)) {
 		at := d.rows[address]
@@ -251,6 +254,19 @@
 	return ""
 }
 
+// patience is how long a control machine may be silent before another is asked in its place. It doubles with each one
+// given up while none at all answers, up to the contact bound.
+func (d *directory) patience(hurry bool) time.Duration {
+	patience := d.part(silencePatience)
+	if hurry {
+		patience = d.part(hurryPatience)
+	}
+	for range d.unanswered / pollsMost {
+		patience = min(2*patience, d.contact)
+	}
+	return patience
+}
+
 func (at *controlMachine) last() time.Duration { return max(at.chosen, at.answered) }
 
 // live lists those that answer, the ones with a majority only where there are such; rest lists the others that are known.
