--- a/fleet/open/cutoff_test.go
+++ b/fleet/open/cutoff_test.go
@@ -139,7 +139,7 @@
 		view := f.node(m)
 		Expect(view.Confirmed).To(BeFalse(), f.Story)
 		Expect(view.Serial).To(Equal(uint64(3)), f.Story)
-		Expect(f.see(m.At(viewsPort), "/metrics")).To(ContainSubstring("curlew_chart_confirmed 0\n"))
+		Expect(f.see(m.At(viewsPort), "/metrics")).To(ContainSubstring("curlew_configuration_confirmed 0\n"))
 		f.World.HealAll()
 		end()
 		healed := f.Scope.Clock.Mono()
--- a/fleet/open/doors.go
+++ b/fleet/open/doors.go
@@ -42,7 +42,7 @@
 
 func desk(m *controlplane.Server) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /chart", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST /configuration", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		proposal := &wire.ConfigurationProposal{}
 		if err != nil || proto.Unmarshal(body, proposal) != nil {
@@ -52,7 +52,7 @@
 		outcome, err := m.Propose(r.Context(), proposal)
 		answer(w, outcome, err)
 	})
-	mux.HandleFunc("GET /chart", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		answer(w, configuration, err)
 	})
@@ -82,7 +82,7 @@
 }
 
 func (o *Operator) call(method, address string, body []byte, into proto.Message) error {
-	request, err := http.NewRequestWithContext(o.scope, method, "http://"+address+"/chart", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(o.scope, method, "http://"+address+"/configuration", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/fleet/open/look_test.go
+++ b/fleet/open/look_test.go
@@ -79,7 +79,7 @@
 		page := f.see(f.Nodes[0].At(viewsPort), "/metrics")
 		Expect(page).To(MatchRegexp(`(?m)^curlew_outcomes_total\{what="answered"\} [1-9]`), f.Story)
 		Expect(page).To(MatchRegexp(`(?m)^curlew_request_seconds_bucket\{kind="repeatable",le="\+Inf"\} [1-9]`), f.Story)
-		Expect(page).To(ContainSubstring("\ncurlew_chart_serial 3\n"), f.Story)
+		Expect(page).To(ContainSubstring("\ncurlew_configuration_serial 3\n"), f.Story)
 		owners := map[string]bool{}
 		for _, m := range f.Controllers {
 			view := f.controller(m)
--- a/helm/open.go
+++ b/helm/open.go
@@ -21,7 +21,7 @@
 
 // Chart returns the configuration in force in an open fleet.
 func (c *Clerk) Chart(ctx context.Context) (*wire.Configuration, error) {
-	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/chart", nil)
+	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/configuration", nil)
 }
 
 // OpenOdds returns what was learned in an open fleet.
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -17,10 +17,10 @@
 	founded    = "founded"     // it votes
 )
 
-// registerViews lets operators look, on the door for peers: GET /view, /chart, /odds, /journal, /metrics.
+// registerViews lets operators look, on the door for peers: GET /view, /configuration, /odds, /journal, /metrics.
 func (m *Server) registerViews(mux *http.ServeMux) {
 	base.Views(mux, m.scope, func() proto.Message { return m.View() }, m.metrics)
-	mux.HandleFunc("GET /chart", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		if err != nil {
 			fault := base.FaultOf(err)
@@ -106,10 +106,10 @@
 	page.Kind(nodes, "gauge", "nodes known here")
 	page.Add(nodes, float64(there), "state", "there")
 	page.Add(nodes, float64(absent), "state", "absent")
-	page.One("curlew_keel_votes", "gauge", "whether this disk votes", base.Truth(m.Ready()))
-	page.One("curlew_keel_settled", "gauge", "whether this control machine lately agreed with a majority", base.Truth(view.Settled))
-	page.One("curlew_keel_owner", "gauge", "whether this control machine owns the configuration", base.Truth(view.Owner == m.address))
-	page.One("curlew_keel_learner", "gauge", "whether this control machine learns the odds", base.Truth(view.Learner == m.address))
-	page.One("curlew_chart_serial", "gauge", "the newest configuration seen settled here", float64(view.Serial))
-	page.One("curlew_keel_reached_seconds", "gauge", "since a majority of disks last answered", float64(view.ReachedMs)/1000)
+	page.One("curlew_controller_votes", "gauge", "whether this disk votes", base.Truth(m.Ready()))
+	page.One("curlew_controller_settled", "gauge", "whether this control machine lately agreed with a majority", base.Truth(view.Settled))
+	page.One("curlew_controller_owner", "gauge", "whether this control machine owns the configuration", base.Truth(view.Owner == m.address))
+	page.One("curlew_controller_learner", "gauge", "whether this control machine learns the odds", base.Truth(view.Learner == m.address))
+	page.One("curlew_configuration_serial", "gauge", "the newest configuration seen settled here", float64(view.Serial))
+	page.One("curlew_controller_reached_seconds", "gauge", "since a majority of disks last answered", float64(view.ReachedMs)/1000)
 }
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -119,7 +119,7 @@
 }
 
 func (n *Node) metrics(m *base.Metrics) {
-	const outcomes, lengths, peers, retryBudget = "curlew_outcomes_total", "curlew_request_seconds", "curlew_mates", "curlew_repeats_held"
+	const outcomes, lengths, peers, retryBudget = "curlew_outcomes_total", "curlew_request_seconds", "curlew_peers", "curlew_repeats_held"
 	view := n.View()
 	m.Kind(outcomes, "counter", "what visitors were told, by kind; and repeats")
 	for _, what := range slices.Sorted(maps.Keys(view.Counts)) {
@@ -149,8 +149,8 @@
 		m.Add(retryBudget, each.Held, "service", each.Service)
 	}
 	m.One("curlew_ready", "gauge", "whether visitors may come", base.Truth(view.Ready))
-	m.One("curlew_chart_serial", "gauge", "the configuration in force here", float64(view.Serial))
-	m.One("curlew_chart_confirmed", "gauge", "whether a majority has confirmed the configuration in force", base.Truth(view.Confirmed))
+	m.One("curlew_configuration_serial", "gauge", "the configuration in force here", float64(view.Serial))
+	m.One("curlew_configuration_confirmed", "gauge", "whether a majority has confirmed the configuration in force", base.Truth(view.Confirmed))
 	m.One("curlew_config_age_seconds", "gauge", "since the configuration in force was last known to be the newest", float64(view.ConfigAgeMs)/1000)
 	m.One("curlew_config_stale", "gauge", "whether that is longer ago than the in-force bound", base.Truth(view.ConfigStale))
 	m.One("curlew_upstream", "gauge", "whether an upstream is here", base.Truth(view.Instance != nil))
