--- a/internal/testing/namecheck/rules.go
+++ b/internal/testing/namecheck/rules.go
@@ -54,20 +54,34 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "parse")
 	}
-	var found []string
 	at := func(position token.Pos) string { return fmt.Sprintf("%s:%d", name, files.Position(position).Line) }
+	var found []string
 	if within(name, r.folders) {
-		for _, declared := range declaredIn(file) {
-			for _, part := range Parts(declared.Name) {
-				if term, known := r.withdrawn[part]; known && !r.kept[declared.Name] {
-					found = append(found, fmt.Sprintf("%s: %s: %q is withdrawn, use %s", at(declared.Pos()), declared.Name, part, term))
-				}
+		found = r.checkNames(file, at)
+	}
+	if !within(name, platformFolders) {
+		found = append(found, r.checkTexts(file, at)...)
+	}
+	return found, nil
+}
+
+// checkNames returns the withdrawn words among the parts of declared identifiers.
+func (r *Rules) checkNames(file *ast.File, at func(token.Pos) string) (found []string) {
+	for _, declared := range declaredIn(file) {
+		if r.kept[declared.Name] {
+			continue
+		}
+		for _, part := range Parts(declared.Name) {
+			if term, known := r.withdrawn[part]; known {
+				found = append(found, fmt.Sprintf("%s: %s: %q is withdrawn, use %s", at(declared.Pos()), declared.Name, part, term))
 			}
 		}
 	}
-	if within(name, platformFolders) {
-		return found, nil
-	}
+	return found
+}
+
+// checkTexts returns the platform's names among the string literals.
+func (r *Rules) checkTexts(file *ast.File, at func(token.Pos) string) (found []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		text, ok := node.(*ast.BasicLit)
 		if !ok || text.Kind != token.STRING {
@@ -80,7 +94,7 @@
 		}
 		return true
 	})
-	return found, nil
+	return found
 }
 
 func within(name string, folders []string) bool {
--- a/internal/testing/namecheck/rules_test.go
+++ b/internal/testing/namecheck/rules_test.go
@@ -27,6 +27,20 @@
 	}
 }
 
+// folderWith returns a folder that holds one file.
+func folderWith(t *testing.T, file, source string) string {
+	t.Helper()
+	root := t.TempDir()
+	path := filepath.Join(root, file)
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(source), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return root
+}
+
 func TestCheck(t *testing.T) {
 	for _, each := range []struct {
 		about, file, source string
@@ -46,15 +60,7 @@
 		{"generated code", "proto/wire/a.go", "package wire\n\nvar header = \"Shelf-Mark\"\n", nil},
 	} {
 		t.Run(each.about, func(t *testing.T) {
-			root := t.TempDir()
-			path := filepath.Join(root, each.file)
-			if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(path, []byte(each.source), 0o644); err != nil {
-				t.Fatal(err)
-			}
-			found, err := check(root, strings.NewReader(exampleRules))
+			found, err := check(folderWith(t, each.file, each.source), strings.NewReader(exampleRules))
 			if err != nil || len(found) != len(each.expected) {
 				t.Fatalf("found %q, %v", found, err)
 			}
