--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -269,7 +269,7 @@
 		}
 		owned := 0
 		for _, m := range f.Keels {
-			if m.Keel != nil && m.Keel.Trove.Mine("bundle") {
+			if m.Keel != nil && m.Keel.Trove.Owns("bundle") {
 				owned++
 			}
 		}
--- a/flow/news.go
+++ b/flow/news.go
@@ -71,7 +71,7 @@
 			ask.Parts = append(ask.Parts, part.Name)
 		}
 	}
-	for _, seat := range n.member.Roster().Seats {
+	for _, seat := range n.member.Status().Seats {
 		if !slices.Contains(ask.Seats, seat.Service) {
 			ask.Seats = append(ask.Seats, seat.Service)
 		}
@@ -104,7 +104,7 @@
 	}
 	n.repeats.Set(signed)
 	n.budget.Set(signed)
-	n.member.Place(signed.Machines())
+	n.member.SetMachines(signed.Machines())
 	n.slice.Store(signed)
 	n.member.Change(func(roster *wire.Roster) { roster.Holding = signed.Serial })
 	n.scope.Note("in-force", "", strconv.FormatUint(signed.Serial, 10))
--- a/flow/node.go
+++ b/flow/node.go
@@ -130,7 +130,7 @@
 		slices.SortFunc(rows, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
 		n.member.Change(func(roster *wire.Roster) { roster.Seats = rows })
 	})
-	n.heard, n.first = make([]atomic.Int64, len(params.Seeds)), membership.Turn(params.Name, len(params.Seeds))
+	n.heard, n.first = make([]atomic.Int64, len(params.Seeds)), membership.HashTo(params.Name, len(params.Seeds))
 	for _, seed := range params.Seeds {
 		n.keels = append(n.keels, wireconnect.NewHelmClient(web, "http://"+seed))
 	}
--- a/flow/pick.go
+++ b/flow/pick.go
@@ -41,7 +41,7 @@
 // then those beside others, by the nodes' names.
 func (n *Node) places(service string) iter.Seq[place] {
 	return func(yield func(place) bool) {
-		own := n.member.Roster()
+		own := n.member.Status()
 		if !besides(own, service, place{node: n.self, incarnation: own.Incarnation, standing: membership.Well}, yield) {
 			return
 		}
--- a/helm/desk.go
+++ b/helm/desk.go
@@ -88,7 +88,7 @@
 	for _, key := range h.trove.Store().Keys() {
 		owner, epoch, _ := h.trove.Owner(key)
 		_, entry := h.trove.Store().Peek(key)
-		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: h.trove.Store().IsSick(key), Copies: uint32(h.trove.Copies(key))})
+		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: h.trove.Store().IsDamaged(key), Copies: uint32(h.trove.Copies(key))})
 	}
 	return reply
 }
--- a/helm/helm.go
+++ b/helm/helm.go
@@ -46,7 +46,7 @@
 type Helm struct {
 	scope     base.Scope
 	self      string
-	trove     *quorum.Trove
+	trove     *quorum.Replica
 	member    *membership.Member
 	traces    *tracing.Store
 	trust     atomic.Pointer[bundle.Trust]
@@ -69,8 +69,8 @@
 type Parts struct {
 	Self    string
 	Address string
-	Mates   []quorum.Mate
-	Trove   *quorum.Trove
+	Mates   []quorum.Peer
+	Trove   *quorum.Replica
 	Member  *membership.Member
 	Traces  *tracing.Store
 	Trust   bundle.Trust
@@ -109,9 +109,9 @@
 	}
 	crew.Go(func() {
 		for s.Err() == nil {
-			heard := h.trove.News()
+			heard := h.trove.Changed()
 			if current := h.Current(); current != nil {
-				h.member.Place(current.Machines())
+				h.member.SetMachines(current.Machines())
 				h.member.Change(func(roster *wire.Roster) { roster.Holding = current.Serial })
 			}
 			h.news.Ring()
@@ -120,7 +120,7 @@
 	})
 	crew.Go(func() {
 		for s.Err() == nil {
-			heard := h.member.View().News()
+			heard := h.member.View().Changed()
 			h.news.Ring()
 			base.Await(s, h.force, heard)
 		}
@@ -312,7 +312,7 @@
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
 	}
-	for entry := range h.trove.Store().Past(BundleKey) {
+	for entry := range h.trove.Store().History(BundleKey) {
 		head, err := headOf(entry.Value)
 		if err != nil || head.Sealed == nil {
 			continue
--- a/helm/keel.go
+++ b/helm/keel.go
@@ -61,7 +61,7 @@
 // Keel is a running core machine.
 type Keel struct {
 	Helm   *Helm
-	Trove  *quorum.Trove
+	Trove  *quorum.Replica
 	Traces *tracing.Store
 	params *wire.KeelParams
 	cancel context.CancelFunc
@@ -105,9 +105,9 @@
 func (k *Keel) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
 	params, web := k.params, base.Wire(s)
 	bounds, force := params.Bounds, params.Bounds.InForce.AsDuration()
-	mates := make([]quorum.Mate, len(params.Seeds))
+	mates := make([]quorum.Peer, len(params.Seeds))
 	for i, seed := range params.Seeds {
-		mates[i] = quorum.Mate{Name: seed, Address: seed}
+		mates[i] = quorum.Peer{Name: seed, Address: seed}
 	}
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
 	k.Trove = quorum.New(s, store, web, params.Mates, mates, time.Duration(float64(force)*roundRatio))
--- a/helm/learn.go
+++ b/helm/learn.go
@@ -75,7 +75,7 @@
 	if holder == h.self {
 		return nil
 	}
-	return h.trove.News()
+	return h.trove.Changed()
 }
 
 func (h *Helm) first(b *wire.Bundle) bool {
--- a/helm/news.go
+++ b/helm/news.go
@@ -29,7 +29,7 @@
 	if sign == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "nothing was handed in"))
 	}
-	if !h.trove.Mine(BundleKey) {
+	if !h.trove.Owns(BundleKey) {
 		return nil, base.NewFault(base.Outranked, BundleKey, "another keel owns it")
 	}
 	var outcome *wire.Outcome
@@ -66,7 +66,7 @@
 
 func (h *Helm) tell(ask *wire.NewsRequest) (reply *wire.NewsReply, fresh bool) {
 	reply = &wire.NewsReply{Keel: h.member.Incarnation(), Roster: h.member.View().Serial()}
-	reply.Vouches, reply.Accepted = h.trove.Ready() && !h.trove.Store().IsSick(BundleKey), h.Accepted().committed
+	reply.Vouches, reply.Accepted = h.trove.Ready() && !h.trove.Store().IsDamaged(BundleKey), h.Accepted().committed
 	settled := h.Settled()
 	if settled.entry != nil {
 		reply.Ballot = &wire.Ballot{Epoch: settled.entry.Epoch.GetNumber(), Keel: settled.entry.Epoch.GetKeel(), Serial: settled.entry.Serial}
--- a/helm/rollout.go
+++ b/helm/rollout.go
@@ -147,7 +147,7 @@
 func (h *Helm) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	s, cancel := h.scope.Under(ctx).Within(h.force * 2)
 	defer cancel()
-	if owner, _, known := h.trove.Owner(BundleKey); known && !h.trove.Mine(BundleKey) && h.trove.Hears(owner, h.force/2) {
+	if owner, _, known := h.trove.Owner(BundleKey); known && !h.trove.Owns(BundleKey) && h.trove.HeardLately(owner, h.force/2) {
 		bounded, cancel := s.Within(h.force)
 		reply, err := h.mates[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
 		cancel()
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -58,9 +58,9 @@
 // Incarnation returns the random name of this process, new at each start.
 func (m *Member) Incarnation() string { return m.self.Incarnation }
 
-// Roster returns a copy of what this machine tells of itself, with its clock's
+// Status returns a copy of what this machine tells of itself, with its clock's
 // reading.
-func (m *Member) Roster() *wire.Roster {
+func (m *Member) Status() *wire.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	roster := proto.Clone(m.self).(*wire.Roster)
@@ -81,8 +81,8 @@
 	m.mu.Unlock()
 }
 
-// Place sets the machines that are on the ring.
-func (m *Member) Place(machines func(yield func(*wire.Machine) bool)) {
+// SetMachines sets the machines that are on the ring.
+func (m *Member) SetMachines(machines func(yield func(*wire.Machine) bool)) {
 	places := map[string]string{}
 	for machine := range machines {
 		places[machine.Name] = machine.Address
@@ -113,7 +113,7 @@
 	return addresses
 }
 
-func (m *Member) callee(address string) wireconnect.KinClient {
+func (m *Member) client(address string) wireconnect.KinClient {
 	if callee, ok := m.callees.Get(address); ok {
 		return callee
 	}
@@ -128,49 +128,49 @@
 	crew.Go(func() {
 		for s.Err() == nil {
 			heard := m.nudge.Heard()
-			m.round(s)
+			m.heartbeat(s)
 			base.Await(s, m.beat, heard)
 		}
 	})
-	crew.Go(func() { base.Tick(s, m.beat/2, func(base.Scope) { m.view.Judge() }) })
+	crew.Go(func() { base.Tick(s, m.beat/2, func(base.Scope) { m.view.RefreshStandings() }) })
 	crew.Wait()
 }
 
-func (m *Member) round(s base.Scope) {
+func (m *Member) heartbeat(s base.Scope) {
 	bounded, cancel := s.Within(m.beat)
 	defer cancel()
-	self := m.Roster()
+	self := m.Status()
 	m.view.Heard(self, 0)
 	var crew base.Crew
 	for _, address := range m.watchers() {
 		crew.Go(func() {
-			_, _ = m.callee(address).Beat(bounded, connect.NewRequest(&wire.BeatRequest{Roster: self}))
+			_, _ = m.client(address).Beat(bounded, connect.NewRequest(&wire.BeatRequest{Roster: self}))
 		})
 	}
-	crew.Go(func() { m.sight(bounded) })
+	crew.Go(func() { m.reportSightings(bounded) })
 	crew.Wait()
 }
 
-func (m *Member) sight(s base.Scope) {
+func (m *Member) reportSightings(s base.Scope) {
 	request := &wire.SightRequest{Watcher: m.self.Node, Sightings: slices.Collect(m.view.All())}
 	if m.self.Core {
 		request.Relayed = true
 		base.All(m.relays, func(address string) {
-			_, _ = m.callee(address).Sight(s, connect.NewRequest(request))
+			_, _ = m.client(address).Sight(s, connect.NewRequest(request))
 		})
 		return
 	}
-	start := Turn(m.self.Node, len(m.seeds))
+	start := HashTo(m.self.Node, len(m.seeds))
 	for i := range m.seeds {
-		if _, err := m.callee(m.seeds[(start+i)%len(m.seeds)]).Sight(s, connect.NewRequest(request)); err == nil {
+		if _, err := m.client(m.seeds[(start+i)%len(m.seeds)]).Sight(s, connect.NewRequest(request)); err == nil {
 			return
 		}
 	}
 }
 
-// Tell returns what this machine has in its journal about the subject asked
+// History returns what this machine has in its journal about the subject asked
 // for, if any, and its event counts.
-func (m *Member) Tell(ask *wire.TellRequest) *wire.TellReply {
+func (m *Member) History(ask *wire.TellRequest) *wire.TellReply {
 	reply := &wire.TellReply{Node: m.self.Node, Counts: m.scope.Journal.Counts()}
 	if ask.Subject != "" {
 		for event := range m.scope.Journal.About(ask.Subject) {
@@ -189,7 +189,7 @@
 	reply := &wire.ToldReply{}
 	var mu sync.Mutex
 	base.All(slices.Collect(m.view.All()), func(sighting *wire.Sighting) {
-		told, err := m.callee(sighting.Roster.Address).Tell(s, connect.NewRequest(ask))
+		told, err := m.client(sighting.Roster.Address).Tell(s, connect.NewRequest(ask))
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -205,14 +205,14 @@
 
 // Reaches reports whether a member answers at the address.
 func (m *Member) Reaches(s base.Scope, address string) bool {
-	_, err := m.callee(address).Tell(s, connect.NewRequest(&wire.TellRequest{}))
+	_, err := m.client(address).Tell(s, connect.NewRequest(&wire.TellRequest{}))
 	return err == nil
 }
 
 type server struct{ member *Member }
 
 func (v server) Tell(_ context.Context, request *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error) {
-	return connect.NewResponse(v.member.Tell(request.Msg)), nil
+	return connect.NewResponse(v.member.History(request.Msg)), nil
 }
 
 // Handler returns the path and handler that other members call.
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -12,11 +12,11 @@
 
 // NewRing returns the ring of the names.
 func NewRing(names iter.Seq[string]) Ring {
-	ordered := slices.SortedFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(place(a), place(b)), cmp.Compare(a, b)) })
+	ordered := slices.SortedFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(hashOf(a), hashOf(b)), cmp.Compare(a, b)) })
 	return Ring{ordered}
 }
 
-func place(name string) uint64 {
+func hashOf(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	z := hash.Sum64()
@@ -24,8 +24,8 @@
 	return z ^ (z >> 33)
 }
 
-// Turn maps a name evenly to a number in [0, among), always the same.
-func Turn(name string, among int) int { return int(place(name) % uint64(max(among, 1))) }
+// HashTo maps a name evenly to a number in [0, among), always the same.
+func HashTo(name string, among int) int { return int(hashOf(name) % uint64(max(among, 1))) }
 
 // Watchers returns the next machines after name, at most count, or none if it
 // isn't on the ring.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -35,14 +35,14 @@
 	// drift is how much faster or slower one clock may run than another, as a
 	// ratio (200 parts per million).
 	drift = 0.0002
-	// mostMates bounds the machines in view, against names made up.
-	mostMates = 4096
+	// mostPeers bounds the machines in view, against names made up.
+	mostPeers = 4096
 	// forgotten is after how many times the Absent silence a machine is dropped
 	// from the view.
 	forgotten = 60
 )
 
-type mate struct {
+type peer struct {
 	roster *wire.Roster
 	heard  time.Duration
 	offset time.Duration
@@ -58,7 +58,7 @@
 	late   time.Duration
 	absent time.Duration
 	mu     sync.Mutex
-	mates  map[string]*mate
+	peers  map[string]*peer
 	serial uint64
 	bell   base.Bell
 	last   map[string]string
@@ -67,23 +67,23 @@
 // NewView returns an empty view, whose standings follow from the interval
 // between heartbeats.
 func NewView(s base.Scope, beat time.Duration) *View {
-	return &View{scope: s, late: lateBeats * beat, absent: absentBeats * beat, mates: map[string]*mate{}, last: map[string]string{}}
+	return &View{scope: s, late: lateBeats * beat, absent: absentBeats * beat, peers: map[string]*peer{}, last: map[string]string{}}
 }
 
-// News returns a channel that closes at the next change.
-func (v *View) News() <-chan struct{} { return v.bell.Heard() }
+// Changed returns a channel that closes at the next change.
+func (v *View) Changed() <-chan struct{} { return v.bell.Heard() }
 
 // Heard takes in what a machine told of itself so long ago.
 func (v *View) Heard(roster *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	known := v.mates[roster.Node]
+	known := v.peers[roster.Node]
 	if known == nil {
-		if len(v.mates) >= mostMates {
+		if len(v.peers) >= mostPeers {
 			return
 		}
-		known = &mate{}
-		v.mates[roster.Node] = known
+		known = &peer{}
+		v.peers[roster.Node] = known
 		v.scope.Note("mate", roster.Node, "first heard")
 	}
 	if slices.Contains(known.gone, roster.Incarnation) {
@@ -108,22 +108,22 @@
 	known.tuned = now
 	if known.roster == nil || roster.Serial > known.roster.Serial {
 		known.roster = roster
-		v.rise(known)
+		v.markChanged(known)
 	}
-	if v.last[roster.Node] != v.judge(known) {
-		v.last[roster.Node] = v.judge(known)
+	if v.last[roster.Node] != v.refreshStanding(known) {
+		v.last[roster.Node] = v.refreshStanding(known)
 		v.scope.Note("standing", roster.Node, v.last[roster.Node])
-		v.rise(known)
+		v.markChanged(known)
 	}
 }
 
-func (v *View) rise(known *mate) {
+func (v *View) markChanged(known *peer) {
 	v.serial++
 	known.risen = v.serial
 	v.bell.Ring()
 }
 
-func (v *View) judge(m *mate) string {
+func (v *View) refreshStanding(m *peer) string {
 	silence := v.scope.Clock.Mono() - m.heard
 	switch {
 	case silence > v.absent:
@@ -134,21 +134,21 @@
 	return Well
 }
 
-// Judge renews the standings and forgets machines long silent. It is called
+// RefreshStandings renews the standings and forgets machines long silent. It is called
 // regularly.
-func (v *View) Judge() {
+func (v *View) RefreshStandings() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for name, each := range v.mates {
+	for name, each := range v.peers {
 		if v.scope.Clock.Mono()-each.heard > forgotten*v.absent {
-			delete(v.mates, name)
+			delete(v.peers, name)
 			delete(v.last, name)
 			continue
 		}
-		if standing := v.judge(each); standing != v.last[name] {
+		if standing := v.refreshStanding(each); standing != v.last[name] {
 			v.last[name] = standing
 			v.scope.Note("standing", name, standing)
-			v.rise(each)
+			v.markChanged(each)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 func (v *View) Len() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return len(v.mates)
+	return len(v.peers)
 }
 
 // Serial returns the number of the newest change.
@@ -176,14 +176,14 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.scope.Clock.Mono()
-	sightings := make([]*wire.Sighting, 0, len(v.mates))
-	for _, each := range v.mates {
+	sightings := make([]*wire.Sighting, 0, len(v.peers))
+	for _, each := range v.peers {
 		if each.roster == nil || each.risen <= serial {
 			continue
 		}
 		roster := proto.Clone(each.roster).(*wire.Roster)
 		roster.ClockUs = (now + each.offset).Microseconds()
-		sightings = append(sightings, &wire.Sighting{Roster: roster, Standing: v.judge(each), SilenceUs: uint64((now - each.heard).Microseconds())})
+		sightings = append(sightings, &wire.Sighting{Roster: roster, Standing: v.refreshStanding(each), SilenceUs: uint64((now - each.heard).Microseconds())})
 	}
 	slices.SortFunc(sightings, func(a, b *wire.Sighting) int { return strings.Compare(a.Roster.Node, b.Roster.Node) })
 	return slices.Values(sightings)
@@ -193,8 +193,8 @@
 func (v *View) Standing(node string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if known := v.mates[node]; known != nil {
-		return v.judge(known)
+	if known := v.peers[node]; known != nil {
+		return v.refreshStanding(known)
 	}
 	return Absent
 }
--- a/internal/quorum/band_test.go
+++ b/internal/quorum/band_test.go
@@ -17,15 +17,15 @@
 	"curlewreach/proto/wire"
 )
 
-type band struct {
+type fiveReplicas struct {
 	seed    uint64
 	born    time.Time
 	world   *rig.World
 	members []*member
 }
 
-func newBand(seed uint64, count int) *band {
-	b := &band{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+func newFiveReplicas(seed uint64, count int) *fiveReplicas {
+	b := &fiveReplicas{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
 		b.members = append(b.members, &member{disk: rig.NewDisk(base.SeededRand(seed + uint64(i)))})
 	}
@@ -35,7 +35,7 @@
 	return b
 }
 
-func (b *band) raise(i int, options ...Option) {
+func (b *fiveReplicas) raise(i int, options ...Option) {
 	b.seed++
 	m := b.members[i]
 	m.mount = rig.NewMount(m.disk)
@@ -46,19 +46,19 @@
 	s, m.cancel = s.Child()
 	store, err := OpenStore(s, 4)
 	Expect(err).NotTo(HaveOccurred())
-	var mates []Mate
+	var peers []Peer
 	for j := range b.members {
-		mates = append(mates, Mate{Name: address(j), Address: address(j)})
+		peers = append(peers, Peer{Name: address(j), Address: address(j)})
 	}
-	m.trove = New(s, store, base.Wire(s), address(i), mates, 300*time.Millisecond, options...)
+	m.replica = New(s, store, base.Wire(s), address(i), peers, 300*time.Millisecond, options...)
 	mux := http.NewServeMux()
-	mux.Handle(Handler(m.trove))
+	mux.Handle(Handler(m.replica))
 	m.door, err = base.Open(s, address(i), mux)
 	Expect(err).NotTo(HaveOccurred())
-	go m.trove.Recover(s, 100*time.Millisecond)
+	go m.replica.Recover(s, 100*time.Millisecond)
 }
 
-func (b *band) kill(i int) {
+func (b *fiveReplicas) kill(i int) {
 	m := b.members[i]
 	if m.cancel == nil {
 		return
@@ -70,12 +70,12 @@
 	m.cancel = nil
 }
 
-func (b *band) wipe(i int) {
+func (b *fiveReplicas) wipe(i int) {
 	b.kill(i)
 	b.members[i].disk.Wipe()
 }
 
-func (b *band) end() {
+func (b *fiveReplicas) end() {
 	for i := range b.members {
 		b.kill(i)
 	}
@@ -83,7 +83,7 @@
 	time.Sleep(time.Minute)
 }
 
-func (b *band) until(reached func() bool) bool {
+func (b *fiveReplicas) until(reached func() bool) bool {
 	for range 1000 {
 		if reached() {
 			return true
@@ -93,23 +93,23 @@
 	return false
 }
 
-func (b *band) ready(indices ...int) bool {
+func (b *fiveReplicas) ready(indices ...int) bool {
 	for _, i := range indices {
-		if !b.members[i].trove.Ready() {
+		if !b.members[i].replica.Ready() {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *band) write(i int, value string) error {
-	t := b.members[i].trove
+func (b *fiveReplicas) write(i int, value string) error {
+	t := b.members[i].replica
 	return t.Change(t.scope, "key", func([]byte) ([]byte, error) { return []byte(value), nil })
 }
 
-func (b *band) read(i int) (value string) {
+func (b *fiveReplicas) read(i int) (value string) {
 	Expect(b.until(func() bool {
-		t := b.members[i].trove
+		t := b.members[i].replica
 		read, err := t.Read(t.scope, "key")
 		value = string(read)
 		return err == nil
@@ -117,9 +117,9 @@
 	return value
 }
 
-func (b *band) holders(value string) (found []int) {
+func (b *fiveReplicas) holders(value string) (found []int) {
 	for i, m := range b.members {
-		if _, entry := m.trove.store.Peek("key"); string(entry.GetValue()) == value {
+		if _, entry := m.replica.store.Peek("key"); string(entry.GetValue()) == value {
 			found = append(found, i)
 		}
 	}
@@ -133,12 +133,12 @@
 	return all
 }
 
-func banded(count int, text string, tell func(b *band)) {
+func banded(count int, text string, tell func(b *fiveReplicas)) {
 	for seed := range uint64(3) {
 		ginkgo.It(fmt.Sprintf("%s (%d disks, seed %d)", text, count, seed+1), func() {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
-				b := newBand(seed*100+1, count)
+				b := newFiveReplicas(seed*100+1, count)
 				defer b.end()
 				Expect(b.until(func() bool { return b.ready(everyone(count)...) })).To(BeTrue())
 				tell(b)
@@ -152,7 +152,7 @@
 		majority := count/2 + 1
 		witnesses := count - majority + 1
 
-		banded(count, "given a value on the barest majority, when as many of it are wiped as may be, then those wiped read it again before they vote", func(b *band) {
+		banded(count, "given a value on the barest majority, when as many of it are wiped as may be, then those wiped read it again before they vote", func(b *fiveReplicas) {
 			Expect(b.write(0, "old")).To(Succeed())
 			for i := majority; i < count; i++ {
 				b.kill(i)
@@ -171,13 +171,13 @@
 			}
 			Expect(b.until(func() bool { return b.ready(everyone(count)...) })).To(BeTrue())
 			for i := range lost {
-				_, entry := b.members[i].trove.store.Peek("key")
+				_, entry := b.members[i].replica.store.Peek("key")
 				Expect(string(entry.GetValue())).To(Equal("new"))
 			}
 			Expect(b.read(0)).To(Equal("new"))
 		})
 
-		banded(count, "given a wiped disk, when fewer others than needed are whole, then it doesn't vote", func(b *band) {
+		banded(count, "given a wiped disk, when fewer others than needed are whole, then it doesn't vote", func(b *fiveReplicas) {
 			Expect(b.write(0, "old")).To(Succeed())
 			b.wipe(0)
 			for i := witnesses; i < count; i++ {
@@ -194,7 +194,7 @@
 		})
 	}
 
-	banded(3, "given disks that were all wiped, when they join, then they never found a fleet anew; without that word they do", func(b *band) {
+	banded(3, "given disks that were all wiped, when they join, then they never found a fleet anew; without that word they do", func(b *fiveReplicas) {
 		Expect(b.write(0, "old")).To(Succeed())
 		for _, options := range [][]Option{{Joining}, {}} {
 			for i := range b.members {
@@ -207,7 +207,7 @@
 		}
 	})
 
-	banded(3, "given one that was wiped amid the founding, when it joins others that never voted, then the fleet is founded", func(b *band) {
+	banded(3, "given one that was wiped amid the founding, when it joins others that never voted, then the fleet is founded", func(b *fiveReplicas) {
 		for i := range b.members {
 			b.wipe(i)
 		}
@@ -215,7 +215,7 @@
 		b.raise(1)
 		b.raise(2)
 		Expect(b.until(func() bool {
-			return b.members[0].trove.store.Phase() == wire.Phase_FRESH && b.members[1].trove.store.Phase() == wire.Phase_FRESH
+			return b.members[0].replica.store.Phase() == wire.Phase_FRESH && b.members[1].replica.store.Phase() == wire.Phase_FRESH
 		})).To(BeTrue())
 		b.wipe(2)
 		b.kill(0)
@@ -226,7 +226,7 @@
 		Expect(b.until(func() bool { return b.ready(0, 1, 2) })).To(BeTrue())
 	})
 
-	banded(3, "given a wiped disk, when it joins, then it gives those that count on its lost promises time to give up", func(b *band) {
+	banded(3, "given a wiped disk, when it joins, then it gives those that count on its lost promises time to give up", func(b *fiveReplicas) {
 		b.wipe(0)
 		b.raise(0, Joining)
 		time.Sleep(600 * time.Millisecond)
@@ -234,7 +234,7 @@
 		Expect(b.until(func() bool { return b.ready(0) })).To(BeTrue())
 	})
 
-	banded(3, "given a sick disk, when a majority is asked by survey, then the sick one's blank is no answer", func(b *band) {
+	banded(3, "given a damaged disk, when a majority is asked by survey, then the damaged one's blank is no answer", func(b *fiveReplicas) {
 		b.kill(2)
 		Expect(b.write(0, "new")).To(Succeed())
 		Expect(b.until(func() bool { return len(b.holders("new")) == 2 })).To(BeTrue())
@@ -244,7 +244,7 @@
 		b.raise(1)
 		b.raise(2)
 		time.Sleep(time.Second)
-		t := b.members[2].trove
+		t := b.members[2].replica
 		settled, agreed := t.Survey(t.scope, "key")
 		Expect(settled && agreed).To(BeFalse())
 	})
--- a/internal/quorum/poll.go
+++ b/internal/quorum/poll.go
@@ -34,7 +34,7 @@
 	replies := make(chan Reply[T], len(disks))
 	for i, each := range disks {
 		go func() {
-			body, err := patient(ctx, func() (*T, error) { return ask(ctx, each) })
+			body, err := retry(ctx, func() (*T, error) { return ask(ctx, each) })
 			replies <- Reply[T]{i, body, err}
 		}()
 	}
@@ -60,7 +60,7 @@
 	return got
 }
 
-func patient[T any](ctx context.Context, ask func() (*T, error)) (*T, error) {
+func retry[T any](ctx context.Context, ask func() (*T, error)) (*T, error) {
 	type said struct {
 		body *T
 		err  error
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -11,7 +11,7 @@
 	"curlewreach/base"
 )
 
-func (t *trio) until(reached func() bool) bool {
+func (t *threeReplicas) until(reached func() bool) bool {
 	for range 2000 {
 		if reached() {
 			return true
@@ -21,7 +21,7 @@
 	return false
 }
 
-func (t *trio) last(i int) (value string) {
+func (t *threeReplicas) last(i int) (value string) {
 	t.until(func() bool {
 		read, err := t.read(i)
 		value = read
@@ -30,17 +30,17 @@
 	return value
 }
 
-func (t *trio) held(i int) string {
-	_, entry := t.members[i].trove.store.Peek("key")
+func (t *threeReplicas) held(i int) string {
+	_, entry := t.members[i].replica.store.Peek("key")
 	return string(entry.GetValue())
 }
 
-func (t *trio) founded() {
+func (t *threeReplicas) founded() {
 	Expect(t.until(func() bool { return t.ready(0, 1, 2) })).To(BeTrue(), "three blank disks make a new fleet")
 }
 
 var _ = ginkgo.Describe("a key", func() {
-	story("given an owner, when another keel takes over, then it reads what was acked and fences the old owner", func(t *trio) {
+	story("given an owner, when another keel takes over, then it reads what was acked and fences the old owner", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		Expect(t.read(1)).To(Equal("one"))
@@ -54,7 +54,7 @@
 		}
 	})
 
-	story("given one disk down, when a change is acked and then another disk's machine is lost, then the change is still read", func(t *trio) {
+	story("given one disk down, when a change is acked and then another disk's machine is lost, then the change is still read", func(t *threeReplicas) {
 		t.founded()
 		t.kill(2)
 		Expect(t.write(0, "kept")).To(Succeed())
@@ -68,7 +68,7 @@
 		Expect(t.last(2)).To(Equal("kept"))
 	})
 
-	story("given many changes, when the bound is reached, then old files go and the newest stay readable", func(t *trio) {
+	story("given many changes, when the bound is reached, then old files go and the newest stay readable", func(t *threeReplicas) {
 		t.founded()
 		for i := range 20 {
 			Expect(t.write(0, strings.Repeat("x", i+1))).To(Succeed())
@@ -87,13 +87,13 @@
 			Expect(rolls).To(BeNumerically("<=", rollsKept+1))
 		}
 		var past []int
-		for entry := range t.members[0].trove.store.Past("key") {
+		for entry := range t.members[0].replica.store.History("key") {
 			past = append(past, len(entry.Value))
 		}
 		Expect(past).To(Equal([]int{20, 19, 18, 17}))
 	})
 
-	story("given no majority, when a change is tried, then it is never acked", func(t *trio) {
+	story("given no majority, when a change is tried, then it is never acked", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		t.kill(1)
@@ -101,7 +101,7 @@
 		Expect(t.write(0, "two")).NotTo(Succeed())
 	})
 
-	story("given an owner cut off mid-change, when a majority goes on, then the old owner's change never returns", func(t *trio) {
+	story("given an owner cut off mid-change, when a majority goes on, then the old owner's change never returns", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		for _, other := range []int{1, 2} {
@@ -117,7 +117,7 @@
 })
 
 var _ = ginkgo.Describe("amnesia", func() {
-	story("given a wiped disk, when it returns, then it votes only after reading every key from both others", func(t *trio) {
+	story("given a wiped disk, when it returns, then it votes only after reading every key from both others", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		t.kill(2)
@@ -125,15 +125,15 @@
 		t.kill(1)
 		t.raise(2)
 		time.Sleep(3 * time.Second)
-		Expect(t.members[2].trove.Ready()).To(BeFalse())
+		Expect(t.members[2].replica.Ready()).To(BeFalse())
 		Expect(t.write(0, "two")).NotTo(Succeed(), "a blank disk must not make the majority")
 		t.raise(1)
 		Expect(t.until(func() bool { return t.ready(1, 2) })).To(BeTrue())
-		_, entry := t.members[2].trove.store.Peek("key")
+		_, entry := t.members[2].replica.store.Peek("key")
 		Expect(string(entry.Value)).To(Or(Equal("one"), Equal("two")))
 	})
 
-	story("given two blank disks, when they start, then they wait for an operator's word", func(t *trio) {
+	story("given two blank disks, when they start, then they wait for an operator's word", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		for _, i := range []int{1, 2} {
@@ -143,27 +143,27 @@
 		t.raise(1)
 		t.raise(2)
 		time.Sleep(5 * time.Second)
-		Expect(t.members[1].trove.Ready()).To(BeFalse())
-		Expect(t.members[2].trove.Ready()).To(BeFalse())
-		Expect(t.members[1].trove.Adopt(t.members[1].trove.scope)).To(BeTrue())
+		Expect(t.members[1].replica.Ready()).To(BeFalse())
+		Expect(t.members[2].replica.Ready()).To(BeFalse())
+		Expect(t.members[1].replica.Adopt(t.members[1].replica.scope)).To(BeTrue())
 		Expect(t.until(func() bool { return t.ready(1, 2) })).To(BeTrue())
 		Expect(t.read(1)).To(Equal("one"))
 	})
 
-	story("given a flipped bit in the newest file, when the keel starts, then the file is set aside and repaired from mates", func(t *trio) {
+	story("given a flipped bit in the newest file, when the keel starts, then the file is set aside and repaired from peers", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
-		Expect(t.until(func() bool { _, entry := t.members[1].trove.store.Peek("key"); return entry != nil })).To(BeTrue())
+		Expect(t.until(func() bool { _, entry := t.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
 		t.kill(1)
 		Expect(t.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
 		t.raise(1)
 		Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
-		_, entry := t.members[1].trove.store.Peek("key")
+		_, entry := t.members[1].replica.store.Peek("key")
 		Expect(string(entry.Value)).To(Equal("one"))
 		Expect(t.members[1].disk.Names()).To(ContainElement(HaveSuffix(badSuffix)))
 	})
 
-	story("given a bad newest roll or a lost brand, when the disk recovers and the keel starts once more, then no older roll left there is believed", func(t *trio) {
+	story("given a bad newest roll or a lost brand, when the disk recovers and the keel starts once more, then no older roll left there is believed", func(t *threeReplicas) {
 		for round, spoil := range []string{rollPrefix, brandFile, rollPrefix} {
 			t.founded()
 			for i := range 4 {
@@ -183,18 +183,18 @@
 			Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
 			Expect(t.write(0, "newest")).To(Succeed())
 			Expect(t.until(func() bool { return t.held(1) == "newest" })).To(BeTrue())
-			promised, _ := m.trove.store.Peek("key")
+			promised, _ := m.replica.store.Peek("key")
 			t.kill(1)
 			m.disk.PowerLoss()
 			t.raise(1)
-			Expect(t.members[1].trove.Ready()).To(BeTrue(), "what it wrote after it recovered is what it finds")
+			Expect(t.members[1].replica.Ready()).To(BeTrue(), "what it wrote after it recovered is what it finds")
 			Expect(t.held(1)).To(Equal("newest"))
-			again, _ := m.trove.store.Peek("key")
+			again, _ := m.replica.store.Peek("key")
 			Expect(compareEpochs(again, promised)).To(BeNumerically(">=", 0), "a promise must not be forgotten")
 		}
 	})
 
-	story("given a lost newest file, when the keel starts, then the key is sick until repaired", func(t *trio) {
+	story("given a lost newest file, when the keel starts, then the key is damaged until repaired", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		t.kill(0)
@@ -206,7 +206,7 @@
 		t.kill(1)
 		t.raise(0)
 		time.Sleep(2 * time.Second)
-		Expect(t.members[0].trove.store.Sick()).To(ConsistOf("key"))
+		Expect(t.members[0].replica.store.DamagedKeys()).To(ConsistOf("key"))
 		t.raise(1)
 		Expect(t.until(func() bool { return t.ready(0) })).To(BeTrue())
 		Expect(t.read(0)).To(Equal("one"))
@@ -214,7 +214,7 @@
 })
 
 var _ = ginkgo.Describe("a disk in trouble", func() {
-	story("given power loss at any moment, when the machine returns, then no half file is believed", func(t *trio) {
+	story("given power loss at any moment, when the machine returns, then no half file is believed", func(t *threeReplicas) {
 		t.founded()
 		for round := range 6 {
 			go func() { _ = t.write(0, "value") }()
@@ -228,7 +228,7 @@
 		Expect(t.last(2)).To(Equal("last"))
 	})
 
-	story("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(t *trio) {
+	story("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		t.members[0].disk.Fill(true)
@@ -239,7 +239,7 @@
 		Expect(t.write(0, "three")).To(Succeed())
 	})
 
-	story("given a stalled disk, when its mates go on, then changes are acked without it and nobody hangs", func(t *trio) {
+	story("given a stalled disk, when its peers go on, then changes are acked without it and nobody hangs", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
 		release := t.members[0].disk.Stall()
@@ -248,6 +248,6 @@
 		Expect(t.write(0, "two")).To(Succeed(), "two other disks are a majority")
 		Expect(t.write(1, "three")).To(Succeed())
 		Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
-		t.members[0].trove.store.Peek("key")
+		t.members[0].replica.store.Peek("key")
 	})
 })
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -21,32 +21,32 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// Mate is a core machine of the set.
-type Mate struct {
+// Peer is a core machine of the set.
+type Peer struct {
 	Name    string
 	Address string
 }
 
-// hold is what this machine knows of a key as its owner. A nil epoch means that
+// ownerState is what this machine knows of a key as its owner. A nil epoch means that
 // it isn't.
-type hold struct {
+type ownerState struct {
 	latch  base.Latch
 	epoch  *wire.Epoch
 	serial uint64
 	value  []byte
 }
 
-// Trove is one core machine's part of the set: its disk, and changes and reads
+// Replica is one core machine's part of the set: its disk, and changes and reads
 // by majority. It is safe for concurrent use.
-type Trove struct {
+type Replica struct {
 	scope   base.Scope
 	store   *Store
 	self    int
-	mates   []Mate
+	peers   []Peer
 	disks   []disk
 	round   time.Duration
 	mu      sync.Mutex
-	holds   map[string]*hold
+	holds   map[string]*ownerState
 	settled base.Table[*wire.Entry]
 	news    base.Bell
 	heard   base.Table[time.Duration]
@@ -55,24 +55,24 @@
 }
 
 // Option changes how a Trove starts.
-type Option func(*Trove)
+type Option func(*Replica)
 
 // Joining says that a blank disk here was wiped and is no new fleet's.
-func Joining(t *Trove) { t.joining = true }
+func Joining(t *Replica) { t.joining = true }
 
-// New returns the part of the machine self, which is one of mates. A disk that
+// New returns the part of the machine self, which is one of peers. A disk that
 // doesn't answer within round counts as lost for that round.
-func New(s base.Scope, store *Store, web *http.Client, self string, mates []Mate, round time.Duration, options ...Option) *Trove {
-	mates = slices.Clone(mates)
-	slices.SortFunc(mates, func(a, b Mate) int { return strings.Compare(a.Name, b.Name) })
-	t := &Trove{scope: s, store: store, mates: mates, round: round, holds: map[string]*hold{}}
-	for i, mate := range mates {
-		if mate.Name == self {
+func New(s base.Scope, store *Store, web *http.Client, self string, peers []Peer, round time.Duration, options ...Option) *Replica {
+	peers = slices.Clone(peers)
+	slices.SortFunc(peers, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
+	t := &Replica{scope: s, store: store, peers: peers, round: round, holds: map[string]*ownerState{}}
+	for i, peer := range peers {
+		if peer.Name == self {
 			t.self = i
 			t.disks = append(t.disks, server{t})
 			continue
 		}
-		t.disks = append(t.disks, wireconnect.NewTroveClient(web, "http://"+mate.Address))
+		t.disks = append(t.disks, wireconnect.NewTroveClient(web, "http://"+peer.Address))
 	}
 	for _, option := range options {
 		option(t)
@@ -87,56 +87,56 @@
 }
 
 // Store returns this machine's disk.
-func (t *Trove) Store() *Store { return t.store }
+func (t *Replica) Store() *Store { return t.store }
 
-// News returns a channel that closes when a newer value is known to be settled.
-func (t *Trove) News() <-chan struct{} { return t.news.Heard() }
+// Changed returns a channel that closes when a newer value is known to be settled.
+func (t *Replica) Changed() <-chan struct{} { return t.news.Heard() }
 
 // Ready reports whether this machine's disk may vote.
-func (t *Trove) Ready() bool { return t.store.Phase() == wire.Phase_FOUNDED }
+func (t *Replica) Ready() bool { return t.store.Phase() == wire.Phase_FOUNDED }
 
 // Settled returns the newest entry of a key known to be on a majority of disks.
 // A newer one may be.
-func (t *Trove) Settled(key string) (*wire.Entry, bool) { return t.settled.Get(key) }
+func (t *Replica) Settled(key string) (*wire.Entry, bool) { return t.settled.Get(key) }
 
 // Owner returns the machine whose epoch of a key this disk has promised, and
 // that epoch.
-func (t *Trove) Owner(key string) (Mate, *wire.Epoch, bool) {
+func (t *Replica) Owner(key string) (Peer, *wire.Epoch, bool) {
 	promised, _ := t.store.Peek(key)
-	for _, mate := range t.mates {
-		if promised.GetNumber() > 0 && promised.GetKeel() == place(mate.Address) {
-			return mate, promised, true
+	for _, peer := range t.peers {
+		if promised.GetNumber() > 0 && promised.GetKeel() == place(peer.Address) {
+			return peer, promised, true
 		}
 	}
-	return Mate{}, promised, false
+	return Peer{}, promised, false
 }
 
-// Mine reports whether this machine owns a key, by its own disk's knowledge.
-func (t *Trove) Mine(key string) bool {
+// Owns reports whether this machine owns a key, by its own disk's knowledge.
+func (t *Replica) Owns(key string) bool {
 	owner, _, known := t.Owner(key)
-	return known && owner.Name == t.mates[t.self].Name
+	return known && owner.Name == t.peers[t.self].Name
 }
 
-// Hears reports whether another machine answered lately.
-func (t *Trove) Hears(mate Mate, lately time.Duration) bool {
-	at, known := t.heard.Get(mate.Name)
+// HeardLately reports whether another machine answered lately.
+func (t *Replica) HeardLately(peer Peer, lately time.Duration) bool {
+	at, known := t.heard.Get(peer.Name)
 	return known && t.scope.Clock.Mono()-at <= lately
 }
 
-func (t *Trove) majority() int { return len(t.disks)/2 + 1 }
+func (t *Replica) majority() int { return len(t.disks)/2 + 1 }
 
-func (t *Trove) hold(key string) *hold {
+func (t *Replica) ownerOf(key string) *ownerState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.holds[key]
 	if at == nil {
-		at = &hold{latch: base.NewLatch()}
+		at = &ownerState{latch: base.NewLatch()}
 		t.holds[key] = at
 	}
 	return at
 }
 
-func (t *Trove) promises(s base.Scope, disks []disk, need int, request *wire.PromiseRequest) []Reply[wire.PromiseReply] {
+func (t *Replica) promises(s base.Scope, disks []disk, need int, request *wire.PromiseRequest) []Reply[wire.PromiseReply] {
 	return poll(s, disks, need, t.round, func(ctx context.Context, d disk) (*wire.PromiseReply, error) {
 		reply, err := d.Promise(ctx, connect.NewRequest(request))
 		if err != nil {
@@ -146,9 +146,9 @@
 	})
 }
 
-func (t *Trove) promise(s base.Scope, key string, at *hold) error {
+func (t *Replica) promise(s base.Scope, key string, at *ownerState) error {
 	promised, _ := t.store.Peek(key)
-	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: place(t.mates[t.self].Address)}
+	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: place(t.peers[t.self].Address)}
 	own := t.promises(s, t.disks[t.self:t.self+1], 1, &wire.PromiseRequest{Key: key, Epoch: epoch})[0]
 	if own.err != nil {
 		return own.err
@@ -157,7 +157,7 @@
 		return base.NewFault(base.Outranked, key, "a higher epoch came first")
 	}
 	replies := t.promises(s, t.disks, t.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
-	granted, beaten, highest := counted(replies, epoch)
+	granted, beaten, highest := countGrants(replies, epoch)
 	if granted < t.majority() {
 		if beaten != epoch {
 			_, _, _, _ = t.store.Promise(s, key, &wire.Epoch{Number: beaten.Number, Keel: beaten.Keel})
@@ -166,16 +166,16 @@
 		return base.NewFault(base.Unreachable, key, "no majority of disks promised")
 	}
 	at.epoch, at.serial, at.value = epoch, highest.GetSerial(), highest.GetValue()
-	t.scope.Note("owner", key, t.mates[t.self].Name)
+	t.scope.Note("owner", key, t.peers[t.self].Name)
 	if highest == nil {
 		return nil
 	}
 	return t.accept(s, key, at, at.serial, at.value)
 }
 
-// counted returns how many disks granted a promise, the highest epoch promised
+// countGrants returns how many disks granted a promise, the highest epoch promised
 // by any (at least the one given), and the highest entry of those that granted.
-func counted(replies []Reply[wire.PromiseReply], epoch *wire.Epoch) (granted int, promised *wire.Epoch, highest *wire.Entry) {
+func countGrants(replies []Reply[wire.PromiseReply], epoch *wire.Epoch) (granted int, promised *wire.Epoch, highest *wire.Entry) {
 	promised = epoch
 	for _, reply := range replies {
 		if reply.err != nil {
@@ -195,7 +195,7 @@
 	return granted, promised, highest
 }
 
-func (t *Trove) accept(s base.Scope, key string, at *hold, serial uint64, value []byte) error {
+func (t *Replica) accept(s base.Scope, key string, at *ownerState, serial uint64, value []byte) error {
 	entry := &wire.Entry{Key: key, Epoch: at.epoch, Serial: serial, Value: value}
 	replies := poll(s, t.disks, t.majority(), t.round, func(ctx context.Context, d disk) (*wire.AcceptReply, error) {
 		reply, err := d.Accept(ctx, connect.NewRequest(&wire.AcceptRequest{Entry: entry}))
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (t *Trove) settle(entry *wire.Entry) {
+func (t *Replica) settle(entry *wire.Entry) {
 	risen := false
 	t.settled.Change(func(rows map[string]*wire.Entry) {
 		if compareEntries(entry, rows[entry.Key]) > 0 {
@@ -250,10 +250,10 @@
 // there is none. A nil result changes nothing. It returns nil once a majority
 // of disks has the value. After an error of kind Outranked another machine owns
 // the key; of kind Uncertain, the value may or may not get in force.
-func (t *Trove) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
-	at := t.hold(key)
+func (t *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
+	at := t.ownerOf(key)
 	if !at.latch.Take(s) {
-		return busy(key)
+		return errBusy(key)
 	}
 	defer at.latch.Drop()
 	promised, _ := t.store.Peek(key)
@@ -275,10 +275,10 @@
 
 // Read returns the newest value of a key, nil if there is none, once a majority
 // has it.
-func (t *Trove) Read(s base.Scope, key string) ([]byte, error) {
-	at := t.hold(key)
+func (t *Replica) Read(s base.Scope, key string) ([]byte, error) {
+	at := t.ownerOf(key)
 	if !at.latch.Take(s) {
-		return nil, busy(key)
+		return nil, errBusy(key)
 	}
 	defer at.latch.Drop()
 	if at.epoch == nil || at.serial == 0 {
@@ -292,7 +292,7 @@
 }
 
 // Refresh is Survey without the second answer.
-func (t *Trove) Refresh(s base.Scope, key string) (settled bool) {
+func (t *Replica) Refresh(s base.Scope, key string) (settled bool) {
 	settled, _ = t.Survey(s, key)
 	return settled
 }
@@ -300,7 +300,7 @@
 // Survey asks all disks for a key's newest entry and takes it in. It reports
 // whether that is settled (or there is none), and whether a majority of disks
 // answered; both together make a majority read.
-func (t *Trove) Survey(s base.Scope, key string) (settled, agreed bool) {
+func (t *Replica) Survey(s base.Scope, key string) (settled, agreed bool) {
 	_, mine := t.store.Peek(key)
 	replies := t.promises(s, t.disks, len(t.disks), &wire.PromiseRequest{Key: key, Have: mine.GetEpoch(), HaveSerial: mine.GetSerial()})
 	var highest *wire.Entry
@@ -308,7 +308,7 @@
 	for _, reply := range replies {
 		if reply.err == nil {
 			heard++
-			t.heard.Put(t.mates[reply.disk].Name, t.scope.Clock.Mono())
+			t.heard.Put(t.peers[reply.disk].Name, t.scope.Clock.Mono())
 		}
 		if reply.err != nil || reply.body.Entry == nil {
 			continue
@@ -339,15 +339,15 @@
 
 // Copies returns how many disks had the settled entry of a key at the last
 // Survey.
-func (t *Trove) Copies(key string) int {
+func (t *Replica) Copies(key string) int {
 	count, _ := t.copies.Get(key)
 	return count
 }
 
 // HandOver gives the keys that this machine owns to others that will take them.
-func (t *Trove) HandOver(s base.Scope) {
+func (t *Replica) HandOver(s base.Scope) {
 	for _, key := range t.store.Keys() {
-		if !t.Mine(key) {
+		if !t.Owns(key) {
 			continue
 		}
 		for i, each := range t.disks {
@@ -355,7 +355,7 @@
 				continue
 			}
 			if _, err := each.TakeOver(s, connect.NewRequest(&wire.TakeOverRequest{Key: key})); err == nil {
-				t.scope.Note("duty", key, "handed to "+t.mates[i].Name)
+				t.scope.Note("duty", key, "handed to "+t.peers[i].Name)
 				break
 			}
 		}
--- a/internal/quorum/server.go
+++ b/internal/quorum/server.go
@@ -11,26 +11,26 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-type server struct{ trove *Trove }
+type server struct{ replica *Replica }
 
 // Handler returns the path and handler of this machine's disk.
-func Handler(t *Trove) (string, http.Handler) {
+func Handler(t *Replica) (string, http.Handler) {
 	return wireconnect.NewTroveHandler(server{t}, base.Plain())
 }
 
 func (v server) Promise(ctx context.Context, request *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error) {
 	ask := request.Msg
 	if ask.Epoch == nil {
-		promised, entry := v.trove.store.Peek(ask.Key)
+		promised, entry := v.replica.store.Peek(ask.Key)
 		if entry != nil && ask.Have != nil && compareEntries(entry, &wire.Entry{Epoch: ask.Have, Serial: ask.HaveSerial}) == 0 {
 			entry = &wire.Entry{Key: entry.Key, Epoch: entry.Epoch, Serial: entry.Serial}
 		}
-		if v.trove.store.Phase() != wire.Phase_FOUNDED || v.trove.store.IsSick(ask.Key) {
+		if v.replica.store.Phase() != wire.Phase_FOUNDED || v.replica.store.IsDamaged(ask.Key) {
 			return nil, base.NewFault(base.Amnesiac, ask.Key, "this disk has not recovered")
 		}
 		return connect.NewResponse(&wire.PromiseReply{Promised: promised, Entry: entry}), nil
 	}
-	granted, promised, entry, err := v.trove.store.Promise(ctx, ask.Key, ask.Epoch)
+	granted, promised, entry, err := v.replica.store.Promise(ctx, ask.Key, ask.Epoch)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	if request.Msg.GetEntry().GetKey() == "" || request.Msg.Entry.GetEpoch().GetNumber() == 0 {
 		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "entry", "an entry has a key and an epoch"))
 	}
-	granted, promised, err := v.trove.store.Accept(ctx, request.Msg.Entry)
+	granted, promised, err := v.replica.store.Accept(ctx, request.Msg.Entry)
 	if err != nil {
 		return nil, err
 	}
@@ -49,20 +49,20 @@
 }
 
 func (v server) Settle(_ context.Context, request *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleReply], error) {
-	_, entry := v.trove.store.Peek(request.Msg.Key)
+	_, entry := v.replica.store.Peek(request.Msg.Key)
 	if entry != nil && compareEntries(entry, &wire.Entry{Epoch: request.Msg.Epoch, Serial: request.Msg.Serial}) == 0 {
-		v.trove.settle(entry)
+		v.replica.settle(entry)
 	}
 	return connect.NewResponse(&wire.SettleReply{}), nil
 }
 
 func (v server) TakeOver(ctx context.Context, request *connect.Request[wire.TakeOverRequest]) (*connect.Response[wire.TakeOverReply], error) {
-	t := v.trove
+	t := v.replica
 	s, cancel := t.scope.Under(ctx).Within(t.round)
 	defer cancel()
-	at := t.hold(request.Msg.Key)
+	at := t.ownerOf(request.Msg.Key)
 	if !at.latch.Take(s) {
-		return nil, busy(request.Msg.Key)
+		return nil, errBusy(request.Msg.Key)
 	}
 	defer at.latch.Drop()
 	if err := t.promise(s, request.Msg.Key, at); err != nil {
@@ -73,5 +73,5 @@
 }
 
 func (v server) Keys(context.Context, *connect.Request[wire.KeysRequest]) (*connect.Response[wire.KeysReply], error) {
-	return connect.NewResponse(&wire.KeysReply{Keys: v.trove.store.Keys(), Phase: v.trove.store.Phase()}), nil
+	return connect.NewResponse(&wire.KeysReply{Keys: v.replica.store.Keys(), Phase: v.replica.store.Phase()}), nil
 }
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -28,27 +28,27 @@
 	rollsKept  = 2
 )
 
-type shown struct {
+type keySnapshot struct {
 	promised *wire.Epoch
 	entry    *wire.Entry
 }
 
-// slot is the state of one key; shown is its copy for readers who don't wait.
-type slot struct {
+// keyState is the state of one key; shown is its copy for readers who don't wait.
+type keyState struct {
 	latch    base.Latch
 	promised *wire.Epoch
 	entry    *wire.Entry
-	sick     atomic.Bool
-	shown    atomic.Pointer[shown]
+	damaged  atomic.Bool
+	shown    atomic.Pointer[keySnapshot]
 }
 
-func newSlot() *slot {
-	at := &slot{latch: base.NewLatch(), promised: &wire.Epoch{}}
+func newKeyState() *keyState {
+	at := &keyState{latch: base.NewLatch(), promised: &wire.Epoch{}}
 	at.show()
 	return at
 }
 
-func (at *slot) show() { at.shown.Store(&shown{at.promised, at.entry}) }
+func (at *keyState) show() { at.shown.Store(&keySnapshot{at.promised, at.entry}) }
 
 // Store is one machine's disk: the promise and the newest entry of each key, in
 // files that the newest roll lists. Lock order: a slot's latch, then rolled,
@@ -58,7 +58,7 @@
 	kept   int
 	mu     sync.Mutex
 	phase  wire.Phase
-	slots  map[string]*slot
+	slots  map[string]*keyState
 	roll   *wire.Roll
 	rolled base.Latch
 }
@@ -66,7 +66,7 @@
 // OpenStore returns what the disk holds. It keeps so many past values of each
 // key.
 func OpenStore(s base.Scope, kept int) (*Store, error) {
-	store := &Store{scope: s, kept: max(kept, 2), rolled: base.NewLatch(), slots: map[string]*slot{}, roll: &wire.Roll{Lines: map[string]*wire.Line{}}}
+	store := &Store{scope: s, kept: max(kept, 2), rolled: base.NewLatch(), slots: map[string]*keyState{}, roll: &wire.Roll{Lines: map[string]*wire.Line{}}}
 	if err := s.Disk.MakeFolder(keyFolder); err != nil {
 		return nil, errors.Wrap(err, "keys folder")
 	}
@@ -126,20 +126,20 @@
 		t.scope.Note("blank", "", "no brand")
 		return nil
 	}
-	if !t.loadRoll(names) {
+	if !t.loadManifest(names) {
 		t.scope.Note("blank", "", "no roll")
 		return nil
 	}
 	for key, line := range t.roll.Lines {
-		t.slots[key] = t.loadSlot(key, line)
+		t.slots[key] = t.loadKey(key, line)
 	}
 	t.phase = brand.Phase
 	return nil
 }
 
-// loadRoll reads the newest roll of the names, which are in descending order. An
+// loadManifest reads the newest roll of the names, which are in descending order. An
 // older one is never taken in place of one that can't be read.
-func (t *Store) loadRoll(names []string) bool {
+func (t *Store) loadManifest(names []string) bool {
 	at := slices.IndexFunc(names, func(name string) bool {
 		return strings.HasPrefix(name, rollPrefix) && !strings.HasSuffix(name, base.Aside) && !strings.HasSuffix(name, badSuffix)
 	})
@@ -157,32 +157,32 @@
 	return true
 }
 
-func (t *Store) loadSlot(key string, line *wire.Line) *slot {
-	at := newSlot()
+func (t *Store) loadKey(key string, line *wire.Line) *keyState {
+	at := newKeyState()
 	defer at.show()
 	if line.Promise != "" && t.read(line.Promise, at.promised) != nil {
-		at.sick.Store(true)
+		at.damaged.Store(true)
 	}
 	if line.Value != "" {
 		entry := &wire.Entry{}
 		if t.read(line.Value, entry) != nil {
-			at.sick.Store(true)
+			at.damaged.Store(true)
 		} else {
 			at.entry = entry
 		}
 	}
-	if at.sick.Load() {
-		t.scope.Note("sick-key", key, "a file is lost or bad")
+	if at.damaged.Load() {
+		t.scope.Note("damaged-key", key, "a file is lost or bad")
 	}
 	return at
 }
 
-func (t *Store) slot(key string) *slot {
+func (t *Store) key(key string) *keyState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.slots[key]
 	if at == nil {
-		at = newSlot()
+		at = newKeyState()
 		t.slots[key] = at
 	}
 	return at
@@ -197,7 +197,7 @@
 
 func (t *Store) setPhase(phase wire.Phase) error {
 	brand := &wire.Brand{Phase: phase, Incarnation: t.scope.Rand.Name(8)}
-	if err := t.enroll("", nil); err != nil {
+	if err := t.addToManifest("", nil); err != nil {
 		return err
 	}
 	if err := t.write(brandFile, brand); err != nil {
@@ -222,29 +222,29 @@
 	return keys
 }
 
-// IsSick reports whether a file of the key was lost or bad, so that the disk
+// IsDamaged reports whether a file of the key was lost or bad, so that the disk
 // can't vote on it.
-func (t *Store) IsSick(key string) bool { return t.slot(key).sick.Load() }
+func (t *Store) IsDamaged(key string) bool { return t.key(key).damaged.Load() }
 
-// Sick returns all such keys.
-func (t *Store) Sick() []string {
-	var sick []string
+// DamagedKeys returns all such keys.
+func (t *Store) DamagedKeys() []string {
+	var damaged []string
 	for _, key := range t.Keys() {
-		if t.slot(key).sick.Load() {
-			sick = append(sick, key)
+		if t.key(key).damaged.Load() {
+			damaged = append(damaged, key)
 		}
 	}
-	return sick
+	return damaged
 }
 
 // Peek returns a key's promise and entry without waiting for a change under
 // way.
 func (t *Store) Peek(key string) (promised *wire.Epoch, entry *wire.Entry) {
-	at := t.slot(key).shown.Load()
+	at := t.key(key).shown.Load()
 	return at.promised, at.entry
 }
 
-func (t *Store) enroll(key string, change func(*wire.Line)) error {
+func (t *Store) addToManifest(key string, change func(*wire.Line)) error {
 	t.rolled.Take(context.Background())
 	defer t.rolled.Drop()
 	t.mu.Lock()
@@ -273,8 +273,8 @@
 	return nil
 }
 
-func (t *Store) votes(at *slot) *base.Fault {
-	if t.Phase() != wire.Phase_FOUNDED || at.sick.Load() {
+func (t *Store) votes(at *keyState) *base.Fault {
+	if t.Phase() != wire.Phase_FOUNDED || at.damaged.Load() {
 		return base.NewFault(base.Amnesiac, "", "this disk has not recovered")
 	}
 	return nil
@@ -282,10 +282,10 @@
 
 // Promise grants an epoch unless a higher one is promised, and keeps that on
 // disk before it returns.
-func (t *Store) Promise(ctx context.Context, key string, epoch *wire.Epoch) (granted bool, promised *wire.Epoch, entry *wire.Entry, mishap error) {
-	at := t.slot(key)
+func (t *Store) Promise(ctx context.Context, key string, epoch *wire.Epoch) (granted bool, promised *wire.Epoch, entry *wire.Entry, fault error) {
+	at := t.key(key)
 	if !at.latch.Take(ctx) {
-		return false, nil, nil, busy(key)
+		return false, nil, nil, errBusy(key)
 	}
 	defer at.latch.Drop()
 	if bounce := t.votes(at); bounce != nil {
@@ -302,11 +302,11 @@
 	return true, at.promised, at.entry, nil
 }
 
-func busy(key string) error {
+func errBusy(key string) error {
 	return base.NewFault(base.DiskTrouble, key, "the disk is still at an earlier change")
 }
 
-func (t *Store) keepPromise(key string, at *slot, epoch *wire.Epoch) error {
+func (t *Store) keepPromise(key string, at *keyState, epoch *wire.Epoch) error {
 	if err := t.scope.Disk.MakeFolder(folderOf(key)); err != nil {
 		return base.NewFault(base.DiskTrouble, key, "%s", err)
 	}
@@ -314,7 +314,7 @@
 	if err := t.write(name, epoch); err != nil {
 		return err
 	}
-	if err := t.enroll(key, func(line *wire.Line) { line.Promise = name }); err != nil {
+	if err := t.addToManifest(key, func(line *wire.Line) { line.Promise = name }); err != nil {
 		return err
 	}
 	at.promised = epoch
@@ -327,10 +327,10 @@
 
 // Accept stores an entry unless a higher epoch is promised or a newer entry is
 // there. It is on disk when Accept returns.
-func (t *Store) Accept(ctx context.Context, entry *wire.Entry) (granted bool, promised *wire.Epoch, mishap error) {
-	at := t.slot(entry.Key)
+func (t *Store) Accept(ctx context.Context, entry *wire.Entry) (granted bool, promised *wire.Epoch, fault error) {
+	at := t.key(entry.Key)
 	if !at.latch.Take(ctx) {
-		return false, nil, busy(entry.Key)
+		return false, nil, errBusy(entry.Key)
 	}
 	defer at.latch.Drop()
 	if bounce := t.votes(at); bounce != nil {
@@ -345,7 +345,7 @@
 	return true, at.promised, t.keepEntry(at, entry)
 }
 
-func (t *Store) keepEntry(at *slot, entry *wire.Entry) error {
+func (t *Store) keepEntry(at *keyState, entry *wire.Entry) error {
 	if err := t.scope.Disk.MakeFolder(folderOf(entry.Key)); err != nil {
 		return base.NewFault(base.DiskTrouble, entry.Key, "%s", err)
 	}
@@ -353,7 +353,7 @@
 	if err := t.write(name, entry); err != nil {
 		return err
 	}
-	if err := t.enroll(entry.Key, func(line *wire.Line) { line.Value = name }); err != nil {
+	if err := t.addToManifest(entry.Key, func(line *wire.Line) { line.Value = name }); err != nil {
 		return err
 	}
 	at.entry = entry
@@ -387,9 +387,9 @@
 	return names
 }
 
-// Past iterates over the values of a key that are still on disk, the newest
+// History iterates over the values of a key that are still on disk, the newest
 // first.
-func (t *Store) Past(key string) func(yield func(*wire.Entry) bool) {
+func (t *Store) History(key string) func(yield func(*wire.Entry) bool) {
 	names := t.values(key)
 	slices.Reverse(names)
 	return func(yield func(*wire.Entry) bool) {
@@ -403,12 +403,12 @@
 }
 
 func (t *Store) restore(ctx context.Context, key string, promised *wire.Epoch, entry *wire.Entry) error {
-	at := t.slot(key)
+	at := t.key(key)
 	if !at.latch.Take(ctx) {
-		return busy(key)
+		return errBusy(key)
 	}
 	defer at.latch.Drop()
-	if compareEpochs(promised, at.promised) > 0 || at.sick.Load() {
+	if compareEpochs(promised, at.promised) > 0 || at.damaged.Load() {
 		if err := t.keepPromise(key, at, promised); err != nil {
 			return err
 		}
@@ -418,6 +418,6 @@
 			return err
 		}
 	}
-	at.sick.Store(false)
+	at.damaged.Store(false)
 	return nil
 }
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -25,14 +25,14 @@
 }
 
 type member struct {
-	disk   *rig.Disk
-	mount  *rig.Mount
-	trove  *Trove
-	door   *base.Door
-	cancel context.CancelFunc
+	disk    *rig.Disk
+	mount   *rig.Mount
+	replica *Replica
+	door    *base.Door
+	cancel  context.CancelFunc
 }
 
-type trio struct {
+type threeReplicas struct {
 	world   *rig.World
 	seed    uint64
 	born    time.Time
@@ -43,8 +43,8 @@
 
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
-func newTrio(seed uint64) *trio {
-	t := &trio{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+func newThreeReplicas(seed uint64) *threeReplicas {
+	t := &threeReplicas{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range t.members {
 		t.members[i] = &member{disk: rig.NewDisk(base.SeededRand(seed + uint64(i)))}
 		t.raise(i)
@@ -52,7 +52,7 @@
 	return t
 }
 
-func (t *trio) raise(i int) {
+func (t *threeReplicas) raise(i int) {
 	t.seed++
 	m := t.members[i]
 	m.mount = rig.NewMount(m.disk)
@@ -63,19 +63,19 @@
 	s, m.cancel = s.Child()
 	store, err := OpenStore(s, 4)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	var mates []Mate
+	var peers []Peer
 	for j := range t.members {
-		mates = append(mates, Mate{Name: address(j), Address: address(j)})
+		peers = append(peers, Peer{Name: address(j), Address: address(j)})
 	}
-	m.trove = New(s, store, base.Wire(s), address(i), mates, 500*time.Millisecond)
+	m.replica = New(s, store, base.Wire(s), address(i), peers, 500*time.Millisecond)
 	mux := http.NewServeMux()
-	mux.Handle(Handler(m.trove))
+	mux.Handle(Handler(m.replica))
 	m.door, err = base.Open(s, address(i), mux)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	go m.trove.Recover(s, 200*time.Millisecond)
+	go m.replica.Recover(s, 200*time.Millisecond)
 }
 
-func (t *trio) kill(i int) {
+func (t *threeReplicas) kill(i int) {
 	m := t.members[i]
 	if m.cancel == nil {
 		return
@@ -87,7 +87,7 @@
 	m.cancel = nil
 }
 
-func (t *trio) end() {
+func (t *threeReplicas) end() {
 	for i := range t.members {
 		t.kill(i)
 	}
@@ -95,30 +95,30 @@
 	time.Sleep(time.Minute)
 }
 
-func (t *trio) ready(indices ...int) bool {
+func (t *threeReplicas) ready(indices ...int) bool {
 	for _, i := range indices {
-		if !t.members[i].trove.Ready() || len(t.members[i].trove.store.Sick()) > 0 {
+		if !t.members[i].replica.Ready() || len(t.members[i].replica.store.DamagedKeys()) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *trio) write(i int, value string) error {
-	return t.members[i].trove.Change(t.members[i].trove.scope, "key", func([]byte) ([]byte, error) { return []byte(value), nil })
+func (t *threeReplicas) write(i int, value string) error {
+	return t.members[i].replica.Change(t.members[i].replica.scope, "key", func([]byte) ([]byte, error) { return []byte(value), nil })
 }
 
-func (t *trio) read(i int) (string, error) {
-	value, err := t.members[i].trove.Read(t.members[i].trove.scope, "key")
+func (t *threeReplicas) read(i int) (string, error) {
+	value, err := t.members[i].replica.Read(t.members[i].replica.scope, "key")
 	return string(value), err
 }
 
-func story(text string, tell func(t *trio)) {
+func story(text string, tell func(t *threeReplicas)) {
 	for seed := range uint64(3) {
 		ginkgo.It(text, func() {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
-				t := newTrio(seed + 1)
+				t := newThreeReplicas(seed + 1)
 				defer t.end()
 				tell(t)
 			})
