--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -63,9 +63,9 @@
 func (m *Member) Status() *wire.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	roster := proto.Clone(m.self).(*wire.Roster)
-	roster.ClockUs = m.scope.Clock.Mono().Microseconds()
-	return roster
+	status := proto.Clone(m.self).(*wire.Roster)
+	status.ClockUs = m.scope.Clock.Mono().Microseconds()
+	return status
 }
 
 // Change alters what this machine tells of itself. If it differs afterwards, it
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -43,7 +43,7 @@
 )
 
 type peer struct {
-	roster *wire.Roster
+	status *wire.Roster
 	heard  time.Duration
 	offset time.Duration
 	tuned  time.Duration
@@ -74,45 +74,45 @@
 func (v *View) Changed() <-chan struct{} { return v.bell.Heard() }
 
 // Heard takes in what a machine told of itself so long ago.
-func (v *View) Heard(roster *wire.Roster, silence time.Duration) {
+func (v *View) Heard(status *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	known := v.peers[roster.Node]
+	known := v.peers[status.Node]
 	if known == nil {
 		if len(v.peers) >= mostPeers {
 			return
 		}
 		known = &peer{}
-		v.peers[roster.Node] = known
-		v.scope.Note("mate", roster.Node, "first heard")
+		v.peers[status.Node] = known
+		v.scope.Note("mate", status.Node, "first heard")
 	}
-	if slices.Contains(known.gone, roster.Incarnation) {
+	if slices.Contains(known.gone, status.Incarnation) {
 		return
 	}
-	if known.roster != nil && known.roster.Incarnation != roster.Incarnation {
-		known.gone = append(known.gone, known.roster.Incarnation)
+	if known.status != nil && known.status.Incarnation != status.Incarnation {
+		known.gone = append(known.gone, known.status.Incarnation)
 		if len(known.gone) > lastBorn {
 			known.gone = known.gone[1:]
 		}
-		known.roster = nil
+		known.status = nil
 		known.heard = 0
-		v.scope.Note("mate", roster.Node, "born again")
+		v.scope.Note("mate", status.Node, "born again")
 	}
 	now := v.scope.Clock.Mono()
 	known.heard = max(known.heard, now-silence)
-	offset := time.Duration(roster.ClockUs)*time.Microsecond - now
-	if known.roster == nil {
+	offset := time.Duration(status.ClockUs)*time.Microsecond - now
+	if known.status == nil {
 		known.offset, known.tuned = offset, now
 	}
 	known.offset = max(offset, known.offset-time.Duration(drift*float64(now-known.tuned)))
 	known.tuned = now
-	if known.roster == nil || roster.Serial > known.roster.Serial {
-		known.roster = roster
+	if known.status == nil || status.Serial > known.status.Serial {
+		known.status = status
 		v.markChanged(known)
 	}
-	if v.last[roster.Node] != v.refreshStanding(known) {
-		v.last[roster.Node] = v.refreshStanding(known)
-		v.scope.Note("standing", roster.Node, v.last[roster.Node])
+	if v.last[status.Node] != v.refreshStanding(known) {
+		v.last[status.Node] = v.refreshStanding(known)
+		v.scope.Note("standing", status.Node, v.last[status.Node])
 		v.markChanged(known)
 	}
 }
@@ -178,12 +178,12 @@
 	now := v.scope.Clock.Mono()
 	sightings := make([]*wire.Sighting, 0, len(v.peers))
 	for _, each := range v.peers {
-		if each.roster == nil || each.risen <= serial {
+		if each.status == nil || each.risen <= serial {
 			continue
 		}
-		roster := proto.Clone(each.roster).(*wire.Roster)
-		roster.ClockUs = (now + each.offset).Microseconds()
-		sightings = append(sightings, &wire.Sighting{Roster: roster, Standing: v.refreshStanding(each), SilenceUs: uint64((now - each.heard).Microseconds())})
+		status := proto.Clone(each.status).(*wire.Roster)
+		status.ClockUs = (now + each.offset).Microseconds()
+		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.refreshStanding(each), SilenceUs: uint64((now - each.heard).Microseconds())})
 	}
 	slices.SortFunc(sightings, func(a, b *wire.Sighting) int { return strings.Compare(a.Roster.Node, b.Roster.Node) })
 	return slices.Values(sightings)
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -288,8 +288,8 @@
 		return false, nil, nil, errBusy(key)
 	}
 	defer at.latch.Drop()
-	if bounce := t.votes(at); bounce != nil {
-		return false, nil, nil, bounce
+	if rejection := t.votes(at); rejection != nil {
+		return false, nil, nil, rejection
 	}
 	if compareEpochs(epoch, at.promised) < 0 {
 		return false, at.promised, at.entry, nil
@@ -333,8 +333,8 @@
 		return false, nil, errBusy(entry.Key)
 	}
 	defer at.latch.Drop()
-	if bounce := t.votes(at); bounce != nil {
-		return false, nil, bounce
+	if rejection := t.votes(at); rejection != nil {
+		return false, nil, rejection
 	}
 	if compareEpochs(entry.Epoch, at.promised) < 0 || compareEntries(entry, at.entry) < 0 {
 		return false, at.promised, nil
