--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -52,6 +52,19 @@
 	return seeds, newest, asked
 }
 
+// callsFromAhead has peers call a node, one every so often, that serve by configuration 2.
+func (s *stand) callsFromAhead(n *Node, count int, every time.Duration) {
+	ahead := Forwarding{Service: books, Route: "index", Serial: 2}
+	for i := range count {
+		s.aside(func() {
+			time.Sleep(time.Duration(i) * every)
+			header := asking(fmt.Sprint("ahead-", i), time.Second)
+			header[wayHeader] = []string{ahead.text()}
+			s.ask(n.params.Inward, "/index/1", header)
+		})
+	}
+}
+
 func (s *stand) until(longest time.Duration, reached func() bool) time.Duration {
 	began := s.clock.Mono()
 	for s.clock.Mono()-began < longest && !reached() {
@@ -68,15 +81,7 @@
 		newest.Store(1)
 		time.Sleep(2 * time.Second)
 		newest.Store(2)
-		ahead := Forwarding{Service: books, Route: "index", Serial: 2}
-		for i := range 60 {
-			s.aside(func() {
-				time.Sleep(time.Duration(i) * 40 * time.Millisecond)
-				header := asking(fmt.Sprint("ahead-", i), time.Second)
-				header[wayHeader] = []string{ahead.text()}
-				s.ask(n.params.Inward, "/index/1", header)
-			})
-		}
+		s.callsFromAhead(n, 60, 40*time.Millisecond)
 		took := s.until(5*time.Second, func() bool { return n.serial() == 2 })
 		s.crew.Wait()
 		Expect(took).To(BeNumerically("<", time.Second), "the older configuration was served for so long")
@@ -88,15 +93,7 @@
 		n.adopt(aConfiguration(1), true)
 		newest.Store(1)
 		time.Sleep(2 * time.Second)
-		ahead := Forwarding{Service: books, Route: "index", Serial: 2}
-		for i := range 300 {
-			s.aside(func() {
-				time.Sleep(time.Duration(i) * 10 * time.Millisecond)
-				header := asking(fmt.Sprint("ahead-", i), time.Second)
-				header[wayHeader] = []string{ahead.text()}
-				s.ask(n.params.Inward, "/index/1", header)
-			})
-		}
+		s.callsFromAhead(n, 300, 10*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		newest.Store(2)
 		took := s.until(5*time.Second, func() bool { return n.serial() == 2 })
