--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,6 +9,7 @@
 	"curlewreach/proto/wire"
 )
 
+// faults collects what is wrong with a configuration.
 type faults []*base.Fault
 
 func (f *faults) add(kind base.Kind, path, format string, args ...any) {
@@ -47,6 +48,7 @@
 	return found
 }
 
+// place is where a route is found: its host, in lower case and without a port, and its prefix.
 type place struct{ host, prefix string }
 
 func called(name string, at int) string {
@@ -66,6 +68,7 @@
 	taken[name] = true
 }
 
+// place is where a route is found: its host, in lower case and without a port, and its prefix.
 func (f *faults) place(path string, route *wire.ConfigurationRoute, taken map[place]string) {
 	host, prefix := hostOf(route.GetHost()), route.GetPrefix()
 	if host == "" {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -25,6 +25,7 @@
 	return change
 }
 
+// diffItems returns the items to put and the names to drop that lead from one list to another.
 func diffItems[T proto.Message](from, to []T, name func(T) string) (put []T, dropped []string) {
 	before := make(map[string]T, len(from))
 	for _, item := range from {
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -54,6 +54,7 @@
 	return found
 }
 
+// stale adds that another configuration than the order's base is current.
 func (f *faults) stale(current uint64) {
 	f.add(base.StaleBase, "base", "serial %d is current", current)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -91,6 +91,7 @@
 	return m, nil
 }
 
+// requireCore serves by the core once this machine has joined its peers, and answers 503 before.
 func (m *Server) requireCore(pick func(*core) http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if c := m.core.Load(); c != nil {
@@ -101,6 +102,7 @@
 	}
 }
 
+// run joins the peers and then does the work of a control machine until the scope ends.
 func (m *Server) run(s base.Scope) {
 	var crew base.Crew
 	crew.Go(func() { m.expireNodes(s) })
@@ -114,6 +116,7 @@
 	crew.Wait()
 }
 
+// expireNodes marks nodes absent that have been silent for the bound in the settings.
 func (m *Server) expireNodes(s base.Scope) {
 	base.Tick(s, ratioOf(m.params.Load().Absent, 1.0/absentTicks), func(s base.Scope) {
 		for _, node := range m.registry.expire(m.params.Load().Absent.AsDuration()) {
@@ -134,6 +137,7 @@
 	}
 }
 
+// refreshView takes newly chosen versions into view and wakes the polls that wait for them.
 func (m *Server) refreshView(c *core) {
 	before := m.view.Load()
 	if seen := before.decode(m.scope, c.replica.Chosen(ConfigurationKey)); seen != before {
@@ -157,6 +161,7 @@
 	generation uint64
 }
 
+// log tells what has changed since it was last called.
 func (l *memberLog) log(s base.Scope, c *core) {
 	if owns := c.replica.Owns(ConfigurationKey); owns != l.owns {
 		l.owns = owns
@@ -193,6 +198,7 @@
 	return m.isWithin(max(began, m.started), 1)
 }
 
+// isWithin tells whether a moment lies back no further than a ratio of the in-force bound.
 func (m *Server) isWithin(since time.Duration, ratio float64) bool {
 	return m.scope.Clock.Mono()-since <= ratioOf(m.params.Load().InForce, ratio)
 }
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -106,6 +106,7 @@
 	return client
 }
 
+// otherTraceStores returns clients of the trace stores of the other voters.
 func (c *core) otherTraceStores() []wireconnect.LensClient {
 	var clients []wireconnect.LensClient
 	for _, address := range c.replica.Voters() {
@@ -116,6 +117,7 @@
 	return clients
 }
 
+// heardLately tells whether the voter at an address was heard within a time, as this replica sees it.
 func (c *core) heardLately(address string, lately time.Duration) bool {
 	return c.replica.HeardLately(address, lately)
 }
--- a/internal/controlplane/learn.go
+++ b/internal/controlplane/learn.go
@@ -20,11 +20,13 @@
 	shortestCycles = 16
 )
 
+// learning is a version of the key that holds the sampling odds, decoded.
 type learning struct {
 	entry *wire.Version
 	said  *wire.Learning
 }
 
+// next returns the learning of a newer version, or the same if there is none.
 func (l *learning) next(s base.Scope, entry *wire.Version) *learning {
 	if entry == nil || entry == l.entry {
 		return l
@@ -37,11 +39,13 @@
 	return &learning{entry: entry, said: said}
 }
 
+// cursor is how far the spans of one trace store have been read, in one incarnation of it.
 type cursor struct {
 	after       uint64
 	incarnation string
 }
 
+// learner keeps the sampling odds up to date while this machine holds that duty.
 type learner struct {
 	server  *Server
 	core    *core
@@ -63,6 +67,7 @@
 	return l
 }
 
+// run takes the duty when it is free or its holder fails, and learns once a cycle while it is held.
 func (l *learner) run(s base.Scope) {
 	cycled := -time.Hour
 	for s.Err() == nil {
@@ -104,6 +109,7 @@
 	return now-l.moved > missedCycles*l.cycle && !l.core.heardLately(learned.GetHolder(), missedCycles*l.cycle)
 }
 
+// learn runs one cycle on the newest spans and writes the outcome, unless another holds the duty by now.
 func (l *learner) learn(s base.Scope, configuration *wire.Configuration, holder string) {
 	bounded, cancel := s.Within(l.cycle)
 	defer cancel()
@@ -140,6 +146,7 @@
 	return slices.Clone(joined[max(0, len(joined)-most):])
 }
 
+// cursor is how far the spans of one trace store have been read, in one incarnation of it.
 func (l *learner) cursor(address string) *cursor {
 	at := l.cursors[address]
 	if at == nil {
@@ -149,6 +156,7 @@
 	return at
 }
 
+// recent returns the spans that came in since the last cycle, here and at the other voters.
 func (l *learner) recent(s base.Scope) []*wire.Span {
 	seen := map[string]bool{}
 	var spans []*wire.Span
@@ -175,6 +183,7 @@
 	return spans
 }
 
+// names tells whether an identifier belongs to a route of the configuration.
 func names(configuration *wire.Configuration) func(identifier string) bool {
 	known := map[string]bool{}
 	for _, route := range configuration.GetRoutes() {
@@ -188,6 +197,7 @@
 	return func(identifier string) bool { return known[identifier] }
 }
 
+// handOver gives the duty up before a stop, so that another takes it at once.
 func (m *Server) handOver(s base.Scope, c *core) {
 	if m.learning.Load().said.GetHolder() != m.address {
 		return
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -27,6 +27,7 @@
 	digest uint64
 }
 
+// orderOf returns what tells a proposal apart from all others.
 func orderOf(p *wire.ConfigurationProposal) order {
 	sum := config.Digest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change})
 	return order{config.SerialOf(p), binary.BigEndian.Uint64(sum)}
--- a/internal/controlplane/params.go
+++ b/internal/controlplane/params.go
@@ -67,6 +67,7 @@
 	return slices.Compact(found)
 }
 
+// ratioOf returns a ratio of a bound in the settings.
 func ratioOf(d *durationpb.Duration, ratio float64) time.Duration {
 	return time.Duration(float64(d.AsDuration()) * ratio)
 }
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -13,8 +13,11 @@
 
 const longestHold = 2 * time.Second
 
+// rpcService serves the RPCs of nodes and of other control machines.
 type rpcService struct{ server *Server }
 
+// Hail answers a node's poll: at once if there is something new for it, and else when there is, or when its wait is
+// over.
 func (v rpcService) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
 	m, ask := v.server, request.Msg
 	if m.registry.update(ask.NodeStatus) {
--- a/internal/controlplane/propose.go
+++ b/internal/controlplane/propose.go
@@ -42,6 +42,7 @@
 	return outcome, nil
 }
 
+// routeProposal has the owner of the configuration decide, where it was heard lately, and decides here otherwise.
 func (m *Server) routeProposal(s base.Scope, c *core, p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
 	if p.Relayed {
 		return m.proposeLocally(s, c, p)
@@ -93,6 +94,7 @@
 	return nil
 }
 
+// pickPeer draws a voter that was heard lately, or returns "".
 func (m *Server) pickPeer(c *core, but string) string {
 	voters := c.replica.Voters()
 	if len(voters) == 0 {
@@ -108,6 +110,7 @@
 	return ""
 }
 
+// forward lets another control machine decide; nil if it gave no clear answer in time.
 func (m *Server) forward(s base.Scope, c *core, peer string, p *wire.ConfigurationProposal, wait time.Duration) *wire.ConfigurationOutcome {
 	bounded, cancel := s.Within(wait)
 	defer cancel()
@@ -119,6 +122,7 @@
 	return reply.Msg
 }
 
+// proposeLocally decides here, again and again until there is a clear answer or the time is over.
 func (m *Server) proposeLocally(s base.Scope, c *core, p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
 	for s.Err() == nil {
 		outcome, err := m.proposeOnce(s, c, p)
@@ -135,6 +139,7 @@
 	return nil
 }
 
+// backOff waits a moment, drawn so that control machines which compete don't do so in step.
 func (m *Server) backOff(s base.Scope) {
 	base.Await(s, backOffLeast+time.Duration(s.Rand.Float64()*float64(backOffSpread)))
 }
@@ -180,6 +185,7 @@
 	return nil
 }
 
+// rejected is the outcome of an order that can never be taken, with all its faults.
 func rejected(serial uint64, faults ...*base.Fault) *wire.ConfigurationOutcome {
 	outcome := &wire.ConfigurationOutcome{Serial: serial, Kind: string(faults[0].Kind)}
 	for _, each := range faults {
@@ -188,6 +194,7 @@
 	return outcome
 }
 
+// logOutcome tells operators how an order ended.
 func (m *Server) logOutcome(p *wire.ConfigurationProposal, outcome *wire.ConfigurationOutcome) {
 	if outcome.Kind == "" {
 		m.scope.Log.Info("configuration taken", "serial", outcome.Serial, "relayed", p.GetRelayed())
@@ -198,6 +205,7 @@
 	m.scope.Note("configuration-rejected", ConfigurationKey, outcome.Kind)
 }
 
+// recentWindow is how long ago a voter may have been heard to be asked.
 func (m *Server) recentWindow() time.Duration { return ratioOf(m.params.Load().InForce, recentRatio) }
 
 func (v rpcService) Propose(ctx context.Context, request *connect.Request[wire.ConfigurationProposal]) (*connect.Response[wire.ConfigurationOutcome], error) {
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -23,6 +23,7 @@
 	missedTicks          = 3
 )
 
+// nodeEntry is what the registry holds of one node.
 type nodeEntry struct {
 	nodeStatus       *wire.NodeStatus
 	pastIncarnations []string
@@ -31,6 +32,7 @@
 	revision         uint64
 }
 
+// registry knows the nodes that poll this control machine. It is safe for concurrent use.
 type registry struct {
 	clock         base.Clock
 	mu            sync.Mutex
@@ -46,6 +48,7 @@
 	return &registry{clock: clock, entries: map[string]*nodeEntry{}, steadySince: clock.Mono(), sweptAt: clock.Mono()}
 }
 
+// update takes what a node tells of itself; back says that it had been absent. Late messages change nothing.
 func (r *registry) update(nodeStatus *wire.NodeStatus) (back bool) {
 	if nodeStatus.GetNode() == "" || proto.Size(nodeStatus) > nodeStatusMost {
 		return false
@@ -79,6 +82,7 @@
 	return back
 }
 
+// sameStatus tells whether nothing has changed that other nodes want to know.
 func sameStatus(a, b *wire.NodeStatus) bool {
 	return a.Incarnation == b.Incarnation && a.Inward == b.Inward && a.Zone == b.Zone && a.Service == b.Service && a.Stopping == b.Stopping &&
 		(a.Instance == nil) == (b.Instance == nil) && a.Instance.GetId() == b.Instance.GetId() && a.Instance.GetService() == b.Instance.GetService() &&
@@ -86,6 +90,7 @@
 		a.Instance.GetCapacity() == b.Instance.GetCapacity() && a.Instance.GetLeaving() == b.Instance.GetLeaving()
 }
 
+// makeRoom forgets the node absent for the longest time if the registry is full; false if none is absent.
 func (r *registry) makeRoom() bool {
 	if len(r.entries) < entriesMost {
 		return true
@@ -100,6 +105,8 @@
 	return oldest != ""
 }
 
+// markChanged gives an entry the next revision and wakes the polls after a short delay, so that changes go out
+// together.
 func (r *registry) markChanged(at *nodeEntry) {
 	r.revision++
 	at.revision = r.revision
@@ -115,6 +122,8 @@
 	})
 }
 
+// expire marks nodes absent that have been silent for too long and forgets those absent for minutes. A standstill of
+// this machine counts for nothing.
 func (r *registry) expire(absent time.Duration) (gone []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,6 +146,7 @@
 	return gone
 }
 
+// since returns what has changed after a revision, or everything, but for one node, with the newest revision.
 func (r *registry) since(serial uint64, whole bool, but string) (observations []*wire.Observation, newest uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -20,6 +20,7 @@
 	return &view{entry: entry, head: head, transfers: &transfers{changes: map[uint64][]byte{}}}
 }
 
+// decode returns the view of a newer version, or the same if there is none or it can't be read.
 func (v *view) decode(s base.Scope, entry *wire.Version) *view {
 	if entry == nil || entry == v.entry {
 		return v
@@ -35,6 +36,7 @@
 	return newView(entry, head)
 }
 
+// serial is the number of the configuration, 0 if there is none yet.
 func (v *view) serial() uint64 { return v.head.GetConfiguration().GetSerial() }
 
 // Configuration gives the newest acknowledged configuration as a majority of disks has it, or nil; it must not be changed.
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// metrics writes the figures of this control machine in Prometheus' text format.
 func (m *Server) metrics(page *base.Metrics) {
 	const nodes = "curlew_nodes"
 	view := m.View()
--- a/internal/dataplane/configuration.go
+++ b/internal/dataplane/configuration.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// confirmationWaitOver tells whether this node has waited long enough for a confirmation to serve without one.
 func (n *Node) confirmationWaitOver() bool {
 	return n.scope.Clock.Mono()-n.startedAt >= n.confirmationWait
 }
@@ -107,7 +108,7 @@
 	}
 }
 
-// confirm notes that the configuration in force is confirmed; n.mu is held.
+// markConfirmed notes that a majority has confirmed the configuration in force; n.mu is held.
 func (n *Node) markConfirmed() {
 	if n.isConfirmed.Swap(true) {
 		return
@@ -116,6 +117,7 @@
 	n.scope.Note("confirmed", "", "")
 }
 
+// ratioOf returns a ratio of a bound.
 func ratioOf(bound time.Duration, ratio float64) time.Duration {
 	return time.Duration(float64(bound) * ratio)
 }
--- a/internal/dataplane/control_polls.go
+++ b/internal/dataplane/control_polls.go
@@ -28,6 +28,7 @@
 	fetchLeadRatio = 0.1   // others leave a fetch to the one that began it for so long
 )
 
+// controlPoll is the polling of one control machine; the node's mu guards it, but for its client.
 type controlPoll struct {
 	address    string
 	client     wireconnect.MoorClient
@@ -39,7 +40,7 @@
 	stop       context.CancelFunc
 }
 
-// post is what this node tells the control machines of itself.
+// nodeStatus is what this node tells the control machines of itself.
 func (n *Node) nodeStatus() *wire.NodeStatus {
 	instance, _, number := n.instance.Now()
 	p := n.params
@@ -82,7 +83,7 @@
 	m := reply.Msg
 	n.peers.Heard(c.address, m.Whole || m.Controller != c.controller, m.Observations)
 	n.mu.Lock()
-	c.controller, c.registry = m.Controller, m.Registry // control machine is read by other callers, in fetches
+	c.controller, c.registry = m.Controller, m.Registry // the controller is read by other polls, in mayFetch
 	n.mu.Unlock()
 	if m.Odds != nil {
 		if fault := n.keeper.Load(m.Odds); fault != nil {
@@ -149,6 +150,7 @@
 	}
 }
 
+// runPolls polls one control machine again and again until the scope ends.
 func (n *Node) runPolls(s base.Scope, c *controlPoll) {
 	wants := false
 	for s.Err() == nil {
@@ -189,6 +191,7 @@
 	return false
 }
 
+// fetchLead is how long others leave a fetch to the one that began it.
 func (n *Node) fetchLead() time.Duration {
 	return ratioOf(n.params.InForce.AsDuration(), fetchLeadRatio)
 }
@@ -205,6 +208,7 @@
 	}
 }
 
+// choosePolls begins and ends polls as the directory decides.
 func (n *Node) choosePolls() {
 	start, stop := n.directory.choose(!n.confirmed())
 	n.mu.Lock()
@@ -226,6 +230,8 @@
 	}
 }
 
+// restartPolls ends the polls under way, so that control machines hear at once what this node has to tell. Fetches go
+// on.
 func (n *Node) restartPolls() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/dataplane/directory.go
+++ b/internal/dataplane/directory.go
@@ -59,6 +59,7 @@
 	return d
 }
 
+// ratioOfContact returns a ratio of the contact bound.
 func (d *directory) ratioOfContact(ratio float64) time.Duration {
 	return time.Duration(float64(d.contact) * ratio)
 }
@@ -74,6 +75,7 @@
 	d.trim()
 }
 
+// entry returns what is known of an address, a new entry if nothing is.
 func (d *directory) entry(address string) *controlMachine {
 	at := d.entries[address]
 	if at == nil {
@@ -120,6 +122,7 @@
 	d.trim()
 }
 
+// lags tells whether a control machine last heard a majority too long ago.
 func (d *directory) lags(at *controlMachine, now time.Duration) bool {
 	return now-at.majority > d.ratioOfContact(lagRatio)
 }
@@ -164,10 +167,12 @@
 	return []string{next}, []string{worst}
 }
 
+// begin notes that an address is polled from now on.
 func (d *directory) begin(address string, now time.Duration) {
 	d.entries[address].chosen, d.entries[address].polled = now, true
 }
 
+// asked counts the control machines polled now.
 func (d *directory) asked() (count int) {
 	for _, at := range d.entries {
 		if at.polled {
@@ -267,6 +272,7 @@
 	return patience
 }
 
+// last is when a control machine last answered, or else when polling it began.
 func (at *controlMachine) last() time.Duration { return max(at.chosen, at.answered) }
 
 // live lists those that answer, the ones with a majority only where there are such; rest lists the others that are known.
@@ -287,6 +293,7 @@
 	return live, rest
 }
 
+// view lists the control machines polled now, for operators.
 func (d *directory) view() (views []*wire.ControlView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dataplane/peer_table.go
+++ b/internal/dataplane/peer_table.go
@@ -299,7 +299,7 @@
 	return o
 }
 
-// pace is how long the place takes beside the usual; more while its upstream warms up.
+// latency is how long the place takes beside the usual; more while its upstream warms up.
 func (at *Peer) latency(now time.Duration) float64 {
 	if now < at.heard+time.Duration(at.nodeStatus.Instance.WarmMs)*time.Millisecond {
 		return at.speed * warmFactor
--- a/internal/replica/acceptor.go
+++ b/internal/replica/acceptor.go
@@ -59,6 +59,7 @@
 	})
 }
 
+// blankReply is a reply of a standing that tells who this replica is and which membership it knows, and nothing else.
 func (m *Machine) blankReply(standing wire.Standing) *wire.ReplicaReply {
 	return &wire.ReplicaReply{From: m.durable.Id, Generation: m.generation(), Standing: standing, Membership: m.toldMembership()}
 }
@@ -96,6 +97,7 @@
 	return wire.Standing_GRANTED
 }
 
+// register returns what this replica holds of a key; it is empty and not nil for an unknown one.
 func (m *Machine) register(key string) *wire.Register {
 	if register := m.state.Registers[key]; register != nil {
 		return register
@@ -103,6 +105,7 @@
 	return &wire.Register{}
 }
 
+// setRegister replaces what this replica holds of a key, to be saved.
 func (m *Machine) setRegister(key string, register *wire.Register) {
 	m.change(func(next *wire.ReplicaState) { next.Registers[key] = register })
 }
@@ -197,6 +200,7 @@
 	return wire.Standing_GRANTED
 }
 
+// heldRegisters lists all registers, without the values that the asker has.
 func (m *Machine) heldRegisters(have map[string]*wire.Version) map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
 	for key, held := range m.durable.Registers {
--- a/internal/replica/founding.go
+++ b/internal/replica/founding.go
@@ -33,6 +33,7 @@
 	return !m.votes() && len(m.state.Founding) > 0
 }
 
+// isFounder tells whether this replica is the one to found the first generation.
 func (m *Machine) isFounder() bool {
 	return m.awaitsFounding() && m.state.Founding[0] == m.settings.Address
 }
--- a/internal/replica/generation.go
+++ b/internal/replica/generation.go
@@ -71,6 +71,7 @@
 	})
 }
 
+// forgetLearners drops replicas without a vote that have been silent for long.
 func (m *Machine) forgetLearners() {
 	for id, each := range m.learners {
 		if m.now-max(each.heard, m.steadySince) > learnerRounds*m.settings.Watch {
@@ -109,6 +110,7 @@
 	return &wire.Membership{Generation: present.Generation + 1, Voters: voters, Target: present.Target}
 }
 
+// readyLearners lists, sorted, the learners that have caught up and may take a place.
 func (m *Machine) readyLearners() []string {
 	ready := slices.DeleteFunc(slices.Sorted(maps.Keys(m.learners)), func(id string) bool {
 		each := m.learners[id]
@@ -117,6 +119,8 @@
 	return ready
 }
 
+// admit gives a newcomer the place of the voter at its own address; else one beside the others while they are too few;
+// else that of the one that may best be spared, if any.
 func (m *Machine) admit(voters []*wire.Replica, newcomer *wire.Replica, present *wire.Membership) []*wire.Replica {
 	at := slices.IndexFunc(voters, func(voter *wire.Replica) bool { return voter.Address == newcomer.Address })
 	if at < 0 && len(voters) < int(present.Target) {
@@ -345,6 +349,7 @@
 	m.restart("replaced", "this replica has been replaced and joins as a newcomer")
 }
 
+// restart forgets what belonged to the former generation or identity.
 func (m *Machine) restart(what, detail string) {
 	m.resetOwnership(errReset)
 	m.reconfig = reconfiguration{}
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -41,6 +41,7 @@
 	running []*task
 }
 
+// ownership returns this replica's work on a key.
 func (m *Machine) ownership(key string) *ownership {
 	o := m.owned[key]
 	if o == nil {
@@ -65,6 +66,7 @@
 	m.drain()
 }
 
+// enqueue adds a task to a key's queue and starts on it if nothing runs.
 func (m *Machine) enqueue(key string, work *task) {
 	o := m.ownership(key)
 	o.queue = append(o.queue, work)
@@ -81,6 +83,7 @@
 	t.end(m, Result{Ticket: t.ticket, Version: version, Agreed: true, Settled: true, Err: t.refusal})
 }
 
+// end tells the outcome of a task to whoever asked.
 func (t *task) end(m *Machine, result Result) {
 	if t.done != nil {
 		t.done(result.Version, result.Err)
@@ -223,6 +226,7 @@
 	}
 }
 
+// apply runs the change of a task on a value; a read changes nothing.
 func (t *task) apply(old []byte) ([]byte, error) {
 	if t.change == nil {
 		return nil, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// save writes a state to the disk and tells the machine how that ended.
 func (r *Replica) save(save *Save) {
 	err := r.store.Save(save.State)
 	if err != nil {
@@ -126,6 +127,7 @@
 	r.step(func(m *Machine) { m.Answered(r.scope.Clock.Mono(), request.ID, reply) })
 }
 
+// client returns the client for a replica's address.
 func (r *Replica) client(address string) wireconnect.ReplicasClient {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,6 +229,7 @@
 	}
 }
 
+// offer asks a voter to take over a key.
 func (r *Replica) offer(s base.Scope, address, key string) bool {
 	ctx, cancel := context.WithTimeout(s, r.round)
 	defer cancel()
@@ -240,6 +243,7 @@
 	return err == nil && reply.Msg.Standing == wire.Standing_GRANTED
 }
 
+// inspect runs a read of the machine under its lock, with the present time.
 func (r *Replica) inspect(at func(m *Machine)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -72,6 +72,7 @@
 	return m.now - max(m.heard[id], m.steadySince)
 }
 
+// heldVersions lists the versions on this replica, by key.
 func (m *Machine) heldVersions() map[string]*wire.Version {
 	have := map[string]*wire.Version{}
 	for key, register := range m.state.Registers {
@@ -82,6 +83,7 @@
 	return have
 }
 
+// statusAsk asks for the registers, naming the versions that need not be sent again.
 func (m *Machine) statusAsk(have map[string]*wire.Version) *wire.ReplicaRequest {
 	told := map[string]*wire.Version{}
 	for key, version := range have {
@@ -128,6 +130,7 @@
 	return registers
 }
 
+// withValue puts back the value of a version that is known here.
 func withValue(told, known *wire.Version) *wire.Version {
 	if told != nil && known != nil && compareVersions(told, known) == 0 {
 		return known
@@ -214,6 +217,7 @@
 	return true
 }
 
+// endSurveys ends surveys that can't be answered.
 func (m *Machine) endSurveys(surveys []*survey, version *wire.Version) {
 	for _, each := range surveys {
 		m.out.Results = append(m.out.Results, Result{Ticket: each.ticket, Version: version, Err: errNoVote})
