--- a/fleet/open/config_trouble_test.go
+++ b/fleet/open/config_trouble_test.go
@@ -7,9 +7,13 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/fleet/rig"
 	"curlewreach/proto/wire"
 )
 
+// thinLink is what comes in at a node on thin links, in bytes a second.
+const thinLink = 275_000
+
 // coreTrouble disturbs the control machines until it is ended.
 type coreTrouble struct {
 	name  string
@@ -67,6 +71,20 @@
 			}
 		}
 	}},
+	{"one cut off, packets lost between the others and the nodes", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+		f.isolate(m, 0)
+		end := f.Trouble(allLinks, "lossy")
+		for _, node := range f.nodes() {
+			for _, controller := range f.Controllers {
+				f.World.SetLink(controller.IP, node.IP, rig.Link{Loss: 0.1})
+				f.World.SetLink(node.IP, controller.IP, rig.Link{Loss: 0.1})
+			}
+		}
+		return func() {
+			f.rejoin()
+			end()
+		}
+	}},
 	{"one frozen", func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) }},
 	{"one killed", func(f *Fleet, m *Machine, _ *base.Rand) func() {
 		f.Kill(m)
@@ -125,6 +143,11 @@
 func troubledConfig(f *Fleet) {
 	f.apart = []time.Duration{500 * time.Microsecond, 3 * time.Millisecond, 12 * time.Millisecond}[f.Seed%3]
 	random := f.rand("troubled configuration")
+	if f.Seed%2 == 1 {
+		for _, m := range f.Nodes {
+			f.World.SetBandwidth(m.IP, thinLink)
+		}
+	}
 	raised(f)
 	f.Visit(25)
 	f.Pass(time.Second)
@@ -152,5 +175,5 @@
 }
 
 var _ = ginkgo.Describe("the configuration under trouble of the core", func() {
-	story("given cuts of every kind, restarts, freezes, clock steps and reloads, in zones up to 12 ms apart, when the configuration changes all the while, then no node in touch handles a request by one older than was acknowledged the bound before", []uint64{1, 3, 5}, troubledConfig)
+	story("given cuts of every kind, lost packets, restarts, freezes, clock steps and reloads, on thin links and in zones up to 12 ms apart, when the configuration changes all the while, then no node in touch handles a request by one older than was acknowledged the bound before", []uint64{1, 3, 5}, troubledConfig)
 })
