--- a/deploy/daygen/variant.go
+++ b/deploy/daygen/variant.go
@@ -77,10 +77,8 @@
 		site["length_s"] = v.LengthS
 	}
 	if v.CPUFactor > 0 {
-		for _, machine := range machineEntries(site) {
-			if share, ok := machine["cpu_share"].(float64); ok {
-				machine["cpu_share"] = share * v.CPUFactor
-			}
+		if err := scaleProcessors(site, v.CPUFactor); err != nil {
+			return err
 		}
 	}
 	if len(v.Contracts) > 0 {
@@ -140,6 +138,25 @@
 	return nil
 }
 
+// scaleProcessors multiplies the processor share of every machine.
+func scaleProcessors(site document, factor float64) error {
+	machines := machineEntries(site)
+	if len(machines) == 0 {
+		return errors.New("the site file has no machines")
+	}
+	for _, machine := range machines {
+		switch share := machine["cpu_share"].(type) {
+		case float64:
+			machine["cpu_share"] = share * factor
+		case int64:
+			machine["cpu_share"] = float64(share) * factor
+		default:
+			return errors.New("the site file has a machine without cpu_share")
+		}
+	}
+	return nil
+}
+
 // setCoreCount spreads the core machines evenly over the entries that the site file has for them.
 func setCoreCount(site document, count int) error {
 	cores := coreEntries(site)
--- a/deploy/daygen/variant_test.go
+++ b/deploy/daygen/variant_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"strings"
 
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -41,6 +42,21 @@
 		Expect(changed).To(Equal(listsAlike(expected)))
 	})
 
+	ginkgo.It("scales the processors of all machines, and turns away a site that doesn't tell them", func() {
+		source := writeSite(strings.ReplaceAll(siteText, "count = ", "cpu_share = 0.48, count = "))
+		path, err := CopySite(source, ginkgo.GinkgoT().TempDir(), Variant{CPUFactor: 0.25})
+		Expect(err).NotTo(HaveOccurred())
+		text, err := os.ReadFile(path)
+		Expect(err).NotTo(HaveOccurred())
+		machines := machineEntries(decode(string(text)))
+		Expect(machines).To(HaveLen(3))
+		for _, machine := range machines {
+			Expect(machine["cpu_share"]).To(BeNumerically("~", 0.12, 1e-9))
+		}
+		_, err = copyOf(Variant{CPUFactor: 0.25})
+		Expect(err).To(MatchError(ContainSubstring("cpu_share")))
+	})
+
 	ginkgo.It("takes the files along that belong to the site", func() {
 		source := writeSite(siteText)
 		Expect(os.WriteFile(filepath.Join(filepath.Dir(source), "wire.json"), []byte("{}"), 0o644)).To(Succeed())
--- a/internal/dataplane/config_freshness_test.go
+++ b/internal/dataplane/config_freshness_test.go
@@ -14,6 +14,17 @@
 
 const inForce = 2 * time.Second // that of the nodes that a stand starts
 
+// provenNode starts a node beside three control machines whose answers tell as of when they are the newest.
+func (s *stand) provenNode() (all []*standControl, n *Node) {
+	all = s.controls(3)
+	for _, c := range all {
+		c.set(func() { c.ages = true })
+	}
+	n = s.node(1, addresses(all))
+	s.until(time.Second, n.confirmed)
+	return all, n
+}
+
 var _ = ginkgo.Describe("asking beyond the polls", func() {
 	begun := 10 * time.Second
 	fresh := func() *configFreshness {
@@ -68,12 +79,7 @@
 	})
 
 	story("given nobody with a majority, when the in-force bound is over, then the node serves on and says that it is in doubt, and asks with growing pauses", func(s *stand) {
-		all := s.controls(3)
-		for _, c := range all {
-			c.set(func() { c.ages = true })
-		}
-		n := s.node(1, addresses(all))
-		s.until(time.Second, n.confirmed)
+		all, n := s.provenNode()
 		time.Sleep(3 * time.Second)
 		Expect(n.View().ConfigStale).To(BeFalse())
 		Expect(n.View().ConfigAgeMs).To(BeNumerically("<", inForce.Milliseconds()/2))
@@ -99,12 +105,7 @@
 	})
 
 	story("given a calm fleet, when minutes pass, then nobody is asked beyond the polls", func(s *stand) {
-		all := s.controls(3)
-		for _, c := range all {
-			c.set(func() { c.ages = true })
-		}
-		n := s.node(1, addresses(all))
-		s.until(time.Second, n.confirmed)
+		all, _ := s.provenNode()
 		time.Sleep(2 * time.Minute)
 		for _, c := range all {
 			c.set(func() { Expect(c.refreshed).To(BeZero()) })
