--- a/base/loop.go
+++ b/base/loop.go
@@ -7,19 +7,29 @@
 
 // Tick calls do at each interval until the scope ends. Ticks that fall due
 // while do runs are dropped but for one.
+//
+// It is no time.Ticker: one that is found due by the select of a goroutine in a
+// synctest bubble is run there, under a race context that all goroutines of the
+// bubble share, and two at a time bring the race detector down (Go 1.26).
 func Tick(s Scope, every time.Duration, do func(Scope)) {
-	ticker := time.NewTicker(every)
-	defer ticker.Stop()
+	next := time.Now().Add(every)
 	for {
-		select {
-		case <-s.Done():
+		Await(s, time.Until(next))
+		if s.Err() != nil {
 			return
-		case <-ticker.C:
-			do(s)
 		}
+		next = followingTick(next, time.Now(), every)
+		do(s)
 	}
 }
 
+// followingTick returns the first tick after now, of those that follow due at
+// each interval.
+func followingTick(due, now time.Time, every time.Duration) time.Time {
+	missed := max(now.Sub(due), 0) / every
+	return due.Add((missed + 1) * every)
+}
+
 // Drain calls do for each item of the channel until the scope ends.
 func Drain[T any](s Scope, in <-chan T, do func(T)) {
 	for {
@@ -35,8 +45,6 @@
 // Await blocks until one of at most two signals is readable (true), or until
 // the scope ends or the longest wait is over (false).
 func Await(s Scope, longest time.Duration, signals ...<-chan struct{}) bool {
-	wakeup := time.NewTimer(longest)
-	defer wakeup.Stop()
 	var first, second <-chan struct{}
 	if len(signals) > 0 {
 		first = signals[0]
@@ -44,6 +52,11 @@
 	if len(signals) > 1 {
 		second = signals[1]
 	}
+	if longest <= 0 {
+		return readable(first) || readable(second)
+	}
+	wakeup := time.NewTimer(longest)
+	defer wakeup.Stop()
 	select {
 	case <-s.Done():
 		return false
@@ -56,6 +69,16 @@
 	}
 }
 
+// readable reports whether a signal is readable now.
+func readable(signal <-chan struct{}) bool {
+	select {
+	case <-signal:
+		return true
+	default:
+		return false
+	}
+}
+
 // Bell wakes all that wait for a change. The zero value is ready for use.
 type Bell struct {
 	mu   sync.Mutex
