--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -47,7 +47,7 @@
 func checkForm(order *wire.ConfigurationProposal) []*base.Fault {
 	var found faults
 	if (order.GetConfiguration() == nil) == (order.GetChange() == nil) {
-		found.add(base.Malformed, "chart", "give a configuration or a change")
+		found.add(base.Malformed, "configuration", "give a configuration or a change")
 	} else if SerialOf(order) == 0 {
 		found.add(base.OutOfRange, "serial", "must be above 0")
 	}
--- a/internal/controlplane/propose.go
+++ b/internal/controlplane/propose.go
@@ -116,7 +116,7 @@
 	defer cancel()
 	reply, err := c.peer(peer).Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change, Relayed: true}))
 	if err != nil {
-		m.scope.Note("relay-failed", peer, err.Error())
+		m.scope.Note("forward-failed", peer, err.Error())
 		return nil
 	}
 	return reply.Msg
--- a/internal/controlplane/transfer.go
+++ b/internal/controlplane/transfer.go
@@ -13,9 +13,17 @@
 
 // transfers holds what was sent of one configuration, encoded once for all nodes that want it.
 type transfers struct {
-	mu      sync.Mutex
-	whole   []byte
-	changes map[uint64][]byte // by the fingerprint of the configuration that they lead from; nil where none does
+	fingerprint func() uint64 // of the configuration
+	mu          sync.Mutex
+	whole       []byte
+	changes     map[uint64][]byte // by the fingerprint of the configuration that they lead from; nil where none does
+}
+
+func newTransfers(c *wire.Configuration) *transfers {
+	return &transfers{
+		fingerprint: sync.OnceValue(func() uint64 { return config.Fingerprint(c) }),
+		changes:     map[uint64][]byte{},
+	}
 }
 
 // recentConfigurations are the newest ones, by rising serial.
@@ -40,7 +48,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, each := range r.views {
-		if c := each.head.GetConfiguration(); c.GetSerial() == serial && config.Fingerprint(c) == fingerprint {
+		if c := each.head.GetConfiguration(); c.GetSerial() == serial && each.transfers.fingerprint() == fingerprint {
 			return c
 		}
 	}
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -17,7 +17,7 @@
 }
 
 func newView(entry *wire.Version, head *wire.ConfigurationHead) *view {
-	return &view{entry: entry, head: head, transfers: &transfers{changes: map[uint64][]byte{}}}
+	return &view{entry: entry, head: head, transfers: newTransfers(head.GetConfiguration())}
 }
 
 // decode returns the view of a newer version, or the same if there is none or it can't be read.
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -54,10 +54,11 @@
 	hinted           base.Bell
 	tasks            base.Crew
 
-	mu          sync.Mutex
-	candidate   *wire.Configuration // newer than the one in force, waiting to be confirmed
-	freshness   configFreshness
-	controllers map[string]*controlPoll
+	mu            sync.Mutex
+	candidate     *wire.Configuration // newer than the one in force, waiting to be confirmed
+	fingerprinted fingerprinted
+	freshness     configFreshness
+	controllers   map[string]*controlPoll
 }
 
 // New returns a client that asks nobody before Run. Polls go by httpClient.
--- a/internal/dataplane/controlclient/configuration.go
+++ b/internal/dataplane/controlclient/configuration.go
@@ -34,6 +34,27 @@
 	return nil
 }
 
+// fingerprinted is a configuration with its fingerprint, which takes a while to work out.
+type fingerprinted struct {
+	configuration *wire.Configuration
+	fingerprint   uint64
+}
+
+// fingerprintOf returns the fingerprint of a configuration held here, and remembers that of the newest one.
+func (c *Client) fingerprintOf(held *wire.Configuration) uint64 {
+	c.mu.Lock()
+	known := c.fingerprinted
+	c.mu.Unlock()
+	if known.configuration == held {
+		return known.fingerprint
+	}
+	fingerprint := config.Fingerprint(held)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.fingerprinted = fingerprinted{held, fingerprint}
+	return fingerprint
+}
+
 // Adopt takes a configuration. A node without a confirmed one keeps an unconfirmed configuration aside, and serves it only when its
 // patience is over. Serials only rise.
 func (c *Client) Adopt(next *wire.Configuration, isConfirmed bool) {
--- a/internal/dataplane/controlclient/polls.go
+++ b/internal/dataplane/controlclient/polls.go
@@ -93,7 +93,7 @@
 	held = c.held()
 	ask.Serial = held.GetSerial()
 	if held != nil {
-		ask.Fingerprint = config.Fingerprint(held)
+		ask.Fingerprint = c.fingerprintOf(held)
 	}
 	return ask, held
 }
