--- a/cmd/drill/open.go
+++ b/cmd/drill/open.go
@@ -262,7 +262,7 @@
 		return err
 	}
 	defer door.Slam()
-	go base.Tick(s, openBeat, func(base.Scope) { _ = n.Beat(berth) })
+	go base.Tick(s, openBeat, func(base.Scope) { _ = n.Heartbeat(berth) })
 	base.Signals(n.Stop, func() {})
 	return nil
 }
--- a/cmd/quiz/open_test.go
+++ b/cmd/quiz/open_test.go
@@ -90,7 +90,7 @@
 		Eventually(wrong, 8*time.Second, 50*time.Millisecond).Should(ContainElements("service books has no upstream anywhere", "the upstream beside node app-2 is silent"))
 		beat := func() {
 			for i, n := range []*dataplane.Node{first, second} {
-				Expect(n.Beat(&wire.Instance{Id: fmt.Sprint("i", i), Service: "books", Address: "127.0.0.1:9", Zone: "a", Capacity: 4})).To(BeNil())
+				Expect(n.Heartbeat(&wire.Instance{Id: fmt.Sprint("i", i), Service: "books", Address: "127.0.0.1:9", Zone: "a", Capacity: 4})).To(BeNil())
 			}
 		}
 		Eventually(func() []string { beat(); return wrong() }, 12*time.Second, 50*time.Millisecond).Should(BeEmpty())
--- a/fleet/open/doors.go
+++ b/fleet/open/doors.go
@@ -28,7 +28,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		if fault := n.Beat(instance); fault != nil {
+		if fault := n.Heartbeat(instance); fault != nil {
 			w.WriteHeader(http.StatusUnprocessableEntity)
 		}
 	})
--- a/fleet/scale/child.go
+++ b/fleet/scale/child.go
@@ -164,7 +164,7 @@
 		berth := &wire.Instance{Id: "i-" + task.Name, Service: serviceName(0), Address: address(task.Ip, task.Port+6), Zone: "zone-0", Capacity: 8}
 		for s.Err() == nil {
 			berth.Sequence++
-			_ = n.Beat(berth)
+			_ = n.Heartbeat(berth)
 			base.Await(s, beatEvery)
 		}
 	}()
--- a/internal/dataplane/local_instance.go
+++ b/internal/dataplane/local_instance.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	silentBeats = 4
-	usualHold   = 150 * time.Millisecond
+	heartbeatsMissed = 4
+	firstHold        = 150 * time.Millisecond
 )
 
 // LocalInstance is the upstream beside this node, as it told of itself.
 type LocalInstance struct {
-	clock    base.Clock
-	beat     time.Duration
-	mu       sync.Mutex
-	instance *wire.Instance
-	heard    time.Duration
-	gone     map[string]time.Duration
-	gate     *admission.Queue
-	number   uint64
-	changed  base.Bell
+	clock     base.Clock
+	heartbeat time.Duration
+	mu        sync.Mutex
+	instance  *wire.Instance
+	heard     time.Duration
+	left      map[string]time.Duration
+	queue     *admission.Queue
+	number    uint64
+	changed   base.Bell
 }
 
-// NewLocalInstance believes an upstream for four beats.
+// NewLocalInstance believes an upstream for four heartbeats.
 func NewLocalInstance(clock base.Clock, beat time.Duration) *LocalInstance {
-	return &LocalInstance{clock: clock, beat: beat, gone: map[string]time.Duration{}, gate: admission.NewQueue(clock, 1, usualHold)}
+	return &LocalInstance{clock: clock, heartbeat: beat, left: map[string]time.Duration{}, queue: admission.NewQueue(clock, 1, firstHold)}
 }
 
-// Beat takes an upstream's word on itself. A late one changes nothing.
-func (d *LocalInstance) Beat(b *wire.Instance) *base.Fault {
+// Heartbeat takes what the upstream tells of itself. A late one changes nothing.
+func (d *LocalInstance) Heartbeat(b *wire.Instance) *base.Fault {
 	if b.GetId() == "" || b.Service == "" || b.Address == "" {
 		return base.NewFault(base.Malformed, "id", "an upstream tells its id, service and address")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, left := d.gone[b.Id]; left {
+	if _, left := d.left[b.Id]; left {
 		return nil
 	}
 	old := d.instance
@@ -49,7 +49,7 @@
 		return nil
 	}
 	if old != nil && old.Id != b.Id {
-		d.gone[old.Id] = d.clock.Mono()
+		d.left[old.Id] = d.clock.Mono()
 	}
 	b = proto.Clone(b).(*wire.Instance)
 	if old != nil && old.Id == b.Id && old.Leaving {
@@ -58,18 +58,18 @@
 	d.heard = d.clock.Mono()
 	fresh := old == nil || old.Id != b.Id
 	if fresh {
-		d.gate = admission.NewQueue(d.clock, int(b.Capacity), usualHold)
+		d.queue = admission.NewQueue(d.clock, int(b.Capacity), firstHold)
 	} else if old.Capacity != b.Capacity {
-		d.gate.Resize(int(b.Capacity))
+		d.queue.Resize(int(b.Capacity))
 	}
 	d.instance = b
 	if fresh || old.Leaving != b.Leaving || old.Capacity != b.Capacity || old.Address != b.Address || old.Service != b.Service {
-		d.risen()
+		d.changedNow()
 	}
 	return nil
 }
 
-func (d *LocalInstance) risen() {
+func (d *LocalInstance) changedNow() {
 	d.number++
 	d.changed.Ring()
 }
@@ -78,10 +78,10 @@
 func (d *LocalInstance) Leave(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gone[id] = d.clock.Mono()
+	d.left[id] = d.clock.Mono()
 	if d.instance.GetId() == id {
 		d.instance = nil
-		d.risen()
+		d.changedNow()
 	}
 }
 
@@ -89,21 +89,21 @@
 func (d *LocalInstance) Now() (*wire.Instance, *admission.Queue, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.instance, d.gate, d.number
+	return d.instance, d.queue, d.number
 }
 
-// Sweep drops an upstream that has been silent for four beats.
+// Sweep drops an upstream that has been silent for four heartbeats.
 func (d *LocalInstance) Sweep() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
-	if d.instance != nil && now-d.heard > silentBeats*d.beat {
+	if d.instance != nil && now-d.heard > heartbeatsMissed*d.heartbeat {
 		d.instance = nil
-		d.risen()
+		d.changedNow()
 	}
-	for id, at := range d.gone {
+	for id, at := range d.left {
 		if now-at > time.Minute {
-			delete(d.gone, id)
+			delete(d.left, id)
 		}
 	}
 }
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -165,7 +165,7 @@
 	return stop
 }
 
-// next reads on to this request's answer. A refusal may come without an id.
+// next reads on to this request's answer. A rejection may come without an id.
 func (c *modelConn) next(id string, any bool) (modelAnswer, bool) {
 	for len(c.inbox) > 0 {
 		a := c.inbox[0]
--- a/internal/dataplane/kinds.go
+++ b/internal/dataplane/narrowing.go
@@ -26,14 +26,14 @@
 }
 
 // narrow holds a request to what the configuration it began with and the one in force now both allow.
-func (v *clientCall) narrow() {
-	if repeatable, tries, changed := v.node.repeatableNow(v.way, v.m); changed {
-		v.ledger.Narrow(repeatable, tries)
+func (c *clientCall) narrow() {
+	if repeatable, tries, changed := c.node.repeatableNow(c.metadata, c.request); changed {
+		c.ledger.Narrow(repeatable, tries)
 	}
 }
 
 // mayHedge tells whether one more upstream may be asked beside the one that is silent.
-func (v *clientCall) mayHedge() bool {
-	v.narrow()
-	return v.ledger.MayHedge()
+func (c *clientCall) mayHedge() bool {
+	c.narrow()
+	return c.ledger.MayHedge()
 }
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/node.go
@@ -25,27 +25,46 @@
 	"curlewreach/proto/wire"
 )
 
+// Bounds of the node's servers.
+const (
+	headerBytes = 64 << 10
+	headerTime  = 5 * time.Second
+	// idleTime is how long clients may rest where the configuration says nothing, longestIdle how long at most.
+	idleTime    = 30 * time.Second
+	longestIdle = 24 * time.Hour
+)
+
+// Bounds of the node's connections; the ratios are of the in-force bound.
 const (
-	headBytes    = 64 << 10
-	headTime     = 5 * time.Second
-	idleTime     = 30 * time.Second
-	longestIdle  = 24 * time.Hour
 	peerIdle     = 20 * time.Second
-	upIdle       = 8 * time.Second
+	upstreamIdle = 8 * time.Second
 	dialRatio    = 0.15
-	silentRatio  = 0.35
-	sweepEvery   = 500 * time.Millisecond
-	forgetAfter  = time.Minute
-	spanEvery    = time.Second
-	spansBound   = 512
-	lameRatio    = 0.4
-	lastRatio    = 0.88
-	farLameRatio = 0.1
-	quietLooks   = 3
+	silentRatio  = 0.35 // for which the other machine may acknowledge nothing
+)
+
+const (
+	// sweepEvery is the pause between two sweeps, forgetAfter the silence after which an absent peer is forgotten.
+	sweepEvery  = 500 * time.Millisecond
+	forgetAfter = time.Minute
+	// spanEvery is the pause between two deliveries of spans, spansBound how many wait for one.
+	spanEvery  = time.Second
+	spansBound = 512
 	// absenceSlack is how long a control machine's word on absent peers counts after it last spoke.
 	absenceSlack = 4 * controlclient.LongestPollHold
 )
 
+// How a node stops; the ratios are of the grace period.
+const (
+	// unreadyRatio is for how long clients are still served once the node is no longer ready, closingRatio peers after that.
+	unreadyRatio = 0.4
+	closingRatio = 0.1
+	// stopRatio is when the node ends whatever is in flight.
+	stopRatio = 0.88
+	// quietChecks in a row, stopPause apart, that find nothing in flight end it earlier.
+	quietChecks = 3
+	stopPause   = 20 * time.Millisecond
+)
+
 // Node is a node of an open fleet.
 type Node struct {
 	scope               base.Scope
@@ -75,7 +94,7 @@
 	inFlight            atomic.Int64
 	statusRevision      atomic.Uint64
 	counts              base.Table[*atomic.Uint64]
-	lengths             [len(classes)]base.Histogram
+	durations           [len(classes)]base.Histogram
 	clients             *connection.ClientConnections
 	servers             []*base.Door
 	cancel              context.CancelFunc
@@ -128,7 +147,7 @@
 	n := newNode(s, p, speech)
 	n.cancel = cancel
 	n.openViews(s)
-	if err := n.openDoors(s, control(n)); err != nil {
+	if err := n.openServers(s, control(n)); err != nil {
 		n.Kill()
 		return nil, err
 	}
@@ -140,16 +159,17 @@
 	return n, nil
 }
 
+// newNode returns a node that serves nobody yet.
 func newNode(s base.Scope, p *wire.NodeParams, speech forwarding.HeaderNames) *Node {
 	force, contact := p.InForce.AsDuration(), p.Contact.AsDuration()
 	n := &Node{
 		scope: s, params: p, headers: speech.Canonical(), incarnation: s.Rand.Name(6), startedAt: s.Clock.Mono(), client: base.WireWithin(s, controlclient.DialPatience(contact)),
 		peerConnections:     connection.NewPool(s.Net, s.Clock, peerIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
-		instanceConnections: connection.NewPool(s.Net, s.Clock, upIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
+		instanceConnections: connection.NewPool(s.Net, s.Clock, upstreamIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
 		peers:               balancer.NewTable(s.Clock, p.Name, absenceSlack), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
 		bodies: admission.NewBodyMemory(p.MemoryMb), link: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), keeper: tracing.NewKeeper(s.Rand), callers: callgraph.NewCallers(),
 	}
-	n.peers.LocalLoad = n.load
+	n.peers.LocalLoad = n.loadReport
 	n.fences = fencing.New(s, fencing.Settings{Incarnation: n.incarnation, InForce: force, MemoryMb: p.MemoryMb, AttemptHeader: n.headers.Attempt}, n.countOutcome)
 	n.retries = retry.NewBudget(s.Clock, p.RepeatRatio, p.RepeatSlack, p.RepeatWindow.AsDuration(), n.peers.Size)
 	n.control = controlclient.New(s, controlclient.Settings{InForce: force, Contact: contact, Seeds: p.Seeds}, n.client, controlclient.Hooks{
@@ -161,10 +181,10 @@
 	return n
 }
 
-// openDoors opens the node's servers, that of its clients last.
-func (n *Node) openDoors(s base.Scope, control http.Handler) error {
+// openServers opens the node's servers, that of its clients last.
+func (n *Node) openServers(s base.Scope, control http.Handler) error {
 	usual := func(server *http.Server) {
-		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.IdleTimeout = headBytes, headTime, idleTime
+		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.IdleTimeout = headerBytes, headerTime, idleTime
 	}
 	forClients := func(server *http.Server) {
 		usual(server)
@@ -175,10 +195,10 @@
 		handler http.Handler
 		set     func(*http.Server)
 	}{
-		{n.params.Inward, http.HandlerFunc(n.inward), usual},
+		{n.params.Inward, http.HandlerFunc(n.servePeer), usual},
 		{n.params.Control, control, usual},
-		{n.params.Ready, http.HandlerFunc(n.readiness), usual},
-		{n.params.Outward, http.HandlerFunc(n.outward), forClients},
+		{n.params.Ready, http.HandlerFunc(n.serveReadiness), usual},
+		{n.params.Outward, http.HandlerFunc(n.serveClient), forClients},
 	} {
 		door, err := base.OpenWith(s, each.address, each.handler, each.set)
 		if err != nil {
@@ -233,6 +253,7 @@
 	}
 }
 
+// countOutcome counts what became of a request.
 func (n *Node) countOutcome(what string) {
 	count, known := n.counts.Get(what)
 	if !known {
@@ -249,7 +270,8 @@
 // Ready tells whether clients may come.
 func (n *Node) Ready() bool { return n.control.Table() != nil && !n.stopping.Load() }
 
-func (n *Node) readiness(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers whether clients may come.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -257,9 +279,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Beat takes the word of the upstream beside this node.
-func (n *Node) Beat(b *wire.Instance) *base.Fault {
-	fault := n.instance.Beat(b)
+// Heartbeat takes the word of the upstream beside this node.
+func (n *Node) Heartbeat(b *wire.Instance) *base.Fault {
+	fault := n.instance.Heartbeat(b)
 	n.peers.Own(n.nodeStatus())
 	return fault
 }
@@ -291,12 +313,12 @@
 	n.statusRevision.Add(1)
 	n.control.StatusChanged()
 	outward := n.servers[len(n.servers)-1]
-	base.Await(n.scope, base.Ratio(grace, lameRatio))
+	base.Await(n.scope, base.Ratio(grace, unreadyRatio))
 	outward.Fold()
-	base.Await(n.scope, base.Ratio(grace, farLameRatio))
+	base.Await(n.scope, base.Ratio(grace, closingRatio))
 	n.closed.Store(true)
-	for quiet := 0; quiet < quietLooks && n.scope.Clock.Mono()-began < base.Ratio(grace, lastRatio); quiet++ {
-		base.Await(n.scope, 20*time.Millisecond)
+	for quiet := 0; quiet < quietChecks && n.scope.Clock.Mono()-began < base.Ratio(grace, stopRatio); quiet++ {
+		base.Await(n.scope, stopPause)
 		if n.inFlight.Load() > 0 {
 			quiet = -1
 		}
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/node_test.go
@@ -58,7 +58,7 @@
 			time.Sleep(200 * time.Millisecond)
 			leave()
 		})
-		Expect(func() { n.outward(w, request) }).To(PanicWith(http.ErrAbortHandler))
+		Expect(func() { n.serveClient(w, request) }).To(PanicWith(http.ErrAbortHandler))
 		Expect(w.wrote).To(BeFalse())
 	})
 })
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -259,7 +259,7 @@
 	upstream := benchIp + "4:28401"
 	benchUpstream(b, s, upstream)
 	near, far := benchNode(b, s, 2), benchNode(b, s, 3)
-	if fault := far.Beat(&wire.Instance{Id: "i-node-00003", Service: "service-0", Address: upstream, Zone: "zone-0", Capacity: 64}); fault != nil {
+	if fault := far.Heartbeat(&wire.Instance{Id: "i-node-00003", Service: "service-0", Address: upstream, Zone: "zone-0", Capacity: 64}); fault != nil {
 		b.Fatal(fault)
 	}
 	observation := &wire.Observation{NodeStatus: far.nodeStatus()}
--- a/internal/dataplane/requests_client_test.go
+++ b/internal/dataplane/requests_client_test.go
@@ -16,7 +16,7 @@
 )
 
 // streamedBody is larger than what a node holds back before it passes an answer on.
-const streamedBody = 2 * farHeld
+const streamedBody = 2 * heldFromUpstream
 
 var _ = ginkgo.Describe("the table of requests, client to node", func() {
 	var p *pair
--- a/internal/dataplane/requests_test.go
+++ b/internal/dataplane/requests_test.go
@@ -52,7 +52,7 @@
 	return result{status: status, sealed: true, by: "first", ranFirst: 1}
 }
 
-// row is an event on one hop, with what it comes to for requests that may run once and for those that may be repeated.
+// row is an event on one peerAttempt, with what it comes to for requests that may run once and for those that may be repeated.
 type row struct {
 	event  string
 	before event         // what happens with the request before, on the same connection
--- a/internal/dataplane/standin_test.go
+++ b/internal/dataplane/standin_test.go
@@ -318,14 +318,14 @@
 	instance := func(at *standIn, zone string) *wire.Instance {
 		return &wire.Instance{Id: "i-" + at.name, Service: books, Address: at.address, Zone: zone, Capacity: 4, WarmMs: warm[at.name]}
 	}
-	Expect(p.far.Beat(instance(p.second, "b"))).To(BeNil())
+	Expect(p.far.Heartbeat(instance(p.second, "b"))).To(BeNil())
 	observations := []*wire.Observation{{NodeStatus: p.far.nodeStatus()}}
 	if asPeer {
 		observations = append(observations, &wire.Observation{NodeStatus: &wire.NodeStatus{
 			Node: "mate", Incarnation: "one", Number: 1, Inward: p.first.address, Zone: "a", Service: books, Instance: instance(p.first, "a"),
 		}})
 	} else {
-		Expect(p.near.Beat(instance(p.first, "a"))).To(BeNil())
+		Expect(p.near.Heartbeat(instance(p.first, "a"))).To(BeNil())
 	}
 	p.near.peers.Heard("keel", true, observations)
 	return p
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -72,7 +72,7 @@
 		w.Header()[forwarding.Plain.Attempt] = r.Header[forwarding.Plain.Attempt]
 		handler(w, r)
 	}))
-	Expect(n.Beat(&wire.Instance{Id: "i-" + n.params.Name, Service: books, Address: ip + ":8080", Zone: "a", Capacity: capacity})).To(BeNil())
+	Expect(n.Heartbeat(&wire.Instance{Id: "i-" + n.params.Name, Service: books, Address: ip + ":8080", Zone: "a", Capacity: capacity})).To(BeNil())
 }
 
 func aConfiguration(serial uint64) *wire.Configuration {
--- a/internal/dataplane/urgency_test.go
+++ b/internal/dataplane/urgency_test.go
@@ -78,7 +78,7 @@
 	return shares
 }
 
-// persist asks as clients do: again after a refusal, once the wait that it was told is over, a few times within its deadline.
+// persist asks as clients do: again after a rejection, once the wait that it was told is over, a few times within its deadline.
 func (s *stand) persist(to string, kind kindOfLoad, id string) bool {
 	until := s.Clock.Mono() + kind.left
 	for try := range 3 {
@@ -136,9 +136,9 @@
 		n := s.node(1, noControllers)
 		leaving := &wire.Instance{Id: "u", Service: books, Address: simulation.Host(n.params.Inward) + ":8080", Zone: "a", Capacity: 4, Leaving: true, Sequence: 1}
 		began := s.Clock.Mono()
-		Expect(n.Beat(leaving)).To(BeNil())
+		Expect(n.Heartbeat(leaving)).To(BeNil())
 		Expect(s.Clock.Mono()).To(Equal(began))
-		o := n.hand(s.Scope(otherBox), forwarding.Metadata{Service: books}, &connection.Request{Header: http.Header{}}, "one", s.Clock.Mono()+time.Second)
+		o := n.deliver(s.Scope(otherBox), forwarding.Metadata{Service: books}, &connection.Request{Header: http.Header{}}, "one", s.Clock.Mono()+time.Second)
 		Expect(o.Kind).To(Equal(base.NoSeat))
 		Expect(o.State).To(Equal(forwarding.NotRun))
 	})
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -21,7 +21,7 @@
 	mux := http.NewServeMux()
 	base.Views(mux, s, func() proto.Message { return n.View() }, n.metrics)
 	door, err := base.OpenWith(s, n.params.Peers, mux, func(server *http.Server) {
-		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = headBytes, headTime, idleTime, idleTime
+		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = headerBytes, headerTime, idleTime, idleTime
 	})
 	if err != nil {
 		s.Log.Warn("no views", "error", err)
@@ -30,9 +30,9 @@
 	n.servers = append(n.servers, door)
 }
 
-func (n *Node) took(v *clientCall) {
+func (n *Node) recordDuration(v *clientCall) {
 	if at := int(v.route.Raw.Repeat); v.ledger.Best() != nil && at >= 0 && at < len(classes) {
-		n.lengths[at].Add(v.now() - v.began)
+		n.durations[at].Add(v.now() - v.began)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	m.Kind(lengths, "histogram", "answered requests of visitors here, by kind of route")
 	for i, class := range classes {
-		m.Spread(lengths, &n.lengths[i], "kind", class)
+		m.Spread(lengths, &n.durations[i], "kind", class)
 	}
 	there, absent, avoided := 0, 0, 0
 	for _, each := range view.Peers {
