--- /dev/null
+++ b/cmd/curlew/main.go
@@ -0,0 +1,54 @@
+// Command curlew is the command of operators and developers. Open fleets run
+// curlewreach instead (platform/curlewreach).
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"curlewreach/internal/command/core"
+	"curlewreach/internal/command/ctl"
+	"curlewreach/internal/command/node"
+	"curlewreach/internal/command/simulate"
+	"curlewreach/internal/command/standins"
+)
+
+const usage = `Usage: curlew COMMAND [OPTIONS]
+
+Commands:
+  ctl       look at a fleet and change it; for operators
+  node      run an application machine of a fleet of listed machines
+  core      run a control machine of a fleet of listed machines
+  simulate  run a whole fleet on this machine, to try it
+  standin   stand in for an instance or for clients, to try a fleet
+
+curlew COMMAND --help tells the options of a command.
+`
+
+// commands are the commands by name. Each reads its arguments from os.Args.
+var commands = map[string]func(){
+	"ctl":      ctl.Main,
+	"node":     node.Main,
+	"core":     core.Main,
+	"simulate": simulate.Main,
+	"standin":  standins.Main,
+}
+
+func main() {
+	if len(os.Args) < 2 {
+		fmt.Fprint(os.Stderr, usage)
+		os.Exit(2)
+	}
+	name := os.Args[1]
+	if name == "--help" || name == "-h" || name == "help" {
+		fmt.Print(usage)
+		return
+	}
+	run, known := commands[name]
+	if !known {
+		fmt.Fprintf(os.Stderr, "curlew: no command %q\n\n%s", name, usage)
+		os.Exit(2)
+	}
+	os.Args = append([]string{"curlew " + name}, os.Args[2:]...)
+	run()
+}
--- a/cmd/keel/main.go
+++ b/internal/command/core/main.go
@@ -1,6 +1,7 @@
-// Command keel runs a core machine of a fleet of listed machines: it keeps
-// the signed configuration and what was learned, and hands them out.
-package main
+// Package core is the command that runs a control machine of a fleet of listed
+// machines: it keeps the signed configuration and what was learned, and hands
+// them out.
+package core
 
 import (
 	"fmt"
@@ -9,23 +10,25 @@
 	"github.com/alexflint/go-arg"
 
 	"curlewreach/base"
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
+const program = "curlew core"
+
 type args struct {
 	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
 	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
 	Zone      string   `arg:"--zone"`
 	Mates     string   `arg:"--mates" help:"IP:port for other nodes; one of the seeds"`
 	Operators string   `arg:"--operators" help:"IP:port for operators, readiness and metrics"`
-	Seeds     []string `arg:"--seeds" help:"IP:port of all keels, this one included"`
+	Seeds     []string `arg:"--seeds" help:"IP:port of all control machines, this one included"`
 	Folder    string   `arg:"--folder" help:"data folder"`
 	Trusted   []string `arg:"--trusted" help:"public keys that may sign bundles"`
 	Log       string   `arg:"--log" help:"trace, debug, info, warn or error"`
 }
 
-func (args) Version() string { return "keel " + base.Version }
+func (args) Version() string { return program + " " + base.Version }
 
 func (args) Description() string { return "keeps the fleet's state on a core machine" }
 
@@ -48,33 +51,34 @@
 	if len(a.Trusted) > 0 {
 		params.Trusted = a.Trusted
 	}
-	helm.Usual(params)
-	return params, helm.Check(params)
+	listedcore.SetDefaults(params)
+	return params, listedcore.Check(params)
 }
 
-func main() {
+// Main runs the command with the arguments of the process.
+func Main() {
 	var a args
 	arg.MustParse(&a)
 	params, err := a.load()
 	if err != nil {
-		base.PrintErrors("keel", err)
+		base.PrintErrors(program, err)
 	}
-	s, err := base.NewScope("keel", params.Name, params.Folder, params.Log)
+	s, err := base.NewScope(program, params.Name, params.Folder, params.Log)
 	if err != nil {
-		base.PrintErrors("keel", err)
+		base.PrintErrors(program, err)
 	}
-	keel, err := helm.Start(s, params)
+	process, err := listedcore.Start(s, params)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "keel:", err)
+		fmt.Fprintln(os.Stderr, program+":", err)
 		os.Exit(1)
 	}
-	base.Signals(keel.Stop, func() {
+	base.Signals(process.Stop, func() {
 		fresh, err := a.load()
 		if err == nil {
-			err = keel.Reload(fresh)
+			err = process.Reload(fresh)
 		}
 		if err != nil {
-			s.Log.Error("reload bounced; the old params stay", "mishaps", base.ErrorLines(err))
+			s.Log.Error("reload rejected; the old settings stay", "faults", base.ErrorLines(err))
 			return
 		}
 		s.Log.Info("reloaded")
--- a/cmd/quiz/exit.go
+++ b/internal/command/ctl/exit.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 	"github.com/pkg/errors"
 
 	"curlewreach/base"
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
 const (
-	exitMishap      = 1
+	exitFault       = 1
 	exitBadFile     = 2
-	exitBounced     = 3
+	exitRejected    = 3
 	exitUnknown     = 4
 	exitUnreachable = 5
 )
@@ -24,19 +24,19 @@
 var errUnknown = errors.New("not known yet; ask again with status")
 
 func exitCode(err error) int {
-	var mishap *base.Fault
+	var fault *base.Fault
 	var bad badFile
 	switch {
 	case errors.As(err, &bad):
 		return exitBadFile
 	case errors.Is(err, errUnknown):
 		return exitUnknown
-	case errors.Is(err, helm.ErrNoKeel):
+	case errors.Is(err, listedcore.ErrNoKeel):
 		return exitUnreachable
-	case errors.As(err, &mishap):
-		return exitBounced
+	case errors.As(err, &fault):
+		return exitRejected
 	}
-	return exitMishap
+	return exitFault
 }
 
 func (a *args) outcome(outcome *wire.Outcome, err error) error {
@@ -48,8 +48,8 @@
 	} else {
 		fmt.Printf("%s serial %d\n", strings.ToLower(outcome.Verdict.String()), outcome.Serial)
 	}
-	if mishap := outcome.Mishap; mishap != nil && outcome.Verdict == wire.Verdict_BOUNCED {
-		return &base.Fault{Kind: base.Kind(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}
+	if fault := outcome.Mishap; fault != nil && outcome.Verdict == wire.Verdict_BOUNCED {
+		return &base.Fault{Kind: base.Kind(fault.Kind), Path: fault.Path, Reason: fault.Reason}
 	}
 	if outcome.Verdict == wire.Verdict_UNKNOWN {
 		return errUnknown
--- a/cmd/quiz/files.go
+++ b/internal/command/ctl/files.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"encoding/json"
--- a/cmd/quiz/look.go
+++ b/internal/command/ctl/look.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"cmp"
@@ -9,25 +9,25 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/helm"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
-func (a *args) show(ctx context.Context, clerk *helm.Clerk) error {
-	reply, err := clerk.Show(ctx, a.Show.Serial)
+func (a *args) show(ctx context.Context, client *listedcore.Client) error {
+	reply, err := client.Show(ctx, a.Show.Serial)
 	if err != nil {
 		return err
 	}
 	return printProto(reply.Bundle)
 }
 
-func (a *args) diff(ctx context.Context, clerk *helm.Clerk) error {
-	before, err := clerk.Show(ctx, a.Diff.Before)
+func (a *args) diff(ctx context.Context, client *listedcore.Client) error {
+	before, err := client.Show(ctx, a.Diff.Before)
 	if err != nil {
 		return err
 	}
-	after, err := clerk.Show(ctx, a.Diff.After)
+	after, err := client.Show(ctx, a.Diff.After)
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	return nil
 }
 
-func (a *args) holdings(ctx context.Context, clerk *helm.Clerk) error {
-	reply, err := clerk.Holdings(ctx)
+func (a *args) holdings(ctx context.Context, client *listedcore.Client) error {
+	reply, err := client.Holdings(ctx)
 	return a.table(reply, err, func() {
 		fmt.Printf("newest serial %d\n", reply.Serial)
 		t := tableOf("NODE", "SERIAL", "ODDS", "STANDING")
@@ -50,14 +50,14 @@
 	})
 }
 
-func (a *args) nodes(ctx context.Context, clerk *helm.Clerk) error {
-	reply, err := clerk.Nodes(ctx)
+func (a *args) nodes(ctx context.Context, client *listedcore.Client) error {
+	reply, err := client.Nodes(ctx)
 	return a.table(reply, err, func() {
 		t := tableOf("NODE", "ZONE", "KIND", "STANDING", "SILENT", "UPSTREAMS")
 		for _, each := range reply.Sightings {
-			kind := "vane"
+			kind := "node"
 			if each.Roster.Core {
-				kind = "keel"
+				kind = "controller"
 			}
 			var seats []string
 			for _, seat := range each.Roster.Seats {
@@ -69,8 +69,8 @@
 	})
 }
 
-func (a *args) trace(ctx context.Context, clerk *helm.Clerk) error {
-	reply, err := clerk.Trace(ctx, a.Trace.ID)
+func (a *args) trace(ctx context.Context, client *listedcore.Client) error {
+	reply, err := client.Trace(ctx, a.Trace.ID)
 	return a.table(reply, err, func() {
 		sort.Slice(reply.Spans, func(i, j int) bool { return reply.Spans[i].StartedUs < reply.Spans[j].StartedUs })
 		t := tableOf("SPAN", "PARENT", "SIDE", "IDENTIFIER", "TOOK", "SELF", "STATUS", "NODE", "STATE")
--- a/cmd/quiz/opentables.go
+++ b/internal/command/ctl/opentables.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
@@ -102,7 +102,7 @@
 	view, known := l.views[name]
 	if !known {
 		if l.sights[name] == nil {
-			return errors.Errorf("no keel knows a node %q", name)
+			return errors.Errorf("no controller knows a node %q", name)
 		}
 		return errors.Errorf("%s did not reply", name)
 	}
@@ -112,8 +112,8 @@
 	fmt.Printf("%s, zone %s, service %s, life %s, up %s, %s\n", view.Node, view.Zone, view.Service, view.Incarnation, span(view.UpMs), l.sights[name].standing(view))
 	fmt.Printf("serial %d, odds %d, %d requests inside, link behind by %s\n", view.Serial, view.Odds, view.Inside, span(view.BacklogMs))
 	fmt.Printf("upstream %s, heard %s ago; gate %d of %d, %d waiting, usual hold %s\n", upstream(view.Instance), span(view.InstanceSilenceMs), view.Gate.GetFlying(), view.Gate.GetLimit(), view.Gate.GetWaiting(), span(view.Gate.GetHoldMs()))
-	for _, keel := range slices.Sorted(maps.Keys(view.Controllers)) {
-		fmt.Printf("keel %s spoke %s ago\n", keel, span(view.Controllers[keel]))
+	for _, controller := range slices.Sorted(maps.Keys(view.Controllers)) {
+		fmt.Printf("controller %s spoke %s ago\n", controller, span(view.Controllers[controller]))
 	}
 	fmt.Println("counts:", sorted(view.Counts))
 	fmt.Println("further calls:", strings.Join(view.Further, " "))
@@ -153,28 +153,28 @@
 
 func (a *args) openKeels(l *look) error {
 	if a.JSON {
-		return printAll(map[string][]proto.Message{"keels": messages(l.keels)}, l.silent)
+		return printAll(map[string][]proto.Message{"controllers": messages(l.controllers)}, l.silent)
 	}
-	t := tableOf("KEEL", "ADDRESS", "ZONE", "PHASE", "GENERATION", "SPARE", "SETTLED", "AGREED", "SERIAL", "OWNER", "LEARNER", "NODES", "ABSENT", "KEYS")
-	for _, address := range slices.Sorted(maps.Keys(l.keels)) {
-		keel := l.keels[address]
+	t := tableOf("CONTROLLER", "ADDRESS", "ZONE", "PHASE", "GENERATION", "SPARE", "SETTLED", "AGREED", "SERIAL", "OWNER", "LEARNER", "NODES", "ABSENT", "KEYS")
+	for _, address := range slices.Sorted(maps.Keys(l.controllers)) {
+		controller := l.controllers[address]
 		agreed, absent, keys := "never", 0, []string{}
-		if keel.AgreedMs != nil {
-			agreed = span(keel.GetAgreedMs()) + " ago"
+		if controller.AgreedMs != nil {
+			agreed = span(controller.GetAgreedMs()) + " ago"
 		}
-		for _, each := range keel.Nodes {
+		for _, each := range controller.Nodes {
 			if each.Absent {
 				absent++
 			}
 		}
-		for _, key := range keel.Keys {
+		for _, key := range controller.Keys {
 			sick := ""
 			if key.Sick {
 				sick = " under repair"
 			}
 			keys = append(keys, fmt.Sprintf("%s:%d%s", key.Key, key.Serial, sick))
 		}
-		t.add(keel.Controller, address, keel.Zone, keel.Phase, keel.Generation, keel.Spare, keel.Settled, agreed, keel.Serial, keel.Owner, keel.Learner, len(keel.Nodes), absent, strings.Join(keys, " "))
+		t.add(controller.Controller, address, controller.Zone, controller.Phase, controller.Generation, controller.Spare, controller.Settled, agreed, controller.Serial, controller.Owner, controller.Learner, len(controller.Nodes), absent, strings.Join(keys, " "))
 	}
 	t.print(a.Sort, a.Filter)
 	for _, address := range l.silent {
@@ -183,13 +183,13 @@
 	return nil
 }
 
-func (a *args) openRoutes(ctx context.Context, clerk *helm.Clerk, l *look) error {
-	chart, err := anyKeel(ctx, clerk, (*helm.Clerk).Chart)
-	return a.table(chart, err, func() {
+func (a *args) openRoutes(ctx context.Context, client *listedcore.Client, l *look) error {
+	configuration, err := anyKeel(ctx, client, (*listedcore.Client).Configuration)
+	return a.table(configuration, err, func() {
 		slowest, further := l.paces()
-		fmt.Printf("serial %d\n", chart.Serial)
+		fmt.Printf("serial %d\n", configuration.Serial)
 		t := tableOf("ROUTE", "HOST", "PREFIX", "TO", "REPEAT", "RANK", "TRIES", "AIM MS", "CUTOFF MS", "USUAL MS", "FURTHER")
-		for _, route := range chart.Routes {
+		for _, route := range configuration.Routes {
 			usual := "-"
 			if slowest[route.Name] > 0 {
 				usual = fmt.Sprintf("%.1f", slowest[route.Name])
@@ -227,22 +227,22 @@
 	return strings.Join(to, " ")
 }
 
-func (a *args) openJournal(ctx context.Context, clerk *helm.Clerk, l *look) error {
+func (a *args) openJournal(ctx context.Context, client *listedcore.Client, l *look) error {
 	ask := a.Open.Journal
 	address := ""
 	if node := l.sights[ask.Node]; node != nil {
 		address = node.post.Peers
 	}
-	for _, keel := range l.keels {
-		if keel.Controller == ask.Node || keel.Address == ask.Node {
-			address = keel.Address
+	for _, controller := range l.controllers {
+		if controller.Controller == ask.Node || controller.Address == ask.Node {
+			address = controller.Address
 		}
 	}
 	if address == "" {
-		return errors.Errorf("no keel knows a node %q that can be asked", ask.Node)
+		return errors.Errorf("no controller knows a node %q that can be asked", ask.Node)
 	}
-	reply, err := at(clerk, address).Journal(ctx, ask.Subject, ask.Last)
-	if errors.Is(err, helm.ErrNoKeel) {
+	reply, err := at(client, address).Journal(ctx, ask.Subject, ask.Last)
+	if errors.Is(err, listedcore.ErrNoKeel) {
 		err = errors.Errorf("%s did not reply", ask.Node)
 	}
 	return a.table(reply, err, func() {
--- a/cmd/quiz/shell.go
+++ b/internal/command/ctl/shell.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"fmt"
@@ -59,7 +59,7 @@
 		}
 		items = append(items, readline.PcItem(name))
 	}
-	config := &readline.Config{Prompt: "quiz> ", AutoComplete: readline.NewPrefixCompleter(items...)}
+	config := &readline.Config{Prompt: "curlew> ", AutoComplete: readline.NewPrefixCompleter(items...)}
 	if home, err := os.UserHomeDir(); err == nil {
 		config.HistoryFile = filepath.Join(home, ".quiz_history")
 	}
@@ -67,8 +67,8 @@
 }
 
 func (a *args) line(words []string) {
-	next := args{Keels: a.Keels, JSON: a.JSON}
-	parser, err := arg.NewParser(arg.Config{Program: "quiz"}, &next)
+	next := args{Controllers: a.Controllers, JSON: a.JSON}
+	parser, err := arg.NewParser(arg.Config{Program: program}, &next)
 	if err == nil {
 		err = parser.Parse(words)
 	}
@@ -76,17 +76,17 @@
 	case errors.Is(err, arg.ErrHelp) || err == nil && (parser.Subcommand() == nil || next.Open != nil && next.Open.empty()):
 		parser.WriteHelp(os.Stdout)
 	case err != nil:
-		fmt.Println("mishap:", err)
+		fmt.Println("fault:", err)
 		parser.WriteUsage(os.Stdout)
 	case next.Shell != nil:
-		fmt.Println("mishap: this is the shell")
+		fmt.Println("fault: this is the shell")
 	default:
-		if next.Keels == "" {
-			next.Keels = a.Keels
+		if next.Controllers == "" {
+			next.Controllers = a.Controllers
 		}
 		next.JSON = next.JSON || a.JSON
 		if err := next.once(); err != nil {
-			fmt.Println("mishap:", err)
+			fmt.Println("fault:", err)
 		}
 	}
 }
--- a/cmd/quiz/sign.go
+++ b/internal/command/ctl/sign.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"context"
@@ -13,20 +13,20 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/helm"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
-func (a *args) submit(ctx context.Context, clerk *helm.Clerk) error {
+func (a *args) submit(ctx context.Context, client *listedcore.Client) error {
 	sealed := &wire.Sealed{}
 	if err := readProto(a.Submit.Sealed, sealed); err != nil {
 		return err
 	}
-	return a.outcome(clerk.Sign(ctx, a.Submit.ID, sealed))
+	return a.outcome(client.Sign(ctx, a.Submit.ID, sealed))
 }
 
-func (a *args) apply(ctx context.Context, clerk *helm.Clerk) error {
+func (a *args) apply(ctx context.Context, client *listedcore.Client) error {
 	request, err := request(a.Apply.Base, a.Apply.Bundle, a.Apply.Change, a.Apply.Forsake)
 	if err != nil {
 		return err
@@ -35,14 +35,14 @@
 	if err != nil {
 		return err
 	}
-	return a.outcome(clerk.Apply(ctx, a.Apply.ID, request, key))
+	return a.outcome(client.Apply(ctx, a.Apply.ID, request, key))
 }
 
-func (a *args) adopt(ctx context.Context, clerk *helm.Clerk) error {
-	if len(a.keels()) != 1 {
-		return errors.New("adopt takes exactly one keel")
+func (a *args) adopt(ctx context.Context, client *listedcore.Client) error {
+	if len(a.controllers()) != 1 {
+		return errors.New("adopt takes exactly one controller")
 	}
-	reply, err := clerk.Adopt(ctx)
+	reply, err := client.Adopt(ctx)
 	return a.table(reply, err, func() { fmt.Printf("%s is %s\n", reply.Keel, reply.Phase) })
 }
 
@@ -58,12 +58,12 @@
 	return nil
 }
 
-func (d *draft) run(ctx context.Context, clerk *helm.Clerk) error {
+func (d *draft) run(ctx context.Context, client *listedcore.Client) error {
 	ask, err := request(d.Base, d.Bundle, d.Change, d.Forsake)
 	if err != nil {
 		return err
 	}
-	reply, err := clerk.Draft(ctx, ask)
+	reply, err := client.Draft(ctx, ask)
 	if err != nil {
 		return err
 	}
@@ -83,9 +83,9 @@
 	if err := readProto(s.Draft, reply); err != nil {
 		return err
 	}
-	shown, mishap := bundle.Open(reply.Sealed)
-	if mishap != nil {
-		return mishap
+	shown, fault := bundle.Open(reply.Sealed)
+	if fault != nil {
+		return fault
 	}
 	if !proto.Equal(shown, reply.Bundle) {
 		return errors.New("the manifest does not fit the bundle shown")
--- a/cmd/quiz/quiz_test.go
+++ b/internal/command/ctl/suite_test.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"os"
@@ -10,31 +10,31 @@
 	"github.com/pkg/errors"
 
 	"curlewreach/base"
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
-func TestQuiz(t *testing.T) {
+func TestCtl(t *testing.T) {
 	RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "quiz")
+	ginkgo.RunSpecs(t, "ctl")
 }
 
 var _ = ginkgo.Describe("the shell's answers", func() {
-	ginkgo.DescribeTable("given a mishap, when quiz ends, then its exit code tells which",
+	ginkgo.DescribeTable("given a fault, when ctl ends, then its exit code tells which",
 		func(err error, code int) { Expect(exitCode(err)).To(Equal(code)) },
-		ginkgo.Entry("bounced", errors.Wrap(base.NewFault(base.StaleBase, "base", "newer"), "apply"), exitBounced),
+		ginkgo.Entry("bounced", errors.Wrap(base.NewFault(base.StaleBase, "base", "newer"), "apply"), exitRejected),
 		ginkgo.Entry("unknown", errors.WithStack(errUnknown), exitUnknown),
-		ginkgo.Entry("unreachable", errors.Wrap(helm.ErrNoKeel, "show"), exitUnreachable),
+		ginkgo.Entry("unreachable", errors.Wrap(listedcore.ErrNoKeel, "show"), exitUnreachable),
 		ginkgo.Entry("a bad file", badFile{errors.New("no JSON")}, exitBadFile),
-		ginkgo.Entry("constraints that clash", errClash, exitMishap),
-		ginkgo.Entry("something wrong", errWrong, exitMishap),
+		ginkgo.Entry("constraints that clash", errClash, exitFault),
+		ginkgo.Entry("something wrong", errWrong, exitFault),
 	)
 
-	ginkgo.It("given a bounced, an unknown and a taken outcome, when told, then only the taken is no mishap", func() {
+	ginkgo.It("given a bounced, an unknown and a taken outcome, when told, then only the taken is no fault", func() {
 		a := &args{}
 		Expect(a.outcome(&wire.Outcome{Verdict: wire.Verdict_TAKEN, Serial: 2}, nil)).To(Succeed())
 		Expect(exitCode(a.outcome(&wire.Outcome{Verdict: wire.Verdict_UNKNOWN}, nil))).To(Equal(exitUnknown))
-		Expect(exitCode(a.outcome(&wire.Outcome{Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: "stale-base"}}, nil))).To(Equal(exitBounced))
+		Expect(exitCode(a.outcome(&wire.Outcome{Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: "stale-base"}}, nil))).To(Equal(exitRejected))
 	})
 
 	ginkgo.DescribeTable("given a file of constraints, when placed, then the exit code tells solved, clashing and bad apart",
@@ -49,7 +49,7 @@
 			Expect(exitCode(err)).To(Equal(code))
 		},
 		ginkgo.Entry("solved", `{"machines":[{"name":"a","zone":"z","capacity":1}],"services":[{"name":"s","replicas":1,"weight":1}]}`, 0),
-		ginkgo.Entry("clashing", `{"machines":[{"name":"a","zone":"z","capacity":1}],"services":[{"name":"s","replicas":1,"weight":2}]}`, exitMishap),
+		ginkgo.Entry("clashing", `{"machines":[{"name":"a","zone":"z","capacity":1}],"services":[{"name":"s","replicas":1,"weight":2}]}`, exitFault),
 		ginkgo.Entry("bad", `{"machines":[{"name":"A"}]}`, exitBadFile),
 		ginkgo.Entry("no JSON", `{`, exitBadFile),
 	)
--- a/cmd/quiz/table.go
+++ b/internal/command/ctl/table.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"cmp"
@@ -41,9 +41,9 @@
 }
 
 func compareCells(a, b string) int {
-	one, mishap := strconv.ParseFloat(a, 64)
+	one, fault := strconv.ParseFloat(a, 64)
 	two, other := strconv.ParseFloat(b, 64)
-	if mishap == nil && other == nil {
+	if fault == nil && other == nil {
 		return cmp.Compare(two, one)
 	}
 	return strings.Compare(a, b)
--- a/cmd/quiz/tell.go
+++ b/internal/command/ctl/tell.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 	"strings"
 	"time"
 
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
 
-func (a *args) state(ctx context.Context, clerk *helm.Clerk) error {
+func (a *args) state(ctx context.Context, client *listedcore.Client) error {
 	answered := 0
-	for keel, one := range clerk.Each() {
+	for controller, one := range client.Each() {
 		reply, err := one.State(ctx)
 		if err != nil {
-			fmt.Printf("%s did not reply\n", keel)
+			fmt.Printf("%s did not reply\n", controller)
 			continue
 		}
 		answered++
@@ -37,7 +37,7 @@
 		}
 	}
 	if answered == 0 {
-		return helm.ErrNoKeel
+		return listedcore.ErrNoKeel
 	}
 	return nil
 }
--- a/cmd/quiz/wrong.go
+++ b/internal/command/ctl/wrong.go
@@ -1,4 +1,4 @@
-package main
+package ctl
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/internal/membership"
 	"curlewreach/proto/wire"
 )
@@ -28,17 +28,17 @@
 
 var errWrong = errors.New("something is wrong")
 
-func (a *args) wrong(ctx context.Context, clerk *helm.Clerk) error {
+func (a *args) wrong(ctx context.Context, client *listedcore.Client) error {
 	w := &findings{Wrong: []string{}}
-	w.core(ctx, clerk)
-	if err := w.nodes(ctx, clerk); err != nil {
+	w.core(ctx, client)
+	if err := w.nodes(ctx, client); err != nil {
 		return err
 	}
-	if told, err := clerk.Why(ctx, ""); err == nil {
+	if told, err := client.Why(ctx, ""); err == nil {
 		for _, node := range told.Silent {
 			w.add("%s did not reply", node)
 		}
-		w.shares(ctx, clerk, told)
+		w.shares(ctx, client, told)
 	}
 	if a.JSON {
 		body, err := json.MarshalIndent(w, "", "  ")
@@ -63,18 +63,18 @@
 	return nil
 }
 
-func (w *findings) core(ctx context.Context, clerk *helm.Clerk) {
-	for keel, one := range clerk.Each() {
+func (w *findings) core(ctx context.Context, client *listedcore.Client) {
+	for controller, one := range client.Each() {
 		state, err := one.State(ctx)
 		if err != nil {
-			w.add("keel %s can't be reached", keel)
+			w.add("controller %s can't be reached", controller)
 			continue
 		}
-		w.keel(state)
+		w.controller(state)
 	}
 }
 
-func (w *findings) keel(state *wire.StateReply) {
+func (w *findings) controller(state *wire.StateReply) {
 	if state.Phase != wholePhase {
 		w.add("%s has not recovered its disk: %s", state.Keel, state.Phase)
 	}
@@ -88,14 +88,14 @@
 		if key.Sick {
 			w.add("key %s is under repair at %s", key.Key, state.Keel)
 		}
-		if key.Key == helm.BundleKey && key.Copies > 0 && key.Copies < wholeCopies {
+		if key.Key == listedcore.BundleKey && key.Copies > 0 && key.Copies < wholeCopies {
 			w.add("the newest %s has %d copies, seen from %s", key.Key, key.Copies, state.Keel)
 		}
 	}
 }
 
-func (w *findings) nodes(ctx context.Context, clerk *helm.Clerk) error {
-	holdings, err := clerk.Holdings(ctx)
+func (w *findings) nodes(ctx context.Context, client *listedcore.Client) error {
+	holdings, err := client.Holdings(ctx)
 	if err != nil {
 		return err
 	}
@@ -113,8 +113,8 @@
 	return nil
 }
 
-func (w *findings) shares(ctx context.Context, clerk *helm.Clerk, told *wire.ToldReply) {
-	shown, err := clerk.Show(ctx, 0)
+func (w *findings) shares(ctx context.Context, client *listedcore.Client, told *wire.ToldReply) {
+	shown, err := client.Show(ctx, 0)
 	if err != nil {
 		return
 	}
@@ -150,10 +150,10 @@
 	return 100 * float64(count) / float64(all)
 }
 
-func (a *args) watch(ctx context.Context, clerk *helm.Clerk) error {
+func (a *args) watch(ctx context.Context, client *listedcore.Client) error {
 	last := ""
 	for begun := time.Now(); ; {
-		holdings, err := clerk.Holdings(ctx)
+		holdings, err := client.Holdings(ctx)
 		if err != nil {
 			return err
 		}
--- a/cmd/vane/main.go
+++ b/internal/command/node/main.go
@@ -1,7 +1,7 @@
-// Command vane runs an application machine of a fleet of listed machines: it
-// carries requests between the instances beside it and its peers, and
-// records spans.
-package main
+// Package node is the command that runs an application machine of a fleet of
+// listed machines: it forwards requests between the instances beside it and its
+// peers, and records spans.
+package node
 
 import (
 	"fmt"
@@ -10,10 +10,12 @@
 	"github.com/alexflint/go-arg"
 
 	"curlewreach/base"
-	"curlewreach/flow"
+	"curlewreach/internal/listednode"
 	"curlewreach/proto/wire"
 )
 
+const program = "curlew node"
+
 type args struct {
 	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
 	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
@@ -22,13 +24,13 @@
 	Visitors  string   `arg:"--visitors" help:"IP:port for requests"`
 	Upstreams string   `arg:"--upstreams" help:"IP:port for upstreams' reports and further calls"`
 	Ops       string   `arg:"--ops" help:"IP:port for readiness, metrics and the journal"`
-	Seeds     []string `arg:"--seeds" help:"IP:port of up to three keels"`
+	Seeds     []string `arg:"--seeds" help:"IP:port of up to three control machines"`
 	Folder    string   `arg:"--folder" help:"data folder"`
 	Trusted   []string `arg:"--trusted" help:"public keys that may sign bundles"`
 	Log       string   `arg:"--log" help:"trace, debug, info, warn or error"`
 }
 
-func (args) Version() string { return "vane " + base.Version }
+func (args) Version() string { return program + " " + base.Version }
 
 func (args) Description() string { return "carries requests on an application machine" }
 
@@ -51,33 +53,34 @@
 	if len(a.Trusted) > 0 {
 		params.Trusted = a.Trusted
 	}
-	flow.Usual(params)
-	return params, flow.Check(params)
+	listednode.SetDefaults(params)
+	return params, listednode.Check(params)
 }
 
-func main() {
+// Main runs the command with the arguments of the process.
+func Main() {
 	var a args
 	arg.MustParse(&a)
 	params, err := a.load()
 	if err != nil {
-		base.PrintErrors("vane", err)
+		base.PrintErrors(program, err)
 	}
-	s, err := base.NewScope("vane", params.Name, params.Folder, params.Log)
+	s, err := base.NewScope(program, params.Name, params.Folder, params.Log)
 	if err != nil {
-		base.PrintErrors("vane", err)
+		base.PrintErrors(program, err)
 	}
-	vane, err := flow.Start(s, params)
+	process, err := listednode.Start(s, params)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "vane:", err)
+		fmt.Fprintln(os.Stderr, program+":", err)
 		os.Exit(1)
 	}
-	base.Signals(vane.Stop, func() {
+	base.Signals(process.Stop, func() {
 		fresh, err := a.load()
 		if err == nil {
-			err = vane.Reload(fresh)
+			err = process.Reload(fresh)
 		}
 		if err != nil {
-			s.Log.Error("reload bounced; the old params stay", "mishaps", base.ErrorLines(err))
+			s.Log.Error("reload rejected; the old settings stay", "faults", base.ErrorLines(err))
 			return
 		}
 		s.Log.Info("reloaded")
--- a/cmd/drill/day.go
+++ b/internal/command/simulate/day.go
@@ -1,4 +1,4 @@
-package main
+package simulate
 
 import (
 	"bytes"
@@ -83,8 +83,8 @@
 // visit starts visitors behind each node, who make requests until visiting ends.
 func (f *fleet) visit(s, visiting base.Scope, rate float64) *base.Group {
 	crew := &base.Group{}
-	for _, each := range f.vanes {
-		visitors := &standin.Visitors{Scope: s, Name: each.Name, To: each.at(visitorsPort), Rate: rate / float64(len(f.vanes)), Habits: f.plan, History: f.history}
+	for _, each := range f.nodes {
+		visitors := &standin.Visitors{Scope: s, Name: each.Name, To: each.at(clientsPort), Rate: rate / float64(len(f.nodes)), Habits: f.plan, History: f.history}
 		crew.Go(func() { visitors.Run(visiting) })
 	}
 	return crew
@@ -145,7 +145,7 @@
 
 // ask adds what the upstreams counted and what was learned.
 func (f *fleet) ask(s base.Scope, sum *summary) error {
-	for _, each := range f.seats {
+	for _, each := range f.instances {
 		var counts standin.Counts
 		if err := f.get("http://"+each.address+"/mime/counts", &counts); err != nil {
 			return err
@@ -155,7 +155,7 @@
 		sum.TiedWell += counts.TiedWell
 		sum.TiedElse += counts.TiedElse
 	}
-	learning, err := f.clerk.Odds(s)
+	learning, err := f.client.Odds(s)
 	if err != nil {
 		return err
 	}
@@ -178,13 +178,13 @@
 
 // collect adds to the history what upstreams, nodes and core machines have.
 func (f *fleet) collect(s base.Scope) error {
-	for _, each := range f.seats {
+	for _, each := range f.instances {
 		if err := f.collectRuns(each); err != nil {
 			return err
 		}
 	}
 	wall, mono := time.Now(), f.history.Now()
-	for _, m := range f.vanes {
+	for _, m := range f.nodes {
 		var events []base.Event
 		if err := f.get("http://"+m.at(opsPort)+"/journal", &events); err != nil {
 			return err
@@ -193,16 +193,16 @@
 			f.history.Fold(m.Name, event.Topic, event.Subject, event.Detail, mono-wall.Sub(event.At))
 		}
 	}
-	for _, keel := range f.clerk.Keels {
-		one := *f.clerk
-		one.Keels = []string{keel}
+	for _, controller := range f.client.Controllers {
+		one := *f.client
+		one.Controllers = []string{controller}
 		reply, err := one.Show(s, 0)
-		f.history.ReadBack(keel, reply.GetSerial(), reply.GetSealed(), err)
+		f.history.ReadBack(controller, reply.GetSerial(), reply.GetSealed(), err)
 	}
 	return nil
 }
 
-func (f *fleet) collectRuns(each *seat) error {
+func (f *fleet) collectRuns(each *instance) error {
 	body, err := os.ReadFile(f.runsOf(each))
 	if err != nil {
 		return err
@@ -218,12 +218,12 @@
 
 func (f *fleet) watch(s base.Scope) {
 	base.Tick(s, 100*time.Millisecond, func(base.Scope) {
-		base.Parallel(f.vanes, func(m *machine) { f.ready(m, opsPort) })
+		base.Parallel(f.nodes, func(m *machine) { f.ready(m, opsPort) })
 	})
 }
 
 func (f *fleet) allOn(serial uint64) bool {
-	for _, each := range f.vanes {
+	for _, each := range f.nodes {
 		if at, ready := f.ready(each, opsPort); !ready || at < serial {
 			return false
 		}
--- a/cmd/drill/fleet.go
+++ b/internal/command/simulate/fleet.go
@@ -1,4 +1,4 @@
-package main
+package simulate
 
 import (
 	"context"
@@ -20,18 +20,18 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
 	"curlewreach/internal/testing/judge"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/proto/wire"
 )
 
 const (
-	visitorsPort  = 7002
+	clientsPort   = 7002
 	upstreamsPort = 7003
 	opsPort       = 7004
 	operatorsPort = 7005
-	seatPort      = 8001
+	instancePort  = 8001
 	raising       = 30 * time.Second
 )
 
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s:%d", netip.MustParseAddrPort(m.Address).Addr(), port)
 }
 
-type seat struct {
+type instance struct {
 	Machine  string `json:"machine"`
 	Service  string `json:"service"`
 	Capacity int    `json:"capacity"`
@@ -53,19 +53,19 @@
 }
 
 type fleet struct {
-	args    args
-	bundle  *wire.Bundle
-	keels   []*machine
-	seeds   []string
-	vanes   []*machine
-	seats   []*seat
-	plan    []standin.Habitual
-	key     ed25519.PrivateKey
-	keyFile string
-	clerk   *helm.Clerk
-	web     *http.Client
-	old     map[string]bool
-	history *judge.History
+	args        args
+	bundle      *wire.Bundle
+	controllers []*machine
+	seeds       []string
+	nodes       []*machine
+	instances   []*instance
+	plan        []standin.Habitual
+	key         ed25519.PrivateKey
+	keyFile     string
+	client      *listedcore.Client
+	web         *http.Client
+	old         map[string]bool
+	history     *judge.History
 }
 
 func readJSON(file string, into any) error {
@@ -76,8 +76,8 @@
 	return errors.Wrap(json.Unmarshal(body, into), file)
 }
 
-// raise starts a fleet with the first bundle in force and all upstreams known.
-func raise(s base.Scope, a args) (*fleet, error) {
+// startFleet starts a fleet with the first bundle in force and all upstreams known.
+func startFleet(s base.Scope, a args) (*fleet, error) {
 	f := &fleet{args: a, bundle: &wire.Bundle{}, web: &http.Client{Timeout: 5 * time.Second}, history: judge.NewHistory(s.Clock)}
 	if err := f.read(); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	}
 	f.list()
 	if err := f.startAll(s, trusted); err != nil {
-		f.fell()
+		f.end()
 		return nil, err
 	}
 	return f, nil
@@ -103,7 +103,7 @@
 	if err := protojson.Unmarshal(body, f.bundle); err != nil {
 		return err
 	}
-	if err := readJSON(filepath.Join(f.args.Example, "seats.json"), &f.seats); err != nil {
+	if err := readJSON(filepath.Join(f.args.Example, "seats.json"), &f.instances); err != nil {
 		return err
 	}
 	return readJSON(filepath.Join(f.args.Example, "plan.json"), &f.plan)
@@ -125,29 +125,29 @@
 // old version given, every second one starts with it.
 func (f *fleet) list() {
 	f.old = map[string]bool{}
-	f.clerk = &helm.Clerk{Web: f.web, Signed: f.history.Signed}
+	f.client = &listedcore.Client{Web: f.web, Signed: f.history.Signed}
 	for i, each := range f.bundle.Common.Machines {
 		f.old[each.Name] = f.args.Old != "" && i%2 == 1
 		at := &machine{Machine: each}
 		if !each.Core {
-			f.vanes = append(f.vanes, at)
+			f.nodes = append(f.nodes, at)
 			continue
 		}
-		f.keels = append(f.keels, at)
+		f.controllers = append(f.controllers, at)
 		f.seeds = append(f.seeds, each.Address)
-		f.clerk.Keels = append(f.clerk.Keels, at.at(operatorsPort))
+		f.client.Controllers = append(f.client.Controllers, at.at(operatorsPort))
 	}
 }
 
 // startMachines starts the core and the application machines' processes.
 func (f *fleet) startMachines(trusted []string) (err error) {
-	for _, each := range f.keels {
-		if each.process, err = f.start("keel", each.Name, f.keelParams(each, trusted)); err != nil {
+	for _, each := range f.controllers {
+		if each.process, err = f.start(coreCommand, each.Name, f.controllerParams(each, trusted)); err != nil {
 			return err
 		}
 	}
-	for _, each := range f.vanes {
-		if each.process, err = f.start("vane", each.Name, f.vaneParams(each, trusted)); err != nil {
+	for _, each := range f.nodes {
+		if each.process, err = f.start(nodeCommand, each.Name, f.nodeParams(each, trusted)); err != nil {
 			return err
 		}
 	}
@@ -159,15 +159,15 @@
 	if err := f.startMachines(trusted); err != nil {
 		return err
 	}
-	if err := f.until(s, "keels ready", func() bool { return f.allReady(f.keels, operatorsPort) }); err != nil {
+	if err := f.until(s, "controllers ready", func() bool { return f.allReady(f.controllers, operatorsPort) }); err != nil {
 		return err
 	}
-	for _, each := range f.seats {
+	for _, each := range f.instances {
 		if err := f.seat(each); err != nil {
 			return err
 		}
 	}
-	outcome, err := f.clerk.Apply(s, "first", &wire.DraftRequest{Bundle: f.bundle}, f.key)
+	outcome, err := f.client.Apply(s, "first", &wire.DraftRequest{Bundle: f.bundle}, f.key)
 	if err != nil {
 		return err
 	}
@@ -175,38 +175,45 @@
 	if outcome.Verdict != wire.Verdict_TAKEN {
 		return errors.Errorf("the first bundle was not taken: %s", outcome)
 	}
-	if err := f.until(s, "vanes ready", func() bool { return f.allReady(f.vanes, opsPort) }); err != nil {
+	if err := f.until(s, "nodes ready", func() bool { return f.allReady(f.nodes, opsPort) }); err != nil {
 		return err
 	}
 	return f.until(s, "upstreams known", func() bool {
-		reply, err := f.clerk.Nodes(s)
+		reply, err := f.client.Nodes(s)
 		count := 0
 		for _, sighting := range reply.GetSightings() {
 			count += len(sighting.Roster.Seats)
 		}
-		return err == nil && count == len(f.seats)
+		return err == nil && count == len(f.instances)
 	})
 }
 
-func (f *fleet) keelParams(each *machine, trusted []string) *wire.KeelParams {
+func (f *fleet) controllerParams(each *machine, trusted []string) *wire.KeelParams {
 	return &wire.KeelParams{
 		Name: each.Name, Zone: each.Zone, Mates: each.Address, Operators: each.at(operatorsPort), Seeds: f.seeds,
 		Folder: f.folder(each.Name), Trusted: trusted, Log: f.args.Log,
 	}
 }
 
-func (f *fleet) vaneParams(each *machine, trusted []string) *wire.VaneParams {
+func (f *fleet) nodeParams(each *machine, trusted []string) *wire.VaneParams {
 	return &wire.VaneParams{
-		Name: each.Name, Zone: each.Zone, Mates: each.Address, Visitors: each.at(visitorsPort), Upstreams: each.at(upstreamsPort),
+		Name: each.Name, Zone: each.Zone, Mates: each.Address, Visitors: each.at(clientsPort), Upstreams: each.at(upstreamsPort),
 		Ops: each.at(opsPort), Seeds: f.seeds, Folder: f.folder(each.Name), Trusted: trusted, Log: f.args.Log,
 	}
 }
 
-func (f *fleet) operators() string { return strings.Join(f.clerk.Keels, ",") }
+func (f *fleet) operators() string { return strings.Join(f.client.Controllers, ",") }
 
 func (f *fleet) folder(name string) string { return filepath.Join(f.args.Folder, name) }
 
-func (f *fleet) start(program, name string, params proto.Message) (*exec.Cmd, error) {
+// Commands of curlew that the machines run.
+const (
+	coreCommand = "core"
+	nodeCommand = "node"
+)
+
+// start starts a machine's process.
+func (f *fleet) start(command, name string, params proto.Message) (*exec.Cmd, error) {
 	body, err := protojson.MarshalOptions{Multiline: true}.Marshal(params)
 	if err != nil {
 		return nil, err
@@ -215,14 +222,15 @@
 	if err := os.WriteFile(file, body, 0o644); err != nil {
 		return nil, err
 	}
-	return f.spawn(name, f.version(program, name), "--params", file)
+	return f.spawn(name, f.version(name), command, "--params", file)
 }
 
-func (f *fleet) version(program, name string) string {
+// version returns the program that a machine runs.
+func (f *fleet) version(name string) string {
 	if f.old[name] {
-		return filepath.Join(f.args.Old, program)
+		return filepath.Join(f.args.Old, curlew)
 	}
-	return filepath.Join(f.args.Bin, program)
+	return filepath.Join(f.args.Bin, curlew)
 }
 
 func (f *fleet) spawn(name, program string, rest ...string) (*exec.Cmd, error) {
@@ -237,9 +245,9 @@
 	return process, errors.Wrap(process.Start(), program)
 }
 
-func (f *fleet) seat(each *seat) error {
+func (f *fleet) seat(each *instance) error {
 	var home *machine
-	for _, at := range f.vanes {
+	for _, at := range f.nodes {
 		if at.Name == each.Machine {
 			home = at
 		}
@@ -247,16 +255,18 @@
 	if home == nil {
 		return errors.Errorf("seats: no machine %q", each.Machine)
 	}
-	each.address = home.at(seatPort)
+	each.address = home.at(instancePort)
 	var err error
-	each.process, err = f.spawn(each.Machine+"-upstream", filepath.Join(f.args.Bin, "mime"), "upstream", "--service", each.Service, "--address", each.address,
+	each.process, err = f.spawn(each.Machine+"-upstream", filepath.Join(f.args.Bin, curlew), "standin", "upstream", "--service", each.Service, "--address", each.address,
 		"--reports", home.at(upstreamsPort), "--zone", home.Zone, "--capacity", fmt.Sprint(each.Capacity), "--habits", filepath.Join(f.args.Example, "habits.json"), "--runs", f.runsOf(each))
 	return err
 }
 
-func (f *fleet) runsOf(each *seat) string { return filepath.Join(f.args.Folder, each.Machine+"-runs") }
+func (f *fleet) runsOf(each *instance) string {
+	return filepath.Join(f.args.Folder, each.Machine+"-runs")
+}
 
-func (f *fleet) fell() {
+func (f *fleet) end() {
 	for _, each := range f.processes() {
 		_ = each.Process.Kill()
 		_ = each.Wait()
@@ -265,10 +275,10 @@
 
 func (f *fleet) processes() []*exec.Cmd {
 	var all []*exec.Cmd
-	for _, each := range f.seats {
+	for _, each := range f.instances {
 		all = append(all, each.process)
 	}
-	for _, each := range append(append([]*machine{}, f.vanes...), f.keels...) {
+	for _, each := range append(append([]*machine{}, f.nodes...), f.controllers...) {
 		all = append(all, each.process)
 	}
 	started := all[:0]
@@ -327,7 +337,7 @@
 	if err := protojson.Unmarshal(body, change); err != nil {
 		return nil, err
 	}
-	outcome, err := f.clerk.Apply(ctx, submission, &wire.DraftRequest{Base: serial, Change: change}, f.key)
+	outcome, err := f.client.Apply(ctx, submission, &wire.DraftRequest{Base: serial, Change: change}, f.key)
 	if err == nil {
 		f.history.Acked(outcome)
 	}
--- a/cmd/drill/main.go
+++ b/internal/command/simulate/main.go
@@ -1,7 +1,7 @@
-// Command drill runs a whole fleet on one machine, as processes on loopback, to
-// see it work under load and trouble. It is a test tool and the only program
-// that starts others.
-package main
+// Package simulate is the command that runs a whole fleet on one machine, as
+// processes on loopback, to see it work under load and trouble. It is a test tool
+// and the only command that starts processes.
+package simulate
 
 import (
 	"context"
@@ -16,35 +16,41 @@
 	"curlewreach/internal/testing/standin"
 )
 
+const program = "curlew simulate"
+
+// curlew is the file name of the program that the fleet's processes run.
+const curlew = "curlew"
+
 type args struct {
 	Example string  `arg:"--example,required" help:"folder with bundle, seats, habits, plan and change"`
-	Bin     string  `arg:"--bin" default:"bin" help:"folder with vane, keel and mime"`
+	Bin     string  `arg:"--bin" default:"bin" help:"folder with curlew"`
 	Folder  string  `arg:"--folder" help:"where params, data and logs go; a temporary one when left out"`
 	Seconds int     `arg:"--seconds" default:"20"`
 	Rate    float64 `arg:"--rate" default:"200" help:"requests a second over the whole fleet"`
 	Smoke   bool    `arg:"--smoke" help:"judge safety and that most calls are answered, for slow machines"`
 	Hold    bool    `arg:"--hold" help:"start the fleet, print where it is, and wait for a signal"`
 	Trouble string  `arg:"--trouble" default:"none" help:"what to cause midway; 'list' names them"`
-	Old     string  `arg:"--old" help:"folder with an earlier version's vane and keel; every second machine starts with it"`
+	Old     string  `arg:"--old" help:"folder with an earlier version's curlew; every second machine starts with it"`
 	Seed    uint64  `arg:"--seed" default:"1" help:"seed of the visitors"`
 	Log     string  `arg:"--log" default:"info" help:"log level of the fleet's processes"`
 }
 
-func (args) Version() string { return "drill " + base.Version }
+func (args) Version() string { return program + " " + base.Version }
 
 func (args) Description() string {
-	return "runs a whole fleet on this machine; a test tool, so it starts processes; 'drill open' runs an open fleet, 'drill replace' replaces its control machines"
+	return "runs a whole fleet on this machine; a test tool, so it starts processes; 'simulate open' runs an open fleet, 'simulate replace' replaces its control machines"
 }
 
-func main() {
+// Main runs the command with the arguments of the process.
+func Main() {
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
 		case openWord:
 			end(openMain(os.Args[2:]))
 		case replaceWord:
 			end(replaceMain(os.Args[2:]))
-		case openKeel:
-			end(openKeelMain(os.Args[2]))
+		case openController:
+			end(openControllerMain(os.Args[2]))
 		case openNode:
 			end(openNodeMain(os.Args[2]))
 		}
@@ -56,7 +62,7 @@
 		return
 	}
 	if troubles[a.Trouble] == nil {
-		fmt.Fprintln(os.Stderr, "drill: --trouble is one of", troubleNames())
+		fmt.Fprintln(os.Stderr, program+": --trouble is one of", troubleNames())
 		os.Exit(2)
 	}
 	end(run(a))
@@ -64,7 +70,7 @@
 
 func end(err error) {
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, program+":", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -72,14 +78,14 @@
 
 func run(a args) error {
 	if a.Folder == "" {
-		folder, err := os.MkdirTemp("", "drill")
+		folder, err := os.MkdirTemp("", "curlew-simulate")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(folder)
 		a.Folder = folder
 	}
-	s, err := base.NewScope("drill", "drill", a.Folder, "warn")
+	s, err := base.NewScope(program, "simulate", a.Folder, "warn")
 	if err != nil {
 		return err
 	}
@@ -88,13 +94,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s = s.WithContext(ctx)
-	fleet, err := raise(s, a)
+	fleet, err := startFleet(s, a)
 	if err != nil {
 		return err
 	}
-	defer fleet.fell()
+	defer fleet.end()
 	if a.Hold {
-		fmt.Printf("keels %s\nvisitors %s\nkey %s\nfolder %s\n", fleet.operators(), fleet.vanes[0].at(visitorsPort), fleet.keyFile, a.Folder)
+		fmt.Printf("controllers %s\nvisitors %s\nkey %s\nfolder %s\n", fleet.operators(), fleet.nodes[0].at(clientsPort), fleet.keyFile, a.Folder)
 		base.Signals(func() {}, func() {})
 		return nil
 	}
--- a/cmd/drill/open.go
+++ b/internal/command/simulate/open.go
@@ -1,4 +1,4 @@
-package main
+package simulate
 
 import (
 	"context"
@@ -29,16 +29,16 @@
 )
 
 const (
-	openWord   = "open"
-	openKeel   = "open-keel"
-	openNode   = "open-node"
-	openKeels  = 3
-	openSlots  = 8
-	openBeat   = 500 * time.Millisecond
-	openLeft   = 2 * time.Second
-	openSlow   = 20 * time.Millisecond
-	openMates  = 7380
-	openEnding = 8 * time.Second
+	openWord        = "open"
+	openController  = "open-core"
+	openNode        = "open-node"
+	openControllers = 3
+	openSlots       = 8
+	openBeat        = 500 * time.Millisecond
+	openLeft        = 2 * time.Second
+	openSlow        = 20 * time.Millisecond
+	openPeers       = 7380
+	openEnding      = 8 * time.Second
 )
 
 type openArgs struct {
@@ -49,14 +49,14 @@
 }
 
 func (openArgs) Description() string {
-	return "runs an open fleet on this machine, a process a keel and a node, each node with a stand-in upstream, until a signal"
+	return "runs an open fleet on this machine, a process a controller and a node, each node with a stand-in upstream, until a signal"
 }
 
 type openFleet struct {
 	openArgs
-	keels    []string
-	outward  []string
-	children []*exec.Cmd
+	controllers []string
+	outward     []string
+	children    []*exec.Cmd
 }
 
 // parseCommand reads the words of a subcommand; clean removes the folder that it made where none was named.
@@ -82,7 +82,7 @@
 		return err
 	}
 	defer clean()
-	defer f.fell()
+	defer f.end()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := f.raise(); err != nil {
@@ -92,7 +92,7 @@
 		return err
 	}
 	go f.visit(ctx)
-	fmt.Printf("export CURLEW_KEELS=%s\n", strings.Join(f.keels, ","))
+	fmt.Printf("export CURLEW_KEELS=%s\n", strings.Join(f.controllers, ","))
 	for _, child := range f.children {
 		fmt.Printf("%-8s pid %d\n", strings.TrimSuffix(filepath.Base(child.Args[2]), ".json"), child.Process.Pid)
 	}
@@ -102,13 +102,13 @@
 }
 
 func (f *openFleet) raise() error {
-	for i := range openKeels {
-		f.keels = append(f.keels, fmt.Sprintf("127.0.2.%d:%d", i+1, openMates))
+	for i := range openControllers {
+		f.controllers = append(f.controllers, fmt.Sprintf("127.0.2.%d:%d", i+1, openPeers))
 	}
-	for i, address := range f.keels {
+	for i, address := range f.controllers {
 		name := fmt.Sprintf("core-%d", i+1)
-		if err := f.start(openKeel, name, &wire.ControllerParams{
-			Name: name, Zone: fmt.Sprintf("z%d", i+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", i+1), Seeds: f.keels,
+		if err := f.start(openController, name, &wire.ControllerParams{
+			Name: name, Zone: fmt.Sprintf("z%d", i+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", i+1), Seeds: f.controllers,
 			Founding: true, Folder: filepath.Join(f.Folder, name), Log: f.Log,
 		}); err != nil {
 			return err
@@ -119,8 +119,8 @@
 		at := func(port int) string { return fmt.Sprintf("127.0.3.%d:%d", i+1, port) }
 		f.outward = append(f.outward, at(7001))
 		if err := f.start(openNode, name, &wire.NodeParams{
-			Name: name, Zone: fmt.Sprintf("z%d", i%openKeels+1), Service: service, Upstream: at(8080), Outward: at(7001), Inward: at(7002), Ready: at(7003), Control: at(7004), Peers: at(openMates),
-			Seeds: f.keels, Beat: durationpb.New(openBeat), Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(2 * time.Second), Grace: durationpb.New(6 * time.Second),
+			Name: name, Zone: fmt.Sprintf("z%d", i%openControllers+1), Service: service, Upstream: at(8080), Outward: at(7001), Inward: at(7002), Ready: at(7003), Control: at(7004), Peers: at(openPeers),
+			Seeds: f.controllers, Beat: durationpb.New(openBeat), Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(2 * time.Second), Grace: durationpb.New(6 * time.Second),
 			RepeatWindow: durationpb.New(10 * time.Second), RepeatSlack: 20, Log: f.Log,
 		}); err != nil {
 			return err
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	child := exec.Command(own, word, file)
+	child := exec.Command(own, "simulate", word, file)
 	child.Stdout, child.Stderr = log, log
 	child.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
 	if err := child.Start(); err != nil {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (f *openFleet) fell() {
+func (f *openFleet) end() {
 	for _, child := range f.children {
 		_ = child.Process.Signal(syscall.SIGTERM)
 	}
@@ -179,10 +179,10 @@
 	for _, name := range []string{"books", "loans"} {
 		chart.Services = append(chart.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
 	}
-	keel := wireconnect.NewMoorClient(http.DefaultClient, "http://"+f.keels[0])
+	controller := wireconnect.NewMoorClient(http.DefaultClient, "http://"+f.controllers[0])
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		bounded, cancel := context.WithTimeout(ctx, 4*time.Second)
-		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: chart}))
+		outcome, err := controller.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: chart}))
 		cancel()
 		switch {
 		case err == nil && outcome.Msg.Kind != "":
@@ -221,7 +221,7 @@
 
 func nobody[T any](T) http.Handler { return http.NotFoundHandler() }
 
-func openKeelMain(file string) error {
+func openControllerMain(file string) error {
 	p := &wire.ControllerParams{}
 	if err := base.LoadParams(file, p); err != nil {
 		return err
--- a/cmd/drill/replace.go
+++ b/internal/command/simulate/replace.go
@@ -1,4 +1,4 @@
-package main
+package simulate
 
 import (
 	"context"
@@ -43,10 +43,10 @@
 
 // replacement is one run of the command.
 type replacement struct {
-	fleet   *openFleet
-	keels   []*exec.Cmd // the processes of fleet.keels
-	serial  uint64
-	started int
+	fleet       *openFleet
+	controllers []*exec.Cmd // the processes of fleet.controllers
+	serial      uint64
+	started     int
 }
 
 func replaceMain(words []string) error {
@@ -57,7 +57,7 @@
 	}
 	defer clean()
 	fleet := &openFleet{openArgs: openArgs{Nodes: args.Nodes, Folder: args.Folder, Log: args.Log}}
-	defer fleet.fell()
+	defer fleet.end()
 	if err := fleet.raise(); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if err := fleet.propose(ctx); err != nil {
 		return err
 	}
-	run := &replacement{fleet: fleet, keels: fleet.children[:openKeels:openKeels], serial: 1, started: openKeels}
+	run := &replacement{fleet: fleet, controllers: fleet.children[:openControllers:openControllers], serial: 1, started: openControllers}
 	for round := range args.Rounds {
 		if err := run.replace(ctx, round%2 == 1); err != nil {
 			return err
@@ -77,7 +77,7 @@
 
 // replace has the oldest control machine replaced by one at a new address.
 func (r *replacement) replace(ctx context.Context, planned bool) error {
-	old, oldAddress, oldFolder := r.keels[0], r.fleet.keels[0], filepath.Join(r.fleet.Folder, fmt.Sprintf("core-%d", r.started-openKeels+1))
+	old, oldAddress, oldFolder := r.controllers[0], r.fleet.controllers[0], filepath.Join(r.fleet.Folder, fmt.Sprintf("core-%d", r.started-openControllers+1))
 	how := "lost"
 	if planned {
 		how = "planned"
@@ -123,16 +123,16 @@
 // startKeel starts a control machine at the next address; the oldest drops out of the seeds.
 func (r *replacement) startKeel() (address string, begun time.Time, err error) {
 	r.started++
-	address = fmt.Sprintf("127.0.2.%d:%d", r.started, openMates)
+	address = fmt.Sprintf("127.0.2.%d:%d", r.started, openPeers)
 	name := fmt.Sprintf("core-%d", r.started)
-	seeds := r.fleet.keels
+	seeds := r.fleet.controllers
 	begun = time.Now()
-	err = r.fleet.start(openKeel, name, &wire.ControllerParams{
-		Name: name, Zone: fmt.Sprintf("z%d", (r.started-1)%openKeels+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", r.started),
+	err = r.fleet.start(openController, name, &wire.ControllerParams{
+		Name: name, Zone: fmt.Sprintf("z%d", (r.started-1)%openControllers+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", r.started),
 		Seeds: seeds, Folder: filepath.Join(r.fleet.Folder, name), Log: r.fleet.Log,
 	})
-	r.fleet.keels = append(seeds[1:len(seeds):len(seeds)], address)
-	r.keels = append(r.keels[1:], r.fleet.children[len(r.fleet.children)-1])
+	r.fleet.controllers = append(seeds[1:len(seeds):len(seeds)], address)
+	r.controllers = append(r.controllers[1:], r.fleet.children[len(r.fleet.children)-1])
 	return address, begun, err
 }
 
@@ -140,7 +140,7 @@
 func (r *replacement) awaitVote(ctx context.Context, address, old string) (*wire.ControllerView, error) {
 	for begun := time.Now(); time.Since(begun) < replaceWithin; time.Sleep(replacePoll) {
 		view, err := keelView(ctx, address)
-		if err != nil || view.Phase != "founded" || len(view.Peers) != openKeels {
+		if err != nil || view.Phase != "founded" || len(view.Peers) != openControllers {
 			continue
 		}
 		gone := true
@@ -174,10 +174,10 @@
 	change := &wire.ConfigurationChange{Serial: r.serial + 1, Base: r.serial, Routes: []*wire.ConfigurationRoute{{
 		Name: "search", Host: "open.example", Prefix: fmt.Sprintf("/search/%d/", r.serial), Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 500, Tries: 2, Service: &service,
 	}}}
-	keel := wireconnect.NewMoorClient(http.DefaultClient, "http://"+address)
+	controller := wireconnect.NewMoorClient(http.DefaultClient, "http://"+address)
 	for begun := time.Now(); time.Since(begun) < replaceWithin; time.Sleep(replacePoll) {
 		bounded, cancel := context.WithTimeout(ctx, time.Second)
-		outcome, err := keel.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Change: change}))
+		outcome, err := controller.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Change: change}))
 		cancel()
 		if err != nil {
 			continue
--- a/cmd/drill/trouble.go
+++ b/internal/command/simulate/trouble.go
@@ -1,4 +1,4 @@
-package main
+package simulate
 
 import (
 	"fmt"
@@ -47,7 +47,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (f *fleet) all() []*machine { return append(append([]*machine{}, f.keels...), f.vanes...) }
+func (f *fleet) all() []*machine { return append(append([]*machine{}, f.controllers...), f.nodes...) }
 
 func (f *fleet) kill(m *machine) {
 	_ = m.process.Process.Kill()
@@ -55,12 +55,12 @@
 }
 
 func (f *fleet) again(m *machine) error {
-	program := "vane"
+	command := nodeCommand
 	if m.Core {
-		program = "keel"
+		command = coreCommand
 	}
 	var err error
-	m.process, err = f.spawn(m.Name, f.version(program, m.Name), "--params", filepath.Join(f.args.Folder, m.Name+".json"))
+	m.process, err = f.spawn(m.Name, f.version(m.Name), command, "--params", filepath.Join(f.args.Folder, m.Name+".json"))
 	return err
 }
 
@@ -68,7 +68,7 @@
 	for _, m := range f.all() {
 		f.kill(m)
 	}
-	if err := os.RemoveAll(f.folder(f.keels[2].Name)); err != nil {
+	if err := os.RemoveAll(f.folder(f.controllers[2].Name)); err != nil {
 		return err
 	}
 	base.Await(s, time.Second)
@@ -81,11 +81,11 @@
 }
 
 func (f *fleet) coreDown(s base.Scope) error {
-	for _, m := range f.keels {
+	for _, m := range f.controllers {
 		f.kill(m)
 	}
 	base.Await(s, 4*time.Second)
-	for _, m := range f.keels {
+	for _, m := range f.controllers {
 		if err := f.again(m); err != nil {
 			return err
 		}
@@ -94,13 +94,13 @@
 }
 
 func (f *fleet) frozenCore(s base.Scope) error {
-	for _, m := range f.keels[:2] {
+	for _, m := range f.controllers[:2] {
 		if err := m.process.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 	}
 	base.Await(s, 4*time.Second)
-	for _, m := range f.keels[:2] {
+	for _, m := range f.controllers[:2] {
 		if err := m.process.Process.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
@@ -109,8 +109,8 @@
 }
 
 func (f *fleet) one(base.Scope) error {
-	f.kill(f.vanes[0])
-	return f.again(f.vanes[0])
+	f.kill(f.nodes[0])
+	return f.again(f.nodes[0])
 }
 
 func (f *fleet) roll(s base.Scope) error {
@@ -149,7 +149,7 @@
 func (f *fleet) grace() time.Duration { return 6 * time.Second }
 
 func (f *fleet) frozenNode(s base.Scope) error {
-	for _, m := range f.vanes[:2] {
+	for _, m := range f.nodes[:2] {
 		if err := m.process.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -175,13 +175,13 @@
 	return serial
 }
 
-func (f *fleet) killSeat(each *seat) {
+func (f *fleet) killSeat(each *instance) {
 	_ = each.process.Process.Kill()
 	_ = each.process.Wait()
 }
 
 func (f *fleet) upstreams(s base.Scope) error {
-	for _, each := range f.seats {
+	for _, each := range f.instances {
 		f.killSeat(each)
 		base.Await(s, 200*time.Millisecond)
 		if err := f.seat(each); err != nil {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (f *fleet) tell(each *seat, path string) error {
+func (f *fleet) tell(each *instance, path string) error {
 	request, err := http.NewRequest(http.MethodPut, "http://"+each.address+path, nil)
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 
 func (f *fleet) faulty(s base.Scope) error {
 	for i, fault := range []standin.Fault{standin.LoseAfter, standin.Stuck, standin.Garble, standin.Truncate, standin.Nonsense} {
-		each := f.seats[i%len(f.seats)]
+		each := f.instances[i%len(f.instances)]
 		if err := f.tell(each, "/mime/fault/"+string(fault)); err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 }
 
 func (f *fleet) leaving(s base.Scope) error {
-	for _, each := range f.seats[:3] {
+	for _, each := range f.instances[:3] {
 		if err := f.tell(each, "/mime/leave"); err != nil {
 			return err
 		}
@@ -234,8 +234,8 @@
 }
 
 func (f *fleet) passed(s base.Scope) error {
-	first, last := f.seats[0], f.seats[len(f.seats)-1]
-	for _, each := range []*seat{first, f.seats[1]} {
+	first, last := f.instances[0], f.instances[len(f.instances)-1]
+	for _, each := range []*instance{first, f.instances[1]} {
 		f.killSeat(each)
 		each.Service = last.Service
 		if err := f.seat(each); err != nil {
@@ -250,8 +250,8 @@
 	for round := range 5 {
 		serial := f.newest()
 		base.Parallel([]int{0, 1}, func(i int) {
-			clerk := *f.clerk
-			clerk.Keels = clerk.Keels[i : i+1]
+			clerk := *f.client
+			clerk.Controllers = clerk.Controllers[i : i+1]
 			weight := float64(1 + round + 3*i)
 			share := proto.Clone(f.bundle.Common.Shares[0]).(*wire.Share)
 			share.Watched = weight
@@ -260,13 +260,13 @@
 				f.history.Acked(outcome)
 			}
 		})
-		shown, err := f.clerk.Show(s, 1)
+		shown, err := f.client.Show(s, 1)
 		if err != nil {
 			return err
 		}
 		for i, spoil := range []func(){func() {}, func() { shown.Sealed.Signature[0] ^= 1 }, func() { shown.Sealed.Parts = shown.Sealed.Parts[1:] }} {
 			spoil()
-			if outcome, err := f.clerk.Sign(s, fmt.Sprintf("broken-%d-%d", round, i), shown.Sealed); err == nil {
+			if outcome, err := f.client.Sign(s, fmt.Sprintf("broken-%d-%d", round, i), shown.Sealed); err == nil {
 				f.history.Acked(outcome)
 			}
 		}
@@ -304,11 +304,11 @@
 		return err
 	}
 	<-done
-	if err := f.until(s, "keels back", func() bool { return f.allReady(f.keels, operatorsPort) }); err != nil {
+	if err := f.until(s, "controllers back", func() bool { return f.allReady(f.controllers, operatorsPort) }); err != nil {
 		return err
 	}
 	return f.until(s, "the outcome of the one midway", func() bool {
-		outcome, err := f.clerk.Status(s, "midway")
+		outcome, err := f.client.Status(s, "midway")
 		if err != nil || outcome.Verdict == wire.Verdict_UNKNOWN {
 			return false
 		}
--- a/cmd/mime/main.go
+++ b/internal/command/standins/main.go
@@ -1,5 +1,6 @@
-// Command mime stands in for an upstream or for visitors, to try a fleet.
-package main
+// Package standins is the command that stands in for an instance or for clients,
+// to try a fleet.
+package standins
 
 import (
 	"encoding/json"
@@ -14,10 +15,12 @@
 	"curlewreach/internal/testing/standin"
 )
 
+const program = "curlew standin"
+
 type upstream struct {
 	Service  string `arg:"required"`
 	Address  string `arg:"required" help:"IP:port to listen on"`
-	Reports  string `arg:"required" help:"IP:port of the vane's upstreams door"`
+	Reports  string `arg:"required" help:"IP:port where the node takes its instances' reports"`
 	Zone     string `arg:"required"`
 	Capacity int    `default:"16"`
 	Habits   string `help:"JSON file: how each path prefix behaves"`
@@ -26,7 +29,7 @@
 
 type visitors struct {
 	Name    string  `default:"visitor"`
-	To      string  `arg:"required" help:"IP:port of the vane's visitors door"`
+	To      string  `arg:"required" help:"IP:port where the node takes clients' requests"`
 	Rate    float64 `default:"10" help:"requests a second"`
 	Seconds int     `default:"10"`
 	Plan    string  `arg:"required" help:"JSON file: which requests to make"`
@@ -37,19 +40,20 @@
 	Visitors *visitors `arg:"subcommand:visitors" help:"stand in for callers"`
 }
 
-func (args) Version() string { return "mime " + base.Version }
+func (args) Version() string { return program + " " + base.Version }
 
-func main() {
+// Main runs the command with the arguments of the process.
+func Main() {
 	var a args
 	parser := arg.MustParse(&a)
-	folder, err := os.MkdirTemp("", "mime")
+	folder, err := os.MkdirTemp("", "curlew-standin")
 	if err != nil {
-		base.PrintErrors("mime", err)
+		base.PrintErrors(program, err)
 	}
 	defer os.RemoveAll(folder)
-	s, err := base.NewScope("mime", "mime", folder, "warn")
+	s, err := base.NewScope(program, "standin", folder, "warn")
 	if err != nil {
-		base.PrintErrors("mime", err)
+		base.PrintErrors(program, err)
 	}
 	s.Clock = standin.MachineClock()
 	switch {
@@ -62,7 +66,7 @@
 		os.Exit(2)
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "mime:", err)
+		fmt.Fprintln(os.Stderr, program+":", err)
 		os.Exit(1)
 	}
 }
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -20,7 +20,7 @@
 		ginkgo.It(text, func() {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
-				tell(newRegistry(rig.NewClock(time.Now())))
+				tell(newRegistry(simnet.NewClock(time.Now())))
 				time.Sleep(time.Second)
 			})
 		})
--- a/internal/controlplane/stored_test.go
+++ b/internal/controlplane/stored_test.go
@@ -8,9 +8,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/config"
 	"curlewreach/internal/statestore"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -22,9 +22,9 @@
 )
 
 // landedDisk returns a disk with those files.
-func landedDisk(t *testing.T) *rig.Disk {
+func landedDisk(t *testing.T) *simnet.Disk {
 	t.Helper()
-	disk := rig.NewDisk(base.SeededRand(1))
+	disk := simnet.NewDisk(base.SeededRand(1))
 	entries, err := os.ReadDir(landedFolder)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -15,7 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -30,9 +30,9 @@
 
 type controller struct {
 	at     int
-	disk   *rig.Disk
-	mount  *rig.Mount
-	clock  *rig.Clock
+	disk   *simnet.Disk
+	mount  *simnet.Mount
+	clock  *simnet.Clock
 	server *Server
 	life   string
 	lives  int
@@ -43,7 +43,7 @@
 	mu          sync.Mutex
 	seed        uint64
 	born        time.Time
-	world       *rig.World
+	world       *simnet.World
 	controllers []*controller
 	scope       base.Scope
 	web         *http.Client
@@ -56,11 +56,11 @@
 
 func newFleet(seed uint64, count int) *fleet {
 	f := &fleet{seed: seed, born: time.Now()}
-	f.world = rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })
-	f.scope = f.scoped("10.9.9.9", "story", rig.NewDisk(base.SeededRand(seed)), rig.NewClock(f.born))
+	f.world = simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })
+	f.scope = f.scoped("10.9.9.9", "story", simnet.NewDisk(base.SeededRand(seed)), simnet.NewClock(f.born))
 	f.web = base.HTTPClient(f.scope)
 	for i := range count {
-		f.controllers = append(f.controllers, &controller{at: i, disk: rig.NewDisk(base.SeededRand(seed*31 + uint64(i))), clock: rig.NewClock(f.born)})
+		f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(base.SeededRand(seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
 	}
 	for i := range f.controllers {
 		f.raise(i, true)
@@ -80,7 +80,7 @@
 	k := f.controllers[i]
 	k.lives++
 	k.life = fmt.Sprintf("control machine %d life %d", i, k.lives)
-	k.mount = rig.NewMount(k.disk)
+	k.mount = simnet.NewMount(k.disk)
 	s := f.scoped(ip(i), k.life, k.mount, k.clock)
 	s, k.cancel = s.WithCancel()
 	p := &wire.ControllerParams{Name: fmt.Sprint("core-", i+1), Zone: "z", Peers: at(i), Operators: ip(i) + ":7005", Founding: founding, Folder: "data"}
--- a/helm/clerk.go
+++ b/internal/listedcore/client.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"bytes"
@@ -19,13 +19,13 @@
 	"curlewreach/proto/wire"
 )
 
-// Clerk is the operators' client. It asks the core machines in turn until one
+// Client is the operators' client. It asks the core machines in turn until one
 // answers.
-type Clerk struct {
+type Client struct {
 	Web *http.Client
 	// Keels are the addresses of the core machines' servers for operators; for
 	// the methods about open fleets, those for other nodes.
-	Keels []string
+	Controllers []string
 	// Signed, if set, is told of each bundle that Apply hands in.
 	Signed func(submission string, sealed *wire.Sealed)
 }
@@ -41,13 +41,13 @@
 }
 
 // fetch asks the core machines in turn and returns the first one's reply.
-func fetch[T any, M message[T]](ctx context.Context, c *Clerk, method, path string, request proto.Message) (M, error) {
+func fetch[T any, M message[T]](ctx context.Context, c *Client, method, path string, request proto.Message) (M, error) {
 	reply := M(new(T))
 	return reply, c.ask(ctx, method, path, request, reply)
 }
 
 // ask goes from core machine to core machine until one answers.
-func (c *Clerk) ask(ctx context.Context, method, path string, request, reply proto.Message) error {
+func (c *Client) ask(ctx context.Context, method, path string, request, reply proto.Message) error {
 	var body []byte
 	if request != nil {
 		var err error
@@ -55,7 +55,7 @@
 			return err
 		}
 	}
-	for _, keel := range c.Keels {
+	for _, keel := range c.Controllers {
 		ask, err := http.NewRequestWithContext(ctx, method, "http://"+keel+path, bytes.NewReader(body))
 		if err != nil {
 			return err
@@ -68,7 +68,7 @@
 }
 
 // do makes a request and returns the answer with its whole body.
-func (c *Clerk) do(ask *http.Request) (*http.Response, []byte, error) {
+func (c *Client) do(ask *http.Request) (*http.Response, []byte, error) {
 	response, err := c.Web.Do(ask)
 	if err != nil {
 		return nil, nil, err
@@ -92,67 +92,67 @@
 }
 
 // Draft asks for a new bundle to sign. Nothing is changed yet.
-func (c *Clerk) Draft(ctx context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
+func (c *Client) Draft(ctx context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	return fetch[wire.DraftReply](ctx, c, http.MethodPost, "/v1/draft", request)
 }
 
 // Sign hands in a signed bundle. The same submission is decided once, so it may
 // be handed in again.
-func (c *Clerk) Sign(ctx context.Context, submission string, sealed *wire.Sealed) (*wire.Outcome, error) {
+func (c *Client) Sign(ctx context.Context, submission string, sealed *wire.Sealed) (*wire.Outcome, error) {
 	return fetch[wire.Outcome](ctx, c, http.MethodPost, "/v1/sign", &wire.SignRequest{Submission: submission, Sealed: sealed})
 }
 
 // Status returns what became of a submission.
-func (c *Clerk) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
+func (c *Client) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
 	return fetch[wire.Outcome](ctx, c, http.MethodGet, "/v1/submission/"+url.PathEscape(submission), nil)
 }
 
 // Show returns the bundle of a serial number, or the newest for 0.
-func (c *Clerk) Show(ctx context.Context, serial uint64) (*wire.BundleReply, error) {
+func (c *Client) Show(ctx context.Context, serial uint64) (*wire.BundleReply, error) {
 	return fetch[wire.BundleReply](ctx, c, http.MethodGet, fmt.Sprintf("/v1/bundle?serial=%d", serial), nil)
 }
 
 // Holdings returns which node holds which bundle.
-func (c *Clerk) Holdings(ctx context.Context) (*wire.HoldingsReply, error) {
+func (c *Client) Holdings(ctx context.Context) (*wire.HoldingsReply, error) {
 	return fetch[wire.HoldingsReply](ctx, c, http.MethodGet, "/v1/holdings", nil)
 }
 
 // Odds returns what was learned, with the odds in force.
-func (c *Clerk) Odds(ctx context.Context) (*wire.Learning, error) {
+func (c *Client) Odds(ctx context.Context) (*wire.Learning, error) {
 	return fetch[wire.Learning](ctx, c, http.MethodGet, "/v1/odds", nil)
 }
 
 // Nodes returns all machines as a core machine sees them.
-func (c *Clerk) Nodes(ctx context.Context) (*wire.SightRequest, error) {
+func (c *Client) Nodes(ctx context.Context) (*wire.SightRequest, error) {
 	return fetch[wire.SightRequest](ctx, c, http.MethodGet, "/v1/nodes", nil)
 }
 
 // Trace returns the spans of a trace from all core machines.
-func (c *Clerk) Trace(ctx context.Context, trace string) (*wire.TraceReply, error) {
+func (c *Client) Trace(ctx context.Context, trace string) (*wire.TraceReply, error) {
 	return fetch[wire.TraceReply](ctx, c, http.MethodGet, "/v1/trace/"+url.PathEscape(trace), nil)
 }
 
 // Why returns what all machines have in their journals about a subject.
-func (c *Clerk) Why(ctx context.Context, subject string) (*wire.ToldReply, error) {
+func (c *Client) Why(ctx context.Context, subject string) (*wire.ToldReply, error) {
 	return fetch[wire.ToldReply](ctx, c, http.MethodGet, "/v1/why?subject="+url.QueryEscape(subject), nil)
 }
 
 // State returns the state of the first core machine that answers.
-func (c *Clerk) State(ctx context.Context) (*wire.StateReply, error) {
+func (c *Client) State(ctx context.Context) (*wire.StateReply, error) {
 	return fetch[wire.StateReply](ctx, c, http.MethodGet, "/v1/state", nil)
 }
 
 // Adopt lets a core machine whose disk is lost recover from the one whole disk
 // that is left.
-func (c *Clerk) Adopt(ctx context.Context) (*wire.StateReply, error) {
+func (c *Client) Adopt(ctx context.Context) (*wire.StateReply, error) {
 	return fetch[wire.StateReply](ctx, c, http.MethodPost, "/v1/adopt", nil)
 }
 
 // Each iterates over the core machines, with a client that asks just that one.
-func (c *Clerk) Each() func(yield func(string, *Clerk) bool) {
-	return func(yield func(string, *Clerk) bool) {
-		for _, keel := range c.Keels {
-			if !yield(keel, &Clerk{Web: c.Web, Keels: []string{keel}}) {
+func (c *Client) Each() func(yield func(string, *Client) bool) {
+	return func(yield func(string, *Client) bool) {
+		for _, keel := range c.Controllers {
+			if !yield(keel, &Client{Web: c.Web, Controllers: []string{keel}}) {
 				return
 			}
 		}
@@ -161,7 +161,7 @@
 
 // Apply drafts, signs and hands in at once. It doesn't sign a bundle other than
 // the one that the draft shows.
-func (c *Clerk) Apply(ctx context.Context, submission string, request *wire.DraftRequest, key ed25519.PrivateKey) (*wire.Outcome, error) {
+func (c *Client) Apply(ctx context.Context, submission string, request *wire.DraftRequest, key ed25519.PrivateKey) (*wire.Outcome, error) {
 	draft, err := c.Draft(ctx, request)
 	if err != nil {
 		return nil, err
--- a/helm/helm.go
+++ b/internal/listedcore/control_plane.go
@@ -1,9 +1,9 @@
 // Package helm is the control plane of fleets of listed machines: the core
-// machine's process (Keel), what it decides (Helm), and the operators' client
-// (Clerk). A signed bundle is agreed by a majority of core disks, staged at the
+// machine's process (Process), what it decides (ControlPlane), and the operators' client
+// (Client). A signed bundle is agreed by a majority of core disks, staged at the
 // nodes, and in force once a majority of them has confirmed it. docs/rollout.md
 // has the ways weighed.
-package helm
+package listedcore
 
 import (
 	"context"
@@ -42,11 +42,11 @@
 	patientRatio = 0.125
 )
 
-// Helm decides on bundles and hands them out. It is safe for concurrent use.
-type Helm struct {
+// ControlPlane decides on bundles and hands them out. It is safe for concurrent use.
+type ControlPlane struct {
 	scope     base.Scope
 	self      string
-	trove     *quorum.Replica
+	store     *quorum.Replica
 	member    *membership.Member
 	traces    *tracing.Store
 	trust     atomic.Pointer[bundle.Trust]
@@ -58,14 +58,14 @@
 	lenses    map[string]wireconnect.LensClient
 	news      base.Broadcast
 	index     base.Table[*bundle.Bundle]
-	settled   atomic.Pointer[outline]
-	accepted  atomic.Pointer[outline]
+	settled   atomic.Pointer[configurationView]
+	accepted  atomic.Pointer[configurationView]
 	confirms  base.Table[confirm]
 	confirmed base.Broadcast
 	hold      time.Duration
 }
 
-// Parts are what a Helm works with.
+// Parts are what a ControlPlane works with.
 type Parts struct {
 	Self    string
 	Address string
@@ -82,10 +82,10 @@
 	Silence time.Duration
 }
 
-// New returns a Helm; Run makes it work.
-func New(s base.Scope, web *http.Client, parts Parts) *Helm {
-	h := &Helm{
-		scope: s, self: parts.Self, trove: parts.Trove, member: parts.Member, traces: parts.Traces,
+// New returns a ControlPlane; Run makes it work.
+func New(s base.Scope, web *http.Client, parts Parts) *ControlPlane {
+	h := &ControlPlane{
+		scope: s, self: parts.Self, store: parts.Trove, member: parts.Member, traces: parts.Traces,
 		limits: parts.Limits, force: parts.Force, silence: parts.Silence, born: s.Clock.Mono(), hold: time.Duration(float64(parts.Slide) * holdRatio),
 		mates: map[string]wireconnect.HelmClient{}, lenses: map[string]wireconnect.LensClient{},
 	}
@@ -101,15 +101,15 @@
 
 // Run recovers the disk, settles what was left unsettled, and learns, until the
 // scope ends.
-func (h *Helm) Run(s base.Scope) {
+func (h *ControlPlane) Run(s base.Scope) {
 	var crew base.Group
-	crew.Go(func() { h.trove.Recover(s, h.force/8) })
+	crew.Go(func() { h.store.Recover(s, h.force/8) })
 	for _, key := range []string{BundleKey, LearningKey} {
 		crew.Go(func() { h.watch(s, key) })
 	}
 	crew.Go(func() {
 		for s.Err() == nil {
-			heard := h.trove.Changed()
+			heard := h.store.Changed()
 			if current := h.Current(); current != nil {
 				h.member.SetMachines(current.Machines())
 				h.member.Change(func(roster *wire.Roster) { roster.Holding = current.Serial })
@@ -126,14 +126,14 @@
 		}
 	})
 	crew.Go(func() { h.learn(s) })
-	crew.Go(func() { h.mend(s) })
+	crew.Go(func() { h.repair(s) })
 	crew.Wait()
 }
 
-func (h *Helm) watch(s base.Scope, key string) {
+func (h *ControlPlane) watch(s base.Scope, key string) {
 	since, patience := s.Clock.Mono(), h.force
 	base.Tick(s, h.force/16, func(s base.Scope) {
-		if !h.trove.Ready() || h.trove.Refresh(s, key) {
+		if !h.store.Ready() || h.store.Refresh(s, key) {
 			since, patience = s.Clock.Mono(), time.Duration(float64(h.force)*(0.25+0.5*s.Rand.Float64()))
 			return
 		}
@@ -143,13 +143,13 @@
 		h.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
 		bounded, cancel := s.WithTimeout(h.force)
 		defer cancel()
-		_, _ = h.trove.Read(bounded, key)
+		_, _ = h.store.Read(bounded, key)
 		since = s.Clock.Mono()
 	})
 }
 
 // Sizes returns how many rows each table holds, to watch for leaks.
-func (h *Helm) Sizes() map[string]int {
+func (h *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
 		"confirms": len(h.confirms.Snapshot()), "indexes": len(h.index.Snapshot()), "journal": h.scope.Journal.Len(),
 		"mates": h.member.View().Len(), "spans": h.traces.Len(), "owed": h.traces.Owed(),
@@ -157,10 +157,10 @@
 }
 
 // View returns what is known of the machines.
-func (h *Helm) View() *membership.View { return h.member.View() }
+func (h *ControlPlane) View() *membership.View { return h.member.View() }
 
 // Ready reports whether this machine's disk has recovered.
-func (h *Helm) Ready() bool { return h.trove.Ready() }
+func (h *ControlPlane) Ready() bool { return h.store.Ready() }
 
 func headOf(value []byte) (*wire.Head, error) {
 	head := &wire.Head{}
@@ -175,18 +175,18 @@
 	return manifest.Serial
 }
 
-type outline struct {
+type configurationView struct {
 	entry     *wire.Entry
 	head      *wire.Head
 	committed uint64
 	staged    uint64
 }
 
-func (h *Helm) outline(entry *wire.Entry) *outline {
+func (h *ControlPlane) outline(entry *wire.Entry) *configurationView {
 	if entry == nil {
-		return &outline{head: &wire.Head{}}
+		return &configurationView{head: &wire.Head{}}
 	}
-	for _, row := range []*atomic.Pointer[outline]{&h.settled, &h.accepted} {
+	for _, row := range []*atomic.Pointer[configurationView]{&h.settled, &h.accepted} {
 		if known := row.Load(); known != nil && known.entry == entry {
 			return known
 		}
@@ -196,29 +196,29 @@
 		h.scope.Record("bundle-unreadable", "", err.Error())
 		head = &wire.Head{}
 	}
-	return &outline{entry: entry, head: head, committed: serialOf(head.Sealed), staged: serialOf(head.Staged)}
+	return &configurationView{entry: entry, head: head, committed: serialOf(head.Sealed), staged: serialOf(head.Staged)}
 }
 
 // Settled returns the newest head known to be on a majority of disks.
-func (h *Helm) Settled() *outline {
-	entry, _ := h.trove.Settled(BundleKey)
+func (h *ControlPlane) Settled() *configurationView {
+	entry, _ := h.store.Settled(BundleKey)
 	seen := h.outline(entry)
 	h.settled.Store(seen)
 	return seen
 }
 
 // Accepted returns the head on this machine's disk, which a majority may lack.
-func (h *Helm) Accepted() *outline {
-	_, entry := h.trove.Store().Peek(BundleKey)
+func (h *ControlPlane) Accepted() *configurationView {
+	_, entry := h.store.Store().Peek(BundleKey)
 	seen := h.outline(entry)
 	h.accepted.Store(seen)
 	return seen
 }
 
 // Current returns the bundle in force, nil before the first.
-func (h *Helm) Current() *bundle.Bundle { return h.bundleOf(h.Settled().head.Sealed) }
+func (h *ControlPlane) Current() *bundle.Bundle { return h.bundleOf(h.Settled().head.Sealed) }
 
-func (h *Helm) bundleOf(sealed *wire.Sealed) *bundle.Bundle {
+func (h *ControlPlane) bundleOf(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
 	}
@@ -243,7 +243,7 @@
 
 // Draft makes the next bundle out of a whole one or a change. The error is of
 // kind StaleBase if the base isn't the newest, or tells the first fault.
-func (h *Helm) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
+func (h *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	current := &wire.Bundle{}
 	if signed := h.Current(); signed != nil {
 		current = signed.Raw
@@ -278,7 +278,7 @@
 	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}}
 }
 
-func (h *Helm) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
+func (h *ControlPlane) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
 	if request.Submission == "" || len(request.Submission) > 128 {
 		return nil, base.NewFault(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
 	}
@@ -304,7 +304,7 @@
 
 // Read returns the bundle of a serial number, or the newest for 0; of older
 // ones, those still on this disk.
-func (h *Helm) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
+func (h *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
 	current := h.Current()
 	if current == nil {
 		return nil, base.NewFault(base.NotFound, "serial", "no bundle has been taken yet")
@@ -312,7 +312,7 @@
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
 	}
-	for entry := range h.trove.Store().History(BundleKey) {
+	for entry := range h.store.Store().History(BundleKey) {
 		head, err := headOf(entry.Value)
 		if err != nil || head.Sealed == nil {
 			continue
@@ -326,7 +326,7 @@
 }
 
 // Holdings returns which node holds which bundle, and the machines never heard.
-func (h *Helm) Holdings(context.Context) *wire.HoldingsReply {
+func (h *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
 	reply := &wire.HoldingsReply{}
 	heard := map[string]*wire.Sighting{}
 	for sighting := range h.member.View().All() {
--- a/helm/learn.go
+++ b/internal/listedcore/learn.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -31,8 +31,8 @@
 }
 
 // Learning returns what was learned, nil if nothing was yet.
-func (h *Helm) Learning() *wire.Learning {
-	entry, known := h.trove.Settled(LearningKey)
+func (h *ControlPlane) Learning() *wire.Learning {
+	entry, known := h.store.Settled(LearningKey)
 	if !known {
 		return nil
 	}
@@ -43,7 +43,7 @@
 	return learning
 }
 
-func (h *Helm) learn(s base.Scope) {
+func (h *ControlPlane) learn(s base.Scope) {
 	readers := map[string]*reader{}
 	for name := range h.lenses {
 		readers[name] = &reader{}
@@ -52,7 +52,7 @@
 	cycled := -time.Hour
 	for s.Err() == nil {
 		current := h.Current()
-		if current == nil || !h.trove.Ready() {
+		if current == nil || !h.store.Ready() {
 			base.Await(s, h.force/shortestCycles)
 			continue
 		}
@@ -71,14 +71,14 @@
 	}
 }
 
-func (h *Helm) handed(holder string) <-chan struct{} {
+func (h *ControlPlane) handed(holder string) <-chan struct{} {
 	if holder == h.self {
 		return nil
 	}
-	return h.trove.Changed()
+	return h.store.Changed()
 }
 
-func (h *Helm) first(b *wire.Bundle) bool {
+func (h *ControlPlane) first(b *wire.Bundle) bool {
 	for _, machine := range b.GetCommon().GetMachines() {
 		if machine.Core {
 			return machine.Name == h.self
@@ -87,12 +87,12 @@
 	return true
 }
 
-func (h *Helm) cycle(s base.Scope, current *bundle.Bundle, readers map[string]*reader, holder string) {
+func (h *ControlPlane) cycle(s base.Scope, current *bundle.Bundle, readers map[string]*reader, holder string) {
 	settings := current.Tracing()
 	bounded, cancel := s.WithTimeout(settings.GetCycle().AsDuration())
 	defer cancel()
 	spans := h.recent(bounded, readers)
-	err := h.trove.Change(bounded, LearningKey, func(old []byte) ([]byte, error) {
+	err := h.store.Change(bounded, LearningKey, func(old []byte) ([]byte, error) {
 		prior := &wire.Learning{}
 		if err := proto.Unmarshal(old, prior); err != nil {
 			return nil, err
@@ -108,7 +108,7 @@
 	}
 }
 
-func (h *Helm) recent(s base.Scope, readers map[string]*reader) []*wire.Span {
+func (h *ControlPlane) recent(s base.Scope, readers map[string]*reader) []*wire.Span {
 	seen := map[string]bool{}
 	var spans []*wire.Span
 	for name, client := range h.lenses {
@@ -135,7 +135,7 @@
 }
 
 // HandOver gives the duty to learn to another core machine, if this one has it.
-func (h *Helm) HandOver(s base.Scope) {
+func (h *ControlPlane) HandOver(s base.Scope) {
 	if h.Learning().GetHolder() != h.self {
 		return
 	}
@@ -149,7 +149,7 @@
 	if successor == "" {
 		return
 	}
-	err := h.trove.Change(s, LearningKey, func(old []byte) ([]byte, error) {
+	err := h.store.Change(s, LearningKey, func(old []byte) ([]byte, error) {
 		learning := &wire.Learning{}
 		if err := proto.Unmarshal(old, learning); err != nil || learning.Holder != h.self {
 			return nil, err
--- a/helm/news.go
+++ b/internal/listedcore/news.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-type server struct{ helm *Helm }
+type server struct{ helm *ControlPlane }
 
 // Handler returns the path and handler that nodes and other core machines call.
-func Handler(h *Helm) (string, http.Handler) {
+func Handler(h *ControlPlane) (string, http.Handler) {
 	return wireconnect.NewHelmHandler(server{h}, base.Plain())
 }
 
@@ -29,7 +29,7 @@
 	if sign == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "nothing was handed in"))
 	}
-	if !h.trove.Owns(BundleKey) {
+	if !h.store.Owns(BundleKey) {
 		return nil, base.NewFault(base.Superseded, BundleKey, "another keel owns it")
 	}
 	var outcome *wire.Outcome
@@ -64,9 +64,9 @@
 	}
 }
 
-func (h *Helm) tell(ask *wire.NewsRequest) (reply *wire.NewsReply, fresh bool) {
+func (h *ControlPlane) tell(ask *wire.NewsRequest) (reply *wire.NewsReply, fresh bool) {
 	reply = &wire.NewsReply{Keel: h.member.Incarnation(), Roster: h.member.View().Serial()}
-	reply.Vouches, reply.Accepted = h.trove.Ready() && !h.trove.Store().IsDamaged(BundleKey), h.Accepted().committed
+	reply.Vouches, reply.Accepted = h.store.Ready() && !h.store.Store().IsDamaged(BundleKey), h.Accepted().committed
 	settled := h.Settled()
 	if settled.entry != nil {
 		reply.Ballot = &wire.Ballot{Epoch: settled.entry.Epoch.GetNumber(), Keel: settled.entry.Epoch.GetKeel(), Serial: settled.entry.Serial}
@@ -83,7 +83,7 @@
 
 // tellSlice adds the node's slice of the bundle in force if it lacks any of it.
 // It returns which services concern the node.
-func (h *Helm) tellSlice(ask *wire.NewsRequest, reply *wire.NewsReply) (concerns func(service string) bool, fresh bool) {
+func (h *ControlPlane) tellSlice(ask *wire.NewsRequest, reply *wire.NewsReply) (concerns func(service string) bool, fresh bool) {
 	current := h.Current()
 	if current == nil {
 		return func(string) bool { return true }, false
@@ -99,7 +99,7 @@
 
 // tellStaged adds the node's slice of the bundle being rolled out, if it
 // doesn't have it yet.
-func (h *Helm) tellStaged(ask *wire.NewsRequest, reply *wire.NewsReply, settled *outline) (fresh bool) {
+func (h *ControlPlane) tellStaged(ask *wire.NewsRequest, reply *wire.NewsReply, settled *configurationView) (fresh bool) {
 	if settled.staged == 0 || settled.staged == ask.Staged {
 		return false
 	}
@@ -113,7 +113,7 @@
 
 // tellSightings adds what changed among the machines since the node last asked
 // this process.
-func (h *Helm) tellSightings(ask *wire.NewsRequest, reply *wire.NewsReply, concerns func(service string) bool) (fresh bool) {
+func (h *ControlPlane) tellSightings(ask *wire.NewsRequest, reply *wire.NewsReply, concerns func(service string) bool) (fresh bool) {
 	since := ask.Roster
 	if ask.Keel != reply.Keel {
 		since = 0
--- a/helm/open.go
+++ b/internal/listedcore/open.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -10,27 +10,27 @@
 )
 
 // KeelView returns the state of an open fleet's core process.
-func (c *Clerk) KeelView(ctx context.Context) (*wire.ControllerView, error) {
+func (c *Client) ControllerView(ctx context.Context) (*wire.ControllerView, error) {
 	return fetch[wire.ControllerView](ctx, c, http.MethodGet, "/view", nil)
 }
 
 // NodeView returns the state of an open fleet's node.
-func (c *Clerk) NodeView(ctx context.Context) (*wire.NodeView, error) {
+func (c *Client) NodeView(ctx context.Context) (*wire.NodeView, error) {
 	return fetch[wire.NodeView](ctx, c, http.MethodGet, "/view", nil)
 }
 
 // Chart returns the configuration in force in an open fleet.
-func (c *Clerk) Chart(ctx context.Context) (*wire.Configuration, error) {
+func (c *Client) Configuration(ctx context.Context) (*wire.Configuration, error) {
 	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/configuration", nil)
 }
 
 // OpenOdds returns what was learned in an open fleet.
-func (c *Clerk) OpenOdds(ctx context.Context) (*wire.Learning, error) {
+func (c *Client) OpenOdds(ctx context.Context) (*wire.Learning, error) {
 	return fetch[wire.Learning](ctx, c, http.MethodGet, "/odds", nil)
 }
 
 // Journal returns the newest events about a subject, or all if that is empty,
 // from a process of an open fleet.
-func (c *Clerk) Journal(ctx context.Context, subject string, last int) (*wire.TellReply, error) {
+func (c *Client) Journal(ctx context.Context, subject string, last int) (*wire.TellReply, error) {
 	return fetch[wire.TellReply](ctx, c, http.MethodGet, fmt.Sprintf("/journal?subject=%s&last=%d", url.QueryEscape(subject), last), nil)
 }
--- a/helm/desk.go
+++ b/internal/listedcore/operator_handler.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"curlewreach/proto/wire"
 )
 
-// Desk returns the handler of the server for operators.
-func Desk(h *Helm) http.Handler {
+// OperatorHandler returns the handler of the server for operators.
+func OperatorHandler(h *ControlPlane) http.Handler {
 	mux := http.NewServeMux()
 	serve := func(pattern string, ask endpoint.Endpoint, read httptransport.DecodeRequestFunc) {
 		mux.Handle(pattern, httptransport.NewServer(ask, read, encode, httptransport.ServerErrorEncoder(refuse)))
@@ -60,7 +60,7 @@
 	}, whole)
 	serve("GET /v1/state", func(context.Context, any) (any, error) { return h.State(), nil }, whole)
 	serve("POST /v1/adopt", func(ctx context.Context, _ any) (any, error) {
-		if !h.trove.Adopt(h.scope.WithContext(ctx)) {
+		if !h.store.Adopt(h.scope.WithContext(ctx)) {
 			return nil, base.NewFault(base.NoState, "", "this disk could not be adopted now: one whole disk must be reachable")
 		}
 		return h.State(), nil
@@ -82,19 +82,19 @@
 }
 
 // State returns this machine's view of the stored keys.
-func (h *Helm) State() *wire.StateReply {
+func (h *ControlPlane) State() *wire.StateReply {
 	seen := h.Settled()
-	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.trove.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.Owed())}
-	for _, key := range h.trove.Store().Keys() {
-		owner, epoch, _ := h.trove.Owner(key)
-		_, entry := h.trove.Store().Peek(key)
-		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: h.trove.Store().IsDamaged(key), Copies: uint32(h.trove.Copies(key))})
+	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.store.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.Owed())}
+	for _, key := range h.store.Store().Keys() {
+		owner, epoch, _ := h.store.Owner(key)
+		_, entry := h.store.Store().Peek(key)
+		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: h.store.Store().IsDamaged(key), Copies: uint32(h.store.Copies(key))})
 	}
 	return reply
 }
 
 // Trace collects a trace's spans from all core machines that answer in time.
-func (h *Helm) Trace(ctx context.Context, trace string) *wire.TraceReply {
+func (h *ControlPlane) Trace(ctx context.Context, trace string) *wire.TraceReply {
 	s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force / 4)
 	defer cancel()
 	seen := map[string]bool{}
@@ -114,7 +114,7 @@
 	return reply
 }
 
-func (h *Helm) decode(blank func() proto.Message) httptransport.DecodeRequestFunc {
+func (h *ControlPlane) decode(blank func() proto.Message) httptransport.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, int64(2*h.limits.Bytes)+1))
 		if err != nil {
--- a/helm/keel.go
+++ b/internal/listedcore/process.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -31,8 +31,8 @@
 	changesEach = 3
 )
 
-// Usual sets the params that aren't set to their defaults.
-func Usual(p *wire.KeelParams) {
+// SetDefaults sets the params that aren't set to their defaults.
+func SetDefaults(p *wire.KeelParams) {
 	p.Bounds = base.DefaultBounds(p.Bounds)
 	base.SetDefault(&p.Serials, 16)
 	base.SetDefault(&p.Bundle, 16<<20)
@@ -58,9 +58,9 @@
 	)
 }
 
-// Keel is a running core machine.
-type Keel struct {
-	Helm   *Helm
+// Process is a running core machine.
+type Process struct {
+	Helm   *ControlPlane
 	Trove  *quorum.Replica
 	Traces *tracing.Store
 	params *wire.KeelParams
@@ -70,8 +70,8 @@
 }
 
 // Start starts a core machine. On an error nothing is left running.
-func Start(s base.Scope, params *wire.KeelParams) (*Keel, error) {
-	Usual(params)
+func Start(s base.Scope, params *wire.KeelParams) (*Process, error) {
+	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		cancel()
 		return nil, errors.Wrap(err, "data folder")
 	}
-	k := &Keel{params: params, cancel: cancel}
+	k := &Process{params: params, cancel: cancel}
 	member := k.assemble(s, store, trust)
 	if err := k.open(s, member); err != nil {
 		k.Kill()
@@ -102,7 +102,7 @@
 }
 
 // assemble makes the parts of the process; nothing runs yet.
-func (k *Keel) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
+func (k *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
 	params, web := k.params, base.HTTPClient(s)
 	bounds, force := params.Bounds, params.Bounds.InForce.AsDuration()
 	mates := make([]quorum.Peer, len(params.Seeds))
@@ -126,13 +126,13 @@
 }
 
 // open opens the servers for other nodes and for operators.
-func (k *Keel) open(s base.Scope, member *membership.Member) error {
+func (k *Process) open(s base.Scope, member *membership.Member) error {
 	mux := http.NewServeMux()
 	mux.Handle(quorum.Handler(k.Trove))
 	mux.Handle(membership.Handler(member))
 	mux.Handle(tracing.Handler(k.Traces))
 	mux.Handle(Handler(k.Helm))
-	for address, handler := range map[string]http.Handler{k.params.Mates: mux, k.params.Operators: Desk(k.Helm)} {
+	for address, handler := range map[string]http.Handler{k.params.Mates: mux, k.params.Operators: OperatorHandler(k.Helm)} {
 		door, err := base.Serve(s, address, handler)
 		if err != nil {
 			return err
@@ -144,7 +144,7 @@
 
 // Stop hands its duties over, lets requests in flight end, and ends the
 // process's parts within the grace.
-func (k *Keel) Stop() {
+func (k *Process) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(k.params.Bounds.Grace.AsDuration())*stopRatio))
 	defer cancel()
 	k.Helm.HandOver(k.Helm.scope.WithContext(ctx))
@@ -157,7 +157,7 @@
 }
 
 // Kill ends everything at once.
-func (k *Keel) Kill() {
+func (k *Process) Kill() {
 	k.cancel()
 	for _, door := range k.doors {
 		door.Close()
@@ -167,8 +167,8 @@
 
 // Reload puts the params in force that can change while running: the trusted
 // keys. It returns an error if others differ that can't.
-func (k *Keel) Reload(params *wire.KeelParams) error {
-	Usual(params)
+func (k *Process) Reload(params *wire.KeelParams) error {
+	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return err
 	}
--- a/helm/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -1,4 +1,4 @@
-package helm
+package listedcore
 
 import (
 	"context"
@@ -33,7 +33,7 @@
 	at     time.Duration
 }
 
-func (h *Helm) confirm(ask *wire.NewsRequest) {
+func (h *ControlPlane) confirm(ask *wire.NewsRequest) {
 	serial := max(ask.Staged, ask.Serial)
 	prior, known := h.confirms.Get(ask.Node)
 	now := h.scope.Clock.Mono()
@@ -46,7 +46,7 @@
 	}
 }
 
-func (h *Helm) backing(current *bundle.Bundle, staged *outline) (have, need int) {
+func (h *ControlPlane) backing(current *bundle.Bundle, staged *configurationView) (have, need int) {
 	serial, forsaken, left := staged.staged, forsakenBy(staged.head.Staged), 0
 	for machine := range current.Machines() {
 		if machine.Core || slices.Contains(forsaken, machine.Name) {
@@ -75,14 +75,14 @@
 	return manifest.Forsaken
 }
 
-func (h *Helm) returned(forsaken []string) bool {
+func (h *ControlPlane) returned(forsaken []string) bool {
 	return slices.ContainsFunc(forsaken, func(name string) bool {
 		confirmed, known := h.confirms.Get(name)
 		return known && h.scope.Clock.Mono()-confirmed.at < h.force
 	})
 }
 
-func (h *Helm) gone(ctx context.Context, forsaken []string) *base.Fault {
+func (h *ControlPlane) gone(ctx context.Context, forsaken []string) *base.Fault {
 	current := h.Current()
 	if len(forsaken) == 0 || current == nil {
 		return nil
@@ -114,7 +114,7 @@
 }
 
 // answering returns an error if any of the machines still answers.
-func (h *Helm) answering(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
+func (h *ControlPlane) answering(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
 	var alive atomic.Pointer[string]
 	base.Parallel(names, func(name string) {
 		if h.member.Reaches(s, current.Machine(name).Address) {
@@ -129,7 +129,7 @@
 
 // Sign decides on a signed bundle. An outcome of verdict UNKNOWN says that it
 // isn't decided yet; the error is always nil.
-func (h *Helm) Sign(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
+func (h *ControlPlane) Sign(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
 	manifest, mishap := h.vet(request)
 	if mishap != nil {
 		h.scope.Record("bundle-bounced", request.Submission, mishap.Error())
@@ -140,14 +140,14 @@
 
 // Status returns what became of a submission, and settles it if it was left
 // midway.
-func (h *Helm) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
+func (h *ControlPlane) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
 	return h.decide(ctx, &wire.SignRequest{Submission: submission}, nil), nil
 }
 
-func (h *Helm) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
+func (h *ControlPlane) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force * 2)
 	defer cancel()
-	if owner, _, known := h.trove.Owner(BundleKey); known && !h.trove.Owns(BundleKey) && h.trove.HeardLately(owner, h.force/2) {
+	if owner, _, known := h.store.Owner(BundleKey); known && !h.store.Owns(BundleKey) && h.store.HeardLately(owner, h.force/2) {
 		bounded, cancel := s.WithTimeout(h.force)
 		reply, err := h.mates[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
 		cancel()
@@ -159,7 +159,7 @@
 	return h.settle(s, request, manifest)
 }
 
-func (h *Helm) settle(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
+func (h *ControlPlane) settle(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	unknown := &wire.Outcome{Submission: request.Submission, Verdict: wire.Verdict_UNKNOWN}
 	for s.Err() == nil {
 		outcome, err := h.step(s, request, manifest)
@@ -179,7 +179,7 @@
 	return unknown
 }
 
-func (h *Helm) step(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) (*wire.Outcome, error) {
+func (h *ControlPlane) step(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) (*wire.Outcome, error) {
 	if manifest == nil {
 		return h.lookUp(s, request.Submission)
 	}
@@ -203,8 +203,8 @@
 // stage makes the bundle handed in the staged one, unless the submission was
 // decided already or another is staged. It reports whether the staged one is
 // this submission's.
-func (h *Helm) stage(s base.Scope, request *wire.SignRequest, wanted uint64) (outcome *wire.Outcome, mine bool, err error) {
-	err = h.trove.Change(s, BundleKey, func(old []byte) ([]byte, error) {
+func (h *ControlPlane) stage(s base.Scope, request *wire.SignRequest, wanted uint64) (outcome *wire.Outcome, mine bool, err error) {
+	err = h.store.Change(s, BundleKey, func(old []byte) ([]byte, error) {
 		head, err := headOf(old)
 		if err != nil {
 			return nil, err
@@ -254,7 +254,7 @@
 	return next
 }
 
-func (h *Helm) resolve(s base.Scope, asked bool) (outcome *wire.Outcome, err error) {
+func (h *ControlPlane) resolve(s base.Scope, asked bool) (outcome *wire.Outcome, err error) {
 	staged := h.Settled()
 	if staged.staged == 0 {
 		return nil, nil
@@ -277,7 +277,7 @@
 		have, need = 0, 1
 	}
 	h.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("backed by %d of %d needed", have, need))
-	err = h.trove.Change(s, BundleKey, func(old []byte) ([]byte, error) {
+	err = h.store.Change(s, BundleKey, func(old []byte) ([]byte, error) {
 		head, err := headOf(old)
 		if err != nil {
 			return nil, err
@@ -296,8 +296,8 @@
 	return outcome, nil
 }
 
-func (h *Helm) lookUp(s base.Scope, submission string) (*wire.Outcome, error) {
-	value, err := h.trove.Read(s, BundleKey)
+func (h *ControlPlane) lookUp(s base.Scope, submission string) (*wire.Outcome, error) {
+	value, err := h.store.Read(s, BundleKey)
 	if err != nil {
 		return nil, err
 	}
@@ -315,7 +315,7 @@
 	return bounced(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
 }
 
-func (h *Helm) mend(s base.Scope) {
+func (h *ControlPlane) repair(s base.Scope) {
 	var since time.Duration
 	var last uint64
 	for s.Err() == nil {
--- a/flow/gate.go
+++ b/internal/listednode/admission_queue.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"sync"
@@ -11,7 +11,7 @@
 
 const (
 	// holdMemory is the weight of the newest request in the moving average of
-	// how long one holds its place.
+	// how long one holds its candidate.
 	holdMemory = 0.1
 	// leastLeft, of that average, is the time to its deadline that a waiter
 	// must have left to be let in.
@@ -24,7 +24,7 @@
 	gone  bool
 }
 
-type lane struct {
+type groupQueue struct {
 	group   string
 	waiting deque.Deque[*waiter]
 	weight  float64
@@ -32,10 +32,10 @@
 	granted uint64
 }
 
-// Gate is the admission queue in front of an upstream or a node: a bounded
+// AdmissionQueue is the admission queue in front of an upstream or a node: a bounded
 // number of requests are inside, others wait. Groups get their turns by the
 // weights of their shares. It is safe for concurrent use.
-type Gate struct {
+type AdmissionQueue struct {
 	mu      sync.Mutex
 	clock   base.Clock
 	limit   int
@@ -44,16 +44,16 @@
 	waiting int
 	now     float64
 	hold    float64
-	lanes   map[string]*lane
+	lanes   map[string]*groupQueue
 }
 
-// NewGate returns a gate that lets limit requests in and bound wait.
-func NewGate(clock base.Clock, limit, bound int) *Gate {
-	return &Gate{clock: clock, limit: max(limit, 1), bound: bound, lanes: map[string]*lane{}}
+// NewAdmissionQueue returns a gate that lets limit requests in and bound wait.
+func NewAdmissionQueue(clock base.Clock, limit, bound int) *AdmissionQueue {
+	return &AdmissionQueue{clock: clock, limit: max(limit, 1), bound: bound, lanes: map[string]*groupQueue{}}
 }
 
 // Resize sets how many requests may be inside.
-func (g *Gate) Resize(limit int) {
+func (g *AdmissionQueue) Resize(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(limit, 1)
@@ -61,14 +61,14 @@
 }
 
 // Flying returns how many requests are inside.
-func (g *Gate) Flying() int {
+func (g *AdmissionQueue) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.flying
 }
 
 // Granted returns how many were let in so far, by group.
-func (g *Gate) Granted() map[string]uint64 {
+func (g *AdmissionQueue) Granted() map[string]uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	granted := map[string]uint64{}
@@ -81,11 +81,11 @@
 // Enter waits to be let in until the time given. The caller calls leave when
 // its request has ended. The error is of kind Crowded if it can't be let in in
 // time or the queue is full, and Expired if the time passed.
-func (g *Gate) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), mishap *base.Fault) {
+func (g *AdmissionQueue) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), mishap *base.Fault) {
 	g.mu.Lock()
 	at := g.lanes[group]
 	if at == nil {
-		at = &lane{group: group}
+		at = &groupQueue{group: group}
 		g.lanes[group] = at
 	}
 	at.weight = max(weight, 0.001)
@@ -139,7 +139,7 @@
 	return nil, base.NewFault(base.Expired, "", "the deadline passed in the queue")
 }
 
-func (g *Gate) ahead(at *lane) float64 {
+func (g *AdmissionQueue) ahead(at *groupQueue) float64 {
 	total := 0.0
 	for _, each := range g.lanes {
 		if each.waiting.Len() > 0 || each == at {
@@ -149,8 +149,8 @@
 	return float64(at.waiting.Len()+1) * total / at.weight
 }
 
-func (g *Gate) evict(newcomer *lane) bool {
-	var fullest *lane
+func (g *AdmissionQueue) evict(newcomer *groupQueue) bool {
+	var fullest *groupQueue
 	for _, each := range g.lanes {
 		if each.waiting.Len() > 0 && (fullest == nil || over(each) > over(fullest)) {
 			fullest = each
@@ -167,16 +167,16 @@
 	return true
 }
 
-func over(at *lane) float64 { return float64(at.waiting.Len()) / at.weight }
+func over(at *groupQueue) float64 { return float64(at.waiting.Len()) / at.weight }
 
-func (g *Gate) take(at *lane) {
+func (g *AdmissionQueue) take(at *groupQueue) {
 	at.pass = max(at.pass, g.now) + 1/at.weight
 	g.now = max(g.now, at.pass-1/at.weight)
 	at.granted++
 	g.flying++
 }
 
-func (g *Gate) leaver() func() {
+func (g *AdmissionQueue) leaver() func() {
 	began := g.clock.Mono()
 	var once sync.Once
 	return func() {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (g *Gate) shed(at *lane) {
+func (g *AdmissionQueue) shed(at *groupQueue) {
 	late := g.clock.Mono() + time.Duration(leastLeft*g.hold*float64(time.Second))
 	for at.waiting.Len() > 0 {
 		first := at.waiting.Front()
@@ -209,9 +209,9 @@
 	}
 }
 
-func (g *Gate) advance() {
+func (g *AdmissionQueue) advance() {
 	for g.flying < g.limit {
-		var next *lane
+		var next *groupQueue
 		for _, each := range g.lanes {
 			g.shed(each)
 			if each.waiting.Len() > 0 && (next == nil || each.pass < next.pass || each.pass == next.pass && each.group < next.group) {
--- a/flow/gate_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"sync/atomic"
@@ -10,7 +10,7 @@
 	"curlewreach/base"
 )
 
-func flood(s base.Scope, g *Gate, group string, weight float64, callers int, rounds int) *atomic.Int64 {
+func flood(s base.Scope, g *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
 	served := &atomic.Int64{}
 	for range callers {
 		go func() {
@@ -32,18 +32,18 @@
 var _ = ginkgo.Describe("the gate", func() {
 	ginkgo.It("given two groups that flood it, when weights are 3 to 1, then they are served 3 to 1", func() {
 		bubble(func(s base.Scope) {
-			g := NewGate(s.Clock, 4, 100)
+			g := NewAdmissionQueue(s.Clock, 4, 100)
 			heavy, light := flood(s, g, "heavy", 3, 20, 300), flood(s, g, "light", 1, 20, 300)
 			time.Sleep(5 * time.Second)
 			Expect(float64(heavy.Load()) / float64(light.Load())).To(BeNumerically("~", 3, 0.3))
 			time.Sleep(time.Hour)
-			Expect(g.Flying()).To(BeZero())
+			Expect(g.InFlight()).To(BeZero())
 		})
 	})
 
 	ginkgo.It("given one group that floods with forty callers, when another asks a little, then it is served at once", func() {
 		bubble(func(s base.Scope) {
-			g := NewGate(s.Clock, 4, 60)
+			g := NewAdmissionQueue(s.Clock, 4, 60)
 			flood(s, g, "flood", 1, 40, 300)
 			calm := flood(s, g, "calm", 1, 1, 100)
 			time.Sleep(4 * time.Second)
@@ -54,7 +54,7 @@
 
 	ginkgo.It("given room to spare, when one group asks, then it may use all of it", func() {
 		bubble(func(s base.Scope) {
-			g := NewGate(s.Clock, 4, 60)
+			g := NewAdmissionQueue(s.Clock, 4, 60)
 			served := flood(s, g, "only", 0.1, 8, 100)
 			time.Sleep(2010 * time.Millisecond)
 			Expect(served.Load()).To(BeNumerically("~", 800, 8))
@@ -64,7 +64,7 @@
 
 	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
 		bubble(func(s base.Scope) {
-			g := NewGate(s.Clock, 1, 5)
+			g := NewAdmissionQueue(s.Clock, 1, 5)
 			leave, mishap := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(mishap).To(BeNil())
 			kinds := make(chan base.Kind, 20)
@@ -79,7 +79,7 @@
 			time.Sleep(time.Second)
 			Expect(kinds).To(HaveLen(20))
 			leave()
-			Expect(g.Flying()).To(BeZero())
+			Expect(g.InFlight()).To(BeZero())
 			again, mishap := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(mishap).To(BeNil())
 			again()
--- a/flow/budget.go
+++ b/internal/listednode/budget.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"sync/atomic"
@@ -35,7 +35,7 @@
 	return uint32(state)
 }
 
-type allowance struct {
+type groupBudget struct {
 	meter *meter
 	spent *atomic.Uint64
 	most  uint32
@@ -47,7 +47,7 @@
 type Budget struct {
 	clock base.Clock
 	lent  meter
-	rows  atomic.Pointer[map[string]allowance]
+	rows  atomic.Pointer[map[string]groupBudget]
 }
 
 // NewBudget returns a budget that grants nothing before Set.
@@ -60,9 +60,9 @@
 	for _, share := range shares {
 		total += share.Watched
 	}
-	rows := map[string]allowance{}
+	rows := map[string]groupBudget{}
 	for _, share := range shares {
-		row := allowance{meter: &meter{}, spent: &atomic.Uint64{}, most: max(uint32(signed.Tracing().GetBudget()*share.Watched/total), 1)}
+		row := groupBudget{meter: &meter{}, spent: &atomic.Uint64{}, most: max(uint32(signed.Tracing().GetBudget()*share.Watched/total), 1)}
 		if prior := b.rows.Load(); prior != nil {
 			if kept, ok := (*prior)[share.Group]; ok {
 				row.meter, row.spent = kept.meter, kept.spent
@@ -88,7 +88,7 @@
 	return true
 }
 
-func (b *Budget) spare(rows map[string]allowance, second uint64) (left uint32) {
+func (b *Budget) spare(rows map[string]groupBudget, second uint64) (left uint32) {
 	for _, row := range rows {
 		if used := row.meter.used(second); used < row.most {
 			left += row.most - used
--- a/flow/budget_test.go
+++ b/internal/listednode/budget_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"testing"
@@ -8,8 +8,8 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -21,7 +21,7 @@
 		}
 		return bundle.Index(nil, b)
 	}
-	play := func(budget *Budget, clock *rig.Clock, seconds int, asks map[string]int) (got map[string]int) {
+	play := func(budget *Budget, clock *simnet.Clock, seconds int, asks map[string]int) (got map[string]int) {
 		got = map[string]int{}
 		for range seconds {
 			for _, group := range []string{"a", "b", "c"} {
@@ -38,7 +38,7 @@
 	ginkgo.It("given groups that want all, some or nothing, when a second passes, then each keeps its part and what is left is lent", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
-			clock := rig.NewClock(time.Now())
+			clock := simnet.NewClock(time.Now())
 			budget := NewBudget(clock)
 			budget.Set(shares(1, 1, 1))
 			play(budget, clock, 2, map[string]int{"a": 200, "b": 200, "c": 200})
--- a/flow/tie.go
+++ b/internal/listednode/call_tracker.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"cmp"
@@ -17,12 +17,12 @@
 
 type interval struct{ from, till time.Duration }
 
-// flight is a request at an upstream, which may make further calls.
-type flight struct {
+// callInProgress is a request at an upstream, which may make further calls.
+type callInProgress struct {
 	span      string
 	trail     *wire.Trail
 	way       bundle.Way
-	seat      *seat
+	seat      *instance
 	fields    func(name string) string
 	began     time.Duration
 	further   []interval
@@ -31,7 +31,7 @@
 	turns     map[int]func()
 }
 
-func (f *flight) self(ended time.Duration) time.Duration {
+func (f *callInProgress) self(ended time.Duration) time.Duration {
 	return ended - f.began - union(f.further, f.began, ended)
 }
 
@@ -48,8 +48,8 @@
 	return total
 }
 
-// turnstile lets one of the requests that are kept apart through at a time.
-type turnstile struct {
+// keyQueue lets one of the requests that are kept apart through at a time.
+type keyQueue struct {
 	latch base.ContextMutex
 	users int
 }
@@ -58,25 +58,25 @@
 // long a turn takes.
 const turnMemory = 0.2
 
-// Ties finds, for a further call of an instance, the request it is made for: by
+// CallTracker finds, for a further call of an instance, the request it is made for: by
 // the trace header if the instance passes it on, else by the route's declared
 // further calls and their key fields. Where these wouldn't tell, it keeps
 // requests apart. It is safe for concurrent use. docs/design.md tells why.
-type Ties struct {
+type CallTracker struct {
 	clock   base.Clock
 	mu      sync.Mutex
-	flights map[string]*flight
-	apart   map[string]*turnstile
+	flights map[string]*callInProgress
+	apart   map[string]*keyQueue
 	turns   map[string]time.Duration
 }
 
-// NewTies returns ties without requests.
-func NewTies(clock base.Clock) *Ties {
-	return &Ties{clock: clock, flights: map[string]*flight{}, apart: map[string]*turnstile{}, turns: map[string]time.Duration{}}
+// NewCallTracker returns ties without requests.
+func NewCallTracker(clock base.Clock) *CallTracker {
+	return &CallTracker{clock: clock, flights: map[string]*callInProgress{}, apart: map[string]*keyQueue{}, turns: map[string]time.Duration{}}
 }
 
 // Board notes that a request is handed to the upstream.
-func (t *Ties) Board(f *flight) {
+func (t *CallTracker) Begin(f *callInProgress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f.began = t.clock.Mono()
@@ -85,14 +85,14 @@
 
 // Land notes that it has ended, and returns its self time and whether that is
 // uncertain.
-func (t *Ties) Land(f *flight) (self time.Duration, uncertain bool) {
+func (t *CallTracker) End(f *callInProgress) (self time.Duration, uncertain bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.flights, f.span)
 	return f.self(t.clock.Mono()), f.uncertain
 }
 
-func (f *flight) awaits(way bundle.Way, child func(string) string) (at int, awaits bool) {
+func (f *callInProgress) awaits(way bundle.Way, child func(string) string) (at int, awaits bool) {
 	for at, further := range f.way.Route.Further {
 		if further.Service == way.Service.Name && further.Route == way.Route.Name && fits(further, f.fields, child) &&
 			(further.Most == 0 || f.arrived[at] < int(further.Most)) {
@@ -102,7 +102,7 @@
 	return 0, false
 }
 
-func (f *flight) arrive(at int) {
+func (f *callInProgress) arrive(at int) {
 	if f.arrived == nil {
 		f.arrived = map[int]int{}
 	}
@@ -114,25 +114,25 @@
 	}
 }
 
-// Tie is what was found out about a further call: its parent if it is Tied, or
+// Parent is what was found out about a further call: its parent if it is Tied, or
 // the spans of the candidates if there are several.
-type Tie struct {
-	Parent     *flight
+type Parent struct {
+	Parent     *callInProgress
 	Candidates []string
 	Tied       bool
 }
 
 // Find ties a further call, given its route, its path's placeholders and the
 // name of the trace header.
-func (t *Ties) Find(r *http.Request, way bundle.Way, holes map[string]string, header string) Tie {
+func (t *CallTracker) Find(r *http.Request, way bundle.Way, holes map[string]string, header string) Parent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if parent := t.flights[spanIn(r.Header.Get(header))]; parent != nil {
 		parent.seat.passes = true
-		return Tie{Parent: parent, Tied: true}
+		return Parent{Parent: parent, Tied: true}
 	}
 	child := fieldsOf(r, holes)
-	var candidates []*flight
+	var candidates []*callInProgress
 	called := 0
 	for _, each := range t.flights {
 		if at, fit := each.awaits(way, child); fit {
@@ -141,10 +141,10 @@
 	}
 	switch len(candidates) {
 	case 0:
-		return Tie{}
+		return Parent{}
 	case 1:
 		candidates[0].arrive(called)
-		return Tie{Parent: candidates[0], Tied: true}
+		return Parent{Parent: candidates[0], Tied: true}
 	}
 	names := make([]string, len(candidates))
 	for i, each := range candidates {
@@ -153,12 +153,12 @@
 		each.seat.passes = false
 	}
 	slices.Sort(names)
-	return Tie{Candidates: names}
+	return Parent{Candidates: names}
 }
 
 // Spent notes that a further call for parent took from the time given until
 // now.
-func (t *Ties) Spent(parent *flight, from time.Duration) {
+func (t *CallTracker) Spent(parent *callInProgress, from time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	parent.further = append(parent.further, interval{from, t.clock.Mono()})
@@ -210,7 +210,7 @@
 // Apart waits until no other request is at work whose further calls couldn't be
 // told from those of f. The caller calls leave when f has ended. An impatient
 // caller is turned back at once, with kind Apart.
-func (t *Ties) Apart(s base.Scope, f *flight, until time.Duration, patient bool) (leave func(), mishap *base.Fault) {
+func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), mishap *base.Fault) {
 	keys := t.keysOf(f)
 	turns := map[int]func(){}
 	var kept []func()
@@ -243,7 +243,7 @@
 // keysOf returns what must differ between f and other requests, for their
 // further calls to be told apart: for each key the further call it stands for,
 // by its index, or -1 if for several.
-func (t *Ties) keysOf(f *flight) map[string]int {
+func (t *CallTracker) keysOf(f *callInProgress) map[string]int {
 	keys := map[string]int{}
 	if f.way.Route.Together || t.passes(f.seat) {
 		return keys
@@ -261,7 +261,7 @@
 	return keys
 }
 
-func (t *Ties) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), mishap *base.Fault) {
+func (t *CallTracker) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), mishap *base.Fault) {
 	at, ahead, usual := t.turn(key, identifier)
 	if ahead > 0 && !patient {
 		t.quit(key)
@@ -289,25 +289,25 @@
 	}, nil
 }
 
-func (t *Ties) passes(at *seat) bool {
+func (t *CallTracker) passes(at *instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return at.passes
 }
 
-func (t *Ties) turn(key, identifier string) (at *turnstile, ahead int, usual time.Duration) {
+func (t *CallTracker) turn(key, identifier string) (at *keyQueue, ahead int, usual time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at = t.apart[key]
 	if at == nil {
-		at = &turnstile{latch: base.NewContextMutex()}
+		at = &keyQueue{latch: base.NewContextMutex()}
 		t.apart[key] = at
 	}
 	at.users++
 	return at, at.users - 1, t.turns[identifier]
 }
 
-func (t *Ties) quit(key string) {
+func (t *CallTracker) quit(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.apart[key]
--- a/flow/tie_test.go
+++ b/internal/listednode/call_tracker_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"net/http"
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -29,9 +29,9 @@
 
 var _ = ginkgo.Describe("tying further calls to parents", func() {
 	child := bundle.Way{Service: &wire.Service{Name: "catalogue"}, Route: &wire.Route{Name: "count"}}
-	aloft := func(t *Ties, span string, way bundle.Way, book string) *flight {
-		f := &flight{span: span, way: way, seat: &seat{}, trail: &wire.Trail{Trace: "t" + span}, fields: func(string) string { return book }}
-		t.Board(f)
+	aloft := func(t *CallTracker, span string, way bundle.Way, book string) *callInProgress {
+		f := &callInProgress{span: span, way: way, seat: &instance{}, trail: &wire.Trail{Trace: "t" + span}, fields: func(string) string { return book }}
+		t.Begin(f)
 		return f
 	}
 	call := func(header string) *http.Request {
@@ -42,59 +42,59 @@
 	key := &wire.KeyMatch{Parent: "path:book", Child: "path:book"}
 
 	ginkgo.It("given the header passed on, when several are in flight, then the parent is exact", func() {
-		t := NewTies(rig.NewClock(time.Now()))
+		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(), "7")
 		aloft(t, "bbbb", further(), "7")
 		Expect(t.Find(call("00-x-bbbb-01"), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
 	})
 	ginkgo.It("given equal key fields, when several are in flight, then the one candidate is the parent", func() {
-		t := NewTies(rig.NewClock(time.Now()))
+		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(key), "7")
 		aloft(t, "bbbb", further(key), "8")
 		tie := t.Find(call(""), child, map[string]string{"book": "8"}, "Traceparent")
 		Expect(tie.Parent.span).To(Equal("bbbb"))
 	})
 	ginkgo.It("given two candidates, when a call comes, then it is ambiguous and never guessed", func() {
-		t := NewTies(rig.NewClock(time.Now()))
+		t := NewCallTracker(simnet.NewClock(time.Now()))
 		one, two := aloft(t, "aaaa", further(), "7"), aloft(t, "bbbb", further(), "7")
 		tie := t.Find(call(""), child, nil, "Traceparent")
 		Expect(tie.Tied).To(BeFalse())
 		Expect(tie.Candidates).To(Equal([]string{"aaaa", "bbbb"}))
-		_, uncertain := t.Land(one)
+		_, uncertain := t.End(one)
 		Expect(uncertain).To(BeTrue())
-		t.Land(two)
-		Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Tie{}))
+		t.End(two)
+		Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Parent{}))
 	})
 	ginkgo.It("given a route whose further calls would be ambiguous, when two come, then they are kept apart unless told otherwise", func() {
 		bubble(func(s base.Scope) {
-			t := NewTies(s.Clock)
+			t := NewCallTracker(s.Clock)
 			way := further()
-			leave, mishap := t.Apart(s, &flight{way: way, seat: &seat{}}, s.Clock.Mono()+time.Minute, true)
+			leave, mishap := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
 			hurried, cancel := s.WithTimeout(time.Second)
 			defer cancel()
-			_, mishap = t.Apart(hurried, &flight{way: way, seat: &seat{}}, s.Clock.Mono()+time.Minute, true)
+			_, mishap = t.Apart(hurried, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap.Kind).To(Equal(base.Expired))
 			begun := s.Clock.Mono()
-			_, mishap = t.Apart(s, &flight{way: way, seat: &seat{}}, begun+time.Minute, false)
+			_, mishap = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, begun+time.Minute, false)
 			Expect(mishap.Kind).To(Equal(base.KeptApart), "who may still go elsewhere is turned back at once")
 			Expect(s.Clock.Mono()).To(Equal(begun))
 			together := further()
 			together.Route.Together = true
-			free, mishap := t.Apart(s, &flight{way: together, seat: &seat{}}, s.Clock.Mono()+time.Minute, true)
+			free, mishap := t.Apart(s, &callInProgress{way: together, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
 			free()
-			passing, mishap := t.Apart(s, &flight{way: way, seat: &seat{passes: true}}, s.Clock.Mono()+time.Minute, true)
+			passing, mishap := t.Apart(s, &callInProgress{way: way, seat: &instance{passes: true}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
 			passing()
 			leave()
-			again, mishap := t.Apart(s, &flight{way: way, seat: &seat{}}, s.Clock.Mono()+time.Minute, true)
+			again, mishap := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
 			time.Sleep(time.Second)
 			again()
-			held, mishap := t.Apart(s, &flight{way: way, seat: &seat{}}, s.Clock.Mono()+time.Minute, true)
+			held, mishap := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
-			_, mishap = t.Apart(s, &flight{way: way, seat: &seat{}}, s.Clock.Mono()+100*time.Millisecond, true)
+			_, mishap = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+100*time.Millisecond, true)
 			Expect(mishap.Kind).To(Equal(base.KeptApart), "a wait that can't end in time is turned back at once")
 			held()
 			Expect(t.apart).To(BeEmpty(), "nothing is kept for keys no longer waited for")
@@ -102,27 +102,27 @@
 	})
 	ginkgo.It("given a further call declared to come once, when it has arrived, then the next has the turn and its call is the only candidate's", func() {
 		bubble(func(s base.Scope) {
-			t := NewTies(s.Clock)
+			t := NewCallTracker(s.Clock)
 			way := further()
 			way.Route.Further[0].Most = 1
-			first := &flight{way: way, seat: &seat{}, span: "aaaa", fields: func(string) string { return "" }}
-			second := &flight{way: way, seat: &seat{}, span: "bbbb", fields: func(string) string { return "" }}
+			first := &callInProgress{way: way, seat: &instance{}, span: "aaaa", fields: func(string) string { return "" }}
+			second := &callInProgress{way: way, seat: &instance{}, span: "bbbb", fields: func(string) string { return "" }}
 			leave, mishap := t.Apart(s, first, s.Clock.Mono()+time.Minute, true)
 			Expect(mishap).To(BeNil())
-			t.Board(first)
+			t.Begin(first)
 			Expect(t.Find(call(""), child, nil, "Traceparent").Parent.span).To(Equal("aaaa"))
 			next, mishap := t.Apart(s, second, s.Clock.Mono()+time.Second, true)
 			Expect(mishap).To(BeNil())
-			t.Board(second)
+			t.Begin(second)
 			Expect(t.Find(call(""), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
-			Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Tie{}), "a call beyond what was declared is tied to nobody")
+			Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Parent{}), "a call beyond what was declared is tied to nobody")
 			leave()
 			next()
 		})
 	})
 	ginkgo.It("given one request in flight, when a call of another key comes, then it is not tied to it by accident", func() {
-		t := NewTies(rig.NewClock(time.Now()))
+		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(key), "7")
-		Expect(t.Find(call(""), child, map[string]string{"book": "8"}, "Traceparent")).To(Equal(Tie{}))
+		Expect(t.Find(call(""), child, map[string]string{"book": "8"}, "Traceparent")).To(Equal(Parent{}))
 	})
 })
--- a/flow/near.go
+++ b/internal/listednode/client_server.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"context"
@@ -18,9 +18,9 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// errand is a request to this node: of a visitor, or (inner) a further call of
+// clientRequest is a request to this node: of a visitor, or (inner) a further call of
 // an instance.
-type errand struct {
+type clientRequest struct {
 	request *http.Request
 	inner   bool
 	w       http.ResponseWriter
@@ -31,11 +31,11 @@
 	body []byte
 }
 
-func (n *Node) door(inner bool) http.Handler {
+func (n *Node) handler(inner bool) http.Handler {
 	var ask endpoint.Endpoint = n.answer
 	ask = n.counted(ask)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		response, err := ask(r.Context(), &errand{request: r, inner: inner, w: w})
+		response, err := ask(r.Context(), &clientRequest{request: r, inner: inner, w: w})
 		if err != nil {
 			bounceTo(w, base.FaultOf(err))
 			return
@@ -54,7 +54,7 @@
 		defer leave()
 		response, err := next(ctx, request)
 		if err != nil {
-			e := request.(*errand)
+			e := request.(*clientRequest)
 			n.scope.Record("bounce-"+string(base.FaultOf(err).Kind), e.w.Header().Get(traceHeader), e.request.URL.Path+": "+base.FaultOf(err).Reason)
 		}
 		return response, err
@@ -62,7 +62,7 @@
 }
 
 func (n *Node) answer(ctx context.Context, request any) (any, error) {
-	e := request.(*errand)
+	e := request.(*clientRequest)
 	s := n.scope.WithContext(ctx)
 	signed := n.slice.Load()
 	if signed == nil {
@@ -99,7 +99,7 @@
 
 // body reads a request's body within the time given. The caller calls give when
 // it is no longer needed.
-func (n *Node) body(e *errand, within time.Duration) (body []byte, give func(), mishap *base.Fault) {
+func (n *Node) body(e *clientRequest, within time.Duration) (body []byte, give func(), mishap *base.Fault) {
 	longest := n.dials.Load().Longest
 	room := int64(longest) + 1
 	if e.request.ContentLength >= 0 {
@@ -125,7 +125,7 @@
 
 // answerWith answers a request that was let in, and records a span of it if the
 // odds and the group's budget say so.
-func (n *Node) answerWith(s base.Scope, e *errand, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
+func (n *Node) answerWith(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
 	way := ledger.Way
 	trail, spent := n.trail(e, signed, way)
 	defer spent()
@@ -143,7 +143,7 @@
 	return n.settle(s, e, signed, ledger, body, trail)
 }
 
-func (n *Node) trail(e *errand, signed *bundle.Bundle, way bundle.Way) (*wire.Trail, func()) {
+func (n *Node) trail(e *clientRequest, signed *bundle.Bundle, way bundle.Way) (*wire.Trail, func()) {
 	if e.inner {
 		tie := n.ties.Find(e.request, way, signed.Holes(way, e.request.URL.Path), signed.Tracing().GetHeader())
 		if tie.Tied {
@@ -163,7 +163,7 @@
 }
 
 // settle makes attempts until there is an answer to relay or nothing more to try.
-func (n *Node) settle(s base.Scope, e *errand, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
+func (n *Node) settle(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
 	defer func() {
 		if ledger.Last() != nil && !ledger.Arrived() {
 			n.repeats.Refund(ledger.Way.Service.Name)
@@ -196,20 +196,20 @@
 // next picks an instance for the next attempt, under the bundle to use for it.
 // The error is what to tell the caller if there is none, or if no repeat is
 // left to spend.
-func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, place, *base.Fault) {
+func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
 	if last := ledger.Last(); last != nil && last.Mishap.Kind == base.Stale {
 		fresh, mishap := n.renew(s, ledger)
 		if mishap != nil {
-			return nil, place{}, mishap
+			return nil, candidate{}, mishap
 		}
 		signed = fresh
 	}
 	if ledger.Doubtful() && !n.repeats.Spend(ledger.Way.Service.Name) {
-		return nil, place{}, ledger.Verdict(s.Clock.Mono())
+		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
 	}
 	picked, found := n.pickPatiently(signed, ledger)
 	if !found {
-		return nil, place{}, ledger.Verdict(s.Clock.Mono())
+		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
 	}
 	return signed, picked, nil
 }
@@ -229,7 +229,7 @@
 
 // pickPatiently picks an instance. If all that is left would turn the request
 // back to keep it apart, the request waits there from now on.
-func (n *Node) pickPatiently(signed *bundle.Bundle, ledger *Ledger) (place, bool) {
+func (n *Node) pickPatiently(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
 	picked, found := n.pick(signed, ledger.Way, ledger)
 	if found || ledger.Patient || !ledger.Apart() {
 		return picked, found
@@ -238,13 +238,13 @@
 	return n.pick(signed, ledger.Way, ledger)
 }
 
-type courier func(ctx context.Context, ask *wire.CarryRequest, tell emit) error
+type transport func(ctx context.Context, ask *wire.CarryRequest, tell emit) error
 
-func (n *Node) courier(picked place) courier {
+func (n *Node) courier(picked candidate) transport {
 	if picked.node == n.self {
 		return n.serve
 	}
-	callee := n.mate(picked.address)
+	callee := n.peerClient(picked.address)
 	return func(ctx context.Context, ask *wire.CarryRequest, tell emit) error {
 		stream, err := callee.Carry(ctx, connect.NewRequest(ask))
 		if err != nil {
@@ -260,7 +260,7 @@
 	}
 }
 
-func (n *Node) mate(address string) wireconnect.FlowClient {
+func (n *Node) peerClient(address string) wireconnect.FlowClient {
 	if callee, ok := n.mates.Get(address); ok {
 		return callee
 	}
@@ -269,8 +269,8 @@
 	return callee
 }
 
-func (n *Node) attempt(s base.Scope, e *errand, signed *bundle.Bundle, picked place, attempt *Attempt, way bundle.Way, until time.Duration, body []byte, trail *wire.Trail, ordinal int, patient bool) *answer {
-	caught := &catch{node: n, errand: e, attempt: attempt}
+func (n *Node) attempt(s base.Scope, e *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, way bundle.Way, until time.Duration, body []byte, trail *wire.Trail, ordinal int, patient bool) *answer {
+	caught := &responseReader{node: n, errand: e, attempt: attempt}
 	defer func() { n.room.give(caught.roomy) }()
 	ask := &wire.CarryRequest{
 		Attempt: attempt.Name, Incarnation: picked.incarnation, Serial: signed.Serial,
@@ -319,12 +319,12 @@
 	return errors.As(err, &mishap) && mishap.Op == "dial"
 }
 
-func (n *Node) neverRan(s base.Scope, picked place, attempt *Attempt) bool {
+func (n *Node) neverRan(s base.Scope, picked candidate, attempt *Attempt) bool {
 	if picked.node == n.self {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s), n.patience)
 	defer cancel()
-	reply, err := n.mate(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.Name, Incarnation: picked.incarnation}))
+	reply, err := n.peerClient(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.Name, Incarnation: picked.incarnation}))
 	return err == nil && reply.Msg.Never
 }
--- a/flow/claims.go
+++ b/internal/listednode/confirmations.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"context"
@@ -30,24 +30,24 @@
 	backersSpare = 1
 )
 
-// word is what a core machine or a node said of the newest bundle it knows, and
+// confirmation is what a core machine or a node said of the newest bundle it knows, and
 // when.
-type word struct {
+type confirmation struct {
 	at       time.Duration
 	serial   uint64
 	definite bool
 }
 
-// Claims decides which bundle is in force on a node: the newest that a majority
+// Confirmations decides which bundle is in force on a node: the newest that a majority
 // of core machines, or of nodes, lately vouched for. A node that can't tell
 // serves nothing. It is safe for concurrent use.
-type Claims struct {
+type Confirmations struct {
 	clock    base.Clock
 	length   time.Duration
 	self     string
 	mu       sync.Mutex
-	keels    []word
-	mates    map[string]word
+	keels    []confirmation
+	mates    map[string]confirmation
 	held     *bundle.Bundle
 	staged   *bundle.Bundle
 	recalled *bundle.Bundle
@@ -59,15 +59,15 @@
 	cored    time.Duration
 }
 
-// NewClaims returns the claims of a node that was just started. They hold for
+// NewConfirmations returns the claims of a node that was just started. They hold for
 // length; settling must pass before the node vouches to others; without the
 // core it goes on for alone at most, or without limit if that is 0.
-func NewClaims(clock base.Clock, self string, keels int, length, settling, alone time.Duration) *Claims {
-	return &Claims{alone: alone, cored: clock.Mono(), clock: clock, since: clock.Mono() + settling, self: self, keels: make([]word, keels), mates: map[string]word{}, length: length}
+func NewConfirmations(clock base.Clock, self string, keels int, length, settling, alone time.Duration) *Confirmations {
+	return &Confirmations{alone: alone, cored: clock.Mono(), clock: clock, since: clock.Mono() + settling, self: self, keels: make([]confirmation, keels), mates: map[string]confirmation{}, length: length}
 }
 
 // Held returns the bundle held, the one staged, and the newest ballot heard.
-func (c *Claims) Held() (held, staged *bundle.Bundle, ballot *wire.Ballot) {
+func (c *Confirmations) Held() (held, staged *bundle.Bundle, ballot *wire.Ballot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.held, c.staged, c.ballot
@@ -75,9 +75,9 @@
 
 // Good reports whether the bundle of that serial number is held and sure to be
 // the newest.
-func (c *Claims) Good(serial uint64) bool { return c.goodIn(serial, 0) }
+func (c *Confirmations) Good(serial uint64) bool { return c.goodIn(serial, 0) }
 
-func (c *Claims) goodIn(serial uint64, ahead time.Duration) bool {
+func (c *Confirmations) goodIn(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held == nil || c.held.Serial != serial || c.wanted > serial {
@@ -86,7 +86,7 @@
 	return c.byCore(serial, ahead) || (c.definite && (c.staged == nil || c.staged.Serial <= serial) && c.byMates(c.held, ahead, 1))
 }
 
-func (c *Claims) byCore(serial uint64, ahead time.Duration) bool {
+func (c *Confirmations) byCore(serial uint64, ahead time.Duration) bool {
 	oldest, good := c.clock.Mono()+ahead-c.length, 0
 	for _, each := range c.keels {
 		if each.definite && each.at >= oldest && each.serial <= serial {
@@ -96,9 +96,9 @@
 	return good >= len(c.keels)/2+1
 }
 
-func (c *Claims) tooLong() bool { return c.alone > 0 && c.clock.Mono()-c.cored > c.alone }
+func (c *Confirmations) tooLong() bool { return c.alone > 0 && c.clock.Mono()-c.cored > c.alone }
 
-func (c *Claims) byMates(signed *bundle.Bundle, ahead time.Duration, own int) bool {
+func (c *Confirmations) byMates(signed *bundle.Bundle, ahead time.Duration, own int) bool {
 	if c.tooLong() {
 		return false
 	}
@@ -120,11 +120,11 @@
 
 // Heard takes in news of a core machine that were asked for at the time given.
 // It returns the bundle held if that changed.
-func (c *Claims) Heard(keel int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) Heard(keel int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice, staged := open(news.Slice), open(news.Staged)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keels[keel] = word{at: asked + time.Duration(news.HeldUs)*time.Microsecond, serial: news.Accepted, definite: news.Vouches}
+	c.keels[keel] = confirmation{at: asked + time.Duration(news.HeldUs)*time.Microsecond, serial: news.Accepted, definite: news.Vouches}
 	if quorum.CompareBallots(news.Ballot, c.ballot) > 0 {
 		c.ballot, c.wanted = news.Ballot, max(c.wanted, news.Serial)
 		if c.staged != nil && c.staged.Serial != news.StagedSerial && c.staged.Serial != news.Serial {
@@ -142,7 +142,7 @@
 	return risen
 }
 
-func (c *Claims) rise(offered ...*bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) rise(offered ...*bundle.Bundle) (risen *bundle.Bundle) {
 	for _, each := range append(offered, c.staged, c.recalled) {
 		if each == nil || each.Serial != c.wanted {
 			continue
@@ -157,7 +157,7 @@
 	return risen
 }
 
-func (c *Claims) settle() {
+func (c *Confirmations) settle() {
 	if c.clock.Mono() >= c.since && c.held != nil && c.held.Serial >= c.wanted && c.byCore(c.held.Serial, 0) {
 		c.definite = true
 	}
@@ -165,19 +165,19 @@
 
 // Recall sets a bundle read from disk, which is held once a majority confirms
 // it.
-func (c *Claims) Recall(signed *bundle.Bundle) {
+func (c *Confirmations) Recall(signed *bundle.Bundle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recalled = signed
 }
 
-// Vouched takes in another node's word that was asked for at the time given. It
+// Vouched takes in another node's confirmation that was asked for at the time given. It
 // returns the bundle held if that changed.
-func (c *Claims) Vouched(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) Vouched(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice := open(reply.Slice)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mates[reply.Node] = word{at: asked, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
+	c.mates[reply.Node] = confirmation{at: asked, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
 	if reply.Definite && reply.Serial > c.wanted {
 		c.wanted = reply.Serial
 	}
@@ -188,8 +188,8 @@
 	return risen
 }
 
-// Vouch returns this node's word for another node.
-func (c *Claims) Vouch(ask *wire.VouchRequest) *wire.VouchReply {
+// Vouch returns this node's confirmation for another node.
+func (c *Confirmations) Vouch(ask *wire.VouchRequest) *wire.VouchReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reply := &wire.VouchReply{Node: c.self, Definite: c.definite && !c.tooLong()}
@@ -205,7 +205,7 @@
 	return reply
 }
 
-func (c *Claims) mostKnown() *bundle.Bundle {
+func (c *Confirmations) mostKnown() *bundle.Bundle {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held == nil {
@@ -236,18 +236,18 @@
 	})
 }
 
-// askVouch asks another node for its word.
+// askVouch asks another node for its confirmation.
 func (n *Node) askVouch(s base.Scope, machine *wire.Machine, serial uint64, asked time.Duration) {
 	ctx, cancel := context.WithTimeout(s, n.claims.length)
 	defer cancel()
-	reply, err := n.mate(machine.Address).Vouch(ctx, connect.NewRequest(&wire.VouchRequest{Node: n.self, Serial: serial, Odds: n.keeper.Serial()}))
+	reply, err := n.peerClient(machine.Address).Vouch(ctx, connect.NewRequest(&wire.VouchRequest{Node: n.self, Serial: serial, Odds: n.keeper.Serial()}))
 	if err == nil && reply.Msg.Node == machine.Name {
 		n.load(reply.Msg.Odds)
 		n.risen(n.claims.Vouched(asked, reply.Msg, n.open))
 	}
 }
 
-func (c *Claims) backers(known *bundle.Bundle, serial uint64) []*wire.Machine {
+func (c *Confirmations) backers(known *bundle.Bundle, serial uint64) []*wire.Machine {
 	good := c.Good(serial)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -273,13 +273,13 @@
 	return every
 }
 
-func (c *Claims) sureByCore(serial uint64, ahead time.Duration) bool {
+func (c *Confirmations) sureByCore(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wanted <= serial && c.byCore(serial, ahead)
 }
 
-func (v farServer) Vouch(_ context.Context, request *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error) {
+func (v peerServer) Vouch(_ context.Context, request *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error) {
 	reply := v.node.claims.Vouch(request.Msg)
 	if odds := v.node.keeper.Odds(); odds.GetSerial() > request.Msg.Odds {
 		reply.Odds = odds
--- a/flow/fences.go
+++ b/internal/listednode/fences.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"sync"
@@ -54,7 +54,7 @@
 }
 
 // Bar forbids it, and reports whether it can't have been handed before.
-func (f *Fences) Bar(attempt string) (never bool) {
+func (f *Fences) Fence(attempt string) (never bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at := f.fences[attempt]; at != nil && at.handed {
--- a/flow/seats.go
+++ b/internal/listednode/instances.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"net"
@@ -10,43 +10,43 @@
 	"curlewreach/proto/wire"
 )
 
-// seat is an instance beside this node. A probe connection to it is kept open,
+// instance is an instance beside this node. A probe connection to it is kept open,
 // and the identity of its listening socket (holder) noted, to tell it from a
 // successor at the same address.
-type seat struct {
+type instance struct {
 	report atomic.Pointer[wire.Seat]
 	at     time.Duration
 	probe  net.Conn
 	void   string
-	gate   *Gate
+	gate   *AdmissionQueue
 	passes bool
 	holder string
 }
 
-func (at *seat) said() *wire.Seat { return at.report.Load() }
+func (at *instance) said() *wire.Seat { return at.report.Load() }
 
-// Seats keeps the instances beside this node, by their reports. It is safe for
+// Instances keeps the instances beside this node, by their reports. It is safe for
 // concurrent use.
-type Seats struct {
+type Instances struct {
 	scope   base.Scope
 	oldest  time.Duration
 	queue   int
 	changed func([]*wire.Seat)
 	mu      sync.Mutex
-	seats   map[string]*seat
+	seats   map[string]*instance
 	closed  bool
 }
 
-// NewSeats returns a store without instances. A report holds for the time
+// NewInstances returns a store without instances. A report holds for the time
 // oldest; queue bounds the admission queue of each instance, and changed is
 // told the instances after each change.
-func NewSeats(s base.Scope, oldest time.Duration, queue int, changed func([]*wire.Seat)) *Seats {
-	return &Seats{scope: s, oldest: oldest, queue: queue, changed: changed, seats: map[string]*seat{}}
+func NewInstances(s base.Scope, oldest time.Duration, queue int, changed func([]*wire.Seat)) *Instances {
+	return &Instances{scope: s, oldest: oldest, queue: queue, changed: changed, seats: map[string]*instance{}}
 }
 
 // Report takes in an instance's report. A new one must accept a connection. The
 // error is of kind Unreachable.
-func (t *Seats) Report(s base.Scope, report *wire.Seat) *base.Fault {
+func (t *Instances) Report(s base.Scope, report *wire.Seat) *base.Fault {
 	t.mu.Lock()
 	known := t.seats[report.Address]
 	fresh := known == nil || known.void != "" || known.said().Service != report.Service
@@ -71,7 +71,7 @@
 		_ = probe.Close()
 		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
 	}
-	next := &seat{at: t.scope.Clock.Mono(), probe: probe, holder: holder, gate: NewGate(t.scope.Clock, int(report.Capacity), t.queue)}
+	next := &instance{at: t.scope.Clock.Mono(), probe: probe, holder: holder, gate: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.queue)}
 	next.report.Store(report)
 	t.mu.Lock()
 	if prior := t.seats[report.Address]; prior != nil && prior.probe != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (t *Seats) guard(s base.Scope, at *seat) {
+func (t *Instances) guard(s base.Scope, at *instance) {
 	for probe := at.probe; probe != nil; probe = t.again(s, at) {
 		var one [1]byte
 		_, _ = probe.Read(one[:])
@@ -95,7 +95,7 @@
 	t.Void(at, "the probe connection closed")
 }
 
-func (t *Seats) again(s base.Scope, at *seat) net.Conn {
+func (t *Instances) again(s base.Scope, at *instance) net.Conn {
 	if at.holder == "" || !t.Held(at) {
 		return nil
 	}
@@ -116,10 +116,12 @@
 }
 
 // Held reports whether the same socket still listens at the instance's address.
-func (t *Seats) Held(at *seat) bool { return t.scope.Net.Holder(at.said().Address) == at.holder }
+func (t *Instances) Held(at *instance) bool {
+	return t.scope.Net.Holder(at.said().Address) == at.holder
+}
 
 // Void ends an instance, until it reports again.
-func (t *Seats) Void(at *seat, reason string) {
+func (t *Instances) Void(at *instance, reason string) {
 	t.mu.Lock()
 	if at.void != "" {
 		t.mu.Unlock()
@@ -132,13 +134,13 @@
 	t.publish()
 }
 
-func (t *Seats) live(at *seat) bool {
+func (t *Instances) live(at *instance) bool {
 	return at.void == "" && t.scope.Clock.Mono()-at.at <= t.oldest
 }
 
 // Find returns the instance of a service at an address. The error is of kind
 // NoSeat.
-func (t *Seats) Find(service, address string) (*seat, *base.Fault) {
+func (t *Instances) Find(service, address string) (*instance, *base.Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.seats[address]
@@ -154,9 +156,9 @@
 }
 
 // Sweep ends instances without a report in time.
-func (t *Seats) Sweep() {
+func (t *Instances) Sweep() {
 	t.mu.Lock()
-	var old []*seat
+	var old []*instance
 	for address, at := range t.seats {
 		if at.void != "" && t.scope.Clock.Mono()-at.at > 4*t.oldest {
 			delete(t.seats, address)
@@ -171,7 +173,7 @@
 	}
 }
 
-func (t *Seats) publish() {
+func (t *Instances) publish() {
 	t.mu.Lock()
 	var rows []*wire.Seat
 	for _, at := range t.seats {
@@ -184,7 +186,7 @@
 }
 
 // Close closes the probe connections.
-func (t *Seats) Close() {
+func (t *Instances) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
--- a/flow/ledger.go
+++ b/internal/listednode/ledger.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"slices"
@@ -43,13 +43,13 @@
 	Mishap    *base.Fault
 }
 
-// Move is what to do next about a request.
-type Move int
+// Decision is what to do next about a request.
+type Decision int
 
 // The moves.
 const (
 	// Try makes another attempt.
-	Try Move = iota
+	Try Decision = iota
 	// Relay passes on the answer.
 	Relay
 	// GiveUp tells the caller what is known.
@@ -134,7 +134,7 @@
 
 // Next returns what to do now. A request that may have run is tried again only
 // if its route is repeatable.
-func (l *Ledger) Next(now time.Duration) Move {
+func (l *Ledger) Next(now time.Duration) Decision {
 	last := l.Last()
 	switch {
 	case last == nil:
--- a/flow/ledger_test.go
+++ b/internal/listednode/ledger_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 
 var _ = ginkgo.Describe("the ledger", func() {
 	ginkgo.DescribeTable("given attempts, when the next move is asked, then it follows from them alone",
-		func(repeatable bool, expected Move, states ...State) {
+		func(repeatable bool, expected Decision, states ...State) {
 			ledger := &Ledger{Way: bundle.Way{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Until: time.Second}
 			for _, state := range states {
 				ledger.Add(&Attempt{State: state, Mishap: &base.Fault{Kind: base.Lost}})
--- a/flow/node.go
+++ b/internal/listednode/node.go
@@ -2,7 +2,7 @@
 // application's instances takes requests of visitors and further calls of
 // instances, chooses an instance of the service, and carries the request
 // through the node beside it. docs/flow.md has the ways weighed.
-package flow
+package listednode
 
 import (
 	"context"
@@ -50,8 +50,8 @@
 	heard    time.Duration
 }
 
-// Dials are the params that can change while a node runs.
-type Dials struct {
+// Tunables are the params that can change while a node runs.
+type Tunables struct {
 	// Held is the most bytes of an answer held back until its seal is checked;
 	// longer answers are streamed.
 	Held int
@@ -62,7 +62,7 @@
 
 // Turn changes the params that can change while the node runs.
 func (n *Node) Turn(params *wire.VaneParams, trust bundle.Trust) {
-	n.dials.Store(&Dials{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
+	n.dials.Store(&Tunables{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
 	n.gate.Resize(int(params.Flights))
 	n.scope.Record("params", "", "turned")
 }
@@ -73,18 +73,18 @@
 	scope     base.Scope
 	self      string
 	zone      string
-	dials     atomic.Pointer[Dials]
+	dials     atomic.Pointer[Tunables]
 	patience  time.Duration
 	force     time.Duration
 	web       *http.Client
 	outward   *http.Transport
 	member    *membership.Member
-	seats     *Seats
+	seats     *Instances
 	fences    *Fences
-	ties      *Ties
-	gate      *Gate
-	repeats   *Repeats
-	room      room
+	ties      *CallTracker
+	gate      *AdmissionQueue
+	repeats   *RetryBudget
+	room      bodyMemory
 	budget    *Budget
 	keeper    *tracing.Keeper
 	sink      *tracing.Sink
@@ -100,7 +100,7 @@
 	first     int
 	kept      base.Broadcast
 	keptOdds  base.Broadcast
-	claims    *Claims
+	claims    *Confirmations
 	risenBell base.Broadcast
 	picking   sync.Mutex
 	records   map[string]*record
@@ -111,22 +111,22 @@
 	bounds := params.Bounds
 	leaving := bounds.Leaving.AsDuration()
 	n := &Node{
-		room:  room{most: int64(params.Room)},
+		room:  bodyMemory{most: int64(params.Room)},
 		scope: s, self: params.Name, zone: params.Zone,
 		patience: time.Duration(float64(leaving) * patience), force: bounds.InForce.AsDuration(), web: web,
 		outward: outwards(s.Net),
-		fences:  NewFences(s.Clock, 2*bounds.Grace.AsDuration()), ties: NewTies(s.Clock),
-		gate: NewGate(s.Clock, int(params.Flights), int(params.Queue)), repeats: NewRepeats(), budget: NewBudget(s.Clock),
+		fences:  NewFences(s.Clock, 2*bounds.Grace.AsDuration()), ties: NewCallTracker(s.Clock),
+		gate: NewAdmissionQueue(s.Clock, int(params.Flights), int(params.Queue)), repeats: NewRetryBudget(), budget: NewBudget(s.Clock),
 		keeper: tracing.NewKeeper(s.Rand), sink: tracing.NewSink(s, web, tracing.Always(params.Seeds), int(params.Queue)), records: map[string]*record{},
 	}
-	n.claims = NewClaims(s.Clock, params.Name, len(params.Seeds), time.Duration(float64(bounds.SlideBack.AsDuration())*claimRatio), bounds.InForce.AsDuration(), bounds.Alone.AsDuration())
-	n.dials.Store(&Dials{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
+	n.claims = NewConfirmations(s.Clock, params.Name, len(params.Seeds), time.Duration(float64(bounds.SlideBack.AsDuration())*claimRatio), bounds.InForce.AsDuration(), bounds.Alone.AsDuration())
+	n.dials.Store(&Tunables{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
 	self := &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone}
 	n.member = membership.NewMember(s, web, self, params.Seeds, nil, time.Duration(float64(leaving)*beatRatio))
 	n.member.Enrich = func(reply *wire.TellReply) {
 		reply.Carried, reply.Watched = n.gate.Granted(), n.budget.Spent()
 	}
-	n.seats = NewSeats(s, time.Duration(float64(leaving)*oldestRatio), int(params.Queue), func(rows []*wire.Seat) {
+	n.seats = NewInstances(s, time.Duration(float64(leaving)*oldestRatio), int(params.Queue), func(rows []*wire.Seat) {
 		slices.SortFunc(rows, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
 		n.member.Change(func(roster *wire.Roster) { roster.Seats = rows })
 	})
--- a/flow/params.go
+++ b/internal/listednode/params.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	validation "github.com/go-ozzo/ozzo-validation/v4"
@@ -7,8 +7,8 @@
 	"curlewreach/proto/wire"
 )
 
-// Usual sets the params that aren't set to their defaults.
-func Usual(p *wire.VaneParams) {
+// SetDefaults sets the params that aren't set to their defaults.
+func SetDefaults(p *wire.VaneParams) {
 	p.Bounds = base.DefaultBounds(p.Bounds)
 	base.SetDefault(&p.Held, 1<<20)
 	base.SetDefault(&p.Longest, 4<<20)
--- a/flow/far.go
+++ b/internal/listednode/peer_server.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"bytes"
@@ -48,7 +48,7 @@
 	}
 	if !n.fences.Start(ask.Attempt) {
 		mishap := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
-		mishap.Run = !n.fences.Bar(ask.Attempt)
+		mishap.Run = !n.fences.Fence(ask.Attempt)
 		return mishap
 	}
 	leave := n.enter()
@@ -91,7 +91,7 @@
 	if err != nil {
 		return base.NewFault(base.Malformed, "", "%s", err)
 	}
-	f := &flight{span: n.scope.Rand.Name(8), trail: ask.Trail, way: way, seat: at}
+	f := &callInProgress{span: n.scope.Rand.Name(8), trail: ask.Trail, way: way, seat: at}
 	headers := http.Header{}
 	put(ask.Headers, headers)
 	holes := bundle.Holes(way, target.Path)
@@ -107,7 +107,7 @@
 	return n.hand(s, ask, at, f, target, headers, tell)
 }
 
-func (n *Node) hand(s base.Scope, ask *wire.CarryRequest, at *seat, f *flight, target *url.URL, headers http.Header, tell emit) *base.Fault {
+func (n *Node) hand(s base.Scope, ask *wire.CarryRequest, at *instance, f *callInProgress, target *url.URL, headers http.Header, tell emit) *base.Fault {
 	conn, err := n.outward.NewClientConn(s, "http", at.said().Address)
 	if err != nil {
 		n.scope.Record("dial-failed", ask.Service, strconv.Itoa(int(ask.Ordinal)))
@@ -139,17 +139,17 @@
 		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
 	keeps := f.trail.GetSampled() && n.keeper.Keep(f.way.Identifier()) && n.budget.Spend(f.way.Group)
-	n.ties.Board(f)
+	n.ties.Begin(f)
 	n.scope.Record("handed", ask.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", ask.Attempt, at.said().Address, ask.Serial))
 	status, mishap := n.exchange(s, conn, request, ask, tell)
-	self, uncertain := n.ties.Land(f)
+	self, uncertain := n.ties.End(f)
 	if keeps {
 		n.sink.Push(n.span(f, status, self, uncertain))
 	}
 	return mishap
 }
 
-func (n *Node) span(f *flight, status int, self time.Duration, uncertain bool) *wire.Span {
+func (n *Node) span(f *callInProgress, status int, self time.Duration, uncertain bool) *wire.Span {
 	took := n.scope.Clock.Mono() - f.began
 	span := &wire.Span{
 		Trace: f.trail.Trace, Id: f.span, Parent: f.trail.Parent, Service: f.way.Service.Name, Route: f.way.Route.Name,
@@ -233,18 +233,18 @@
 	}
 }
 
-type farServer struct{ node *Node }
+type peerServer struct{ node *Node }
 
-func (v farServer) Carry(ctx context.Context, request *connect.Request[wire.CarryRequest], stream *connect.ServerStream[wire.CarryReply]) error {
+func (v peerServer) Carry(ctx context.Context, request *connect.Request[wire.CarryRequest], stream *connect.ServerStream[wire.CarryReply]) error {
 	return v.node.serve(ctx, request.Msg, stream.Send)
 }
 
-func (v farServer) Fence(_ context.Context, request *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error) {
+func (v peerServer) Fence(_ context.Context, request *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error) {
 	ask := request.Msg
 	if ask.Incarnation != v.node.member.Incarnation() {
 		return connect.NewResponse(&wire.FenceReply{}), nil
 	}
-	never := v.node.fences.Bar(ask.Attempt)
+	never := v.node.fences.Fence(ask.Attempt)
 	v.node.scope.Record("fence", ask.Attempt, fmt.Sprintf("never=%t", never))
 	return connect.NewResponse(&wire.FenceReply{Never: never}), nil
 }
--- a/flow/pick.go
+++ b/internal/listednode/pick.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"iter"
@@ -20,8 +20,8 @@
 	standingBy = 2.0
 )
 
-// place is an instance that a request may be carried to.
-type place struct {
+// candidate is an instance that a request may be carried to.
+type candidate struct {
 	node        string
 	address     string
 	incarnation string
@@ -30,7 +30,7 @@
 	seat        *wire.Seat
 }
 
-// record is what this node itself knows of a place.
+// record is what this node itself knows of a candidate.
 type record struct {
 	used   time.Duration
 	flying int
@@ -39,10 +39,10 @@
 
 // places iterates over the instances of a service: those beside this node,
 // then those beside others, by the nodes' names.
-func (n *Node) places(service string) iter.Seq[place] {
-	return func(yield func(place) bool) {
+func (n *Node) places(service string) iter.Seq[candidate] {
+	return func(yield func(candidate) bool) {
 		own := n.member.Status()
-		if !besides(own, service, place{node: n.self, incarnation: own.Incarnation, standing: membership.Well}, yield) {
+		if !besides(own, service, candidate{node: n.self, incarnation: own.Incarnation, standing: membership.Well}, yield) {
 			return
 		}
 		for name, each := range n.atlas.All() {
@@ -50,7 +50,7 @@
 			if name == n.self || roster.Stopping {
 				continue
 			}
-			if !besides(roster, service, place{
+			if !besides(roster, service, candidate{
 				node: name, address: roster.Address, incarnation: roster.Incarnation, standing: each.sighting.Standing,
 				offset: time.Duration(roster.ClockUs)*time.Microsecond - each.heard,
 			}, yield) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// besides yields the instances of a service beside one node, at the place given.
-func besides(roster *wire.Roster, service string, at place, yield func(place) bool) bool {
+// besides yields the instances of a service beside one node, at the candidate given.
+func besides(roster *wire.Roster, service string, at candidate, yield func(candidate) bool) bool {
 	for _, seat := range roster.Seats {
 		at.seat = seat
 		if seat.Service == service && !seat.Leaving && !yield(at) {
@@ -71,8 +71,8 @@
 	return true
 }
 
-func (n *Node) pick(signed *bundle.Bundle, way bundle.Way, ledger *Ledger) (place, bool) {
-	var best place
+func (n *Node) pick(signed *bundle.Bundle, way bundle.Way, ledger *Ledger) (candidate, bool) {
+	var best candidate
 	lowest, found := 0.0, false
 	n.picking.Lock()
 	defer n.picking.Unlock()
@@ -91,7 +91,7 @@
 	return best, found
 }
 
-func (n *Node) recordOf(each place) *record {
+func (n *Node) recordOf(each candidate) *record {
 	key := each.node + " " + each.seat.Address
 	at := n.records[key]
 	if at == nil {
@@ -102,7 +102,7 @@
 	return at
 }
 
-func (n *Node) score(each place) float64 {
+func (n *Node) score(each candidate) float64 {
 	at := n.recordOf(each)
 	score := (float64(at.flying) + 1) / float64(max(each.seat.Capacity, 1))
 	score *= 1 + each.seat.Weight
@@ -118,7 +118,7 @@
 	return score
 }
 
-func (n *Node) judge(picked place, attempt *Attempt) {
+func (n *Node) judge(picked candidate, attempt *Attempt) {
 	n.picking.Lock()
 	defer n.picking.Unlock()
 	at := n.recordOf(picked)
--- a/flow/vane.go
+++ b/internal/listednode/process.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 	handler http.Handler
 }
 
-// Vane is a running application machine: a node and its servers.
-type Vane struct {
+// Process is a running application machine: a node and its servers.
+type Process struct {
 	Node   *Node
 	params *wire.VaneParams
 	cancel context.CancelFunc
@@ -31,8 +31,8 @@
 }
 
 // Start starts an application machine. On an error nothing is left running.
-func Start(s base.Scope, params *wire.VaneParams) (*Vane, error) {
-	Usual(params)
+func Start(s base.Scope, params *wire.VaneParams) (*Process, error) {
+	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return nil, err
 	}
@@ -41,12 +41,12 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	v := &Vane{Node: NewNode(s, base.HTTPClient(s), params, trust), params: params, cancel: cancel}
+	v := &Process{Node: NewNode(s, base.HTTPClient(s), params, trust), params: params, cancel: cancel}
 	for _, each := range []opening{
-		{params.Mates, v.Node.Mates()},
-		{params.Ops, v.Node.Ops()},
-		{params.Upstreams, v.closingWhileStopping(v.Node.Upstreams())},
-		{params.Visitors, v.closingWhileStopping(v.Node.Visitors())},
+		{params.Mates, v.Node.PeerHandler()},
+		{params.Ops, v.Node.OperatorHandler()},
+		{params.Upstreams, v.closingWhileStopping(v.Node.InstanceHandler())},
+		{params.Visitors, v.closingWhileStopping(v.Node.ClientHandler())},
 	} {
 		door, err := base.Serve(s, each.address, each.handler)
 		if err != nil {
@@ -62,8 +62,8 @@
 
 // Reload puts the params in force that can change while running. It returns an
 // error if others differ that can't.
-func (v *Vane) Reload(params *wire.VaneParams) error {
-	Usual(params)
+func (v *Process) Reload(params *wire.VaneParams) error {
+	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 // closingWhileStopping tells clients of a node that stops to go elsewhere after
 // each answer. Their idle connections stay open: closing one races with a
 // request that is just being read from it.
-func (v *Vane) closingWhileStopping(handler http.Handler) http.Handler {
+func (v *Process) closingWhileStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if v.Node.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -93,9 +93,9 @@
 	})
 }
 
-// Stop lets requests in flight end and ends the process's parts within the
+// Stop lets requests in callInProgress end and ends the process's parts within the
 // grace.
-func (v *Vane) Stop() {
+func (v *Process) Stop() {
 	grace := time.Duration(float64(v.params.Bounds.Grace.AsDuration()) * stopRatio)
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
@@ -106,7 +106,7 @@
 }
 
 // Kill ends everything at once.
-func (v *Vane) Kill() {
+func (v *Process) Kill() {
 	v.cancel()
 	for _, door := range v.doors {
 		door.Close()
--- a/flow/recall.go
+++ b/internal/listednode/recall.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"time"
--- a/flow/catch.go
+++ b/internal/listednode/response_reader.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"bytes"
@@ -8,11 +8,11 @@
 	"curlewreach/proto/wire"
 )
 
-// catch takes in the pieces of one attempt's answer, checks them, and holds
+// responseReader takes in the pieces of one attempt's answer, checks them, and holds
 // them back until the seal is checked or there are too many.
-type catch struct {
+type responseReader struct {
 	node    *Node
-	errand  *errand
+	errand  *clientRequest
 	attempt *Attempt
 	head    *wire.CarryHead
 	sealing seal
@@ -26,7 +26,7 @@
 
 var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
 
-func (c *catch) take(reply *wire.CarryReply) error {
+func (c *responseReader) take(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
 	case *wire.CarryReply_Head:
 		if c.head != nil || piece.Head.Attempt != c.attempt.Name {
@@ -48,7 +48,7 @@
 
 // takeChunk holds a piece of the body back, or passes it on with those held if
 // they are too many.
-func (c *catch) takeChunk(chunk []byte) error {
+func (c *responseReader) takeChunk(chunk []byte) error {
 	if c.head == nil || c.whole {
 		return errForeign
 	}
@@ -65,7 +65,7 @@
 
 // takeTail checks the seal. Of an answer that is being streamed, the last piece
 // is passed on only now.
-func (c *catch) takeTail(tail *wire.CarryTail) error {
+func (c *responseReader) takeTail(tail *wire.CarryTail) error {
 	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
 		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (c *catch) hold(size int) bool {
+func (c *responseReader) hold(size int) bool {
 	if !c.node.room.take(int64(size)) {
 		return false
 	}
@@ -84,7 +84,7 @@
 	return true
 }
 
-func (c *catch) flow() error {
+func (c *responseReader) flow() error {
 	c.node.room.give(c.roomy)
 	c.roomy = 0
 	if !c.flowing {
--- a/flow/repeats.go
+++ b/internal/listednode/retry_budget.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"sync"
@@ -6,31 +6,31 @@
 	"curlewreach/internal/bundle"
 )
 
-type purse struct {
+type serviceBudget struct {
 	tokens float64
 	depth  float64
 	ratio  float64
 }
 
-// Repeats bounds repeated attempts for each service by tokens: each first
+// RetryBudget bounds repeated attempts for each service by tokens: each first
 // attempt earns a part of one, each repeat costs one. It is safe for concurrent
 // use.
-type Repeats struct {
+type RetryBudget struct {
 	mu     sync.Mutex
-	purses map[string]*purse
+	purses map[string]*serviceBudget
 }
 
-// NewRepeats returns a store of tokens that is empty.
-func NewRepeats() *Repeats { return &Repeats{purses: map[string]*purse{}} }
+// NewRetryBudget returns a store of tokens that is empty.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{purses: map[string]*serviceBudget{}} }
 
 // Set sets the ratios and the most that may be saved, by a bundle.
-func (r *Repeats) Set(signed *bundle.Bundle) {
+func (r *RetryBudget) Set(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, service := range signed.Raw.Services {
 		at := r.purses[service.Name]
 		if at == nil {
-			at = &purse{}
+			at = &serviceBudget{}
 			r.purses[service.Name] = at
 		}
 		at.ratio = service.Repeats
@@ -40,7 +40,7 @@
 }
 
 // Earn adds what a first attempt earns.
-func (r *Repeats) Earn(service string) {
+func (r *RetryBudget) Earn(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := r.purses[service]; at != nil {
@@ -49,7 +49,7 @@
 }
 
 // Refund takes it back, as the request didn't arrive.
-func (r *Repeats) Refund(service string) {
+func (r *RetryBudget) Refund(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := r.purses[service]; at != nil {
@@ -58,7 +58,7 @@
 }
 
 // Spend takes the token for a repeat, and reports false if there is none.
-func (r *Repeats) Spend(service string) bool {
+func (r *RetryBudget) Spend(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.purses[service]
--- a/flow/repeats_test.go
+++ b/internal/listednode/retry_budget_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"github.com/onsi/ginkgo/v2"
@@ -17,7 +17,7 @@
 		})
 		for seed := range uint64(20) {
 			rand := base.SeededRand(seed)
-			purse := NewRepeats()
+			purse := NewRetryBudget()
 			purse.Set(signed)
 			var events []bool
 			for range 2000 {
--- a/flow/servers.go
+++ b/internal/listednode/servers.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"encoding/json"
@@ -16,27 +16,27 @@
 )
 
 // Visitors returns the handler of visitors' requests.
-func (n *Node) Visitors() http.Handler { return n.door(false) }
+func (n *Node) ClientHandler() http.Handler { return n.handler(false) }
 
 // Upstreams returns the handler for instances beside this node: their reports
 // and further calls.
-func (n *Node) Upstreams() http.Handler {
+func (n *Node) InstanceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+ReportPath, n.report)
-	mux.Handle("/", n.door(true))
+	mux.Handle("/", n.handler(true))
 	return mux
 }
 
 // Mates returns the handler for other nodes.
-func (n *Node) Mates() http.Handler {
+func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(wireconnect.NewFlowHandler(farServer{n}, base.Plain()))
+	mux.Handle(wireconnect.NewFlowHandler(peerServer{n}, base.Plain()))
 	mux.Handle(membership.Handler(n.member))
 	return mux
 }
 
 // Ops returns the handler for readiness and counts.
-func (n *Node) Ops() http.Handler {
+func (n *Node) OperatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
--- a/flow/flow_test.go
+++ b/internal/listednode/suite_test.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 )
 
 var suite *testing.T
@@ -24,6 +24,6 @@
 func bubble(tell func(s base.Scope)) {
 	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		tell(base.Scope{Context: context.Background(), Clock: rig.NewClock(time.Now()), Rand: base.SeededRand(1), Journal: base.NewJournal(100)})
+		tell(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: base.SeededRand(1), Journal: base.NewJournal(100)})
 	})
 }
--- a/flow/sweep.go
+++ b/internal/listednode/sweep.go
@@ -1,4 +1,4 @@
-package flow
+package listednode
 
 import (
 	"maps"
@@ -44,23 +44,23 @@
 }
 
 // Forget drops groups that a bundle doesn't name.
-func (g *Gate) Forget(signed *bundle.Bundle) {
+func (g *AdmissionQueue) Forget(signed *bundle.Bundle) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.lanes, func(group string, at *lane) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
+	maps.DeleteFunc(g.lanes, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
 }
 
 // Forget drops services that a bundle doesn't name.
-func (r *Repeats) Forget(signed *bundle.Bundle) {
+func (r *RetryBudget) Forget(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.purses, func(service string, at *purse) bool {
+	maps.DeleteFunc(r.purses, func(service string, at *serviceBudget) bool {
 		return at.depth > 0 && at.tokens >= 0 && signed.Service(service) == nil
 	})
 }
 
 // Forget drops routes that a bundle doesn't name.
-func (t *Ties) Forget(signed *bundle.Bundle) {
+func (t *CallTracker) Forget(signed *bundle.Bundle) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maps.DeleteFunc(t.turns, func(identifier string, _ time.Duration) bool { return !signed.Names(identifier) })
--- a/internal/quorum/band_test.go
+++ b/internal/quorum/band_test.go
@@ -13,21 +13,21 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
 type fiveReplicas struct {
 	seed    uint64
 	born    time.Time
-	world   *rig.World
+	world   *simnet.World
 	members []*member
 }
 
 func newFiveReplicas(seed uint64, count int) *fiveReplicas {
-	b := &fiveReplicas{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	b := &fiveReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
-		b.members = append(b.members, &member{disk: rig.NewDisk(base.SeededRand(seed + uint64(i)))})
+		b.members = append(b.members, &member{disk: simnet.NewDisk(base.SeededRand(seed + uint64(i)))})
 	}
 	for i := range b.members {
 		b.raise(i)
@@ -38,9 +38,9 @@
 func (b *fiveReplicas) raise(i int, options ...Option) {
 	b.seed++
 	m := b.members[i]
-	m.mount = rig.NewMount(m.disk)
+	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
-		Context: context.Background(), Node: address(i), Clock: rig.NewClock(b.born), Net: b.world.At(ip(i), "keel"), Disk: m.mount,
+		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(b.born), Net: b.world.At(ip(i), "keel"), Disk: m.mount,
 		Rand: base.SeededRand(b.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -13,7 +13,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 )
 
 var suite *testing.T
@@ -25,15 +25,15 @@
 }
 
 type member struct {
-	disk    *rig.Disk
-	mount   *rig.Mount
+	disk    *simnet.Disk
+	mount   *simnet.Mount
 	replica *Replica
 	door    *base.Server
 	cancel  context.CancelFunc
 }
 
 type threeReplicas struct {
-	world   *rig.World
+	world   *simnet.World
 	seed    uint64
 	born    time.Time
 	members [3]*member
@@ -44,9 +44,9 @@
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
 func newThreeReplicas(seed uint64) *threeReplicas {
-	t := &threeReplicas{seed: seed, born: time.Now(), world: rig.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	t := &threeReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range t.members {
-		t.members[i] = &member{disk: rig.NewDisk(base.SeededRand(seed + uint64(i)))}
+		t.members[i] = &member{disk: simnet.NewDisk(base.SeededRand(seed + uint64(i)))}
 		t.raise(i)
 	}
 	return t
@@ -55,9 +55,9 @@
 func (t *threeReplicas) raise(i int) {
 	t.seed++
 	m := t.members[i]
-	m.mount = rig.NewMount(m.disk)
+	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
-		Context: context.Background(), Node: address(i), Clock: rig.NewClock(t.born), Net: t.world.At(ip(i), "keel"), Disk: m.mount,
+		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(t.born), Net: t.world.At(ip(i), "keel"), Disk: m.mount,
 		Rand: base.SeededRand(t.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
--- a/internal/statestore/crash_test.go
+++ b/internal/statestore/crash_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -29,7 +29,7 @@
 
 // history is what one process did to a disk until it ended.
 type history struct {
-	disk *rig.Disk
+	disk *simnet.Disk
 	// possible are the states that a restart may find: the last acknowledged one first, nil for none, and all that
 	// were tried since.
 	possible []*wire.ReplicaState
@@ -39,19 +39,19 @@
 }
 
 // blank is the history of a disk that nothing was done to.
-func blank(disk *rig.Disk) history {
+func blank(disk *simnet.Disk) history {
 	return history{disk: disk, possible: []*wire.ReplicaState{nil}}
 }
 
 // damaged is the history of a disk whose state was made unreadable.
-func damaged(disk *rig.Disk) history {
+func damaged(disk *simnet.Disk) history {
 	return history{disk: disk, possible: []*wire.ReplicaState{nil}, lost: true}
 }
 
 // play opens the disk of a history and saves the states of the script, as far as no crash comes.
-func play(t *testing.T, past history, first uint64, decide func(point int) rig.Outcome) history {
+func play(t *testing.T, past history, first uint64, decide func(point int) simnet.Outcome) history {
 	t.Helper()
-	faults := &rig.Faults{Disk: past.disk, Decide: decide}
+	faults := &simnet.Faults{Disk: past.disk, Decide: decide}
 	store := openStubbornly(t, faults, &past)
 	if store != nil {
 		past.save(store, faults, first)
@@ -60,7 +60,7 @@
 	return past
 }
 
-func openStubbornly(t *testing.T, faults *rig.Faults, past *history) *Store {
+func openStubbornly(t *testing.T, faults *simnet.Faults, past *history) *Store {
 	t.Helper()
 	for range openTries {
 		store, state, err := open(faults, discard, small)
@@ -73,14 +73,14 @@
 			past.possible, past.lost = []*wire.ReplicaState{state}, false
 			return store
 		}
-		if !errors.Is(err, rig.ErrRefused) && !errors.Is(err, rig.ErrCrashed) {
+		if !errors.Is(err, simnet.ErrRefused) && !errors.Is(err, simnet.ErrCrashed) {
 			t.Fatal(err)
 		}
 	}
 	return nil
 }
 
-func (h *history) save(store *Store, faults *rig.Faults, first uint64) {
+func (h *history) save(store *Store, faults *simnet.Faults, first uint64) {
 	for serial := first; serial < first+scriptSaves && !faults.Crashed(); serial++ {
 		state := stateOf(serial)
 		if store.Save(state) == nil {
@@ -92,7 +92,7 @@
 }
 
 // check opens a disk and expects one of the possible states, or that the loss is still known.
-func (h *history) check(t *testing.T, disk *rig.Disk, when string) {
+func (h *history) check(t *testing.T, disk *simnet.Disk, when string) {
 	t.Helper()
 	store, state, err := open(disk, discard, small)
 	if errors.Is(err, ErrUnreadable) && h.lost {
@@ -121,7 +121,7 @@
 }
 
 // expectDurable expects that what was loaded outlasts a loss of power that keeps as little as it may.
-func expectDurable(t *testing.T, disk *rig.Disk, state *wire.ReplicaState, when string) {
+func expectDurable(t *testing.T, disk *simnet.Disk, state *wire.ReplicaState, when string) {
 	t.Helper()
 	later := disk.Clone(base.SeededRand(1))
 	later.PowerLossKeeping(func(int) bool { return false })
@@ -132,7 +132,7 @@
 }
 
 // expectGoesOn expects that the store that was loaded can be saved to.
-func expectGoesOn(t *testing.T, disk *rig.Disk, store *Store, when string) {
+func expectGoesOn(t *testing.T, disk *simnet.Disk, store *Store, when string) {
 	t.Helper()
 	const later = 100
 	for serial := range uint64(2) {
@@ -190,29 +190,29 @@
 	return 1
 }
 
-func always(int) rig.Outcome { return rig.Done }
+func always(int) simnet.Outcome { return simnet.Done }
 
 // at gives one outcome at one write and another at a second one.
-func at(point int, outcome rig.Outcome, point2 int, outcome2 rig.Outcome) func(int) rig.Outcome {
-	return func(each int) rig.Outcome {
+func at(point int, outcome simnet.Outcome, point2 int, outcome2 simnet.Outcome) func(int) simnet.Outcome {
+	return func(each int) simnet.Outcome {
 		switch each {
 		case point:
 			return outcome
 		case point2:
 			return outcome2
 		}
-		return rig.Done
+		return simnet.Done
 	}
 }
 
-var crashes = []rig.Outcome{rig.CrashBefore, rig.CrashAfter}
+var crashes = []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter}
 
 func TestCrashAtEachWriteKeepsTheLastSavedState(t *testing.T) {
 	points := play(t, blank(newDisk(1)), 0, always).points
 	checked := 0
 	for point := range points {
 		for _, crash := range crashes {
-			past := play(t, blank(newDisk(uint64(point))), 0, at(point, crash, -1, rig.Done))
+			past := play(t, blank(newDisk(uint64(point))), 0, at(point, crash, -1, simnet.Done))
 			checked += past.checkAfterEnd(t, uint64(point), allSubsets, fmt.Sprintf("crash %d at write %d", crash, point))
 		}
 	}
@@ -224,9 +224,9 @@
 	points := play(t, blank(newDisk(1)), 0, always).points
 	checked := 0
 	for failed := 0; failed < points; failed += stride() {
-		for _, failure := range []rig.Outcome{rig.Refused, rig.Unknown, rig.Torn} {
+		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
 			for point := failed + 1; point < min(failed+window, points); point++ {
-				past := play(t, blank(newDisk(uint64(point))), 0, at(failed, failure, point, rig.CrashAfter))
+				past := play(t, blank(newDisk(uint64(point))), 0, at(failed, failure, point, simnet.CrashAfter))
 				checked += past.checkAfterEnd(t, uint64(failed), someSubsets, fmt.Sprintf("failure %d at write %d, crash at write %d", failure, failed, point))
 			}
 		}
@@ -255,10 +255,10 @@
 }
 
 // randomTrouble lets a share of the writes fail, single ones or several on end, until a crash.
-func randomTrouble(random *rand.Rand) func(int) rig.Outcome {
+func randomTrouble(random *rand.Rand) func(int) simnet.Outcome {
 	share, crash, on := random.Float64()/3, random.IntN(90), 0
-	failures := []rig.Outcome{rig.Refused, rig.Unknown, rig.Torn}
-	return func(point int) rig.Outcome {
+	failures := []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn}
+	return func(point int) simnet.Outcome {
 		if point == crash {
 			return crashes[random.IntN(len(crashes))]
 		}
@@ -270,23 +270,23 @@
 			on = random.IntN(5)
 			return failures[random.IntN(len(failures))]
 		}
-		return rig.Done
+		return simnet.Done
 	}
 }
 
 // damages are ways to spoil the disk of savedFiles.
-func damages(t *testing.T) map[string]func() *rig.Disk {
+func damages(t *testing.T) map[string]func() *simnet.Disk {
 	t.Helper()
-	ways := map[string]func() *rig.Disk{}
+	ways := map[string]func() *simnet.Disk{}
 	for i := range 3 {
-		ways[fmt.Sprintf("bit of file %d", i)] = func() *rig.Disk {
+		ways[fmt.Sprintf("bit of file %d", i)] = func() *simnet.Disk {
 			disk, names := savedFiles(t)
 			disk.Flip(names[i])
 			return disk
 		}
 	}
 	for i := range 2 {
-		ways[fmt.Sprintf("loss of file %d", i)] = func() *rig.Disk {
+		ways[fmt.Sprintf("loss of file %d", i)] = func() *simnet.Disk {
 			disk, names := savedFiles(t)
 			_ = disk.Remove(names[i])
 			_ = disk.SyncFolder("")
@@ -302,8 +302,8 @@
 	for name, damage := range damages(t) {
 		points := play(t, damaged(damage()), first, always).points
 		for point := 0; point < points; point += stride() {
-			for _, outcome := range []rig.Outcome{rig.CrashBefore, rig.CrashAfter, rig.Refused, rig.Unknown, rig.Torn} {
-				past := play(t, damaged(damage()), first, at(point, outcome, point+3, rig.CrashAfter))
+			for _, outcome := range []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter, simnet.Refused, simnet.Unknown, simnet.Torn} {
+				past := play(t, damaged(damage()), first, at(point, outcome, point+3, simnet.CrashAfter))
 				checked += past.checkAfterEnd(t, uint64(point), someSubsets, fmt.Sprintf("%s, outcome %d at write %d", name, outcome, point))
 			}
 		}
@@ -380,7 +380,7 @@
 		{"a snapshot after a change", stateOf(2), unlike, changeKind},
 		{"a change after a change", stateOf(2), stateOf(3), changeKind},
 	} {
-		for _, failure := range []rig.Outcome{rig.Refused, rig.Unknown, rig.Torn} {
+		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
 			for point, failed := 0, true; failed; point++ {
 				failed = saveAfterFailure(t, each.name, each.first, each.second, each.kind, point, failure)
 			}
@@ -389,16 +389,16 @@
 }
 
 // saveAfterFailure returns false if the first Save has no write of that number whose failure it reports.
-func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want kind, point int, failure rig.Outcome) bool {
+func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want kind, point int, failure simnet.Outcome) bool {
 	t.Helper()
 	disk := newDisk(uint64(point))
-	faults := &rig.Faults{Disk: disk, Decide: always}
+	faults := &simnet.Faults{Disk: disk, Decide: always}
 	store, _, err := open(faults, discard, limits{changesPerSnapshot: 100, outweighRatio: 1, trimmedPerSave: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	mustSave(t, store, stateOf(1))
-	faults.Decide = at(faults.Points()+point, failure, -1, rig.Done)
+	faults.Decide = at(faults.Points()+point, failure, -1, simnet.Done)
 	failed := store.Save(first) != nil
 	if written := store.Stats().Snapshots - 1; !failed && (written == 1) != (want == snapshotKind) {
 		t.Fatalf("%s: %d snapshots, the first Save was to be a %s", name, written, want)
@@ -416,7 +416,7 @@
 func TestKillOnAStalledDiskLeavesTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := newDisk(1)
-		mount := rig.NewMount(disk)
+		mount := simnet.NewMount(disk)
 		store, _ := mustOpen(t, mount)
 		mustSave(t, store, stateOf(1))
 		release := disk.Stall()
@@ -428,7 +428,7 @@
 			t.Fatal("saved on a stalled disk")
 		}
 		release()
-		_, state := mustOpen(t, rig.NewMount(disk))
+		_, state := mustOpen(t, simnet.NewMount(disk))
 		expectState(t, state, stateOf(1))
 	})
 }
@@ -436,7 +436,7 @@
 func TestSaveOnAStalledDiskEndsWithTheStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := newDisk(1)
-		store, _ := mustOpen(t, rig.NewMount(disk))
+		store, _ := mustOpen(t, simnet.NewMount(disk))
 		release := disk.Stall()
 		ended := make(chan error)
 		go func() { ended <- store.Save(stateOf(1)) }()
@@ -446,7 +446,7 @@
 			t.Fatal(err)
 		}
 		disk.PowerLoss()
-		_, state := mustOpen(t, rig.NewMount(disk))
+		_, state := mustOpen(t, simnet.NewMount(disk))
 		expectState(t, state, stateOf(1))
 	})
 }
--- a/internal/statestore/flat_test.go
+++ b/internal/statestore/flat_test.go
@@ -21,8 +21,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/quorum"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -204,7 +204,7 @@
 	keepFramed(t, disk, "brand", &wire.Brand{Phase: wire.Phase_FOUNDED})
 	keepFramed(t, disk, "roll-0000000000000001", &wire.Roll{Number: 1})
 	scope := base.Scope{
-		Context: context.Background(), Clock: rig.NewClock(time.Now()), Disk: disk,
+		Context: context.Background(), Clock: simnet.NewClock(time.Now()), Disk: disk,
 		Log: hclog.NewNullLogger(), Journal: base.NewJournal(10),
 	}
 	store, err := quorum.OpenStore(scope, 2)
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -18,7 +18,7 @@
 // small makes snapshots and trims come after few Saves.
 var small = limits{changesPerSnapshot: 3, outweighRatio: 4, trimmedPerSave: 2}
 
-func newDisk(seed uint64) *rig.Disk { return rig.NewDisk(base.SeededRand(seed)) }
+func newDisk(seed uint64) *simnet.Disk { return simnet.NewDisk(base.SeededRand(seed)) }
 
 // stateOf returns a state that differs in its promise, its value and, now and then, in its other fields.
 func stateOf(serial uint64) *wire.ReplicaState {
@@ -116,7 +116,7 @@
 }
 
 // savedFiles returns a disk whose newest snapshot is followed by two changes, and the names of these three files.
-func savedFiles(t *testing.T) (*rig.Disk, []string) {
+func savedFiles(t *testing.T) (*simnet.Disk, []string) {
 	t.Helper()
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
--- a/fleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"bytes"
@@ -14,16 +14,16 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/flow"
-	"curlewreach/helm"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/listedcore"
+	"curlewreach/internal/listednode"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 )
 
 func (f *Fleet) post(path, body string) (int, *base.Fault) {
-	response, err := f.Clerk.Web.Post("http://"+f.Clerk.Keels[1]+path, "application/json", strings.NewReader(body))
+	response, err := f.Clerk.Web.Post("http://"+f.Clerk.Controllers[1]+path, "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	said, err := io.ReadAll(response.Body)
@@ -180,11 +180,11 @@
 var _ = ginkgo.Describe("params", func() {
 	ginkgo.It("given many things wrong, when checked, then all are listed at once", func() {
 		vane := &wire.VaneParams{Name: "Bad Name", Mates: "nowhere", Seeds: []string{"1.2.3.4"}, Log: "loud", Held: 1}
-		flow.Usual(vane)
-		Expect(len(base.ErrorLines(flow.Check(vane)))).To(BeNumerically(">=", 10))
+		listednode.SetDefaults(vane)
+		Expect(len(base.ErrorLines(listednode.Check(vane)))).To(BeNumerically(">=", 10))
 		keel := &wire.KeelParams{Name: "k", Serials: 1}
-		helm.Usual(keel)
-		Expect(len(base.ErrorLines(helm.Check(keel)))).To(BeNumerically(">=", 6))
+		listedcore.SetDefaults(keel)
+		Expect(len(base.ErrorLines(listedcore.Check(keel)))).To(BeNumerically(">=", 6))
 	})
 
 	story("given visitors calling, when params are reloaded, then good ones turn, bad ones are bounced, and nothing is dropped", []uint64{1}, func(f *Fleet) {
--- a/fleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -3,7 +3,7 @@
 // testing/synctest bubble, with stand-in upstreams and visitors, and a history
 // that internal/testing/judge judges. Its tests are the stories of
 // docs/proof.md.
-package fleet
+package listedfleet
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
-	"curlewreach/flow"
-	"curlewreach/helm"
+	"curlewreach/internal/listedcore"
+	"curlewreach/internal/listednode"
 	"curlewreach/internal/testing/judge"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/proto/wire"
 )
@@ -49,12 +49,12 @@
 type Machine struct {
 	*wire.Machine
 	IP       string
-	Disk     *rig.Disk
-	Clock    *rig.Clock
+	Disk     *simnet.Disk
+	Clock    *simnet.Clock
 	Journal  *base.Journal
-	Vane     *flow.Vane
-	Keel     *helm.Keel
-	mount    *rig.Mount
+	Vane     *listednode.Process
+	Keel     *listedcore.Process
+	mount    *simnet.Mount
 	thaw     func()
 	stopping atomic.Bool
 	up       atomic.Bool
@@ -72,7 +72,7 @@
 type Fleet struct {
 	Scope   base.Scope
 	Seed    uint64
-	World   *rig.World
+	World   *simnet.World
 	Keels   []*Machine
 	Vanes   []*Machine
 	Seats   []*standin.Upstream
@@ -82,7 +82,7 @@
 	// Diskless starts application machines without a data folder.
 	Diskless bool
 	Key      ed25519.PrivateKey
-	Clerk    *helm.Clerk
+	Clerk    *listedcore.Client
 	// Shape is the first bundle to sign.
 	Shape  *wire.Bundle
 	Habits []standin.Habit
@@ -105,7 +105,7 @@
 func New(seed uint64, shape *wire.Bundle) *Fleet {
 	f := &Fleet{Seed: seed, Shape: proto.Clone(shape).(*wire.Bundle), born: time.Now()}
 	zones := map[string]string{}
-	f.World = rig.NewWorld(f.rand("world"), func(from, to string) time.Duration {
+	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return nearby
@@ -119,7 +119,7 @@
 		ip := fmt.Sprintf("10.9.0.%d", i+1)
 		each.Address = fmt.Sprintf("%s:%d", ip, matesPort)
 		zones[ip] = each.Zone
-		m := &Machine{Machine: each, IP: ip, Disk: rig.NewDisk(f.rand("disk " + each.Name)), Clock: rig.NewClock(f.born), Journal: base.NewJournal(journalBound)}
+		m := &Machine{Machine: each, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + each.Name)), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound)}
 		if each.Core {
 			f.Keels = append(f.Keels, m)
 			f.seeds = append(f.seeds, each.Address)
@@ -132,12 +132,12 @@
 	seedBytes[0] = byte(seed)
 	f.Key = ed25519.NewKeyFromSeed(seedBytes)
 	f.trusted = []string{base64.StdEncoding.EncodeToString(f.Key.Public().(ed25519.PublicKey))}
-	f.Scope = f.scope("story", "10.9.9.9", rig.NewDisk(f.rand("story disk")), rig.NewClock(f.born), base.NewJournal(journalBound))
+	f.Scope = f.scope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.born), base.NewJournal(journalBound))
 	f.History = judge.NewHistory(f.Scope.Clock)
 	for _, m := range f.Every() {
 		m.Journal.Subscribe(tap{f.History, m.Name})
 	}
-	f.Clerk = &helm.Clerk{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Keels: operators, Signed: f.History.Signed}
+	f.Clerk = &listedcore.Client{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, Signed: f.History.Signed}
 	s, cancel := f.Scope.WithCancel()
 	f.sampling = cancel
 	go f.sample(s)
@@ -160,7 +160,7 @@
 // Raise starts a machine's process.
 func (f *Fleet) Raise(m *Machine) error {
 	m.lives++
-	m.mount = rig.NewMount(m.Disk)
+	m.mount = simnet.NewMount(m.Disk)
 	s := f.scope(m.owner(), m.IP, m.mount, m.Clock, m.Journal)
 	s, m.cancel = s.WithCancel()
 	if m.back != nil {
@@ -172,7 +172,7 @@
 		if f.TuneKeel != nil {
 			f.TuneKeel(params)
 		}
-		keel, err := helm.Start(s, params)
+		keel, err := listedcore.Start(s, params)
 		f.living.Lock()
 		defer f.living.Unlock()
 		m.Keel = keel
@@ -190,7 +190,7 @@
 	if f.Tune != nil {
 		f.Tune(params)
 	}
-	vane, err := flow.Start(s, params)
+	vane, err := listednode.Start(s, params)
 	f.living.Lock()
 	defer f.living.Unlock()
 	m.Vane = vane
--- a/fleet/life_test.go
+++ b/internal/testing/listedfleet/life_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"fmt"
--- a/fleet/rollout_test.go
+++ b/internal/testing/listedfleet/rollout_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"fmt"
@@ -162,7 +162,7 @@
 		outcomes := make([]*wire.Outcome, 2)
 		base.Parallel([]int{0, 1}, func(i int) {
 			clerk := *f.Clerk
-			clerk.Keels = clerk.Keels[i : i+1]
+			clerk.Controllers = clerk.Controllers[i : i+1]
 			outcomes[i], _ = clerk.Apply(f.Scope, fmt.Sprint("race-", i), &wire.DraftRequest{Base: 1, Change: nudge(float64(2 + i))}, f.Key)
 			f.History.Acked(outcomes[i])
 		})
@@ -274,7 +274,7 @@
 		f.Cut(f.Keels[0], f.Keels[1])
 		f.Cut(f.Keels[0], f.Keels[2])
 		lonely := *f.Clerk
-		lonely.Keels = f.Clerk.Keels[:1]
+		lonely.Controllers = f.Clerk.Controllers[:1]
 		_, _ = lonely.Apply(f.Scope, "lonely", &wire.DraftRequest{Base: 1, Change: nudge(2)}, f.Key)
 		for _, m := range f.Every() {
 			f.PowerLoss(m)
@@ -309,7 +309,7 @@
 		f.Cut(f.Keels[0], f.Keels[1])
 		f.Cut(f.Keels[0], f.Keels[2])
 		minority, majority := *f.Clerk, *f.Clerk
-		minority.Keels, majority.Keels = f.Clerk.Keels[:1], f.Clerk.Keels[1:]
+		minority.Controllers, majority.Controllers = f.Clerk.Controllers[:1], f.Clerk.Controllers[1:]
 		lonely, _ := minority.Apply(f.Scope, "lonely", &wire.DraftRequest{Base: 1, Change: nudge(2)}, f.Key)
 		Expect(lonely.GetVerdict()).NotTo(Equal(wire.Verdict_TAKEN))
 		taken, err := majority.Apply(f.Scope, "majority", &wire.DraftRequest{Base: 1, Change: nudge(3)}, f.Key)
--- a/fleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/testing/judge"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/proto/wire"
 )
@@ -166,7 +166,7 @@
 		end := f.Trouble("links", "slow")
 		m := any1(f, rand)
 		for _, other := range f.Every() {
-			link := rig.Link{Slower: time.Duration(rand.IntN(30)) * time.Millisecond, Loss: 0.05 * rand.Float64()}
+			link := simnet.Link{Slower: time.Duration(rand.IntN(30)) * time.Millisecond, Loss: 0.05 * rand.Float64()}
 			f.World.SetLink(m.IP, other.IP, link)
 			f.World.SetLink(other.IP, m.IP, link)
 		}
--- a/fleet/suite_test.go
+++ b/internal/testing/listedfleet/suite_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"encoding/json"
@@ -66,7 +66,7 @@
 }
 
 func exampleFile(example, name string) []byte {
-	body, err := os.ReadFile("../examples/" + example + "/" + name)
+	body, err := os.ReadFile("../../../examples/" + example + "/" + name)
 	if err != nil {
 		panic(err)
 	}
--- a/fleet/trouble_test.go
+++ b/internal/testing/listedfleet/trouble_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/testing/judge"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -88,7 +88,7 @@
 		for _, a := range f.Every() {
 			for _, b := range f.Every() {
 				if a != b {
-					f.World.SetLink(a.IP, b.IP, rig.Link{Slower: 10 * time.Millisecond, Loss: 0.02})
+					f.World.SetLink(a.IP, b.IP, simnet.Link{Slower: 10 * time.Millisecond, Loss: 0.02})
 				}
 			}
 		}
@@ -260,7 +260,7 @@
 		f.Visit(60)
 		f.Pass(time.Second)
 		lone := *f.Clerk
-		lone.Keels = f.Clerk.Keels[:1]
+		lone.Controllers = f.Clerk.Controllers[:1]
 		type said struct {
 			outcome *wire.Outcome
 			err     error
