--- a/fleet/ways_test.go
+++ b/internal/testing/listedfleet/ways_test.go
@@ -1,4 +1,4 @@
-package fleet
+package listedfleet
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/testing/judge"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
 	"curlewreach/proto/wire"
 )
@@ -115,7 +115,7 @@
 		lost.back()
 		next := &Machine{
 			Machine: &wire.Machine{Name: "core-9", Zone: lost.Zone, Core: true, Address: "10.9.0.77:7001"}, IP: "10.9.0.77",
-			Disk: rig.NewDisk(f.rand("disk core-9")), Clock: rig.NewClock(f.born), Journal: base.NewJournal(journalBound),
+			Disk: simnet.NewDisk(f.rand("disk core-9")), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound),
 		}
 		for i, seed := range f.seeds {
 			if seed == lost.Address {
@@ -129,9 +129,9 @@
 			}
 		}
 		f.Keels = append(kept, next)
-		f.Clerk.Keels = nil
+		f.Clerk.Controllers = nil
 		for _, m := range f.Keels {
-			f.Clerk.Keels = append(f.Clerk.Keels, m.At(operatorsPort))
+			f.Clerk.Controllers = append(f.Clerk.Controllers, m.At(operatorsPort))
 		}
 		for _, m := range append(kept, f.Vanes...) {
 			f.Stop(m)
--- a/fleet/open/config_trouble_test.go
+++ b/internal/testing/openfleet/config_trouble_test.go
@@ -1,4 +1,4 @@
-package open
+package openfleet
 
 import (
 	"time"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -76,8 +76,8 @@
 		end := f.Trouble(allLinks, "lossy")
 		for _, node := range f.nodes() {
 			for _, controller := range f.Controllers {
-				f.World.SetLink(controller.IP, node.IP, rig.Link{Loss: 0.1})
-				f.World.SetLink(node.IP, controller.IP, rig.Link{Loss: 0.1})
+				f.World.SetLink(controller.IP, node.IP, simnet.Link{Loss: 0.1})
+				f.World.SetLink(node.IP, controller.IP, simnet.Link{Loss: 0.1})
 			}
 		}
 		return func() {
--- a/fleet/open/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -1,5 +1,5 @@
 // Package open runs an open fleet in memory: control machines, nodes with an upstream beside each, visitors and an operator.
-package open
+package openfleet
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
 	"curlewreach/internal/controlplane"
 	"curlewreach/internal/dataplane"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
 
@@ -56,13 +56,13 @@
 	IP         string
 	Service    string
 	Core       bool
-	Disk       *rig.Disk
-	Clock      *rig.Clock
+	Disk       *simnet.Disk
+	Clock      *simnet.Clock
 	Journal    *base.Journal
 	Node       *dataplane.Node
 	Controller *controlplane.Server
 	Upstream   *Upstream
-	mount      *rig.Mount
+	mount      *simnet.Mount
 	visitors   *client
 	lives      atomic.Int64
 	in         atomic.Bool
@@ -84,7 +84,7 @@
 type Fleet struct {
 	Scope         base.Scope
 	Seed          uint64
-	World         *rig.World
+	World         *simnet.World
 	Controllers   []*Machine
 	Nodes         []*Machine
 	gone          []*Machine
@@ -112,7 +112,7 @@
 // three zones. No process runs until Raise.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
-	f.World = rig.NewWorld(f.rand("world"), func(from, to string) time.Duration {
+	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return nearby
@@ -121,7 +121,7 @@
 		}
 		return f.apart
 	})
-	f.Scope = f.scope("story", "10.9.9.9", rig.NewDisk(f.rand("story disk")), rig.NewClock(f.born), base.NewJournal(journalBound))
+	f.Scope = f.scope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.born), base.NewJournal(journalBound))
 	f.History = NewHistory(f.Scope.Clock)
 	f.Size = func(string) (int, int) { return 8, 16 }
 	for i := range controllers {
@@ -159,7 +159,7 @@
 		f.zones.Put(ip, string(rune('a'+i%3)))
 	}
 	zone := f.zone(ip)
-	return &Machine{Name: name, Zone: zone, IP: ip, Disk: rig.NewDisk(f.rand("disk " + name)), Clock: rig.NewClock(f.born), Journal: base.NewJournal(journalBound)}
+	return &Machine{Name: name, Zone: zone, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + name)), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound)}
 }
 
 func (f *Fleet) zone(ip string) string {
@@ -184,7 +184,7 @@
 // or PowerLoss recorded. It returns the error of the start.
 func (f *Fleet) Raise(m *Machine) error {
 	m.lives.Add(1)
-	m.mount = rig.NewMount(m.Disk)
+	m.mount = simnet.NewMount(m.Disk)
 	s := f.scope(m.owner(), m.IP, m.mount, m.Clock, m.Journal)
 	s, m.cancel = s.WithCancel()
 	if m.back != nil {
--- a/fleet/open/hops_test.go
+++ b/internal/testing/openfleet/hops_test.go
@@ -1,4 +1,4 @@
-package open
+package openfleet
 
 import (
 	"fmt"
--- a/fleet/rig/mount.go
+++ b/internal/testing/simnet/mount.go
@@ -1,4 +1,4 @@
-package rig
+package simnet
 
 import (
 	"os"
--- a/fleet/rig/net.go
+++ b/internal/testing/simnet/net.go
@@ -2,7 +2,7 @@
 // clocks, with their troubles, for fleets that run in memory within a
 // testing/synctest bubble. Its network, disk and clock are those that a
 // base.Scope carries.
-package rig
+package simnet
 
 import (
 	"cmp"
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -15,7 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
-	"curlewreach/fleet/rig"
+	"curlewreach/internal/testing/simnet"
 )
 
 const (
@@ -29,8 +29,8 @@
 
 // Simulation is a network with a clock of its own. It is safe for concurrent use.
 type Simulation struct {
-	World *rig.World
-	Clock *rig.Clock
+	World *simnet.World
+	Clock *simnet.Clock
 	// Wrap changes the network that later scopes are given; nil for no change.
 	Wrap func(base.Net) base.Net
 
@@ -45,8 +45,8 @@
 func Run(t *testing.T, delay time.Duration, test func(s *Simulation)) {
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		s := &Simulation{Clock: rig.NewClock(time.Now())}
-		s.World = rig.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return delay })
+		s := &Simulation{Clock: simnet.NewClock(time.Now())}
+		s.World = simnet.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return delay })
 		defer s.end()
 		test(s)
 	})
