--- a/internal/command/core/main.go
+++ b/internal/command/core/main.go
@@ -20,7 +20,7 @@
 	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
 	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
 	Zone      string   `arg:"--zone"`
-	Mates     string   `arg:"--mates" help:"IP:port for other nodes; one of the seeds"`
+	Peers     string   `arg:"--peers" help:"IP:port for other nodes; one of the seeds"`
 	Operators string   `arg:"--operators" help:"IP:port for operators, readiness and metrics"`
 	Seeds     []string `arg:"--seeds" help:"IP:port of all control machines, this one included"`
 	Folder    string   `arg:"--folder" help:"data folder"`
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	for at, value := range map[*string]string{
-		&params.Name: a.Name, &params.Zone: a.Zone, &params.Mates: a.Mates,
+		&params.Name: a.Name, &params.Zone: a.Zone, &params.Mates: a.Peers,
 		&params.Operators: a.Operators, &params.Folder: a.Folder, &params.Log: a.Log,
 	} {
 		if value != "" {
--- a/internal/command/ctl/exit.go
+++ b/internal/command/ctl/exit.go
@@ -31,7 +31,7 @@
 		return exitBadFile
 	case errors.Is(err, errUnknown):
 		return exitUnknown
-	case errors.Is(err, listedcore.ErrNoKeel):
+	case errors.Is(err, listedcore.ErrNoController):
 		return exitUnreachable
 	case errors.As(err, &fault):
 		return exitRejected
--- a/internal/command/ctl/open.go
+++ b/internal/command/ctl/open.go
@@ -39,10 +39,10 @@
 
 // look is what the controllers and nodes of an open fleet said of themselves.
 type look struct {
-	controllers map[string]*wire.ControllerView
-	silent      []string
-	sights      map[string]*sighted
-	views       map[string]*wire.NodeView
+	controllers  map[string]*wire.ControllerView
+	silent       []string
+	observations map[string]*sighted
+	views        map[string]*wire.NodeView
 }
 
 // sighted is a node as the controllers see it, the one that heard it last first of all.
@@ -88,23 +88,23 @@
 
 // around asks the controllers named, those that they name, and the nodes that any of them knows.
 func around(ctx context.Context, client *listedcore.Client) (*look, error) {
-	l := &look{controllers: map[string]*wire.ControllerView{}, sights: map[string]*sighted{}}
+	l := &look{controllers: map[string]*wire.ControllerView{}, observations: map[string]*sighted{}}
 	l.ask(ctx, client, client.Controllers)
 	if len(l.controllers) == 0 {
-		return nil, listedcore.ErrNoKeel
+		return nil, listedcore.ErrNoController
 	}
 	var more []string
 	for _, controller := range l.controllers {
-		for _, mate := range controller.Peers {
-			if !slices.Contains(client.Controllers, mate.Address) && !slices.Contains(more, mate.Address) {
-				more = append(more, mate.Address)
+		for _, peer := range controller.Peers {
+			if !slices.Contains(client.Controllers, peer.Address) && !slices.Contains(more, peer.Address) {
+				more = append(more, peer.Address)
 			}
 		}
 	}
 	l.ask(ctx, client, more)
 	l.merge()
-	l.views, _ = gather(ctx, slices.Sorted(maps.Keys(l.sights)), func(ctx context.Context, name string) (*wire.NodeView, error) {
-		node := l.sights[name]
+	l.views, _ = gather(ctx, slices.Sorted(maps.Keys(l.observations)), func(ctx context.Context, name string) (*wire.NodeView, error) {
+		node := l.observations[name]
 		if node.gone() || node.post.Peers == "" {
 			return nil, errors.New("can't be asked")
 		}
@@ -117,10 +117,10 @@
 	for _, address := range slices.Sorted(maps.Keys(l.controllers)) {
 		controller := l.controllers[address]
 		for _, each := range controller.Nodes {
-			node := l.sights[each.NodeStatus.Node]
+			node := l.observations[each.NodeStatus.Node]
 			if node == nil {
 				node = &sighted{post: each.NodeStatus, silenceMs: each.SilenceMs}
-				l.sights[each.NodeStatus.Node] = node
+				l.observations[each.NodeStatus.Node] = node
 			}
 			if each.SilenceMs < node.silenceMs {
 				node.post, node.silenceMs = each.NodeStatus, each.SilenceMs
@@ -137,13 +137,13 @@
 func (a *args) open(ctx context.Context, client *listedcore.Client) error {
 	switch o := a.Open; {
 	case o.Configuration != nil:
-		configuration, err := anyKeel(ctx, client, (*listedcore.Client).Configuration)
+		configuration, err := anyController(ctx, client, (*listedcore.Client).Configuration)
 		if err != nil {
 			return err
 		}
 		return printProto(configuration)
 	case o.Odds != nil:
-		reply, err := anyKeel(ctx, client, (*listedcore.Client).OpenOdds)
+		reply, err := anyController(ctx, client, (*listedcore.Client).OpenOdds)
 		return a.table(reply, err, func() { a.tellOdds(reply) })
 	}
 	l, err := around(ctx, client)
@@ -156,19 +156,19 @@
 	case o.Node != nil:
 		return a.openNode(l, o.Node.ID)
 	case o.Controllers != nil:
-		return a.openKeels(l)
+		return a.openControllers(l)
 	case o.Routes != nil:
 		return a.openRoutes(ctx, client, l)
 	case o.Wrong != nil:
-		configuration, _ := anyKeel(ctx, client, (*listedcore.Client).Configuration)
+		configuration, _ := anyController(ctx, client, (*listedcore.Client).Configuration)
 		return a.openWrong(l.wrong(configuration))
 	}
 	return a.openJournal(ctx, client, l)
 }
 
-// anyKeel goes from controller to controller until one can answer.
-func anyKeel[T any](ctx context.Context, client *listedcore.Client, ask func(*listedcore.Client, context.Context) (T, error)) (said T, err error) {
-	err = listedcore.ErrNoKeel
+// anyController goes from controller to controller until one can answer.
+func anyController[T any](ctx context.Context, client *listedcore.Client, ask func(*listedcore.Client, context.Context) (T, error)) (said T, err error) {
+	err = listedcore.ErrNoController
 	for _, one := range client.Each() {
 		bounded, cancel := context.WithTimeout(ctx, eachAsk)
 		reply, fault := ask(one, bounded)
@@ -176,7 +176,7 @@
 		if fault == nil {
 			return reply, nil
 		}
-		if !errors.Is(fault, listedcore.ErrNoKeel) {
+		if !errors.Is(fault, listedcore.ErrNoController) {
 			err = errors.New(fault.Error())
 		}
 	}
--- a/internal/command/ctl/open_test.go
+++ b/internal/command/ctl/open_test.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return []string{err.Error()}
 		}
-		configuration, _ := anyKeel(context.Background(), client, (*listedcore.Client).Configuration)
+		configuration, _ := anyController(context.Background(), client, (*listedcore.Client).Configuration)
 		return l.wrong(configuration)
 	}
 
@@ -119,9 +119,9 @@
 		func(change func(l *look), said ...string) {
 			gate := &wire.GateView{Limit: 4}
 			l := &look{
-				controllers: map[string]*wire.ControllerView{},
-				sights:      map[string]*sighted{"app-1": {post: &wire.NodeStatus{Node: "app-1", Peers: "10.0.1.1:7"}, there: []string{"core-1", "core-2"}}},
-				views:       map[string]*wire.NodeView{"app-1": {Serial: 5, Ready: true, Instance: &wire.Instance{Service: "books"}, Gate: gate}},
+				controllers:  map[string]*wire.ControllerView{},
+				observations: map[string]*sighted{"app-1": {post: &wire.NodeStatus{Node: "app-1", Peers: "10.0.1.1:7"}, there: []string{"core-1", "core-2"}}},
+				views:        map[string]*wire.NodeView{"app-1": {Serial: 5, Ready: true, Instance: &wire.Instance{Service: "books"}, Gate: gate}},
 			}
 			for i := range 2 {
 				address := fmt.Sprintf("10.0.0.%d:7", i+1)
@@ -156,11 +156,11 @@
 			l.views["app-1"].Polled = []*wire.ControlView{{Address: "10.0.0.1:7"}}
 		}, "node app-1 serves a configuration that no majority has vouched for since it started"),
 		ginkgo.Entry("a node seen by one controller", func(l *look) {
-			l.sights["app-1"].there, l.sights["app-1"].absent = []string{"core-1"}, []string{"core-2"}
+			l.observations["app-1"].there, l.observations["app-1"].absent = []string{"core-1"}, []string{"core-2"}
 		}, "node app-1 is not heard by core-2, though by core-1"),
 		ginkgo.Entry("a node that is mute", func(l *look) {
 			delete(l.views, "app-1")
-			l.sights["app-1"].post.Instance = &wire.Instance{Service: "books"}
+			l.observations["app-1"].post.Instance = &wire.Instance{Service: "books"}
 		}, "node app-1 did not reply at its door for views (10.0.1.1:7)"),
 		ginkgo.Entry("a crowd", func(l *look) {
 			v := l.views["app-1"]
--- a/internal/command/ctl/opentables.go
+++ b/internal/command/ctl/opentables.go
@@ -46,8 +46,8 @@
 func span(ms uint64) string { return (time.Duration(ms) * time.Millisecond).String() }
 
 func (l *look) mute() (names []string) {
-	for _, name := range slices.Sorted(maps.Keys(l.sights)) {
-		if l.views[name] == nil && !l.sights[name].gone() {
+	for _, name := range slices.Sorted(maps.Keys(l.observations)) {
+		if l.views[name] == nil && !l.observations[name].gone() {
 			names = append(names, name)
 		}
 	}
@@ -68,14 +68,14 @@
 	return "well"
 }
 
-func upstream(berth *wire.Instance) string {
+func upstream(instance *wire.Instance) string {
 	switch {
-	case berth == nil:
+	case instance == nil:
 		return "none"
-	case berth.Leaving:
-		return berth.Service + "@" + berth.Address + " leaving"
+	case instance.Leaving:
+		return instance.Service + "@" + instance.Address + " leaving"
 	}
-	return berth.Service + "@" + berth.Address
+	return instance.Service + "@" + instance.Address
 }
 
 func (a *args) openNodes(l *look) error {
@@ -83,13 +83,13 @@
 		return printAll(map[string][]proto.Message{"nodes": messages(l.views)}, l.mute())
 	}
 	t := tableOf("NODE", "ZONE", "SERVICE", "STANDING", "SILENT", "SERIAL", "UPSTREAM", "GATE", "WAITING", "LOOK")
-	for _, name := range slices.Sorted(maps.Keys(l.sights)) {
-		node, view := l.sights[name], l.views[name]
-		serial, gate, waiting, berth := any("?"), "?", any("?"), node.post.Instance
+	for _, name := range slices.Sorted(maps.Keys(l.observations)) {
+		node, view := l.observations[name], l.views[name]
+		serial, gate, waiting, instance := any("?"), "?", any("?"), node.post.Instance
 		if view != nil {
-			serial, gate, waiting, berth = view.Serial, fmt.Sprintf("%d/%d", view.Gate.GetFlying(), view.Gate.GetLimit()), view.Gate.GetWaiting(), view.Instance
+			serial, gate, waiting, instance = view.Serial, fmt.Sprintf("%d/%d", view.Gate.GetFlying(), view.Gate.GetLimit()), view.Gate.GetWaiting(), view.Instance
 		}
-		t.add(name, node.post.Zone, node.post.Service, node.standing(view), span(node.silenceMs), serial, upstream(berth), gate, waiting, cmp.Or(node.post.Peers, "-"))
+		t.add(name, node.post.Zone, node.post.Service, node.standing(view), span(node.silenceMs), serial, upstream(instance), gate, waiting, cmp.Or(node.post.Peers, "-"))
 	}
 	t.print(a.Sort, a.Filter)
 	for _, name := range l.mute() {
@@ -101,7 +101,7 @@
 func (a *args) openNode(l *look, name string) error {
 	view, known := l.views[name]
 	if !known {
-		if l.sights[name] == nil {
+		if l.observations[name] == nil {
 			return errors.Errorf("no controller knows a node %q", name)
 		}
 		return errors.Errorf("%s did not reply", name)
@@ -109,7 +109,7 @@
 	if a.JSON {
 		return printProto(view)
 	}
-	fmt.Printf("%s, zone %s, service %s, life %s, up %s, %s\n", view.Node, view.Zone, view.Service, view.Incarnation, span(view.UpMs), l.sights[name].standing(view))
+	fmt.Printf("%s, zone %s, service %s, life %s, up %s, %s\n", view.Node, view.Zone, view.Service, view.Incarnation, span(view.UpMs), l.observations[name].standing(view))
 	fmt.Printf("serial %d, odds %d, %d requests inside, link behind by %s\n", view.Serial, view.Odds, view.Inside, span(view.BacklogMs))
 	fmt.Printf("upstream %s, heard %s ago; gate %d of %d, %d waiting, usual hold %s\n", upstream(view.Instance), span(view.InstanceSilenceMs), view.Gate.GetFlying(), view.Gate.GetLimit(), view.Gate.GetWaiting(), span(view.Gate.GetHoldMs()))
 	for _, controller := range slices.Sorted(maps.Keys(view.Controllers)) {
@@ -119,21 +119,21 @@
 	fmt.Println("further calls:", strings.Join(view.Further, " "))
 	fmt.Println()
 	t := tableOf("MATE", "ZONE", "SERVICE", "SEEN", "SPEED", "FLYING", "LAST NEWS")
-	for _, mate := range view.Peers {
+	for _, peer := range view.Peers {
 		seen := "there"
 		switch {
-		case mate.Absent:
+		case peer.Absent:
 			seen = "absent"
-		case mate.AvoidedMs > 0:
+		case peer.AvoidedMs > 0:
 			seen = "avoided"
-		case mate.Stopping:
+		case peer.Stopping:
 			seen = "stopping"
-		case mate.Instance == "":
+		case peer.Instance == "":
 			seen = "no upstream"
-		case mate.Leaving || mate.Barred == mate.Instance:
+		case peer.Leaving || peer.Barred == peer.Instance:
 			seen = "leaving"
 		}
-		t.add(mate.Node, mate.Zone, mate.Service, seen, fmt.Sprintf("%.2f", mate.Speed), mate.Flying, span(mate.SilenceMs))
+		t.add(peer.Node, peer.Zone, peer.Service, seen, fmt.Sprintf("%.2f", peer.Speed), peer.Flying, span(peer.SilenceMs))
 	}
 	t.print(a.Sort, a.Filter)
 	fmt.Println()
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (a *args) openKeels(l *look) error {
+func (a *args) openControllers(l *look) error {
 	if a.JSON {
 		return printAll(map[string][]proto.Message{"controllers": messages(l.controllers)}, l.silent)
 	}
@@ -184,7 +184,7 @@
 }
 
 func (a *args) openRoutes(ctx context.Context, client *listedcore.Client, l *look) error {
-	configuration, err := anyKeel(ctx, client, (*listedcore.Client).Configuration)
+	configuration, err := anyController(ctx, client, (*listedcore.Client).Configuration)
 	return a.table(configuration, err, func() {
 		slowest, further := l.paces()
 		fmt.Printf("serial %d\n", configuration.Serial)
@@ -218,8 +218,8 @@
 // targets returns the services that a route leads to, with their weights.
 func targets(route *wire.ConfigurationRoute) string {
 	var to []string
-	for _, fork := range route.Destinations {
-		to = append(to, fmt.Sprintf("%s:%g", fork.Service, fork.Weight))
+	for _, destination := range route.Destinations {
+		to = append(to, fmt.Sprintf("%s:%g", destination.Service, destination.Weight))
 	}
 	if route.Service != nil {
 		to = append(to, route.GetService())
@@ -230,7 +230,7 @@
 func (a *args) openJournal(ctx context.Context, client *listedcore.Client, l *look) error {
 	ask := a.Open.Journal
 	address := ""
-	if node := l.sights[ask.Node]; node != nil {
+	if node := l.observations[ask.Node]; node != nil {
 		address = node.post.Peers
 	}
 	for _, controller := range l.controllers {
@@ -242,7 +242,7 @@
 		return errors.Errorf("no controller knows a node %q that can be asked", ask.Node)
 	}
 	reply, err := at(client, address).Journal(ctx, ask.Subject, ask.Last)
-	if errors.Is(err, listedcore.ErrNoKeel) {
+	if errors.Is(err, listedcore.ErrNoController) {
 		err = errors.Errorf("%s did not reply", ask.Node)
 	}
 	return a.table(reply, err, func() {
--- a/internal/command/ctl/openwrong.go
+++ b/internal/command/ctl/openwrong.go
@@ -39,9 +39,9 @@
 		add("there is no configuration yet: nodes serve nobody")
 	}
 	offered := map[string]bool{}
-	for _, name := range slices.Sorted(maps.Keys(l.sights)) {
-		if berth := l.nodeSeen(name, newest, add); berth != nil && !berth.Leaving {
-			offered[berth.Service] = true
+	for _, name := range slices.Sorted(maps.Keys(l.observations)) {
+		if instance := l.nodeSeen(name, newest, add); instance != nil && !instance.Leaving {
+			offered[instance.Service] = true
 		}
 	}
 	for _, service := range configuration.GetServices() {
@@ -55,7 +55,7 @@
 // nodeSeen adds what is wrong with a node and returns its upstream, as far as
 // it is known; nil if the node is gone.
 func (l *look) nodeSeen(name string, newest uint64, add func(string, ...any)) *wire.Instance {
-	node, view := l.sights[name], l.views[name]
+	node, view := l.observations[name], l.views[name]
 	if node.gone() {
 		add("node %s is absent, silent for %s", name, span(node.silenceMs))
 		return nil
@@ -93,9 +93,9 @@
 	if controller.Stopping {
 		add("controller %s is stopping", name)
 	}
-	for _, mate := range controller.Peers {
-		if !mate.Heard && l.controllers[mate.Address] != nil {
-			add("controller %s does not hear controller %s", name, mate.Address)
+	for _, peer := range controller.Peers {
+		if !peer.Heard && l.controllers[peer.Address] != nil {
+			add("controller %s does not hear controller %s", name, peer.Address)
 		}
 	}
 	controllerRepairs(controller, add)
@@ -127,7 +127,7 @@
 		}
 	}
 	if controller.Owed > 0 {
-		add("controller %s owes %d batches of spans to a mate", controller.Controller, controller.Owed)
+		add("controller %s owes %d batches of spans to a peer", controller.Controller, controller.Owed)
 	}
 }
 
@@ -173,14 +173,14 @@
 	if view.BacklogMs > muchBehind {
 		add("the link of node %s is behind by %s", name, span(view.BacklogMs))
 	}
-	for _, purse := range view.RetryBudgets {
-		if purse.Spent {
-			add("node %s has spent its repeats for service %s", name, purse.Service)
+	for _, budget := range view.RetryBudgets {
+		if budget.Spent {
+			add("node %s has spent its repeats for service %s", name, budget.Service)
 		}
 	}
-	for _, mate := range view.Peers {
-		if mate.AvoidedMs > 0 && !mate.Absent {
-			add("node %s could lately not reach node %s", name, mate.Node)
+	for _, peer := range view.Peers {
+		if peer.AvoidedMs > 0 && !peer.Absent {
+			add("node %s could lately not reach node %s", name, peer.Node)
 		}
 	}
 }
--- a/internal/command/ctl/suite_test.go
+++ b/internal/command/ctl/suite_test.go
@@ -24,7 +24,7 @@
 		func(err error, code int) { Expect(exitCode(err)).To(Equal(code)) },
 		ginkgo.Entry("bounced", errors.Wrap(base.NewFault(base.StaleBase, "base", "newer"), "apply"), exitRejected),
 		ginkgo.Entry("unknown", errors.WithStack(errUnknown), exitUnknown),
-		ginkgo.Entry("unreachable", errors.Wrap(listedcore.ErrNoKeel, "show"), exitUnreachable),
+		ginkgo.Entry("unreachable", errors.Wrap(listedcore.ErrNoController, "show"), exitUnreachable),
 		ginkgo.Entry("a bad file", badFile{errors.New("no JSON")}, exitBadFile),
 		ginkgo.Entry("constraints that clash", errClash, exitFault),
 		ginkgo.Entry("something wrong", errWrong, exitFault),
--- a/internal/command/ctl/tell.go
+++ b/internal/command/ctl/tell.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if answered == 0 {
-		return listedcore.ErrNoKeel
+		return listedcore.ErrNoController
 	}
 	return nil
 }
--- a/internal/command/node/main.go
+++ b/internal/command/node/main.go
@@ -20,7 +20,7 @@
 	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
 	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
 	Zone      string   `arg:"--zone"`
-	Mates     string   `arg:"--mates" help:"IP:port for other nodes"`
+	Peers     string   `arg:"--peers" help:"IP:port for other nodes"`
 	Visitors  string   `arg:"--visitors" help:"IP:port for requests"`
 	Upstreams string   `arg:"--upstreams" help:"IP:port for upstreams' reports and further calls"`
 	Ops       string   `arg:"--ops" help:"IP:port for readiness, metrics and the journal"`
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	for at, value := range map[*string]string{
-		&params.Name: a.Name, &params.Zone: a.Zone, &params.Mates: a.Mates, &params.Visitors: a.Visitors,
+		&params.Name: a.Name, &params.Zone: a.Zone, &params.Mates: a.Peers, &params.Visitors: a.Visitors,
 		&params.Upstreams: a.Upstreams, &params.Ops: a.Ops, &params.Folder: a.Folder, &params.Log: a.Log,
 	} {
 		if value != "" {
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -69,7 +69,7 @@
 	if *folder != "" {
 		return func() {}, nil
 	}
-	if *folder, err = os.MkdirTemp("", "drill"); err != nil {
+	if *folder, err = os.MkdirTemp("", "curlew-simulate"); err != nil {
 		return nil, err
 	}
 	return func() { _ = os.RemoveAll(*folder) }, nil
@@ -77,7 +77,7 @@
 
 func openMain(words []string) error {
 	f := &openFleet{}
-	clean, err := parseCommand("drill open", words, &f.openArgs, &f.Folder)
+	clean, err := parseCommand("curlew simulate open", words, &f.openArgs, &f.Folder)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 		return err
 	}
 	go f.visit(ctx)
-	fmt.Printf("export CURLEW_KEELS=%s\n", strings.Join(f.controllers, ","))
+	fmt.Printf("export CURLEW_CONTROLLERS=%s\n", strings.Join(f.controllers, ","))
 	for _, child := range f.children {
 		fmt.Printf("%-8s pid %d\n", strings.TrimSuffix(filepath.Base(child.Args[2]), ".json"), child.Process.Pid)
 	}
@@ -172,25 +172,25 @@
 	route := func(name, service string, repeat wire.Repeat, rank uint32) *wire.ConfigurationRoute {
 		return &wire.ConfigurationRoute{Name: name, Host: "open.example", Prefix: "/" + name + "/", Repeat: repeat, CutoffMs: 2000, AimMs: 500, Rank: rank, Tries: 2, Service: &service}
 	}
-	chart := &wire.Configuration{
+	configuration := &wire.Configuration{
 		Serial: 1, Limits: &wire.ConfigurationLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 15000},
 		Routes: []*wire.ConfigurationRoute{route("search", "books", wire.Repeat_REPEATABLE, 2), route("lend", "loans", wire.Repeat_ONCE, 0)},
 	}
 	for _, name := range []string{"books", "loans"} {
-		chart.Services = append(chart.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
+		configuration.Services = append(configuration.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
 	}
 	controller := wireconnect.NewMoorClient(http.DefaultClient, "http://"+f.controllers[0])
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		bounded, cancel := context.WithTimeout(ctx, 4*time.Second)
-		outcome, err := controller.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: chart}))
+		outcome, err := controller.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: configuration}))
 		cancel()
 		switch {
 		case err == nil && outcome.Msg.Kind != "":
-			return errors.Errorf("the chart was bounced: %s", strings.Join(outcome.Msg.Reasons, "; "))
+			return errors.Errorf("the configuration was rejected: %s", strings.Join(outcome.Msg.Reasons, "; "))
 		case err == nil:
 			return nil
 		case time.Since(begun) > raising:
-			return errors.Wrap(err, "gave up waiting for the first chart")
+			return errors.Wrap(err, "gave up waiting for the first configuration")
 		}
 	}
 }
@@ -226,7 +226,7 @@
 	if err := base.LoadParams(file, p); err != nil {
 		return err
 	}
-	s, err := base.NewScope("drill", p.Name, p.Folder, p.Log)
+	s, err := base.NewScope(program, p.Name, p.Folder, p.Log)
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 	if err := base.LoadParams(file, p); err != nil {
 		return err
 	}
-	s, err := base.NewScope("drill", p.Name, "", p.Log)
+	s, err := base.NewScope(program, p.Name, "", p.Log)
 	if err != nil {
 		return err
 	}
@@ -251,18 +251,18 @@
 	if err != nil {
 		return err
 	}
-	berth := &wire.Instance{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
+	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
 	door, err := base.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openSlow))
 		w.Header().Set(forwarding.Plain.Attempt, r.Header.Get(forwarding.Plain.Attempt))
-		w.Header().Set(forwarding.Plain.Seal, "drill")
-		_, _ = fmt.Fprintln(w, berth.Id)
+		w.Header().Set(forwarding.Plain.Seal, "whole")
+		_, _ = fmt.Fprintln(w, instance.Id)
 	}))
 	if err != nil {
 		return err
 	}
 	defer door.Close()
-	go base.Tick(s, openBeat, func(base.Scope) { _ = n.Heartbeat(berth) })
+	go base.Tick(s, openBeat, func(base.Scope) { _ = n.Heartbeat(instance) })
 	base.Signals(n.Stop, func() {})
 	return nil
 }
--- a/internal/command/simulate/replace.go
+++ b/internal/command/simulate/replace.go
@@ -51,7 +51,7 @@
 
 func replaceMain(words []string) error {
 	args := &replaceArgs{}
-	clean, err := parseCommand("drill replace", words, args, &args.Folder)
+	clean, err := parseCommand("curlew simulate replace", words, args, &args.Folder)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	} else if err := endChild(old, syscall.SIGKILL); err != nil {
 		return err
 	}
-	address, begun, err := r.startKeel()
+	address, begun, err := r.startController()
 	if err != nil {
 		return err
 	}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// startKeel starts a control machine at the next address; the oldest drops out of the seeds.
-func (r *replacement) startKeel() (address string, begun time.Time, err error) {
+// startController starts a control machine at the next address; the oldest drops out of the seeds.
+func (r *replacement) startController() (address string, begun time.Time, err error) {
 	r.started++
 	address = fmt.Sprintf("127.0.2.%d:%d", r.started, openPeers)
 	name := fmt.Sprintf("core-%d", r.started)
@@ -139,7 +139,7 @@
 // awaitVote waits until the new control machine votes and the old one doesn't.
 func (r *replacement) awaitVote(ctx context.Context, address, old string) (*wire.ControllerView, error) {
 	for begun := time.Now(); time.Since(begun) < replaceWithin; time.Sleep(replacePoll) {
-		view, err := keelView(ctx, address)
+		view, err := controllerView(ctx, address)
 		if err != nil || view.Phase != "founded" || len(view.Peers) != openControllers {
 			continue
 		}
@@ -154,7 +154,7 @@
 	return nil, errors.Errorf("%s has not taken the place of %s within %s", address, old, replaceWithin)
 }
 
-func keelView(ctx context.Context, address string) (*wire.ControllerView, error) {
+func controllerView(ctx context.Context, address string) (*wire.ControllerView, error) {
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/view", nil)
 	if err != nil {
 		return nil, err
--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -23,16 +23,16 @@
 // answers.
 type Client struct {
 	Web *http.Client
-	// Keels are the addresses of the core machines' servers for operators; for
+	// Controllers are the addresses of the core machines' servers for operators; for
 	// the methods about open fleets, those for other nodes.
 	Controllers []string
 	// Signed, if set, is told of each bundle that Apply hands in.
 	Signed func(submission string, sealed *wire.Sealed)
 }
 
-// ErrNoKeel means that no core machine answered. What was handed in may have
+// ErrNoController means that no core machine answered. What was handed in may have
 // been taken: ask Status.
-var ErrNoKeel = errors.New("no keel could be reached")
+var ErrNoController = errors.New("no keel could be reached")
 
 // message is a pointer to a generated message type T.
 type message[T any] interface {
@@ -55,8 +55,8 @@
 			return err
 		}
 	}
-	for _, keel := range c.Controllers {
-		ask, err := http.NewRequestWithContext(ctx, method, "http://"+keel+path, bytes.NewReader(body))
+	for _, controller := range c.Controllers {
+		ask, err := http.NewRequestWithContext(ctx, method, "http://"+controller+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 			return read(response, said, reply)
 		}
 	}
-	return ErrNoKeel
+	return ErrNoController
 }
 
 // do makes a request and returns the answer with its whole body.
@@ -82,9 +82,9 @@
 // but for outcomes, which tell it themselves.
 func read(response *http.Response, said []byte, reply proto.Message) error {
 	if _, verdict := reply.(*wire.Outcome); response.StatusCode >= http.StatusMultipleChoices && !verdict {
-		var bounced struct{ Mishap *base.Fault }
-		if json.Unmarshal(said, &bounced) == nil && bounced.Mishap != nil {
-			return bounced.Mishap
+		var rejected struct{ Fault *base.Fault }
+		if json.Unmarshal(said, &rejected) == nil && rejected.Fault != nil {
+			return rejected.Fault
 		}
 		return errors.Errorf("%s: %s", response.Status, bytes.TrimSpace(said))
 	}
@@ -151,8 +151,8 @@
 // Each iterates over the core machines, with a client that asks just that one.
 func (c *Client) Each() func(yield func(string, *Client) bool) {
 	return func(yield func(string, *Client) bool) {
-		for _, keel := range c.Controllers {
-			if !yield(keel, &Client{Web: c.Web, Controllers: []string{keel}}) {
+		for _, controller := range c.Controllers {
+			if !yield(controller, &Client{Web: c.Web, Controllers: []string{controller}}) {
 				return
 			}
 		}
@@ -166,9 +166,9 @@
 	if err != nil {
 		return nil, err
 	}
-	shown, mishap := bundle.Open(draft.Sealed)
-	if mishap != nil {
-		return nil, mishap
+	shown, fault := bundle.Open(draft.Sealed)
+	if fault != nil {
+		return nil, fault
 	}
 	if !proto.Equal(shown, draft.Bundle) {
 		return nil, errors.New("the manifest does not fit the bundle shown")
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -1,4 +1,4 @@
-// Package helm is the control plane of fleets of listed machines: the core
+// Package listedcore is the control plane of fleets of listed machines: the core
 // machine's process (Process), what it decides (ControlPlane), and the operators' client
 // (Client). A signed bundle is agreed by a majority of core disks, staged at the
 // nodes, and in force once a majority of them has confirmed it. docs/rollout.md
@@ -54,7 +54,7 @@
 	force     time.Duration
 	silence   time.Duration
 	born      time.Duration
-	mates     map[string]wireconnect.HelmClient
+	peers     map[string]wireconnect.HelmClient
 	lenses    map[string]wireconnect.LensClient
 	news      base.Broadcast
 	index     base.Table[*bundle.Bundle]
@@ -67,14 +67,14 @@
 
 // Parts are what a ControlPlane works with.
 type Parts struct {
-	Self    string
-	Address string
-	Mates   []quorum.Peer
-	Trove   *quorum.Replica
-	Member  *membership.Member
-	Traces  *tracing.Store
-	Trust   bundle.Trust
-	Limits  bundle.Limits
+	Self            string
+	Address         string
+	Peers           []quorum.Peer
+	ReplicatedStore *quorum.Replica
+	Member          *membership.Member
+	Traces          *tracing.Store
+	Trust           bundle.Trust
+	Limits          bundle.Limits
 	// Force is the bound on a bundle being in force, Slide that on going back,
 	// and Silence the time a machine must be silent before it can be forsaken.
 	Force   time.Duration
@@ -85,16 +85,16 @@
 // New returns a ControlPlane; Run makes it work.
 func New(s base.Scope, web *http.Client, parts Parts) *ControlPlane {
 	h := &ControlPlane{
-		scope: s, self: parts.Self, store: parts.Trove, member: parts.Member, traces: parts.Traces,
+		scope: s, self: parts.Self, store: parts.ReplicatedStore, member: parts.Member, traces: parts.Traces,
 		limits: parts.Limits, force: parts.Force, silence: parts.Silence, born: s.Clock.Mono(), hold: time.Duration(float64(parts.Slide) * holdRatio),
-		mates: map[string]wireconnect.HelmClient{}, lenses: map[string]wireconnect.LensClient{},
+		peers: map[string]wireconnect.HelmClient{}, lenses: map[string]wireconnect.LensClient{},
 	}
 	h.trust.Store(&parts.Trust)
-	for _, mate := range parts.Mates {
-		if mate.Address != parts.Address {
-			h.mates[mate.Name] = wireconnect.NewHelmClient(web, "http://"+mate.Address)
+	for _, peer := range parts.Peers {
+		if peer.Address != parts.Address {
+			h.peers[peer.Name] = wireconnect.NewHelmClient(web, "http://"+peer.Address)
 		}
-		h.lenses[mate.Name] = wireconnect.NewLensClient(web, "http://"+mate.Address)
+		h.lenses[peer.Name] = wireconnect.NewLensClient(web, "http://"+peer.Address)
 	}
 	return h
 }
@@ -112,7 +112,7 @@
 			heard := h.store.Changed()
 			if current := h.Current(); current != nil {
 				h.member.SetMachines(current.Machines())
-				h.member.Change(func(roster *wire.Roster) { roster.Holding = current.Serial })
+				h.member.Change(func(registry *wire.Roster) { registry.Holding = current.Serial })
 			}
 			h.news.Notify()
 			base.Await(s, h.force, heard)
@@ -226,9 +226,9 @@
 	if indexed, ok := h.index.Get(key); ok {
 		return indexed
 	}
-	raw, mishap := bundle.Open(sealed)
-	if mishap != nil {
-		h.scope.Record("bundle-unreadable", "", mishap.Error())
+	raw, fault := bundle.Open(sealed)
+	if fault != nil {
+		h.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
 	}
 	signed := bundle.Index(sealed, raw)
@@ -264,8 +264,8 @@
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
 	bundle.Normalise(next, h.limits)
-	if mishap := bundle.Check(next, h.limits); mishap != nil {
-		return nil, mishap
+	if fault := bundle.Check(next, h.limits); fault != nil {
+		return nil, fault
 	}
 	sealed, err := bundle.Pack(next)
 	if err != nil {
@@ -274,8 +274,8 @@
 	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
 }
 
-func bounced(submission string, mishap *base.Fault) *wire.Outcome {
-	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}}
+func rejected(submission string, fault *base.Fault) *wire.Outcome {
+	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}}
 }
 
 func (h *ControlPlane) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
@@ -285,16 +285,16 @@
 	if proto.Size(request.Sealed) > h.limits.Bytes {
 		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", h.limits.Bytes)
 	}
-	manifest, mishap := h.trust.Load().Verify(request.Sealed)
-	if mishap != nil {
-		return nil, mishap
+	manifest, fault := h.trust.Load().Verify(request.Sealed)
+	if fault != nil {
+		return nil, fault
 	}
 	if !bundle.Whole(request.Sealed, manifest) {
 		return nil, base.NewFault(base.Malformed, "sealed.parts", "parts are missing")
 	}
-	raw, mishap := bundle.Open(request.Sealed)
-	if mishap != nil {
-		return nil, mishap
+	raw, fault := bundle.Open(request.Sealed)
+	if fault != nil {
+		return nil, fault
 	}
 	if manifest.Serial != manifest.Base+1 {
 		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
@@ -317,8 +317,8 @@
 		if err != nil || head.Sealed == nil {
 			continue
 		}
-		raw, mishap := bundle.Open(head.Sealed)
-		if mishap == nil && raw.Serial == serial && serial < current.Serial {
+		raw, fault := bundle.Open(head.Sealed)
+		if fault == nil && raw.Serial == serial && serial < current.Serial {
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
 	}
--- a/internal/listedcore/open.go
+++ b/internal/listedcore/open.go
@@ -9,7 +9,7 @@
 	"curlewreach/proto/wire"
 )
 
-// KeelView returns the state of an open fleet's core process.
+// ControllerView returns the state of an open fleet's core process.
 func (c *Client) ControllerView(ctx context.Context) (*wire.ControllerView, error) {
 	return fetch[wire.ControllerView](ctx, c, http.MethodGet, "/view", nil)
 }
@@ -19,7 +19,7 @@
 	return fetch[wire.NodeView](ctx, c, http.MethodGet, "/view", nil)
 }
 
-// Chart returns the configuration in force in an open fleet.
+// Configuration returns the configuration in force in an open fleet.
 func (c *Client) Configuration(ctx context.Context) (*wire.Configuration, error) {
 	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/configuration", nil)
 }
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -159,6 +159,6 @@
 }
 
 func refuse(_ context.Context, err error, w http.ResponseWriter) {
-	mishap := base.FaultOf(err)
-	base.Reply(w, base.Answers[mishap.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": mishap})
+	fault := base.FaultOf(err)
+	base.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -60,13 +60,13 @@
 
 // Process is a running core machine.
 type Process struct {
-	Helm   *ControlPlane
-	Trove  *quorum.Replica
-	Traces *tracing.Store
-	params *wire.KeelParams
-	cancel context.CancelFunc
-	doors  []*base.Server
-	crew   base.Group
+	Helm            *ControlPlane
+	ReplicatedStore *quorum.Replica
+	Traces          *tracing.Store
+	params          *wire.KeelParams
+	cancel          context.CancelFunc
+	doors           []*base.Server
+	crew            base.Group
 }
 
 // Start starts a core machine. On an error nothing is left running.
@@ -105,12 +105,12 @@
 func (k *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
 	params, web := k.params, base.HTTPClient(s)
 	bounds, force := params.Bounds, params.Bounds.InForce.AsDuration()
-	mates := make([]quorum.Peer, len(params.Seeds))
+	peers := make([]quorum.Peer, len(params.Seeds))
 	for i, seed := range params.Seeds {
-		mates[i] = quorum.Peer{Name: seed, Address: seed}
+		peers[i] = quorum.Peer{Name: seed, Address: seed}
 	}
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
-	k.Trove = quorum.New(s, store, web, params.Mates, mates, time.Duration(float64(force)*roundRatio))
+	k.ReplicatedStore = quorum.New(s, store, web, params.Mates, peers, time.Duration(float64(force)*roundRatio))
 	k.Traces = tracing.OpenStore(s, int(params.Traces))
 	k.Traces.Mates(web, relays)
 	member := membership.NewMember(s, web, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
@@ -118,7 +118,7 @@
 	limits := bundle.UsualLimits(bounds.Grace.AsDuration())
 	limits.Bytes = int(params.Bundle)
 	k.Helm = New(s, web, Parts{
-		Self: params.Name, Address: params.Mates, Mates: mates, Trove: k.Trove, Member: member, Traces: k.Traces,
+		Self: params.Name, Address: params.Mates, Peers: peers, ReplicatedStore: k.ReplicatedStore, Member: member, Traces: k.Traces,
 		Trust: trust, Limits: limits, Force: force, Slide: bounds.SlideBack.AsDuration(),
 		Silence: max(bounds.Recovery.AsDuration(), bounds.Alone.AsDuration()),
 	})
@@ -128,7 +128,7 @@
 // open opens the servers for other nodes and for operators.
 func (k *Process) open(s base.Scope, member *membership.Member) error {
 	mux := http.NewServeMux()
-	mux.Handle(quorum.Handler(k.Trove))
+	mux.Handle(quorum.Handler(k.ReplicatedStore))
 	mux.Handle(membership.Handler(member))
 	mux.Handle(tracing.Handler(k.Traces))
 	mux.Handle(Handler(k.Helm))
@@ -148,7 +148,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(k.params.Bounds.Grace.AsDuration())*stopRatio))
 	defer cancel()
 	k.Helm.HandOver(k.Helm.scope.WithContext(ctx))
-	k.Trove.HandOver(k.Helm.scope.WithContext(ctx))
+	k.ReplicatedStore.HandOver(k.Helm.scope.WithContext(ctx))
 	k.cancel()
 	for _, door := range k.doors {
 		door.Shutdown(ctx)
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -130,10 +130,10 @@
 // Sign decides on a signed bundle. An outcome of verdict UNKNOWN says that it
 // isn't decided yet; the error is always nil.
 func (h *ControlPlane) Sign(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
-	manifest, mishap := h.vet(request)
-	if mishap != nil {
-		h.scope.Record("bundle-bounced", request.Submission, mishap.Error())
-		return bounced(request.Submission, mishap), nil
+	manifest, fault := h.vet(request)
+	if fault != nil {
+		h.scope.Record("bundle-bounced", request.Submission, fault.Error())
+		return rejected(request.Submission, fault), nil
 	}
 	return h.decide(ctx, request, manifest), nil
 }
@@ -149,7 +149,7 @@
 	defer cancel()
 	if owner, _, known := h.store.Owner(BundleKey); known && !h.store.Owns(BundleKey) && h.store.HeardLately(owner, h.force/2) {
 		bounded, cancel := s.WithTimeout(h.force)
-		reply, err := h.mates[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
+		reply, err := h.peers[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
 		cancel()
 		if err == nil {
 			return reply.Msg.Outcome
@@ -169,9 +169,9 @@
 		}
 		pause := time.Duration(float64(h.force) * pollRatio)
 		if err != nil {
-			mishap := base.FaultOf(err)
-			h.scope.Record("change-failed", request.Submission, mishap.Error())
-			unknown.Mishap = &wire.Mishap{Kind: string(mishap.Kind), Path: mishap.Path, Reason: mishap.Reason}
+			fault := base.FaultOf(err)
+			h.scope.Record("change-failed", request.Submission, fault.Error())
+			unknown.Mishap = &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}
 			pause = time.Duration(float64(pause) * (2 + 8*s.Rand.Float64()))
 		}
 		base.Await(s, pause, h.confirmed.Next())
@@ -183,11 +183,11 @@
 	if manifest == nil {
 		return h.lookUp(s, request.Submission)
 	}
-	if mishap := h.gone(s, manifest.Forsaken); mishap != nil {
+	if fault := h.gone(s, manifest.Forsaken); fault != nil {
 		if past, err := h.lookUp(s, request.Submission); err == nil && past != nil && past.Verdict == wire.Verdict_TAKEN {
 			return past, nil
 		}
-		return bounced(request.Submission, mishap), nil
+		return rejected(request.Submission, fault), nil
 	}
 	outcome, mine, err := h.stage(s, request, manifest.Base)
 	if err != nil || outcome != nil {
@@ -217,7 +217,7 @@
 			return nil, nil
 		}
 		if committed := serialOf(head.Sealed); wanted != committed {
-			outcome = bounced(request.Submission, base.NewFault(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
+			outcome = rejected(request.Submission, base.NewFault(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
 			return nil, nil
 		}
 		mine = true
@@ -244,7 +244,7 @@
 	outcome := &wire.Outcome{Submission: head.Submission, Verdict: wire.Verdict_TAKEN, Serial: serialOf(head.Staged)}
 	next := &wire.Head{Sealed: head.Staged}
 	if !taken {
-		outcome = bounced(head.Submission, base.NewFault(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
+		outcome = rejected(head.Submission, base.NewFault(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
 		next.Sealed = head.Sealed
 	}
 	next.Outcomes = append(slices.Clone(head.Outcomes), outcome)
@@ -312,7 +312,7 @@
 		_, err := h.resolve(s, false)
 		return nil, err
 	}
-	return bounced(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
+	return rejected(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
 }
 
 func (h *ControlPlane) repair(s base.Scope) {
--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -60,7 +60,7 @@
 	g.advance()
 }
 
-// Flying returns how many requests are inside.
+// InFlight returns how many requests are inside.
 func (g *AdmissionQueue) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,7 +81,7 @@
 // Enter waits to be let in until the time given. The caller calls leave when
 // its request has ended. The error is of kind Crowded if it can't be let in in
 // time or the queue is full, and Expired if the time passed.
-func (g *AdmissionQueue) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), mishap *base.Fault) {
+func (g *AdmissionQueue) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), fault *base.Fault) {
 	g.mu.Lock()
 	at := g.lanes[group]
 	if at == nil {
@@ -116,9 +116,9 @@
 	wakeup := time.NewTimer(time.Duration(left * float64(time.Second)))
 	defer wakeup.Stop()
 	select {
-	case mishap := <-mine.grant:
-		if mishap != nil {
-			return nil, mishap
+	case fault := <-mine.grant:
+		if fault != nil {
+			return nil, fault
 		}
 		return g.leaver(), nil
 	case <-s.Done():
@@ -127,8 +127,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case mishap := <-mine.grant:
-		if mishap == nil {
+	case fault := <-mine.grant:
+		if fault == nil {
 			g.flying--
 			g.advance()
 		}
--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -15,8 +15,8 @@
 	for range callers {
 		go func() {
 			for range rounds {
-				leave, mishap := g.Enter(s, group, weight, s.Clock.Mono()+time.Second)
-				if mishap != nil {
+				leave, fault := g.Enter(s, group, weight, s.Clock.Mono()+time.Second)
+				if fault != nil {
 					time.Sleep(time.Millisecond)
 					continue
 				}
@@ -65,13 +65,13 @@
 	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
 		bubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 1, 5)
-			leave, mishap := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
-			Expect(mishap).To(BeNil())
+			leave, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
 				go func() {
-					_, mishap := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
-					kinds <- mishap.Kind
+					_, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+					kinds <- fault.Kind
 				}()
 			}
 			time.Sleep(time.Millisecond)
@@ -80,8 +80,8 @@
 			Expect(kinds).To(HaveLen(20))
 			leave()
 			Expect(g.InFlight()).To(BeZero())
-			again, mishap := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
-			Expect(mishap).To(BeNil())
+			again, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			Expect(fault).To(BeNil())
 			again()
 		})
 	})
--- a/internal/listednode/answer.go
+++ b/internal/listednode/answer.go
@@ -93,15 +93,15 @@
 	return nil, false
 }
 
-func bounceTo(w http.ResponseWriter, mishap *base.Fault) {
-	answer := base.Answers[mishap.Kind]
+func rejectTo(w http.ResponseWriter, fault *base.Fault) {
+	answer := base.Answers[fault.Kind]
 	outcome := "not-run"
-	if mishap.Run {
+	if fault.Run {
 		outcome = "unknown"
 	}
 	w.Header().Set(outcomeHeader, outcome)
 	if answer.Retriable {
-		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(mishap.After.Seconds())))))
+		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.After.Seconds())))))
 	}
-	base.Reply(w, answer.Status, map[string]string{"kind": string(mishap.Kind), "reason": mishap.Reason, "outcome": outcome})
+	base.Reply(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -75,7 +75,7 @@
 	return &CallTracker{clock: clock, flights: map[string]*callInProgress{}, apart: map[string]*keyQueue{}, turns: map[string]time.Duration{}}
 }
 
-// Board notes that a request is handed to the upstream.
+// Begin notes that a request is handed to the upstream.
 func (t *CallTracker) Begin(f *callInProgress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +83,7 @@
 	t.flights[f.span] = f
 }
 
-// Land notes that it has ended, and returns its self time and whether that is
+// End notes that it has ended, and returns its self time and whether that is
 // uncertain.
 func (t *CallTracker) End(f *callInProgress) (self time.Duration, uncertain bool) {
 	t.mu.Lock()
@@ -210,7 +210,7 @@
 // Apart waits until no other request is at work whose further calls couldn't be
 // told from those of f. The caller calls leave when f has ended. An impatient
 // caller is turned back at once, with kind Apart.
-func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), mishap *base.Fault) {
+func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), fault *base.Fault) {
 	keys := t.keysOf(f)
 	turns := map[int]func(){}
 	var kept []func()
@@ -224,11 +224,11 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		drop, mishap := t.take(s, key, f.way.Identifier(), until, patient)
-		if mishap != nil {
+		drop, fault := t.take(s, key, f.way.Identifier(), until, patient)
+		if fault != nil {
 			f.turns = turns
 			leave()
-			return nil, mishap
+			return nil, fault
 		}
 		if at := keys[key]; at >= 0 {
 			turns[at] = drop
@@ -261,7 +261,7 @@
 	return keys
 }
 
-func (t *CallTracker) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), mishap *base.Fault) {
+func (t *CallTracker) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), fault *base.Fault) {
 	at, ahead, usual := t.turn(key, identifier)
 	if ahead > 0 && !patient {
 		t.quit(key)
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -37,7 +37,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		response, err := ask(r.Context(), &clientRequest{request: r, inner: inner, w: w})
 		if err != nil {
-			bounceTo(w, base.FaultOf(err))
+			rejectTo(w, base.FaultOf(err))
 			return
 		}
 		if whole := response.(*answer); whole != nil {
@@ -69,8 +69,8 @@
 		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
 	if !n.claims.Good(signed.Serial) {
-		if mishap := n.abreast(s, signed.Serial); mishap != nil && mishap.Kind != base.Stale {
-			return nil, mishap
+		if fault := n.abreast(s, signed.Serial); fault != nil && fault.Kind != base.Stale {
+			return nil, fault
 		}
 		signed = n.slice.Load()
 	}
@@ -84,14 +84,14 @@
 	}
 	s, cancel := s.WithTimeout(way.Deadline())
 	defer cancel()
-	leave, mishap := n.gate.Enter(s, way.Group, signed.Share(way.Group).GetCarried(), until)
-	if mishap != nil {
-		return nil, mishap
+	leave, fault := n.gate.Enter(s, way.Group, signed.Share(way.Group).GetCarried(), until)
+	if fault != nil {
+		return nil, fault
 	}
 	defer leave()
-	body, give, mishap := n.body(e, way.Deadline())
-	if mishap != nil {
-		return nil, mishap
+	body, give, fault := n.body(e, way.Deadline())
+	if fault != nil {
+		return nil, fault
 	}
 	defer give()
 	return n.answerWith(s, e, signed, &Ledger{Way: way, Until: until}, body)
@@ -99,7 +99,7 @@
 
 // body reads a request's body within the time given. The caller calls give when
 // it is no longer needed.
-func (n *Node) body(e *clientRequest, within time.Duration) (body []byte, give func(), mishap *base.Fault) {
+func (n *Node) body(e *clientRequest, within time.Duration) (body []byte, give func(), fault *base.Fault) {
 	longest := n.dials.Load().Longest
 	room := int64(longest) + 1
 	if e.request.ContentLength >= 0 {
@@ -177,9 +177,9 @@
 		case GiveUp:
 			return nil, ledger.Verdict(s.Clock.Mono())
 		}
-		fresh, picked, mishap := n.next(s, signed, ledger)
-		if mishap != nil {
-			return nil, mishap
+		fresh, picked, fault := n.next(s, signed, ledger)
+		if fault != nil {
+			return nil, fault
 		}
 		signed = fresh
 		attempt := &Attempt{Name: n.scope.Rand.Name(8), Node: picked.node, Seat: picked.seat.Address, Started: s.Clock.Mono(), Impatient: !ledger.Patient}
@@ -197,10 +197,10 @@
 // The error is what to tell the caller if there is none, or if no repeat is
 // left to spend.
 func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
-	if last := ledger.Last(); last != nil && last.Mishap.Kind == base.Stale {
-		fresh, mishap := n.renew(s, ledger)
-		if mishap != nil {
-			return nil, candidate{}, mishap
+	if last := ledger.Last(); last != nil && last.Fault.Kind == base.Stale {
+		fresh, fault := n.renew(s, ledger)
+		if fault != nil {
+			return nil, candidate{}, fault
 		}
 		signed = fresh
 	}
@@ -261,11 +261,11 @@
 }
 
 func (n *Node) peerClient(address string) wireconnect.FlowClient {
-	if callee, ok := n.mates.Get(address); ok {
+	if callee, ok := n.peers.Get(address); ok {
 		return callee
 	}
 	callee := wireconnect.NewFlowClient(n.web, "http://"+address)
-	n.mates.Put(address, callee)
+	n.peers.Put(address, callee)
 	return callee
 }
 
@@ -289,10 +289,10 @@
 			return nil
 		}
 		return &answer{head: caught.head, body: caught.held.Bytes()}
-	case caught.mishap != nil:
-		attempt.Mishap = caught.mishap
+	case caught.fault != nil:
+		attempt.Fault = caught.fault
 		attempt.State = NotRun
-		if caught.mishap.Run {
+		if caught.fault.Run {
 			attempt.State = Doubtful
 		}
 	default:
@@ -300,23 +300,23 @@
 		if err != nil {
 			reason = err.Error()
 		}
-		attempt.Mishap = base.NewFault(base.Lost, "", "%s", reason)
+		attempt.Fault = base.NewFault(base.Lost, "", "%s", reason)
 		attempt.State = Doubtful
 		if s.Err() != nil {
-			attempt.Mishap = base.NewFault(base.Expired, "", "no answer within the deadline")
+			attempt.Fault = base.NewFault(base.Expired, "", "no answer within the deadline")
 		}
 		if undialled(err) || n.neverRan(s, picked, attempt) {
 			attempt.State = NotRun
-			attempt.Mishap.Kind = base.Unreachable
+			attempt.Fault.Kind = base.Unreachable
 		}
 	}
-	n.scope.Record("attempt-mishap", trail.Trace, attempt.Name+": "+attempt.Mishap.Error())
+	n.scope.Record("attempt-mishap", trail.Trace, attempt.Name+": "+attempt.Fault.Error())
 	return nil
 }
 
 func undialled(err error) bool {
-	var mishap *net.OpError
-	return errors.As(err, &mishap) && mishap.Op == "dial"
+	var fault *net.OpError
+	return errors.As(err, &fault) && fault.Op == "dial"
 }
 
 func (n *Node) neverRan(s base.Scope, picked candidate, attempt *Attempt) bool {
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -21,7 +21,7 @@
 	// other nodes.
 	worryRatio = 0.5
 	// vouchRatio, of that time, is the interval at which it asks them.
-	vouchRatio = 0.35
+	confirmRatio = 0.35
 	// behindRatio, of that time, is how long a request waits for the bundle in
 	// force.
 	behindRatio = 0.2
@@ -42,28 +42,28 @@
 // of core machines, or of nodes, lately vouched for. A node that can't tell
 // serves nothing. It is safe for concurrent use.
 type Confirmations struct {
-	clock    base.Clock
-	length   time.Duration
-	self     string
-	mu       sync.Mutex
-	keels    []confirmation
-	mates    map[string]confirmation
-	held     *bundle.Bundle
-	staged   *bundle.Bundle
-	recalled *bundle.Bundle
-	ballot   *wire.Ballot
-	wanted   uint64
-	definite bool
-	since    time.Duration
-	alone    time.Duration
-	cored    time.Duration
+	clock       base.Clock
+	length      time.Duration
+	self        string
+	mu          sync.Mutex
+	controllers []confirmation
+	peers       map[string]confirmation
+	held        *bundle.Bundle
+	staged      *bundle.Bundle
+	recalled    *bundle.Bundle
+	ballot      *wire.Ballot
+	wanted      uint64
+	definite    bool
+	since       time.Duration
+	alone       time.Duration
+	cored       time.Duration
 }
 
 // NewConfirmations returns the claims of a node that was just started. They hold for
 // length; settling must pass before the node vouches to others; without the
 // core it goes on for alone at most, or without limit if that is 0.
-func NewConfirmations(clock base.Clock, self string, keels int, length, settling, alone time.Duration) *Confirmations {
-	return &Confirmations{alone: alone, cored: clock.Mono(), clock: clock, since: clock.Mono() + settling, self: self, keels: make([]confirmation, keels), mates: map[string]confirmation{}, length: length}
+func NewConfirmations(clock base.Clock, self string, controllers int, length, settling, alone time.Duration) *Confirmations {
+	return &Confirmations{alone: alone, cored: clock.Mono(), clock: clock, since: clock.Mono() + settling, self: self, controllers: make([]confirmation, controllers), peers: map[string]confirmation{}, length: length}
 }
 
 // Held returns the bundle held, the one staged, and the newest ballot heard.
@@ -83,22 +83,22 @@
 	if c.held == nil || c.held.Serial != serial || c.wanted > serial {
 		return false
 	}
-	return c.byCore(serial, ahead) || (c.definite && (c.staged == nil || c.staged.Serial <= serial) && c.byMates(c.held, ahead, 1))
+	return c.byCore(serial, ahead) || (c.definite && (c.staged == nil || c.staged.Serial <= serial) && c.byPeers(c.held, ahead, 1))
 }
 
 func (c *Confirmations) byCore(serial uint64, ahead time.Duration) bool {
 	oldest, good := c.clock.Mono()+ahead-c.length, 0
-	for _, each := range c.keels {
+	for _, each := range c.controllers {
 		if each.definite && each.at >= oldest && each.serial <= serial {
 			good++
 		}
 	}
-	return good >= len(c.keels)/2+1
+	return good >= len(c.controllers)/2+1
 }
 
 func (c *Confirmations) tooLong() bool { return c.alone > 0 && c.clock.Mono()-c.cored > c.alone }
 
-func (c *Confirmations) byMates(signed *bundle.Bundle, ahead time.Duration, own int) bool {
+func (c *Confirmations) byPeers(signed *bundle.Bundle, ahead time.Duration, own int) bool {
 	if c.tooLong() {
 		return false
 	}
@@ -111,7 +111,7 @@
 			good += own
 			continue
 		}
-		if each := c.mates[machine.Name]; each.definite && each.at >= oldest && each.serial <= signed.Serial {
+		if each := c.peers[machine.Name]; each.definite && each.at >= oldest && each.serial <= signed.Serial {
 			good++
 		}
 	}
@@ -120,11 +120,11 @@
 
 // Heard takes in news of a core machine that were asked for at the time given.
 // It returns the bundle held if that changed.
-func (c *Confirmations) Heard(keel int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) Heard(controller int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice, staged := open(news.Slice), open(news.Staged)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keels[keel] = confirmation{at: asked + time.Duration(news.HeldUs)*time.Microsecond, serial: news.Accepted, definite: news.Vouches}
+	c.controllers[controller] = confirmation{at: asked + time.Duration(news.HeldUs)*time.Microsecond, serial: news.Accepted, definite: news.Vouches}
 	if quorum.CompareBallots(news.Ballot, c.ballot) > 0 {
 		c.ballot, c.wanted = news.Ballot, max(c.wanted, news.Serial)
 		if c.staged != nil && c.staged.Serial != news.StagedSerial && c.staged.Serial != news.Serial {
@@ -171,25 +171,25 @@
 	c.recalled = signed
 }
 
-// Vouched takes in another node's confirmation that was asked for at the time given. It
+// Confirmed takes in another node's confirmation that was asked for at the time given. It
 // returns the bundle held if that changed.
-func (c *Confirmations) Vouched(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) Confirmed(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice := open(reply.Slice)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mates[reply.Node] = confirmation{at: asked, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
+	c.peers[reply.Node] = confirmation{at: asked, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
 	if reply.Definite && reply.Serial > c.wanted {
 		c.wanted = reply.Serial
 	}
 	risen = c.rise(slice)
-	if c.held != nil && !c.definite && c.held.Serial >= c.wanted && c.byMates(c.held, 0, 0) {
+	if c.held != nil && !c.definite && c.held.Serial >= c.wanted && c.byPeers(c.held, 0, 0) {
 		c.definite = true
 	}
 	return risen
 }
 
-// Vouch returns this node's confirmation for another node.
-func (c *Confirmations) Vouch(ask *wire.VouchRequest) *wire.VouchReply {
+// Confirm returns this node's confirmation for another node.
+func (c *Confirmations) Confirm(ask *wire.VouchRequest) *wire.VouchReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reply := &wire.VouchReply{Node: c.self, Definite: c.definite && !c.tooLong()}
@@ -214,8 +214,8 @@
 	return c.held
 }
 
-func (n *Node) vouch(s base.Scope) {
-	every := time.Duration(float64(n.claims.length) * vouchRatio)
+func (n *Node) confirm(s base.Scope) {
+	every := time.Duration(float64(n.claims.length) * confirmRatio)
 	base.Tick(s, every, func(s base.Scope) {
 		known := n.claims.mostKnown()
 		if known == nil {
@@ -231,19 +231,19 @@
 		}
 		asked := s.Clock.Mono()
 		for _, machine := range n.claims.backers(known, serial) {
-			go n.askVouch(s, machine, serial, asked)
+			go n.askConfirm(s, machine, serial, asked)
 		}
 	})
 }
 
 // askVouch asks another node for its confirmation.
-func (n *Node) askVouch(s base.Scope, machine *wire.Machine, serial uint64, asked time.Duration) {
+func (n *Node) askConfirm(s base.Scope, machine *wire.Machine, serial uint64, asked time.Duration) {
 	ctx, cancel := context.WithTimeout(s, n.claims.length)
 	defer cancel()
 	reply, err := n.peerClient(machine.Address).Vouch(ctx, connect.NewRequest(&wire.VouchRequest{Node: n.self, Serial: serial, Odds: n.keeper.Serial()}))
 	if err == nil && reply.Msg.Node == machine.Name {
 		n.load(reply.Msg.Odds)
-		n.risen(n.claims.Vouched(asked, reply.Msg, n.open))
+		n.risen(n.claims.Confirmed(asked, reply.Msg, n.open))
 	}
 }
 
@@ -263,7 +263,7 @@
 	}
 	every = append(every[after:], every[:after]...)
 	for _, machine := range every {
-		if each := c.mates[machine.Name]; each.definite && c.clock.Mono()-each.at < 2*c.length {
+		if each := c.peers[machine.Name]; each.definite && c.clock.Mono()-each.at < 2*c.length {
 			fresh = append(fresh, machine)
 		}
 	}
@@ -280,7 +280,7 @@
 }
 
 func (v peerServer) Vouch(_ context.Context, request *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error) {
-	reply := v.node.claims.Vouch(request.Msg)
+	reply := v.node.claims.Confirm(request.Msg)
 	if odds := v.node.keeper.Odds(); odds.GetSerial() > request.Msg.Odds {
 		reply.Odds = odds
 	}
--- a/internal/listednode/fences.go
+++ b/internal/listednode/fences.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-// Bar forbids it, and reports whether it can't have been handed before.
+// Fence forbids it, and reports whether it can't have been handed before.
 func (f *Fences) Fence(attempt string) (never bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -40,7 +40,7 @@
 	Started   time.Duration
 	Ended     time.Duration
 	State     State
-	Mishap    *base.Fault
+	Fault     *base.Fault
 }
 
 // Decision is what to do next about a request.
@@ -72,7 +72,7 @@
 }
 
 func (a *Attempt) turnedBack() bool {
-	return a.Mishap != nil && (a.Mishap.Kind == base.Stale || a.Mishap.Kind == base.KeptApart && a.Impatient)
+	return a.Fault != nil && (a.Fault.Kind == base.Stale || a.Fault.Kind == base.KeptApart && a.Impatient)
 }
 
 // Last returns the newest attempt, or nil.
@@ -109,13 +109,13 @@
 // Apart reports whether any attempt was turned back as such requests are kept
 // apart.
 func (l *Ledger) Apart() bool {
-	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Mishap != nil && a.Mishap.Kind == base.KeptApart })
+	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.KeptApart })
 }
 
 // Tried reports whether an instance was tried and needn't be again.
 func (l *Ledger) Tried(seat string) bool {
 	for _, attempt := range l.Attempts {
-		if attempt.Seat == seat && attempt.Mishap.Kind != base.Stale && !(l.Patient && attempt.turnedBack()) {
+		if attempt.Seat == seat && attempt.Fault.Kind != base.Stale && !(l.Patient && attempt.turnedBack()) {
 			return true
 		}
 	}
@@ -152,8 +152,8 @@
 // Verdict returns the error to tell the caller on giving up.
 func (l *Ledger) Verdict(now time.Duration) *base.Fault {
 	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Way.Service.Name)
-	if last := l.Last(); last != nil && last.Mishap != nil {
-		verdict = &base.Fault{Kind: last.Mishap.Kind, Path: last.Mishap.Path, Reason: last.Mishap.Reason, After: last.Mishap.After}
+	if last := l.Last(); last != nil && last.Fault != nil {
+		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
 	} else if now >= l.Until {
 		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
 	}
--- a/internal/listednode/news.go
+++ b/internal/listednode/news.go
@@ -14,7 +14,7 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-func (n *Node) follow(s base.Scope, index int, keel wireconnect.HelmClient) {
+func (n *Node) follow(s base.Scope, index int, controller wireconnect.HelmClient) {
 	ask := &wire.NewsRequest{Node: n.self}
 	var concern string
 	var committed uint64
@@ -27,7 +27,7 @@
 		ask.Patient = n.spare(index)
 		asked := s.Clock.Mono()
 		bounded, cancel := s.WithTimeout(n.force)
-		reply, err := keel.News(bounded, connect.NewRequest(ask))
+		reply, err := controller.News(bounded, connect.NewRequest(ask))
 		cancel()
 		if err != nil {
 			ask.Keel = ""
@@ -44,13 +44,13 @@
 
 func (n *Node) spare(index int) bool {
 	hearing := 0
-	for i := range n.keels {
-		at := (n.first + i) % len(n.keels)
+	for i := range n.controllers {
+		at := (n.first + i) % len(n.controllers)
 		if heard := time.Duration(n.heard[at].Load()); heard == 0 || n.scope.Clock.Mono()-heard > n.force/4 {
 			continue
 		}
 		if at == index {
-			return hearing > len(n.keels)/2
+			return hearing > len(n.controllers)/2
 		}
 		hearing++
 	}
@@ -106,7 +106,7 @@
 	n.budget.Set(signed)
 	n.member.SetMachines(signed.Machines())
 	n.slice.Store(signed)
-	n.member.Change(func(roster *wire.Roster) { roster.Holding = signed.Serial })
+	n.member.Change(func(registry *wire.Roster) { registry.Holding = signed.Serial })
 	n.scope.Record("in-force", "", strconv.FormatUint(signed.Serial, 10))
 	n.kept.Notify()
 	n.risenBell.Notify()
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -1,4 +1,4 @@
-// Package flow is the data path of fleets of listed machines: a node beside the
+// Package listednode is the data path of fleets of listed machines: a node beside the
 // application's instances takes requests of visitors and further calls of
 // instances, chooses an instance of the service, and carries the request
 // through the node beside it. docs/flow.md has the ways weighed.
@@ -70,40 +70,40 @@
 // Node is the data path on one machine. Lock order: picking before any other;
 // ties, seats, gates, fences and repeats never nest.
 type Node struct {
-	scope     base.Scope
-	self      string
-	zone      string
-	dials     atomic.Pointer[Tunables]
-	patience  time.Duration
-	force     time.Duration
-	web       *http.Client
-	outward   *http.Transport
-	member    *membership.Member
-	seats     *Instances
-	fences    *Fences
-	ties      *CallTracker
-	gate      *AdmissionQueue
-	repeats   *RetryBudget
-	room      bodyMemory
-	budget    *Budget
-	keeper    *tracing.Keeper
-	sink      *tracing.Sink
-	slice     atomic.Pointer[bundle.Bundle]
-	stopping  atomic.Bool
-	ends      atomic.Int64
-	flying    atomic.Int64
-	adopting  sync.Mutex
-	mates     base.Table[wireconnect.FlowClient]
-	atlas     base.Table[outlook]
-	keels     []wireconnect.HelmClient
-	heard     []atomic.Int64
-	first     int
-	kept      base.Broadcast
-	keptOdds  base.Broadcast
-	claims    *Confirmations
-	risenBell base.Broadcast
-	picking   sync.Mutex
-	records   map[string]*record
+	scope       base.Scope
+	self        string
+	zone        string
+	dials       atomic.Pointer[Tunables]
+	patience    time.Duration
+	force       time.Duration
+	web         *http.Client
+	outward     *http.Transport
+	member      *membership.Member
+	seats       *Instances
+	fences      *Fences
+	ties        *CallTracker
+	gate        *AdmissionQueue
+	repeats     *RetryBudget
+	room        bodyMemory
+	budget      *Budget
+	keeper      *tracing.Keeper
+	sink        *tracing.Sink
+	slice       atomic.Pointer[bundle.Bundle]
+	stopping    atomic.Bool
+	ends        atomic.Int64
+	flying      atomic.Int64
+	adopting    sync.Mutex
+	peers       base.Table[wireconnect.FlowClient]
+	atlas       base.Table[outlook]
+	controllers []wireconnect.HelmClient
+	heard       []atomic.Int64
+	first       int
+	kept        base.Broadcast
+	keptOdds    base.Broadcast
+	claims      *Confirmations
+	risenBell   base.Broadcast
+	picking     sync.Mutex
+	records     map[string]*record
 }
 
 // NewNode returns a node; Run makes it work.
@@ -128,11 +128,11 @@
 	}
 	n.seats = NewInstances(s, time.Duration(float64(leaving)*oldestRatio), int(params.Queue), func(rows []*wire.Seat) {
 		slices.SortFunc(rows, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
-		n.member.Change(func(roster *wire.Roster) { roster.Seats = rows })
+		n.member.Change(func(registry *wire.Roster) { registry.Seats = rows })
 	})
 	n.heard, n.first = make([]atomic.Int64, len(params.Seeds)), membership.HashTo(params.Name, len(params.Seeds))
 	for _, seed := range params.Seeds {
-		n.keels = append(n.keels, wireconnect.NewHelmClient(web, "http://"+seed))
+		n.controllers = append(n.controllers, wireconnect.NewHelmClient(web, "http://"+seed))
 	}
 	return n
 }
@@ -161,9 +161,9 @@
 		})
 	})
 	crew.Go(func() { n.remember(s) })
-	crew.Go(func() { n.vouch(s) })
-	for index, keel := range n.keels {
-		crew.Go(func() { n.follow(s, index, keel) })
+	crew.Go(func() { n.confirm(s) })
+	for index, controller := range n.controllers {
+		crew.Go(func() { n.follow(s, index, controller) })
 	}
 	crew.Wait()
 	n.seats.Close()
@@ -174,7 +174,7 @@
 func (n *Node) Stop(ctx context.Context, grace time.Duration) {
 	n.ends.Store(int64(n.scope.Clock.Mono() + grace))
 	n.stopping.Store(true)
-	n.member.Change(func(roster *wire.Roster) { roster.Stopping = true })
+	n.member.Change(func(registry *wire.Roster) { registry.Stopping = true })
 	n.scope.Record("stopping", "", "")
 	s := n.scope.WithContext(ctx)
 	for base.Await(s, n.patience); n.flying.Load() > 0 && s.Err() == nil; {
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -24,16 +24,16 @@
 // emit sends a piece of an answer to the asking node.
 type emit func(*wire.CarryReply) error
 
-func mishapPiece(attempt string, mishap *base.Fault) *wire.CarryReply {
+func faultPiece(attempt string, fault *base.Fault) *wire.CarryReply {
 	return &wire.CarryReply{Piece: &wire.CarryReply_Mishap{Mishap: &wire.CarryMishap{
-		Attempt: attempt, Kind: string(mishap.Kind), Reason: mishap.Reason, Run: mishap.Run, AfterUs: uint64(mishap.After.Microseconds()),
+		Attempt: attempt, Kind: string(fault.Kind), Reason: fault.Reason, Run: fault.Run, AfterUs: uint64(fault.After.Microseconds()),
 	}}}
 }
 
 func (n *Node) serve(ctx context.Context, ask *wire.CarryRequest, tell emit) error {
-	if mishap := n.carry(ctx, ask, tell); mishap != nil {
-		n.scope.Record("far-"+string(mishap.Kind), ask.Trail.GetTrace(), ask.Attempt+": "+mishap.Reason)
-		return tell(mishapPiece(ask.Attempt, mishap))
+	if fault := n.carry(ctx, ask, tell); fault != nil {
+		n.scope.Record("far-"+string(fault.Kind), ask.Trail.GetTrace(), ask.Attempt+": "+fault.Reason)
+		return tell(faultPiece(ask.Attempt, fault))
 	}
 	return nil
 }
@@ -47,9 +47,9 @@
 		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
 	if !n.fences.Start(ask.Attempt) {
-		mishap := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
-		mishap.Run = !n.fences.Fence(ask.Attempt)
-		return mishap
+		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
+		fault.Run = !n.fences.Fence(ask.Attempt)
+		return fault
 	}
 	leave := n.enter()
 	defer leave()
@@ -67,8 +67,8 @@
 // in its turn at the upstream's gate, and apart from requests that it can't be
 // told from.
 func (n *Node) carryOn(s base.Scope, ask *wire.CarryRequest, until time.Duration, tell emit) *base.Fault {
-	if mishap := n.abreast(s, ask.Serial); mishap != nil {
-		return mishap
+	if fault := n.abreast(s, ask.Serial); fault != nil {
+		return fault
 	}
 	bundle := n.slice.Load()
 	if bundle.Serial != ask.Serial {
@@ -78,13 +78,13 @@
 	if !known {
 		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", ask.Service, ask.Route)
 	}
-	at, mishap := n.seats.Find(ask.Service, ask.Seat)
-	if mishap != nil {
-		return mishap
+	at, fault := n.seats.Find(ask.Service, ask.Seat)
+	if fault != nil {
+		return fault
 	}
-	out, mishap := at.gate.Enter(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
-	if mishap != nil {
-		return mishap
+	out, fault := at.gate.Enter(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
+	if fault != nil {
+		return fault
 	}
 	defer out()
 	target, err := url.ParseRequestURI(ask.Target)
@@ -96,9 +96,9 @@
 	put(ask.Headers, headers)
 	holes := bundle.Holes(way, target.Path)
 	f.fields = func(name string) string { return lookup(name, holes, target.Query(), headers) }
-	join, mishap := n.ties.Apart(s, f, until, ask.Patient)
-	if mishap != nil {
-		return mishap
+	join, fault := n.ties.Apart(s, f, until, ask.Patient)
+	if fault != nil {
+		return fault
 	}
 	defer join()
 	if header := bundle.Tracing().GetHeader(); header != "" && ask.Trail != nil {
@@ -120,7 +120,7 @@
 	if !n.seats.Held(at) {
 		n.seats.Void(at, "another process listens there now")
 	}
-	if now, mishap := n.seats.Find(ask.Service, ask.Seat); mishap != nil || now != at {
+	if now, fault := n.seats.Find(ask.Service, ask.Seat); fault != nil || now != at {
 		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
 	}
 	headers.Set(serialHeader, strconv.FormatUint(ask.Serial, 10))
@@ -141,12 +141,12 @@
 	keeps := f.trail.GetSampled() && n.keeper.Keep(f.way.Identifier()) && n.budget.Spend(f.way.Group)
 	n.ties.Begin(f)
 	n.scope.Record("handed", ask.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", ask.Attempt, at.said().Address, ask.Serial))
-	status, mishap := n.exchange(s, conn, request, ask, tell)
+	status, fault := n.exchange(s, conn, request, ask, tell)
 	self, uncertain := n.ties.End(f)
 	if keeps {
 		n.sink.Push(n.span(f, status, self, uncertain))
 	}
-	return mishap
+	return fault
 }
 
 func (n *Node) span(f *callInProgress, status int, self time.Duration, uncertain bool) *wire.Span {
@@ -166,9 +166,9 @@
 
 // ran returns an error about a request that may have run.
 func ran(kind base.Kind, format string, args ...any) *base.Fault {
-	mishap := base.NewFault(kind, "", format, args...)
-	mishap.Run = true
-	return mishap
+	fault := base.NewFault(kind, "", format, args...)
+	fault.Run = true
+	return fault
 }
 
 // exchange sends the request and passes the answer on. It returns the answer's
@@ -197,9 +197,9 @@
 	if err := tell(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
 		return ran(base.Lost, "the asking node went away")
 	}
-	size, mishap := relayBody(response.Body, io.MultiWriter(sealing, whole), tell)
-	if mishap != nil {
-		return mishap
+	size, fault := relayBody(response.Body, io.MultiWriter(sealing, whole), tell)
+	if fault != nil {
+		return fault
 	}
 	if given && !bytes.Equal(digest, whole.Sum(nil)) {
 		return ran(base.Garbled, "the upstream's answer does not fit its digest")
@@ -213,7 +213,7 @@
 
 // relayBody passes a body on in pieces, also to the digests, and returns its
 // size in bytes.
-func relayBody(body io.Reader, digests io.Writer, tell emit) (size uint64, mishap *base.Fault) {
+func relayBody(body io.Reader, digests io.Writer, tell emit) (size uint64, fault *base.Fault) {
 	chunk := make([]byte, chunkSize)
 	for {
 		got, err := body.Read(chunk)
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -46,13 +46,13 @@
 			return
 		}
 		for name, each := range n.atlas.All() {
-			roster := each.sighting.Roster
-			if name == n.self || roster.Stopping {
+			registry := each.sighting.Roster
+			if name == n.self || registry.Stopping {
 				continue
 			}
-			if !besides(roster, service, candidate{
-				node: name, address: roster.Address, incarnation: roster.Incarnation, standing: each.sighting.Standing,
-				offset: time.Duration(roster.ClockUs)*time.Microsecond - each.heard,
+			if !besides(registry, service, candidate{
+				node: name, address: registry.Address, incarnation: registry.Incarnation, standing: each.sighting.Standing,
+				offset: time.Duration(registry.ClockUs)*time.Microsecond - each.heard,
 			}, yield) {
 				return
 			}
@@ -61,8 +61,8 @@
 }
 
 // besides yields the instances of a service beside one node, at the candidate given.
-func besides(roster *wire.Roster, service string, at candidate, yield func(candidate) bool) bool {
-	for _, seat := range roster.Seats {
+func besides(registry *wire.Roster, service string, at candidate, yield func(candidate) bool) bool {
+	for _, seat := range registry.Seats {
 		at.seat = seat
 		if seat.Service == service && !seat.Leaving && !yield(at) {
 			return false
@@ -123,7 +123,7 @@
 	defer n.picking.Unlock()
 	at := n.recordOf(picked)
 	at.flying--
-	if attempt.State != Answered && attempt.Mishap.Kind != base.Overloaded && attempt.Mishap.Kind != base.Stale && attempt.Mishap.Kind != base.KeptApart {
+	if attempt.State != Answered && attempt.Fault.Kind != base.Overloaded && attempt.Fault.Kind != base.Stale && attempt.Fault.Kind != base.KeptApart {
 		at.cool = n.scope.Clock.Mono() + n.patience
 	}
 }
--- a/internal/listednode/recall.go
+++ b/internal/listednode/recall.go
@@ -27,11 +27,11 @@
 	if odds.GetSerial() <= n.keeper.Serial() {
 		return
 	}
-	if mishap := n.keeper.Load(odds); mishap != nil {
-		n.scope.Record("odds-bounced", "", mishap.Error())
+	if fault := n.keeper.Load(odds); fault != nil {
+		n.scope.Record("odds-bounced", "", fault.Error())
 		return
 	}
-	n.member.Change(func(roster *wire.Roster) { roster.Odds = odds.Serial })
+	n.member.Change(func(registry *wire.Roster) { registry.Odds = odds.Serial })
 	n.keptOdds.Notify()
 }
 
@@ -52,13 +52,13 @@
 	if sealed == nil {
 		return nil
 	}
-	if _, mishap := n.dials.Load().Trust.Verify(sealed); mishap != nil {
-		n.scope.Record("slice-bounced", "", mishap.Error())
+	if _, fault := n.dials.Load().Trust.Verify(sealed); fault != nil {
+		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
 	}
-	raw, mishap := bundle.Open(sealed)
-	if mishap != nil {
-		n.scope.Record("slice-bounced", "", mishap.Error())
+	raw, fault := bundle.Open(sealed)
+	if fault != nil {
+		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
 	}
 	return bundle.Index(sealed, raw)
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -21,7 +21,7 @@
 	flowing bool
 	roomy   int64
 	whole   bool
-	mishap  *base.Fault
+	fault   *base.Fault
 }
 
 var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
@@ -41,7 +41,7 @@
 		if piece.Mishap.Attempt != c.attempt.Name {
 			return errForeign
 		}
-		c.mishap = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
+		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
 	}
 	return nil
 }
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -16,22 +16,22 @@
 // attempt earns a part of one, each repeat costs one. It is safe for concurrent
 // use.
 type RetryBudget struct {
-	mu     sync.Mutex
-	purses map[string]*serviceBudget
+	mu           sync.Mutex
+	retryBudgets map[string]*serviceBudget
 }
 
 // NewRetryBudget returns a store of tokens that is empty.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{purses: map[string]*serviceBudget{}} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{retryBudgets: map[string]*serviceBudget{}} }
 
 // Set sets the ratios and the most that may be saved, by a bundle.
 func (r *RetryBudget) Set(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, service := range signed.Raw.Services {
-		at := r.purses[service.Name]
+		at := r.retryBudgets[service.Name]
 		if at == nil {
 			at = &serviceBudget{}
-			r.purses[service.Name] = at
+			r.retryBudgets[service.Name] = at
 		}
 		at.ratio = service.Repeats
 		at.depth = float64(service.Allowance) / float64(max(signed.Vanes(), 1))
@@ -43,7 +43,7 @@
 func (r *RetryBudget) Earn(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at := r.purses[service]; at != nil {
+	if at := r.retryBudgets[service]; at != nil {
 		at.tokens = min(at.tokens+at.ratio, at.depth)
 	}
 }
@@ -52,7 +52,7 @@
 func (r *RetryBudget) Refund(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at := r.purses[service]; at != nil {
+	if at := r.retryBudgets[service]; at != nil {
 		at.tokens = max(at.tokens-at.ratio, -at.depth)
 	}
 }
@@ -61,7 +61,7 @@
 func (r *RetryBudget) Spend(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.purses[service]
+	at := r.retryBudgets[service]
 	if at == nil || at.tokens < 1 {
 		return false
 	}
--- a/internal/listednode/retry_budget_test.go
+++ b/internal/listednode/retry_budget_test.go
@@ -17,14 +17,14 @@
 		})
 		for seed := range uint64(20) {
 			rand := base.SeededRand(seed)
-			purse := NewRetryBudget()
-			purse.Set(signed)
+			retryBudget := NewRetryBudget()
+			retryBudget.Set(signed)
 			var events []bool
 			for range 2000 {
 				if rand.Float64() < 0.5 {
-					purse.Earn("s")
+					retryBudget.Earn("s")
 					events = append(events, false)
-				} else if purse.Spend("s") {
+				} else if retryBudget.Spend("s") {
 					events = append(events, true)
 				}
 			}
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -15,10 +15,10 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// Visitors returns the handler of visitors' requests.
+// ClientHandler returns the handler of visitors' requests.
 func (n *Node) ClientHandler() http.Handler { return n.handler(false) }
 
-// Upstreams returns the handler for instances beside this node: their reports
+// InstanceHandler returns the handler for instances beside this node: their reports
 // and further calls.
 func (n *Node) InstanceHandler() http.Handler {
 	mux := http.NewServeMux()
@@ -27,7 +27,7 @@
 	return mux
 }
 
-// Mates returns the handler for other nodes.
+// PeerHandler returns the handler for other nodes.
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewFlowHandler(peerServer{n}, base.Plain()))
@@ -35,7 +35,7 @@
 	return mux
 }
 
-// Ops returns the handler for readiness and counts.
+// OperatorHandler returns the handler for readiness and counts.
 func (n *Node) OperatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -76,12 +76,12 @@
 		}.Filter()
 	}
 	if err != nil {
-		bounceTo(w, base.NewFault(base.Malformed, "", "%s", strings.Join(base.ErrorLines(err), "; ")))
+		rejectTo(w, base.NewFault(base.Malformed, "", "%s", strings.Join(base.ErrorLines(err), "; ")))
 		return
 	}
 	seat := &wire.Seat{Service: said.Service, Address: said.Address, Zone: said.Zone, Capacity: max(said.Capacity, 1), Leaving: said.Leaving, Weight: max(said.Weight, 0)}
-	if mishap := n.seats.Report(n.scope.WithContext(r.Context()), seat); mishap != nil {
-		bounceTo(w, mishap)
+	if fault := n.seats.Report(n.scope.WithContext(r.Context()), seat); fault != nil {
+		rejectTo(w, fault)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/listednode/span.go
+++ b/internal/listednode/span.go
@@ -22,8 +22,8 @@
 		child := proto.Clone(span).(*wire.Span)
 		child.Id, child.Parent, child.Side, child.Seat = attempt.Name, span.Id, tracing.AttemptSide, attempt.Seat
 		child.Tags = map[string]string{"node": attempt.Node, "state": attempt.State.String()}
-		if attempt.Mishap != nil {
-			child.Tags["kind"] = string(attempt.Mishap.Kind)
+		if attempt.Fault != nil {
+			child.Tags["kind"] = string(attempt.Fault.Kind)
 		}
 		n.timed(child, attempt.Started, ended, 0)
 		n.sink.Push(child)
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -28,9 +28,9 @@
 	for _, each := range n.atlas.Snapshot() {
 		known[each.sighting.Roster.Address] = true
 	}
-	for address := range n.mates.Snapshot() {
+	for address := range n.peers.Snapshot() {
 		if !known[address] {
-			n.mates.Update(func(rows map[string]wireconnect.FlowClient) { delete(rows, address) })
+			n.peers.Update(func(rows map[string]wireconnect.FlowClient) { delete(rows, address) })
 		}
 	}
 	for name, each := range n.atlas.Snapshot() {
@@ -54,7 +54,7 @@
 func (r *RetryBudget) Forget(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.purses, func(service string, at *serviceBudget) bool {
+	maps.DeleteFunc(r.retryBudgets, func(service string, at *serviceBudget) bool {
 		return at.depth > 0 && at.tokens >= 0 && signed.Service(service) == nil
 	})
 }
@@ -68,7 +68,7 @@
 
 // Sizes returns how many rows each table holds, to watch for leaks.
 func (n *Node) Sizes() map[string]int {
-	sizes := map[string]int{"mates": len(n.mates.Snapshot()), "atlas": len(n.atlas.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.sink.Waiting()), "room": int(n.room.used.Load())}
+	sizes := map[string]int{"mates": len(n.peers.Snapshot()), "atlas": len(n.atlas.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.sink.Waiting()), "room": int(n.room.used.Load())}
 	n.picking.Lock()
 	sizes["records"] = len(n.records)
 	n.picking.Unlock()
@@ -85,7 +85,7 @@
 	sizes["lanes"] = len(n.gate.lanes)
 	n.gate.mu.Unlock()
 	n.repeats.mu.Lock()
-	sizes["purses"] = len(n.repeats.purses)
+	sizes["purses"] = len(n.repeats.retryBudgets)
 	n.repeats.mu.Unlock()
 	return sizes
 }
--- a/internal/testing/judge/check.go
+++ b/internal/testing/judge/check.go
@@ -29,7 +29,7 @@
 	// OneAck: a submission has one outcome, and a serial number one submission.
 	OneAck = "one ack a base"
 	// BouncedOut: what was refused is never in force.
-	BouncedOut = "bounced stay out"
+	RejectedOut = "bounced stay out"
 	// LeavingOff: a leaving upstream gets no new requests after a while.
 	LeavingOff = "leaving"
 	// Stops: a planned stop breaks no request.
@@ -72,7 +72,7 @@
 		{InForce, inForce},
 		{SlideBack, slideBack},
 		{OneAck, oneAck},
-		{BouncedOut, bouncedOut},
+		{RejectedOut, rejectedOut},
 		{LeavingOff, leavingOff},
 		{Stops, plannedStops},
 		{Repeats, repeats},
--- a/internal/testing/judge/check_test.go
+++ b/internal/testing/judge/check_test.go
@@ -72,8 +72,8 @@
 }
 
 const (
-	taken   = wire.Verdict_TAKEN
-	bounced = wire.Verdict_BOUNCED
+	taken    = wire.Verdict_TAKEN
+	rejected = wire.Verdict_BOUNCED
 )
 
 var _ = ginkgo.Describe("the checker", func() {
@@ -185,26 +185,26 @@
 		ginkgo.Entry("one operator told twice", OneAck, false, func(p planting) {
 			p.acked("a", taken, 2)
 			p.acked("a", taken, 2)
-			p.acked("b", bounced, 0)
+			p.acked("b", rejected, 0)
 		}),
 		ginkgo.Entry("a bounce that turns into an ack", OneAck, true, func(p planting) {
-			p.acked("a", bounced, 0)
+			p.acked("a", rejected, 0)
 			p.acked("a", taken, 2)
 		}),
-		ginkgo.Entry("a bounced bundle held by a node", BouncedOut, true, func(p planting) {
+		ginkgo.Entry("a bounced bundle held by a node", RejectedOut, true, func(p planting) {
 			p.Signed("a", packed(2, "lending"))
-			p.acked("a", bounced, 0)
+			p.acked("a", rejected, 0)
 			p.Read(Reading{At: p.Now(), Node: "n", Serial: 2, Digest: bundle.Digest(packed(2, "lending"))})
 		}),
-		ginkgo.Entry("the winner held beside a bounced one", BouncedOut, false, func(p planting) {
+		ginkgo.Entry("the winner held beside a bounced one", RejectedOut, false, func(p planting) {
 			p.Signed("a", packed(2, "lending"))
 			p.Signed("b", packed(2, "catalogue"))
-			p.acked("a", bounced, 0)
+			p.acked("a", rejected, 0)
 			p.acked("b", taken, 2)
 			p.Read(Reading{At: p.Now(), Node: "n", Serial: 2, Digest: bundle.Digest(packed(2, "catalogue"))})
 		}),
-		ginkgo.Entry("a serial in force that nobody acked", BouncedOut, true, func(p planting) {
-			p.acked("a", bounced, 0)
+		ginkgo.Entry("a serial in force that nobody acked", RejectedOut, true, func(p planting) {
+			p.acked("a", rejected, 0)
 			p.ran(nil)
 		}),
 		ginkgo.Entry("a request 2.1 s after leaving", LeavingOff, true, func(p planting) {
--- a/internal/testing/judge/rules_config.go
+++ b/internal/testing/judge/rules_config.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func bouncedOut(a *account) {
+func rejectedOut(a *account) {
 	if len(a.acks) == 0 {
 		return
 	}
--- a/internal/testing/listedfleet/answers_test.go
+++ b/internal/testing/listedfleet/answers_test.go
@@ -147,7 +147,7 @@
 			Expect(call.Status).To(Equal(200))
 		}
 		f.Pass(time.Second)
-		Expect(f.Vanes[0].Vane.Node.Sizes()["room"]).To(BeZero(), "all room is given back")
+		Expect(f.Vanes[0].Node.Node.Sizes()["room"]).To(BeZero(), "all room is given back")
 		sound(f, judge.Whole)
 	})
 
@@ -192,8 +192,8 @@
 	story("given a node that can't hear the news, when an upstream leaves, then the node beside it bounces what still comes", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
 		f.Visit(80)
-		for _, keel := range f.Keels {
-			f.Cut(keel, f.Vanes[0])
+		for _, controller := range f.Keels {
+			f.Cut(controller, f.Vanes[0])
 		}
 		f.Pass(time.Second)
 		f.seatsOf("lending")[1].Leave()
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -28,9 +28,9 @@
 	defer response.Body.Close()
 	said, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	var reply struct{ Mishap *base.Fault }
+	var reply struct{ Fault *base.Fault }
 	Expect(json.NewDecoder(bytes.NewReader(said)).Decode(&reply)).To(Succeed(), string(said))
-	return response.StatusCode, reply.Mishap
+	return response.StatusCode, reply.Fault
 }
 
 func (f *Fleet) drafted(change *wire.Change) *wire.Sealed {
@@ -62,48 +62,48 @@
 		for _, m := range f.Keels {
 			before = append(before, bundleFiles(m))
 		}
-		expect := func(status int, mishap *base.Fault, wanted base.Kind) {
-			Expect(mishap).NotTo(BeNil())
-			Expect(mishap.Kind).To(Equal(wanted), mishap.Reason)
+		expect := func(status int, fault *base.Fault, wanted base.Kind) {
+			Expect(fault).NotTo(BeNil())
+			Expect(fault.Kind).To(Equal(wanted), fault.Reason)
 			Expect(status).To(Equal(base.Answers[wanted].Status))
-			Expect(mishap.Reason).NotTo(BeEmpty())
+			Expect(fault.Reason).NotTo(BeEmpty())
 		}
-		status, mishap := f.post("/v1/draft", `{"base": 1, "bundle": {`)
-		expect(status, mishap, base.Malformed)
-		status, mishap = f.post("/v1/draft", `{"base": 1, "bundel": {}}`)
-		expect(status, mishap, base.Malformed)
-		status, mishap = f.post("/v1/draft", `{"base": 1, "change": {"dropServices": ["lending"]}}`)
-		expect(status, mishap, base.DanglingReference)
-		status, mishap = f.post("/v1/draft", `{"base": 7, "change": {}}`)
-		expect(status, mishap, base.StaleBase)
-		status, mishap = f.handIn("unsigned", f.drafted(nudge(2)))
-		expect(status, mishap, base.Unsigned)
+		status, fault := f.post("/v1/draft", `{"base": 1, "bundle": {`)
+		expect(status, fault, base.Malformed)
+		status, fault = f.post("/v1/draft", `{"base": 1, "bundel": {}}`)
+		expect(status, fault, base.Malformed)
+		status, fault = f.post("/v1/draft", `{"base": 1, "change": {"dropServices": ["lending"]}}`)
+		expect(status, fault, base.DanglingReference)
+		status, fault = f.post("/v1/draft", `{"base": 7, "change": {}}`)
+		expect(status, fault, base.StaleBase)
+		status, fault = f.handIn("unsigned", f.drafted(nudge(2)))
+		expect(status, fault, base.Unsigned)
 		forged := f.drafted(nudge(2))
 		bundle.Sign(forged, f.Key)
 		forged.Signature[0] ^= 1
-		status, mishap = f.handIn("forged", forged)
-		expect(status, mishap, base.Untrusted)
+		status, fault = f.handIn("forged", forged)
+		expect(status, fault, base.Untrusted)
 		short := f.drafted(nudge(2))
 		bundle.Sign(short, f.Key)
 		short.Parts = short.Parts[:1]
-		status, mishap = f.handIn("short", short)
-		expect(status, mishap, base.Malformed)
+		status, fault = f.handIn("short", short)
+		expect(status, fault, base.Malformed)
 		spoiled := proto.Clone(f.Shape).(*wire.Bundle)
 		spoiled.Serial, spoiled.Base = 2, 1
 		spoiled.Services[0].Routes[0].Path = "no slash"
 		sealed, err := bundle.Pack(spoiled)
 		Expect(err).NotTo(HaveOccurred())
 		bundle.Sign(sealed, f.Key)
-		status, mishap = f.handIn("signed but broken", sealed)
-		expect(status, mishap, base.OutOfRange)
+		status, fault = f.handIn("signed but broken", sealed)
+		expect(status, fault, base.OutOfRange)
 		stale := proto.Clone(f.Shape).(*wire.Bundle)
 		bundle.Normalise(stale, bundle.UsualLimits(6*time.Second))
 		stale.Serial, stale.Base = 6, 5
 		sealed, err = bundle.Pack(stale)
 		Expect(err).NotTo(HaveOccurred())
 		bundle.Sign(sealed, f.Key)
-		status, mishap = f.handIn("wrong base", sealed)
-		expect(status, mishap, base.StaleBase)
+		status, fault = f.handIn("wrong base", sealed)
+		expect(status, fault, base.StaleBase)
 		for i, m := range f.Keels {
 			Expect(bundleFiles(m)).To(Equal(before[i]))
 		}
@@ -134,8 +134,8 @@
 		for serial := uint64(1); serial <= 4; serial++ {
 			reply, err := f.Clerk.Show(f.Scope, serial)
 			Expect(err).NotTo(HaveOccurred())
-			manifest, mishap := trust.Verify(reply.Sealed)
-			Expect(mishap).To(BeNil())
+			manifest, fault := trust.Verify(reply.Sealed)
+			Expect(fault).To(BeNil())
 			Expect(manifest.Serial).To(Equal(serial))
 			Expect(bundle.Whole(reply.Sealed, manifest)).To(BeTrue())
 		}
@@ -165,7 +165,7 @@
 		Expect(f.Until(2*time.Second, func() bool { return f.AllOn(2) })).To(BeTrue())
 		sent, _ := f.World.Sent()
 		size := 0
-		for _, part := range f.Vanes[0].Vane.Node.Bundle().Sealed.Parts {
+		for _, part := range f.Vanes[0].Node.Node.Bundle().Sealed.Parts {
 			size += len(part.Body)
 		}
 		ginkgo.GinkgoWriter.Printf("MEASURE large, 10000 routes: parts of %d bytes; %d bytes between all processes and the operator; acked after %s, on every node %s later\n", size, sent-bytes, acked-begun, f.Scope.Clock.Mono()-acked)
@@ -179,26 +179,26 @@
 
 var _ = ginkgo.Describe("params", func() {
 	ginkgo.It("given many things wrong, when checked, then all are listed at once", func() {
-		vane := &wire.VaneParams{Name: "Bad Name", Mates: "nowhere", Seeds: []string{"1.2.3.4"}, Log: "loud", Held: 1}
-		listednode.SetDefaults(vane)
-		Expect(len(base.ErrorLines(listednode.Check(vane)))).To(BeNumerically(">=", 10))
-		keel := &wire.KeelParams{Name: "k", Serials: 1}
-		listedcore.SetDefaults(keel)
-		Expect(len(base.ErrorLines(listedcore.Check(keel)))).To(BeNumerically(">=", 6))
+		node := &wire.VaneParams{Name: "Bad Name", Mates: "nowhere", Seeds: []string{"1.2.3.4"}, Log: "loud", Held: 1}
+		listednode.SetDefaults(node)
+		Expect(len(base.ErrorLines(listednode.Check(node)))).To(BeNumerically(">=", 10))
+		controller := &wire.KeelParams{Name: "k", Serials: 1}
+		listedcore.SetDefaults(controller)
+		Expect(len(base.ErrorLines(listedcore.Check(controller)))).To(BeNumerically(">=", 6))
 	})
 
 	story("given visitors calling, when params are reloaded, then good ones turn, bad ones are bounced, and nothing is dropped", []uint64{1}, func(f *Fleet) {
 		raised(f)
 		f.Visit(80)
 		f.Pass(time.Second)
-		vane := f.Vanes[0]
+		node := f.Vanes[0]
 		with := func(change func(*wire.VaneParams)) error {
 			params := &wire.VaneParams{
-				Name: vane.Name, Zone: vane.Zone, Mates: vane.Address, Visitors: vane.At(visitorsPort), Upstreams: vane.At(upstreamsPort), Ops: vane.At(opsPort),
+				Name: node.Name, Zone: node.Zone, Mates: node.Address, Visitors: node.At(visitorsPort), Upstreams: node.At(upstreamsPort), Ops: node.At(opsPort),
 				Seeds: f.seeds, Folder: "data", Trusted: f.trusted,
 			}
 			change(params)
-			return vane.Vane.Reload(params)
+			return node.Node.Reload(params)
 		}
 		Expect(with(func(p *wire.VaneParams) { p.Held = 2048 })).To(Succeed())
 		f.Pass(time.Second)
@@ -222,7 +222,7 @@
 		f.Pass(3 * time.Second)
 		copies := map[string]int{}
 		for _, m := range f.Keels {
-			spans, _ := m.Keel.Traces.Recent(0, 100000)
+			spans, _ := m.Controller.Traces.Recent(0, 100000)
 			for _, span := range spans {
 				copies[span.Id]++
 			}
@@ -233,7 +233,7 @@
 		}
 		f.PowerLoss(f.Keels[0])
 		Expect(f.Raise(f.Keels[0])).To(Succeed())
-		spans, _ := f.Keels[0].Keel.Traces.Recent(0, 100000)
+		spans, _ := f.Keels[0].Controller.Traces.Recent(0, 100000)
 		Expect(len(spans)).To(BeNumerically(">", len(copies)/3))
 		for _, span := range spans {
 			if span.Parent != "" && span.Side == tracing.FarSide {
--- a/internal/testing/listedfleet/doors_test.go
+++ b/internal/testing/listedfleet/doors_test.go
@@ -39,8 +39,8 @@
 var _ = ginkgo.Describe("bad input at every door", func() {
 	story("given malformed, wrong, too large and too slow input, when sent to each door, then each is answered with its kind at once and nothing falls", []uint64{1}, func(f *Fleet) {
 		raised(f)
-		m, keel := f.Vanes[1], f.Keels[0]
-		visitors, upstreams, operators := m.At(visitorsPort), m.At(upstreamsPort), keel.At(operatorsPort)
+		m, controller := f.Vanes[1], f.Keels[0]
+		visitors, upstreams, operators := m.At(visitorsPort), m.At(upstreamsPort), controller.At(operatorsPort)
 		for _, each := range []struct {
 			door, text string
 			status     int
@@ -75,9 +75,9 @@
 			{m.Address, post("/curlewreach.Kin/Beat", `{"roster":{"node":"`+strings.Repeat("q", 100)+`"}}`), 200, ""},
 			{m.Address, post("/curlewreach.Kin/Beat", `{}`), 400, ""},
 			{m.Address, post("/curlewreach.Flow/Vouch", `{"node":7}`), 400, ""},
-			{keel.Address, post("/curlewreach.Trove/Accept", `{}`), 400, ""},
-			{keel.Address, post("/curlewreach.Helm/Propose", `{}`), 0, ""},
-			{keel.Address, post("/curlewreach.Lens/Keep", `{"batch":{"spans":[{"durationUs":"-1"}]}}`), 400, ""},
+			{controller.Address, post("/curlewreach.Trove/Accept", `{}`), 400, ""},
+			{controller.Address, post("/curlewreach.Helm/Propose", `{}`), 0, ""},
+			{controller.Address, post("/curlewreach.Lens/Keep", `{"batch":{"spans":[{"durationUs":"-1"}]}}`), 400, ""},
 		} {
 			begun := time.Now()
 			status, said, err := f.raw(each.door, each.text, 5*time.Second)
@@ -88,7 +88,7 @@
 			Expect(said).To(ContainSubstring(each.said), "%.80q", each.text)
 			Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second), "%.80q", each.text)
 		}
-		for _, door := range []string{visitors, upstreams, operators, m.Address, keel.Address, m.At(opsPort)} {
+		for _, door := range []string{visitors, upstreams, operators, m.Address, controller.Address, m.At(opsPort)} {
 			begun := time.Now()
 			status, _, err := f.raw(door, "GET /ready HTTP/1.1\r\nHost: x\r\nSlow", time.Minute)
 			Expect(err != nil || status >= 400).To(BeTrue(), "a header that never ends is cut off")
--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs a whole fleet of listed machines in memory: the real
-// processes over a simulated network, disks and clocks (fleet/rig) within a
+// Package listedfleet runs a whole fleet of listed machines in memory: the real
+// processes over a simulated network, disks and clocks (simnet) within a
 // testing/synctest bubble, with stand-in upstreams and visitors, and a history
 // that internal/testing/judge judges. Its tests are the stories of
 // docs/proof.md.
@@ -34,7 +34,7 @@
 	nearby        = 20 * time.Microsecond
 	sameZone      = 200 * time.Microsecond
 	crossZone     = 1 * time.Millisecond
-	matesPort     = 7001
+	peersPort     = 7001
 	visitorsPort  = 7002
 	upstreamsPort = 7003
 	opsPort       = 7004
@@ -48,19 +48,19 @@
 // Machine is a machine and the process running on it, if any.
 type Machine struct {
 	*wire.Machine
-	IP       string
-	Disk     *simnet.Disk
-	Clock    *simnet.Clock
-	Journal  *base.Journal
-	Vane     *listednode.Process
-	Keel     *listedcore.Process
-	mount    *simnet.Mount
-	thaw     func()
-	stopping atomic.Bool
-	up       atomic.Bool
-	lives    int
-	back     func()
-	cancel   context.CancelFunc
+	IP         string
+	Disk       *simnet.Disk
+	Clock      *simnet.Clock
+	Journal    *base.Journal
+	Node       *listednode.Process
+	Controller *listedcore.Process
+	mount      *simnet.Mount
+	thaw       func()
+	stopping   atomic.Bool
+	up         atomic.Bool
+	lives      int
+	back       func()
+	cancel     context.CancelFunc
 }
 
 // At returns the address of a port on the machine.
@@ -88,15 +88,15 @@
 	Habits []standin.Habit
 	Plan   []standin.Habitual
 	// Tune and TuneKeel, if set, change the params that processes start with.
-	Tune     func(*wire.VaneParams)
-	TuneKeel func(*wire.KeelParams)
-	trusted  []string
-	seeds    []string
-	born     time.Time
-	visiting context.CancelFunc
-	crew     base.Group
-	living   sync.Mutex
-	sampling context.CancelFunc
+	Tune           func(*wire.VaneParams)
+	TuneController func(*wire.KeelParams)
+	trusted        []string
+	seeds          []string
+	born           time.Time
+	visiting       context.CancelFunc
+	crew           base.Group
+	living         sync.Mutex
+	sampling       context.CancelFunc
 }
 
 // New returns a fleet of the shape's machines, none of them running. All that
@@ -117,7 +117,7 @@
 	var operators []string
 	for i, each := range f.Shape.Common.Machines {
 		ip := fmt.Sprintf("10.9.0.%d", i+1)
-		each.Address = fmt.Sprintf("%s:%d", ip, matesPort)
+		each.Address = fmt.Sprintf("%s:%d", ip, peersPort)
 		zones[ip] = each.Zone
 		m := &Machine{Machine: each, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + each.Name)), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound)}
 		if each.Core {
@@ -169,13 +169,13 @@
 	}
 	if m.Core {
 		params := &wire.KeelParams{Name: m.Name, Zone: m.Zone, Mates: m.Address, Operators: m.At(operatorsPort), Seeds: f.seeds, Folder: "data", Trusted: f.trusted}
-		if f.TuneKeel != nil {
-			f.TuneKeel(params)
+		if f.TuneController != nil {
+			f.TuneController(params)
 		}
-		keel, err := listedcore.Start(s, params)
+		controller, err := listedcore.Start(s, params)
 		f.living.Lock()
 		defer f.living.Unlock()
-		m.Keel = keel
+		m.Controller = controller
 		m.up.Store(err == nil)
 		return err
 	}
@@ -190,10 +190,10 @@
 	if f.Tune != nil {
 		f.Tune(params)
 	}
-	vane, err := listednode.Start(s, params)
+	node, err := listednode.Start(s, params)
 	f.living.Lock()
 	defer f.living.Unlock()
-	m.Vane = vane
+	m.Node = node
 	m.up.Store(err == nil)
 	return err
 }
@@ -224,10 +224,10 @@
 	m.stopping.Store(true)
 	defer m.stopping.Store(false)
 	switch {
-	case m.Vane != nil:
-		m.Vane.Stop()
-	case m.Keel != nil:
-		m.Keel.Stop()
+	case m.Node != nil:
+		m.Node.Stop()
+	case m.Controller != nil:
+		m.Controller.Stop()
 	}
 	f.kill(m, false)
 	end()
@@ -267,15 +267,15 @@
 	if m.thaw != nil {
 		m.thaw()
 	}
-	if m.Keel != nil {
-		m.Keel.Kill()
+	if m.Controller != nil {
+		m.Controller.Kill()
 	}
-	if m.Vane != nil {
-		m.Vane.Kill()
+	if m.Node != nil {
+		m.Node.Kill()
 	}
 	f.living.Lock()
 	defer f.living.Unlock()
-	m.Keel, m.Vane, m.cancel = nil, nil, nil
+	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
 // Seat starts an upstream beside a machine.
@@ -341,7 +341,7 @@
 // Ready reports whether all of the machines that run are ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
-		if m.Keel != nil && !m.Keel.Helm.Ready() || m.Vane != nil && !m.Vane.Node.Ready() {
+		if m.Controller != nil && !m.Controller.Helm.Ready() || m.Node != nil && !m.Node.Node.Ready() {
 			return false
 		}
 	}
@@ -352,7 +352,7 @@
 // the serial or a newer one.
 func (f *Fleet) AllOn(serial uint64) bool {
 	for _, m := range f.Vanes {
-		if m.Vane != nil && (m.Vane.Node.Bundle() == nil || m.Vane.Node.Bundle().Serial < serial) {
+		if m.Node != nil && (m.Node.Node.Bundle() == nil || m.Node.Node.Bundle().Serial < serial) {
 			return false
 		}
 	}
--- a/internal/testing/listedfleet/kin_test.go
+++ b/internal/testing/listedfleet/kin_test.go
@@ -9,8 +9,8 @@
 	"curlewreach/internal/membership"
 )
 
-func (f *Fleet) standing(keel, of *Machine) string {
-	for sighting := range keel.Keel.Helm.View().All() {
+func (f *Fleet) standing(controller, of *Machine) string {
+	for sighting := range controller.Controller.Helm.View().All() {
 		if sighting.Roster.Node == of.Name {
 			return sighting.Standing
 		}
@@ -22,18 +22,18 @@
 	story("given a node lost without a word, when its watchers miss it, then every keel calls it absent within the leaving bound", []uint64{1, 2, 3}, func(f *Fleet) {
 		raised(f)
 		lost := f.Vanes[int(f.Seed)%4]
-		for _, keel := range f.Keels {
-			Expect(f.standing(keel, lost)).To(Equal(membership.Well))
+		for _, controller := range f.Keels {
+			Expect(f.standing(controller, lost)).To(Equal(membership.Well))
 		}
 		f.PowerLoss(lost)
 		begun := f.Scope.Clock.Mono()
-		for _, keel := range f.Keels {
-			Expect(f.Until(2*time.Second, func() bool { return f.standing(keel, lost) == membership.Absent })).To(BeTrue())
+		for _, controller := range f.Keels {
+			Expect(f.Until(2*time.Second, func() bool { return f.standing(controller, lost) == membership.Absent })).To(BeTrue())
 		}
 		ginkgo.GinkgoWriter.Printf("MEASURE detection, seed %d: absent at all keels after %s\n", f.Seed, f.Scope.Clock.Mono()-begun)
 		Expect(f.Raise(lost)).To(Succeed())
-		for _, keel := range f.Keels {
-			Expect(f.Until(time.Second, func() bool { return f.standing(keel, lost) == membership.Well })).To(BeTrue())
+		for _, controller := range f.Keels {
+			Expect(f.Until(time.Second, func() bool { return f.standing(controller, lost) == membership.Well })).To(BeTrue())
 		}
 	})
 
@@ -50,8 +50,8 @@
 			f.Pass(100 * time.Millisecond)
 		}
 		alarms := 0
-		for _, keel := range f.Keels {
-			for event := range keel.Journal.About("") {
+		for _, controller := range f.Keels {
+			for event := range controller.Journal.About("") {
 				if event.Topic == "standing" && event.Detail == membership.Absent {
 					alarms++
 				}
--- a/internal/testing/listedfleet/lens_test.go
+++ b/internal/testing/listedfleet/lens_test.go
@@ -14,8 +14,8 @@
 func (f *Fleet) holder() (*Machine, *wire.Learning) {
 	learning := &wire.Learning{}
 	for _, m := range f.Keels {
-		if m.Keel != nil && m.Keel.Helm.Learning().GetCycle() > learning.Cycle {
-			learning = m.Keel.Helm.Learning()
+		if m.Controller != nil && m.Controller.Helm.Learning().GetCycle() > learning.Cycle {
+			learning = m.Controller.Helm.Learning()
 		}
 	}
 	for _, m := range f.Keels {
@@ -63,11 +63,11 @@
 		raised(f)
 		f.Visit(60)
 		f.Pass(6 * time.Second)
-		held := f.Vanes[0].Vane.Node.Keeper().Serial()
+		held := f.Vanes[0].Node.Node.Keeper().Serial()
 		Expect(held).To(BeNumerically(">", 0))
 		for _, m := range f.Keels {
-			for _, vane := range f.Vanes {
-				f.Cut(m, vane)
+			for _, node := range f.Vanes {
+				f.Cut(m, node)
 			}
 		}
 		f.Pass(time.Second)
@@ -78,7 +78,7 @@
 			Expect(call.Status).To(Equal(200), call.Kind)
 			Expect(call.Ended - call.Begun).To(BeNumerically("<", 500*time.Millisecond))
 		}
-		keeper := f.Vanes[0].Vane.Node.Keeper()
+		keeper := f.Vanes[0].Node.Node.Keeper()
 		Expect(keeper.Chance("catalogue/search")).To(BeNumerically("<", 1))
 		Expect(keeper.Chance("catalogue/never-seen")).To(Equal(1.0))
 		sound(f)
@@ -187,7 +187,7 @@
 			}
 			bubble(1, b, func(f *Fleet) {
 				raised(f)
-				for _, part := range f.Vanes[0].Vane.Node.Bundle().Sealed.Parts {
+				for _, part := range f.Vanes[0].Node.Node.Bundle().Sealed.Parts {
 					total += len(part.Body)
 				}
 			})
--- a/internal/testing/listedfleet/life_test.go
+++ b/internal/testing/listedfleet/life_test.go
@@ -20,14 +20,14 @@
 	note := func(name string, size int) { largest[name] = max(largest[name], size) }
 	for _, m := range f.Every() {
 		kind := "vane "
-		if m.Keel != nil {
+		if m.Controller != nil {
 			kind = "keel "
-			for name, size := range m.Keel.Helm.Sizes() {
+			for name, size := range m.Controller.Helm.Sizes() {
 				note(kind+name, size)
 			}
 		}
-		if m.Vane != nil {
-			for name, size := range m.Vane.Node.Sizes() {
+		if m.Node != nil {
+			for name, size := range m.Node.Node.Sizes() {
 				note(kind+name, size)
 			}
 		}
@@ -43,7 +43,7 @@
 			ginkgo.Skip("sizes are compared once, without the race detector")
 		}
 		bubble(1, shape(4), func(f *Fleet) {
-			f.TuneKeel = func(p *wire.KeelParams) { p.Traces, p.Serials = 500, 4 }
+			f.TuneController = func(p *wire.KeelParams) { p.Traces, p.Serials = 500, 4 }
 			f.Tune = func(p *wire.VaneParams) { p.Bounds = &wire.Bounds{} }
 			raised(f)
 			f.Visit(8)
--- a/internal/testing/listedfleet/odds_test.go
+++ b/internal/testing/listedfleet/odds_test.go
@@ -15,8 +15,8 @@
 func (f *Fleet) spans() map[string]*wire.Span {
 	spans := map[string]*wire.Span{}
 	for _, m := range f.Keels {
-		if m.Keel != nil {
-			recent, _ := m.Keel.Traces.Recent(0, 100000)
+		if m.Controller != nil {
+			recent, _ := m.Controller.Traces.Recent(0, 100000)
 			for _, span := range recent {
 				spans[span.Id] = span
 			}
@@ -31,17 +31,17 @@
 		f.Visit(60)
 		f.Pass(6 * time.Second)
 		m := f.Vanes[1]
-		held := m.Vane.Node.Keeper().Serial()
+		held := m.Node.Node.Keeper().Serial()
 		Expect(held).To(BeNumerically(">", 2))
 		f.Pass(500 * time.Millisecond)
-		for _, keel := range f.Keels {
-			f.PowerLoss(keel)
+		for _, controller := range f.Keels {
+			f.PowerLoss(controller)
 		}
 		f.PowerLoss(m)
 		Expect(f.Raise(m)).To(Succeed())
-		Expect(f.Until(20*time.Millisecond, func() bool { return m.Vane.Node.Keeper().Serial() >= held-1 })).To(BeTrue())
-		Expect(m.Vane.Node.Keeper().Chance("catalogue/search")).To(BeNumerically("<", 1))
-		Expect(f.Until(5*time.Second, m.Vane.Node.Ready)).To(BeTrue(), "mates vouch for what its disk has")
+		Expect(f.Until(20*time.Millisecond, func() bool { return m.Node.Node.Keeper().Serial() >= held-1 })).To(BeTrue())
+		Expect(m.Node.Node.Keeper().Chance("catalogue/search")).To(BeNumerically("<", 1))
+		Expect(f.Until(5*time.Second, m.Node.Node.Ready)).To(BeTrue(), "mates vouch for what its disk has")
 		f.Leave()
 		sound(f)
 	})
@@ -51,15 +51,15 @@
 		f.Visit(60)
 		f.Pass(6 * time.Second)
 		m := f.Vanes[2]
-		for _, keel := range f.Keels {
-			f.Kill(keel)
+		for _, controller := range f.Keels {
+			f.Kill(controller)
 		}
 		f.PowerLoss(m)
 		Expect(m.Disk.Flip("odds")).NotTo(BeEmpty())
 		Expect(f.Raise(m)).To(Succeed())
-		Expect(f.Until(5*time.Second, m.Vane.Node.Ready)).To(BeTrue())
+		Expect(f.Until(5*time.Second, m.Node.Node.Ready)).To(BeTrue())
 		Expect(m.Journal.Counts()["odds-bounced"]).To(BeNumerically(">", 0))
-		Expect(m.Vane.Node.Keeper().Serial()).To(BeNumerically(">", 2))
+		Expect(m.Node.Node.Keeper().Serial()).To(BeNumerically(">", 2))
 		f.Leave()
 		sound(f)
 	})
@@ -142,7 +142,7 @@
 		watched := func() map[string]map[string]uint64 {
 			rows := map[string]map[string]uint64{}
 			for _, m := range f.Vanes {
-				rows[m.Name] = m.Vane.Node.Watched()
+				rows[m.Name] = m.Node.Node.Watched()
 			}
 			return rows
 		}
--- a/internal/testing/listedfleet/rollout_test.go
+++ b/internal/testing/listedfleet/rollout_test.go
@@ -79,12 +79,12 @@
 		f.Isolate(f.Vanes[0])
 		Expect(f.push("second", 1, nudge(2)).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(4 * time.Second)
-		Expect(f.Vanes[0].Vane.Node.Ready()).To(BeFalse())
+		Expect(f.Vanes[0].Node.Node.Ready()).To(BeFalse())
 		call := f.ask(f.Vanes[0], hold, "alone")
 		Expect(call.Outcome).To(Equal("not-run"))
 		f.World.HealAll()
 		f.Pass(2 * time.Second)
-		Expect(f.Vanes[0].Vane.Node.Bundle().Serial).To(Equal(uint64(2)))
+		Expect(f.Vanes[0].Node.Node.Bundle().Serial).To(Equal(uint64(2)))
 		f.Leave()
 		sound(f)
 	})
@@ -112,9 +112,9 @@
 		done := make(chan *wire.Outcome, 1)
 		go func() { done <- f.push("second", 1, nudge(2)) }()
 		f.Pass(time.Duration(f.Seed) * 2 * time.Millisecond)
-		for _, keel := range f.Keels {
-			for _, vane := range f.Vanes {
-				f.Cut(keel, vane)
+		for _, controller := range f.Keels {
+			for _, node := range f.Vanes {
+				f.Cut(controller, node)
 			}
 		}
 		f.Pass(5 * time.Second)
@@ -126,8 +126,8 @@
 		f.Pass(3 * time.Second)
 		Expect(f.resolve("second").Verdict).To(Equal(outcome.Verdict))
 		for _, m := range f.Vanes {
-			Expect(m.Vane.Node.Ready()).To(BeTrue())
-			Expect(m.Vane.Node.Bundle().Serial).To(Equal(f.newest()))
+			Expect(m.Node.Node.Ready()).To(BeTrue())
+			Expect(m.Node.Node.Bundle().Serial).To(Equal(f.newest()))
 		}
 		f.Leave()
 		sound(f)
@@ -140,7 +140,7 @@
 		done := make(chan *wire.Outcome, 1)
 		go func() { done <- f.push("second", 1, nudge(2)) }()
 		f.Pass(time.Duration(f.Seed) * 1500 * time.Microsecond)
-		owner, _, known := f.Keels[1].Keel.Trove.Owner("bundle")
+		owner, _, known := f.Keels[1].Controller.ReplicatedStore.Owner("bundle")
 		Expect(known).To(BeTrue())
 		for _, m := range f.Keels {
 			if m.Address == owner.Address {
@@ -243,7 +243,7 @@
 		reply, err := f.Clerk.Show(f.Scope, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Serial).To(Equal(uint64(2)))
-		Expect(f.Until(5*time.Second, func() bool { return lost.Keel.Helm.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
+		Expect(f.Until(5*time.Second, func() bool { return lost.Controller.Helm.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
 	})
 
 	story("given power lost right after an ack, when the owner's disk is gone, then the newest bundle reads back whole", []uint64{1, 2, 3}, func(f *Fleet) {
@@ -264,8 +264,8 @@
 		})).To(BeTrue())
 		trust, err := bundle.NewTrust(f.trusted)
 		Expect(err).NotTo(HaveOccurred())
-		manifest, mishap := trust.Verify(reply.Sealed)
-		Expect(mishap).To(BeNil())
+		manifest, fault := trust.Verify(reply.Sealed)
+		Expect(fault).To(BeNil())
 		Expect(bundle.Whole(reply.Sealed, manifest)).To(BeTrue())
 	})
 
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -57,7 +57,7 @@
 	{"wipe", func(f *Fleet, rand *base.Rand) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Keel.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.Helm.Ready() {
 				return func() {}
 			}
 		}
@@ -91,7 +91,7 @@
 	}},
 	{"stop", func(f *Fleet, rand *base.Rand) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
-		if m.Vane != nil {
+		if m.Node != nil {
 			f.Stop(m)
 		}
 		return raise(f, m)
@@ -109,9 +109,9 @@
 		return f.World.HealAll
 	}},
 	{"core cut off", func(f *Fleet, rand *base.Rand) func() {
-		for _, keel := range f.Keels {
-			for _, vane := range f.Vanes {
-				f.Cut(keel, vane)
+		for _, controller := range f.Keels {
+			for _, node := range f.Vanes {
+				f.Cut(controller, node)
 			}
 		}
 		return f.World.HealAll
@@ -188,7 +188,7 @@
 	{"bit flip", func(f *Fleet, rand *base.Rand) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Keel.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.Helm.Ready() {
 				return func() {}
 			}
 		}
@@ -254,8 +254,8 @@
 func (f *Fleet) coreStates() string {
 	var lines []string
 	for _, m := range f.Keels {
-		if m.Keel != nil {
-			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Keel.Helm.State()))
+		if m.Controller != nil {
+			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.Helm.State()))
 			for event := range m.Journal.About("") {
 				switch event.Topic {
 				case "phase", "waiting", "blank", "sick-key", "recovered", "set-aside", "disk-trouble":
--- a/internal/testing/listedfleet/tap.go
+++ b/internal/testing/listedfleet/tap.go
@@ -46,10 +46,10 @@
 			calm = now
 		}
 		for _, m := range f.Vanes {
-			if m.Vane == nil {
+			if m.Node == nil {
 				continue
 			}
-			serial, digest, ready := m.Vane.Node.Serving()
+			serial, digest, ready := m.Node.Node.Serving()
 			f.History.Read(judge.Reading{At: now, Node: m.Name, Serial: serial, Digest: digest, Ready: ready, Calm: now-calm > calmAfter})
 		}
 	})
@@ -59,10 +59,10 @@
 // bundle.
 func (f *Fleet) ReadBack() {
 	for _, m := range f.Keels {
-		if m.Keel == nil || !m.Keel.Helm.Ready() {
+		if m.Controller == nil || !m.Controller.Helm.Ready() {
 			continue
 		}
-		reply, err := m.Keel.Helm.Read(f.Scope, 0)
+		reply, err := m.Controller.Helm.Read(f.Scope, 0)
 		f.History.ReadBack(m.Name, reply.GetSerial(), reply.GetSealed(), err)
 	}
 }
--- a/internal/testing/listedfleet/trouble_test.go
+++ b/internal/testing/listedfleet/trouble_test.go
@@ -42,7 +42,7 @@
 		done := make(chan *wire.Outcome, 1)
 		go func() { done <- f.push("second", 1, nudge(2)) }()
 		f.Pass(time.Duration(f.Seed) * 1500 * time.Microsecond)
-		owner, _, known := f.Keels[1].Keel.Trove.Owner("bundle")
+		owner, _, known := f.Keels[1].Controller.ReplicatedStore.Owner("bundle")
 		Expect(known).To(BeTrue())
 		var thaw func()
 		for _, m := range f.Keels {
@@ -112,7 +112,7 @@
 		far := f.Vanes[1]
 		callee := wireconnect.NewFlowClient(base.HTTPClient(f.Scope), "http://"+far.Address)
 		ask := &wire.CarryRequest{
-			Attempt: "twice", Incarnation: far.Vane.Node.Incarnation(), Serial: 1, Service: "lending", Route: "hold", Seat: far.At(8001), Group: "patrons",
+			Attempt: "twice", Incarnation: far.Node.Node.Incarnation(), Serial: 1, Service: "lending", Route: "hold", Seat: far.At(8001), Group: "patrons",
 			Method: "POST", Target: "/lending/hold/7", NotAfterUs: (far.Clock.Mono() + 2*time.Second).Microseconds(), Trail: &wire.Trail{Trace: "t"},
 			Headers: []*wire.Header{{Name: standin.IDHeader, Values: []string{"twice"}}},
 		}
@@ -121,18 +121,18 @@
 			go func() {
 				stream, err := callee.Carry(context.Background(), connect.NewRequest(ask))
 				Expect(err).NotTo(HaveOccurred())
-				var mishap *wire.CarryMishap
+				var fault *wire.CarryMishap
 				for stream.Receive() {
 					if told := stream.Msg().GetMishap(); told != nil {
-						mishap = told
+						fault = told
 					}
 				}
 				_ = stream.Close()
-				said <- mishap
+				said <- fault
 			}()
 			f.Pass(time.Duration(f.Seed-1) * 20 * time.Millisecond)
 		}
-		mishaps := []*wire.CarryMishap{<-said, <-said}
+		faults := []*wire.CarryMishap{<-said, <-said}
 		runs := 0
 		for _, run := range f.History.Runs() {
 			if run.ID == "twice" {
@@ -140,8 +140,8 @@
 			}
 		}
 		promised := 0
-		for _, mishap := range mishaps {
-			if mishap != nil && !mishap.Run {
+		for _, fault := range faults {
+			if fault != nil && !fault.Run {
 				promised++
 			}
 		}
@@ -196,19 +196,19 @@
 		f.Visit(300)
 		f.Pass(10 * time.Second)
 		f.Leave()
-		bounced, doubtful := 0, 0
+		rejected, doubtful := 0, 0
 		for _, call := range f.History.Calls() {
 			if call.Kind == string(base.Overloaded) {
-				bounced++
+				rejected++
 				Expect(call.Again).NotTo(BeEmpty())
 				if call.Outcome != "not-run" {
 					doubtful++
 				}
 			}
 		}
-		Expect(bounced).To(BeNumerically(">", 50))
-		Expect(doubtful).To(BeNumerically("<", bounced/10))
-		ginkgo.GinkgoWriter.Printf("MEASURE crowd, seed %d: %v, %d crowded, %d of them in doubt\n", f.Seed, f.tally(f.History.Calls()), bounced, doubtful)
+		Expect(rejected).To(BeNumerically(">", 50))
+		Expect(doubtful).To(BeNumerically("<", rejected/10))
+		ginkgo.GinkgoWriter.Printf("MEASURE crowd, seed %d: %v, %d crowded, %d of them in doubt\n", f.Seed, f.tally(f.History.Calls()), rejected, doubtful)
 		Expect(f.tally(f.History.Calls())["answered"]).To(BeNumerically(">", 300))
 		sound(f, judge.NotRun)
 	})
@@ -322,7 +322,7 @@
 						}
 					}
 					for _, m := range f.Vanes {
-						for _, count := range m.Vane.Node.Watched() {
+						for _, count := range m.Node.Node.Watched() {
 							recorded[sample] += count
 						}
 					}
--- a/internal/testing/listedfleet/ways_test.go
+++ b/internal/testing/listedfleet/ways_test.go
@@ -54,9 +54,9 @@
 				Expect(f.forsake("without them", 1, lost).Verdict).To(Equal(wire.Verdict_TAKEN))
 				f.Pass(2 * time.Second)
 				Expect(f.push("on", 2, nudge(2)).Verdict).To(Equal(wire.Verdict_TAKEN))
-				for _, keel := range f.Keels {
+				for _, controller := range f.Keels {
 					for _, m := range lost {
-						f.Cut(keel, m)
+						f.Cut(controller, m)
 					}
 				}
 				for _, m := range lost {
@@ -64,7 +64,7 @@
 				}
 				f.Pass(4 * time.Second)
 				for _, m := range lost {
-					if serial, _, ready := m.Vane.Node.Serving(); ready {
+					if serial, _, ready := m.Node.Node.Serving(); ready {
 						Expect(serial).To(Equal(uint64(3)), "what returns from disk is in force only once those who hold the newest vouch")
 					}
 				}
@@ -82,7 +82,7 @@
 		f.Tune = func(p *wire.VaneParams) {
 			p.Bounds = &wire.Bounds{Alone: alone, Recovery: durationpb.New(4 * time.Second)}
 		}
-		f.TuneKeel = func(p *wire.KeelParams) {
+		f.TuneController = func(p *wire.KeelParams) {
 			p.Bounds = &wire.Bounds{Alone: alone, Recovery: durationpb.New(4 * time.Second)}
 		}
 		raised(f)
@@ -98,7 +98,7 @@
 		Expect(f.Ready(lost)).To(BeTrue(), "within the bound mates go on")
 		f.Pass(3 * time.Second)
 		for _, m := range lost {
-			Expect(m.Vane.Node.Ready()).To(BeFalse())
+			Expect(m.Node.Node.Ready()).To(BeFalse())
 		}
 		Expect(f.forsake("without them", 1, lost).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(4 * time.Second)
@@ -139,7 +139,7 @@
 			Expect(f.Until(10*time.Second, func() bool { return f.Ready([]*Machine{m}) })).To(BeTrue(), m.Name)
 		}
 		Expect(f.Raise(next)).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return next.Keel.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return next.Controller.Helm.Ready() })).To(BeTrue())
 		change := &wire.Change{DropMachines: []string{lost.Name}, Machines: []*wire.Machine{next.Machine}}
 		Expect(f.push("third", 2, change).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(2 * time.Second)
@@ -149,7 +149,7 @@
 		f.ReadBack()
 		Expect(f.push("fourth", 3, nudge(4)).Verdict).To(Equal(wire.Verdict_TAKEN))
 		Expect(f.Raise(kept[0])).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return kept[0].Keel.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return kept[0].Controller.Helm.Ready() })).To(BeTrue())
 		f.Pass(2 * time.Second)
 		f.ReadBack()
 		f.Leave()
@@ -171,7 +171,7 @@
 		Expect(outcome.Verdict).To(Equal(wire.Verdict_TAKEN))
 		Expect(f.Raise(missing)).To(Succeed())
 		begun := f.Scope.Clock.Mono()
-		Expect(f.Until(3*time.Second, func() bool { return missing.Keel.Trove.Copies("bundle") == 3 })).To(BeTrue())
+		Expect(f.Until(3*time.Second, func() bool { return missing.Controller.ReplicatedStore.Copies("bundle") == 3 })).To(BeTrue())
 		ginkgo.GinkgoWriter.Printf("MEASURE repair, seed %d: three copies again after %s\n", f.Seed, f.Scope.Clock.Mono()-begun)
 		f.PowerLoss(lost)
 		lost.Disk.Wipe()
@@ -260,7 +260,7 @@
 	story("given a keel stopped politely, when it goes, then the keys it owned have an owner at once", []uint64{1, 2, 3}, func(f *Fleet) {
 		raised(f)
 		f.Visit(40)
-		owner, _, known := f.Keels[0].Keel.Trove.Owner("bundle")
+		owner, _, known := f.Keels[0].Controller.ReplicatedStore.Owner("bundle")
 		Expect(known).To(BeTrue())
 		for _, m := range f.Keels {
 			if m.Address == owner.Address {
@@ -269,7 +269,7 @@
 		}
 		owned := 0
 		for _, m := range f.Keels {
-			if m.Keel != nil && m.Keel.Trove.Owns("bundle") {
+			if m.Controller != nil && m.Controller.ReplicatedStore.Owns("bundle") {
 				owned++
 			}
 		}
@@ -303,7 +303,7 @@
 		f.Pass(4 * time.Second)
 		copies := map[string]int{}
 		for _, m := range f.Keels {
-			recent, _ := m.Keel.Traces.Recent(0, 100000)
+			recent, _ := m.Controller.Traces.Recent(0, 100000)
 			for _, span := range recent {
 				copies[span.Id]++
 			}
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -1,4 +1,4 @@
-// Package open runs an open fleet in memory: control machines, nodes with an upstream beside each, visitors and an operator.
+// Package openfleet runs an open fleet in memory: control machines, nodes with an upstream beside each, visitors and an operator.
 package openfleet
 
 import (
--- a/internal/testing/simnet/net.go
+++ b/internal/testing/simnet/net.go
@@ -1,4 +1,4 @@
-// Package rig simulates the surroundings of machines, network, disks and
+// Package simnet simulates the surroundings of machines, network, disks and
 // clocks, with their troubles, for fleets that run in memory within a
 // testing/synctest bubble. Its network, disk and clock are those that a
 // base.Scope carries.
