--- a/base/views.go
+++ b/base/views.go
@@ -1,16 +1,15 @@
 package base
 
 import (
-	"maps"
 	"net/http"
 	"runtime"
-	"slices"
 	"strconv"
 	"sync"
 
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
+	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
 
@@ -25,7 +24,7 @@
 // GET /journal?subject=&last= (its newest events) and GET /metrics
 // (Prometheus). One view or metrics page is made at a time, to bound what
 // looking costs.
-func Views(mux *http.ServeMux, s Scope, view func() proto.Message, metrics func(*Metrics)) {
+func Views(mux *http.ServeMux, s Scope, view func() proto.Message, collect func(*metrics.Samples)) {
 	var turn sync.Mutex
 	mux.HandleFunc("GET /view", func(w http.ResponseWriter, _ *http.Request) {
 		turn.Lock()
@@ -44,21 +43,15 @@
 		}
 		ReplyProto(w, told)
 	})
-	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		m := &Metrics{}
+	mux.Handle("GET /metrics", metrics.Handler(func(samples *metrics.Samples) {
 		turn.Lock()
-		metrics(m)
+		collect(samples)
 		turn.Unlock()
-		const events = "curlew_events_total"
-		m.Kind(events, "counter", "journal events by topic")
-		counts := s.Journal.Counts()
-		for _, topic := range slices.Sorted(maps.Keys(counts)) {
-			m.Add(events, float64(counts[topic]), "topic", topic)
+		for topic, count := range s.Journal.Counts() {
+			samples.Add("curlew_events_total", metrics.Counter, "journal events by topic", float64(count), metrics.Labels{"topic": topic})
 		}
-		m.Single("curlew_goroutines", "gauge", "goroutines of the process", float64(runtime.NumGoroutine()))
-		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		_, _ = w.Write(m.page.Bytes())
-	})
+		samples.Add("curlew_goroutines", metrics.Gauge, "goroutines of the process", float64(runtime.NumGoroutine()), nil)
+	}))
 }
 
 // ReplyProto answers with a message as JSON.
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
 
@@ -18,7 +19,7 @@
 
 // registerViews lets operators look, on the door for peers: GET /view, /configuration, /odds, /journal, /metrics.
 func (m *Server) registerViews(mux *http.ServeMux) {
-	base.Views(mux, m.scope, func() proto.Message { return m.View() }, m.metrics)
+	base.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collect)
 	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		if err != nil {
@@ -89,25 +90,25 @@
 	}
 }
 
-// metrics writes the figures of this control machine in Prometheus' text format.
-func (m *Server) metrics(page *base.Metrics) {
-	const nodes = "curlew_nodes"
+// collect adds the figures of this control machine.
+func (m *Server) collect(samples *metrics.Samples) {
 	view := m.View()
-	there, absent := 0, 0
+	states := map[string]int{"there": 0, "absent": 0}
 	for _, each := range view.Nodes {
 		if each.Absent {
-			absent++
+			states["absent"]++
 		} else {
-			there++
+			states["there"]++
 		}
 	}
-	page.Kind(nodes, "gauge", "nodes known here")
-	page.Add(nodes, float64(there), "state", "there")
-	page.Add(nodes, float64(absent), "state", "absent")
-	page.Single("curlew_controller_votes", "gauge", "whether this disk votes", base.BoolValue(m.Ready()))
-	page.Single("curlew_controller_settled", "gauge", "whether this control machine lately agreed with a majority", base.BoolValue(view.Settled))
-	page.Single("curlew_controller_owner", "gauge", "whether this control machine owns the configuration", base.BoolValue(view.Owner == m.address))
-	page.Single("curlew_controller_learner", "gauge", "whether this control machine learns the odds", base.BoolValue(view.Learner == m.address))
-	page.Single("curlew_configuration_serial", "gauge", "the newest configuration seen settled here", float64(view.Serial))
-	page.Single("curlew_controller_reached_seconds", "gauge", "since a majority of disks last answered", float64(view.ReachedMs)/1000)
+	for state, count := range states {
+		samples.Add("curlew_nodes", metrics.Gauge, "nodes known here", float64(count), metrics.Labels{"state": state})
+	}
+	gauge := func(name, help string, value float64) { samples.Add(name, metrics.Gauge, help, value, nil) }
+	gauge("curlew_controller_votes", "whether this disk votes", metrics.Bool(m.Ready()))
+	gauge("curlew_controller_settled", "whether this control machine lately agreed with a majority", metrics.Bool(view.Settled))
+	gauge("curlew_controller_owner", "whether this control machine owns the configuration", metrics.Bool(view.Owner == m.address))
+	gauge("curlew_controller_learner", "whether this control machine learns the odds", metrics.Bool(view.Learner == m.address))
+	gauge("curlew_configuration_serial", "the newest configuration seen settled here", float64(view.Serial))
+	gauge("curlew_controller_reached_seconds", "since a majority of disks last answered", float64(view.ReachedMs)/1000)
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -21,6 +21,7 @@
 	"curlewreach/internal/dataplane/fencing"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/dataplane/retry"
+	"curlewreach/internal/metrics"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 )
@@ -94,7 +95,7 @@
 	inFlight            atomic.Int64
 	statusRevision      atomic.Uint64
 	counts              base.Table[*atomic.Uint64]
-	durations           [len(classes)]base.Histogram
+	durations           [len(classes)]metrics.Histogram
 	clients             *connection.ClientConnections
 	servers             []*base.Server
 	cancel              context.CancelFunc
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -1,13 +1,12 @@
 package dataplane
 
 import (
-	"maps"
 	"net/http"
-	"slices"
 
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
 
@@ -19,7 +18,7 @@
 		return
 	}
 	mux := http.NewServeMux()
-	base.Views(mux, s, func() proto.Message { return n.View() }, n.metrics)
+	base.Views(mux, s, func() proto.Message { return n.View() }, n.collect)
 	door, err := base.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
 		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = headerBytes, headerTime, idleTime, idleTime
 	})
@@ -62,45 +61,52 @@
 	return view
 }
 
-func (n *Node) metrics(m *base.Metrics) {
-	const outcomes, lengths, peers, retryBudget = "curlew_outcomes_total", "curlew_request_seconds", "curlew_peers", "curlew_repeats_held"
+// collect adds the node's samples.
+func (n *Node) collect(samples *metrics.Samples) {
 	view := n.View()
-	m.Kind(outcomes, "counter", "what visitors were told, by kind; and repeats")
-	for _, what := range slices.Sorted(maps.Keys(view.Counts)) {
-		m.Add(outcomes, float64(view.Counts[what]), "what", what)
+	n.collectRequests(samples, view)
+	collectPeers(samples, view)
+	gauge := func(name, help string, value float64) { samples.Add(name, metrics.Gauge, help, value, nil) }
+	gauge("curlew_ready", "whether clients may come", metrics.Bool(view.Ready))
+	gauge("curlew_configuration_serial", "the configuration in force here", float64(view.Serial))
+	gauge("curlew_configuration_confirmed", "whether a majority has confirmed the configuration in force", metrics.Bool(view.Confirmed))
+	gauge("curlew_config_age_seconds", "since the configuration in force was last known to be the newest", float64(view.ConfigAgeMs)/1000)
+	gauge("curlew_config_stale", "whether that is longer ago than the in-force bound", metrics.Bool(view.ConfigStale))
+	gauge("curlew_upstream", "whether an upstream is here", metrics.Bool(view.Instance != nil))
+	gauge("curlew_inside", "requests of clients and peers in flight here", float64(view.Inside))
+	gauge("curlew_gate_flying", "requests at the upstream", float64(view.Gate.Flying))
+	gauge("curlew_gate_waiting", "requests that wait for their turn", float64(view.Gate.Waiting))
+	gauge("curlew_gate_limit", "requests that the upstream takes at once", float64(view.Gate.Limit))
+	gauge("curlew_link_backlog_seconds", "how long a large answer begun now would wait", float64(view.BacklogMs)/1000)
+}
+
+// collectRequests adds what became of requests and how long they took.
+func (n *Node) collectRequests(samples *metrics.Samples, view *wire.NodeView) {
+	for what, count := range view.Counts {
+		samples.Add("curlew_outcomes_total", metrics.Counter, "what clients were told, by kind; and retries", float64(count), metrics.Labels{"what": what})
 	}
-	m.Kind(lengths, "histogram", "answered requests of visitors here, by kind of route")
 	for i, class := range classes {
-		m.Histogram(lengths, &n.durations[i], "kind", class)
+		samples.AddHistogram("curlew_request_seconds", "answered requests of clients here, by kind of route", &n.durations[i], metrics.Labels{"kind": class})
+	}
+	for _, each := range view.RetryBudgets {
+		samples.Add("curlew_repeats_held", metrics.Gauge, "retries that could be paid now, by service", each.Held, metrics.Labels{"service": each.Service})
 	}
-	there, absent, avoided := 0, 0, 0
+}
+
+// collectPeers adds how many nodes are there.
+func collectPeers(samples *metrics.Samples, view *wire.NodeView) {
+	states := map[string]int{"there": 0, "absent": 0, "avoided": 0}
 	for _, each := range view.Peers {
 		switch {
 		case each.Absent:
-			absent++
+			states["absent"]++
 		case each.AvoidedMs > 0:
-			avoided++
+			states["avoided"]++
 		default:
-			there++
+			states["there"]++
 		}
 	}
-	m.Kind(peers, "gauge", "nodes as seen from here")
-	m.Add(peers, float64(there), "state", "there")
-	m.Add(peers, float64(absent), "state", "absent")
-	m.Add(peers, float64(avoided), "state", "avoided")
-	m.Kind(retryBudget, "gauge", "repeats that could be paid now, by service")
-	for _, each := range view.RetryBudgets {
-		m.Add(retryBudget, each.Held, "service", each.Service)
+	for state, count := range states {
+		samples.Add("curlew_peers", metrics.Gauge, "nodes as seen from here", float64(count), metrics.Labels{"state": state})
 	}
-	m.Single("curlew_ready", "gauge", "whether visitors may come", base.BoolValue(view.Ready))
-	m.Single("curlew_configuration_serial", "gauge", "the configuration in force here", float64(view.Serial))
-	m.Single("curlew_configuration_confirmed", "gauge", "whether a majority has confirmed the configuration in force", base.BoolValue(view.Confirmed))
-	m.Single("curlew_config_age_seconds", "gauge", "since the configuration in force was last known to be the newest", float64(view.ConfigAgeMs)/1000)
-	m.Single("curlew_config_stale", "gauge", "whether that is longer ago than the in-force bound", base.BoolValue(view.ConfigStale))
-	m.Single("curlew_upstream", "gauge", "whether an upstream is here", base.BoolValue(view.Instance != nil))
-	m.Single("curlew_inside", "gauge", "requests of visitors and peers in flight here", float64(view.Inside))
-	m.Single("curlew_gate_flying", "gauge", "requests at the upstream", float64(view.Gate.Flying))
-	m.Single("curlew_gate_waiting", "gauge", "requests that wait for their turn", float64(view.Gate.Waiting))
-	m.Single("curlew_gate_limit", "gauge", "requests that the upstream takes at once", float64(view.Gate.Limit))
-	m.Single("curlew_link_backlog_seconds", "gauge", "how long a large answer begun now would wait", float64(view.BacklogMs)/1000)
 }
