--- a/base/program.go
+++ b/base/program.go
@@ -7,6 +7,8 @@
 	"syscall"
 
 	"github.com/hashicorp/go-hclog"
+
+	"curlewreach/internal/random"
 )
 
 // Version is the release that all programs tell by --version.
@@ -29,7 +31,7 @@
 	}
 	log := hclog.New(&hclog.LoggerOptions{Name: program, Level: hclog.LevelFromString(level), Output: os.Stderr, JSONFormat: true}).With("node", node)
 	return Scope{
-		Context: context.Background(), Node: node, Clock: RealClock(), Net: RealNet(), Disk: disk, Rand: RealRand(), Log: log,
+		Context: context.Background(), Node: node, Clock: RealClock(), Net: RealNet(), Disk: disk, Rand: random.New(), Log: log,
 		Journal: NewJournal(journalBound, logView{log}),
 	}, nil
 }
--- a/base/scope.go
+++ b/base/scope.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/hashicorp/go-hclog"
+
+	"curlewreach/internal/random"
 )
 
 // Scope is the surroundings that a part of a process runs in: its lifetime, as
@@ -21,7 +23,7 @@
 	Clock   Clock
 	Net     Net
 	Disk    Disk
-	Rand    *Rand
+	Rand    *random.Source
 	Log     hclog.Logger
 	Journal *Journal
 }
--- a/internal/command/ctl/open_test.go
+++ b/internal/command/ctl/open_test.go
@@ -18,6 +18,7 @@
 	"curlewreach/internal/dataplane"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/listedcore"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -33,7 +34,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	return base.Scope{
 		Context: context.Background(), Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: disk,
-		Rand: base.RealRand(), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100),
+		Rand: random.New(), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100),
 	}
 }
 
--- a/internal/command/simulate/main.go
+++ b/internal/command/simulate/main.go
@@ -13,6 +13,7 @@
 	"github.com/alexflint/go-arg"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/standin"
 )
 
@@ -90,7 +91,7 @@
 		return err
 	}
 	s.Clock = standin.MachineClock()
-	s.Rand = base.SeededRand(a.Seed)
+	s.Rand = random.Seeded(a.Seed)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s = s.WithContext(ctx)
--- a/internal/controlplane/replace_test.go
+++ b/internal/controlplane/replace_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -19,7 +19,7 @@
 // add starts a control machine at an address of its own, with an empty disk.
 func (f *fleet) add() int {
 	i := len(f.controllers)
-	f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(base.SeededRand(f.seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
+	f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(random.Seeded(f.seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
 	f.raise(i, false)
 	return i
 }
--- a/internal/controlplane/stored_test.go
+++ b/internal/controlplane/stored_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
 	"curlewreach/internal/config"
+	"curlewreach/internal/random"
 	"curlewreach/internal/statestore"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
@@ -24,7 +24,7 @@
 // landedDisk returns a disk with those files.
 func landedDisk(t *testing.T) *simnet.Disk {
 	t.Helper()
-	disk := simnet.NewDisk(base.SeededRand(1))
+	disk := simnet.NewDisk(random.Seeded(1))
 	entries, err := os.ReadDir(landedFolder)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -15,6 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -56,11 +57,11 @@
 
 func newFleet(seed uint64, count int) *fleet {
 	f := &fleet{seed: seed, born: time.Now()}
-	f.world = simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })
-	f.scope = f.scoped("10.9.9.9", "story", simnet.NewDisk(base.SeededRand(seed)), simnet.NewClock(f.born))
+	f.world = simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
+	f.scope = f.scoped("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.born))
 	f.web = base.HTTPClient(f.scope)
 	for i := range count {
-		f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(base.SeededRand(seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
+		f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(random.Seeded(seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
 	}
 	for i := range f.controllers {
 		f.raise(i, true)
@@ -72,7 +73,7 @@
 	f.seed++
 	return base.Scope{
 		Context: context.Background(), Node: ip, Clock: clock, Net: f.world.At(ip, life), Disk: disk,
-		Rand: base.SeededRand(f.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(2000),
+		Rand: random.Seeded(f.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(2000),
 	}
 }
 
--- a/internal/dataplane/balancer/failure_rates_test.go
+++ b/internal/dataplane/balancer/failure_rates_test.go
@@ -5,12 +5,12 @@
 
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
 
 	"github.com/onsi/ginkgo/v2"
 	"github.com/onsi/gomega"
 
-	"curlewreach/base"
 	"curlewreach/proto/wire"
 )
 
@@ -22,7 +22,7 @@
 		return found
 	}
 	picks := func(r *Table) (first string) {
-		options := r.Candidates("s", "z", 2, 100*time.Millisecond, func(string) bool { return false }, base.SeededRand(1))
+		options := r.Candidates("s", "z", 2, 100*time.Millisecond, func(string) bool { return false }, random.Seeded(1))
 		gomega.Expect(options).To(gomega.HaveLen(2))
 		return options[0].Node
 	}
--- a/internal/dataplane/balancer/table.go
+++ b/internal/dataplane/balancer/table.go
@@ -11,6 +11,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -279,7 +280,7 @@
 
 // Candidates lists the peers that may serve a request, the best first. hold is how long such requests usually take; peers
 // for which tried is true are left out.
-func (t *Table) Candidates(service, zone string, rank int, hold time.Duration, tried func(node string) bool, rand *base.Rand) []Candidate {
+func (t *Table) Candidates(service, zone string, rank int, hold time.Duration, tried func(node string) bool, rand *random.Source) []Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
--- a/internal/dataplane/balancer/table_test.go
+++ b/internal/dataplane/balancer/table_test.go
@@ -6,9 +6,9 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
 	"curlewreach/proto/wire"
 )
@@ -28,7 +28,7 @@
 }
 
 func (r *Table) offers(service string) (names []string) {
-	for _, each := range r.Candidates(service, "a", 2, 100*time.Millisecond, func(string) bool { return false }, base.SeededRand(1)) {
+	for _, each := range r.Candidates(service, "a", 2, 100*time.Millisecond, func(string) bool { return false }, random.Seeded(1)) {
 		names = append(names, each.Node)
 	}
 	return names
--- a/internal/dataplane/callgraph/callers_test.go
+++ b/internal/dataplane/callgraph/callers_test.go
@@ -4,7 +4,7 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 )
 
 var _ = ginkgo.Describe("callers", func() {
@@ -29,7 +29,7 @@
 	ginkgo.It("given a service with one node in eleven, when it has not called yet, then nothing is concluded from as many calls as chance explains", func() {
 		nodes := map[string]int{"levels": 35, "registry": 26, "archive": 6}
 		mistaken, nodesOfAll := 0, 400
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		for range nodesOfAll {
 			c := NewCallers()
 			for range many {
--- a/internal/dataplane/callgraph/tracker_test.go
+++ b/internal/dataplane/callgraph/tracker_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
 
 	"github.com/onsi/ginkgo/v2"
@@ -21,7 +22,7 @@
 	var spans []*wire.Span
 	fresh := func() *Tracker {
 		clock, spans = &simulation.ManualClock{Now: time.Hour}, nil
-		s := base.Scope{Clock: clock, Rand: base.SeededRand(7), Journal: base.NewJournal(10)}
+		s := base.Scope{Clock: clock, Rand: random.Seeded(7), Journal: base.NewJournal(10)}
 		return NewTracker(s, "node", tracing.NewKeeper(s.Rand), func(span *wire.Span) { spans = append(spans, span) })
 	}
 	board := func(t *Tracker, route string, left time.Duration) *Request {
@@ -78,7 +79,7 @@
 		shares := []float64{}
 		for _, every := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 25 * time.Millisecond} {
 			t := fresh()
-			rand := base.SeededRand(11)
+			rand := random.Seeded(11)
 			type running struct {
 				f     *Request
 				calls time.Duration
--- a/internal/dataplane/connection/pool_test.go
+++ b/internal/dataplane/connection/pool_test.go
@@ -9,6 +9,7 @@
 	"syscall"
 	"time"
 
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
 
 	"github.com/onsi/ginkgo/v2"
@@ -54,7 +55,7 @@
 		scope := s.Scope(clientIP)
 		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
 		s.Go(func() { base.Tick(scope, sweepEvery, func(base.Scope) { pool.Sweep() }) })
-		rand := base.SeededRand(3)
+		rand := random.Seeded(3)
 		const asked = 4000
 		doubts, fails := 0, 0
 		for range asked {
@@ -79,7 +80,7 @@
 		scope := s.Scope(clientIP)
 		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
 		s.Go(func() { base.Tick(scope, sweepEvery, func(base.Scope) { pool.Sweep() }) })
-		rand := base.SeededRand(3)
+		rand := random.Seeded(3)
 		const asked = 1000
 		for range asked {
 			exchanged(pool, address, true)
--- a/internal/dataplane/controlclient/directory.go
+++ b/internal/dataplane/controlclient/directory.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -41,7 +42,7 @@
 // majority latest. Its size is bounded; seeds are always in it.
 type directory struct {
 	clock   base.Clock
-	rand    *base.Rand
+	rand    *random.Source
 	contact time.Duration
 	mu      sync.Mutex
 	seeds   []string
@@ -52,7 +53,7 @@
 	unanswered int
 }
 
-func newDirectory(clock base.Clock, rand *base.Rand, contact time.Duration, seeds []string) *directory {
+func newDirectory(clock base.Clock, rand *random.Source, contact time.Duration, seeds []string) *directory {
 	d := &directory{clock: clock, rand: rand, contact: contact, entries: map[string]*controlMachine{}, newest: never}
 	d.setSeeds(seeds)
 	return d
--- a/internal/dataplane/controlclient/directory_test.go
+++ b/internal/dataplane/controlclient/directory_test.go
@@ -11,6 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -182,7 +183,7 @@
 	})
 
 	story("given one with a majority to guide the node, when only those of old lists are left to fill a place, then it stays free", func(s *stand) {
-		d := newDirectory(s.Clock, base.SeededRand(1), contact, []string{"a:1"})
+		d := newDirectory(s.Clock, random.Seeded(1), contact, []string{"a:1"})
 		now := uint64(0)
 		Expect(d.choose(false)).To(Equal([]string{"a:1"}))
 		d.recordAnswer("a:1", &now, []string{"a:1", "old:1", "old:2"})
--- a/internal/dataplane/model_test.go
+++ b/internal/dataplane/model_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 )
 
 // modelSchedules is how many schedules the sound version must pass and how many may pass before a spoilt one is found out, unless MODEL_SCHEDULES is set.
@@ -25,7 +25,7 @@
 }
 
 func seededDraw(seed uint64) func(n int) int {
-	return base.SeededRand(seed).IntN
+	return random.Seeded(seed).IntN
 }
 
 func TestModelOfRequests(t *testing.T) {
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -21,6 +21,7 @@
 	"curlewreach/internal/dataplane/connection"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/dataplane/retry"
+	"curlewreach/internal/random"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 )
@@ -32,7 +33,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Rand = base.SeededRand(1)
+	s.Rand = random.Seeded(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	return s.WithContext(ctx)
@@ -103,7 +104,7 @@
 func BenchmarkPathOptions(b *testing.B) {
 	for _, size := range []struct{ all, fitting int }{{29, 29}, {100, 29}, {500, 29}, {2000, 29}, {4000, 29}, {16000, 29}, {100, 100}, {500, 500}, {2000, 2000}} {
 		registry := benchRegistry(size.all, size.fitting)
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		b.Run(fmt.Sprintf("all=%d/fitting=%d", size.all, size.fitting), func(b *testing.B) {
 			defer benchCpu(b)()
 			for b.Loop() {
--- a/internal/dataplane/standin_test.go
+++ b/internal/dataplane/standin_test.go
@@ -23,6 +23,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -263,7 +264,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := base.Scope{
 		Context: ctx, Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: base.NoDisk(),
-		Rand: base.SeededRand(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(400),
+		Rand: random.Seeded(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(400),
 	}
 	return s, cancel
 }
--- a/internal/dataplane/urgency_test.go
+++ b/internal/dataplane/urgency_test.go
@@ -8,6 +8,7 @@
 
 	"curlewreach/internal/dataplane/connection"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
 
 	"github.com/onsi/ginkgo/v2"
@@ -51,7 +52,7 @@
 	})
 	var mu sync.Mutex
 	served, asked := map[string]int{}, map[string]int{}
-	rand := base.SeededRand(5)
+	rand := random.Seeded(5)
 	for _, each := range kinds {
 		s.Go(func() {
 			for i := 0; s.Clock.Mono() < length; i++ {
--- a/internal/listednode/retry_budget_test.go
+++ b/internal/listednode/retry_budget_test.go
@@ -4,8 +4,8 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -16,7 +16,7 @@
 			Services: []*wire.Service{{Name: "s", Repeats: 0.2, Allowance: 4}},
 		})
 		for seed := range uint64(20) {
-			rand := base.SeededRand(seed)
+			rand := random.Seeded(seed)
 			retryBudget := NewRetryBudget()
 			retryBudget.Set(signed)
 			var events []bool
--- a/internal/listednode/suite_test.go
+++ b/internal/listednode/suite_test.go
@@ -10,6 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 )
 
@@ -24,6 +25,6 @@
 func bubble(tell func(s base.Scope)) {
 	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		tell(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: base.SeededRand(1), Journal: base.NewJournal(100)})
+		tell(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: random.Seeded(1), Journal: base.NewJournal(100)})
 	})
 }
--- a/internal/quorum/band_test.go
+++ b/internal/quorum/band_test.go
@@ -13,6 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -25,9 +26,9 @@
 }
 
 func newFiveReplicas(seed uint64, count int) *fiveReplicas {
-	b := &fiveReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	b := &fiveReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
-		b.members = append(b.members, &member{disk: simnet.NewDisk(base.SeededRand(seed + uint64(i)))})
+		b.members = append(b.members, &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))})
 	}
 	for i := range b.members {
 		b.raise(i)
@@ -41,7 +42,7 @@
 	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
 		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(b.born), Net: b.world.At(ip(i), "keel"), Disk: m.mount,
-		Rand: base.SeededRand(b.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
+		Rand: random.Seeded(b.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
 	store, err := OpenStore(s, 4)
--- a/internal/quorum/old_test.go
+++ b/internal/quorum/old_test.go
@@ -11,6 +11,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -20,7 +21,7 @@
 		Expect(os.CopyFS(folder, os.DirFS("../../proto/compat/testdata/core"))).To(Succeed())
 		disk, err := base.RealDisk(folder)
 		Expect(err).NotTo(HaveOccurred())
-		s := base.Scope{Context: ginkgo.GinkgoT().Context(), Clock: base.RealClock(), Disk: disk, Rand: base.SeededRand(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100)}
+		s := base.Scope{Context: ginkgo.GinkgoT().Context(), Clock: base.RealClock(), Disk: disk, Rand: random.Seeded(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100)}
 		store, err := OpenStore(s, 8)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Phase()).To(Equal(wire.Phase_FOUNDED))
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -13,6 +13,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 )
 
@@ -44,9 +45,9 @@
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
 func newThreeReplicas(seed uint64) *threeReplicas {
-	t := &threeReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(base.SeededRand(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	t := &threeReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range t.members {
-		t.members[i] = &member{disk: simnet.NewDisk(base.SeededRand(seed + uint64(i)))}
+		t.members[i] = &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))}
 		t.raise(i)
 	}
 	return t
@@ -58,7 +59,7 @@
 	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
 		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(t.born), Net: t.world.At(ip(i), "keel"), Disk: m.mount,
-		Rand: base.SeededRand(t.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
+		Rand: random.Seeded(t.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
 	store, err := OpenStore(s, 4)
--- a/internal/statestore/crash_test.go
+++ b/internal/statestore/crash_test.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -123,7 +123,7 @@
 // expectDurable expects that what was loaded outlasts a loss of power that keeps as little as it may.
 func expectDurable(t *testing.T, disk *simnet.Disk, state *wire.ReplicaState, when string) {
 	t.Helper()
-	later := disk.Clone(base.SeededRand(1))
+	later := disk.Clone(random.Seeded(1))
 	later.PowerLossKeeping(func(int) bool { return false })
 	_, again, err := open(later, discard, small)
 	if err != nil || !proto.Equal(again, state) {
@@ -139,7 +139,7 @@
 		if err := store.Save(stateOf(later + serial)); err != nil {
 			t.Fatalf("%s: %v", when, err)
 		}
-		after := disk.Clone(base.SeededRand(1))
+		after := disk.Clone(random.Seeded(1))
 		after.PowerLossKeeping(func(int) bool { return false })
 		_, state, err := open(after, discard, small)
 		if err != nil || !proto.Equal(state, stateOf(later+serial)) {
@@ -152,11 +152,11 @@
 // synced.
 func (h *history) checkAfterEnd(t *testing.T, seed uint64, most int, when string) (checked int) {
 	t.Helper()
-	h.check(t, h.disk.Clone(base.SeededRand(seed)), when+", killed")
+	h.check(t, h.disk.Clone(random.Seeded(seed)), when+", killed")
 	unsynced := h.disk.Unsynced()
 	subsets := subsetsOf(unsynced, most, seed)
 	for _, subset := range subsets {
-		disk := h.disk.Clone(base.SeededRand(seed ^ subset))
+		disk := h.disk.Clone(random.Seeded(seed ^ subset))
 		disk.PowerLossKeeping(func(i int) bool { return subset>>i&1 == 1 })
 		h.check(t, disk, fmt.Sprintf("%s, power lost, kept %b of %d", when, subset, unsynced))
 	}
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -18,7 +19,7 @@
 // small makes snapshots and trims come after few Saves.
 var small = limits{changesPerSnapshot: 3, outweighRatio: 4, trimmedPerSave: 2}
 
-func newDisk(seed uint64) *simnet.Disk { return simnet.NewDisk(base.SeededRand(seed)) }
+func newDisk(seed uint64) *simnet.Disk { return simnet.NewDisk(random.Seeded(seed)) }
 
 // stateOf returns a state that differs in its promise, its value and, now and then, in its other fields.
 func stateOf(serial uint64) *wire.ReplicaState {
--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -22,6 +22,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/listedcore"
 	"curlewreach/internal/listednode"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/judge"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
@@ -144,10 +145,10 @@
 	return f
 }
 
-func (f *Fleet) rand(name string) *base.Rand {
+func (f *Fleet) rand(name string) *random.Source {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%d %s", f.Seed, name)
-	return base.SeededRand(hash.Sum64())
+	return random.Seeded(hash.Sum64())
 }
 
 func (f *Fleet) scope(name, ip string, disk base.Disk, clock base.Clock, journal *base.Journal) base.Scope {
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/judge"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
@@ -26,10 +27,10 @@
 
 type trouble struct {
 	name  string
-	cause func(f *Fleet, rand *base.Rand) (mend func())
+	cause func(f *Fleet, rand *random.Source) (mend func())
 }
 
-func any1(f *Fleet, rand *base.Rand) *Machine {
+func any1(f *Fleet, rand *random.Source) *Machine {
 	every := f.Every()
 	return every[rand.IntN(len(every))]
 }
@@ -44,17 +45,17 @@
 }
 
 var troubles = []trouble{
-	{"kill", func(f *Fleet, rand *base.Rand) func() {
+	{"kill", func(f *Fleet, rand *random.Source) func() {
 		m := any1(f, rand)
 		f.Kill(m)
 		return raise(f, m)
 	}},
-	{"power", func(f *Fleet, rand *base.Rand) func() {
+	{"power", func(f *Fleet, rand *random.Source) func() {
 		m := any1(f, rand)
 		f.PowerLoss(m)
 		return raise(f, m)
 	}},
-	{"wipe", func(f *Fleet, rand *base.Rand) func() {
+	{"wipe", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
 			if other.cancel == nil || !other.Controller.Helm.Ready() {
@@ -65,7 +66,7 @@
 		m.Disk.Wipe()
 		return raise(f, m)
 	}},
-	{"everything", func(f *Fleet, rand *base.Rand) func() {
+	{"everything", func(f *Fleet, rand *random.Source) func() {
 		var mends []func()
 		for _, m := range f.Every() {
 			f.PowerLoss(m)
@@ -77,7 +78,7 @@
 			}
 		}
 	}},
-	{"core down", func(f *Fleet, rand *base.Rand) func() {
+	{"core down", func(f *Fleet, rand *random.Source) func() {
 		var mends []func()
 		for _, m := range f.Keels {
 			f.Kill(m)
@@ -89,14 +90,14 @@
 			}
 		}
 	}},
-	{"stop", func(f *Fleet, rand *base.Rand) func() {
+	{"stop", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
 		if m.Node != nil {
 			f.Stop(m)
 		}
 		return raise(f, m)
 	}},
-	{"cut", func(f *Fleet, rand *base.Rand) func() {
+	{"cut", func(f *Fleet, rand *random.Source) func() {
 		a, b := any1(f, rand), any1(f, rand)
 		f.World.Cut(a.IP, b.IP)
 		if rand.IntN(2) == 0 {
@@ -104,11 +105,11 @@
 		}
 		return f.World.HealAll
 	}},
-	{"isolate", func(f *Fleet, rand *base.Rand) func() {
+	{"isolate", func(f *Fleet, rand *random.Source) func() {
 		f.Isolate(any1(f, rand))
 		return f.World.HealAll
 	}},
-	{"core cut off", func(f *Fleet, rand *base.Rand) func() {
+	{"core cut off", func(f *Fleet, rand *random.Source) func() {
 		for _, controller := range f.Keels {
 			for _, node := range f.Vanes {
 				f.Cut(controller, node)
@@ -116,7 +117,7 @@
 		}
 		return f.World.HealAll
 	}},
-	{"core split", func(f *Fleet, rand *base.Rand) func() {
+	{"core split", func(f *Fleet, rand *random.Source) func() {
 		for i, a := range f.Keels {
 			for _, b := range f.Keels[i+1:] {
 				f.Cut(a, b)
@@ -124,32 +125,32 @@
 		}
 		return f.World.HealAll
 	}},
-	{"faulty upstream", func(f *Fleet, rand *base.Rand) func() {
+	{"faulty upstream", func(f *Fleet, rand *random.Source) func() {
 		u := f.Seats[rand.IntN(len(f.Seats))]
 		faults := []standin.Fault{standin.LoseAfter, standin.Truncate, standin.Garble, standin.Unframed, standin.Stuck, standin.Nonsense}
 		u.SetFault(faults[rand.IntN(len(faults))])
 		return func() { u.SetFault(standin.Sound) }
 	}},
-	{"full disk", func(f *Fleet, rand *base.Rand) func() {
+	{"full disk", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		m.Disk.Fill(true)
 		return func() { m.Disk.Fill(false) }
 	}},
-	{"stalled disk", func(f *Fleet, rand *base.Rand) func() {
+	{"stalled disk", func(f *Fleet, rand *random.Source) func() {
 		return f.Keels[rand.IntN(len(f.Keels))].Disk.Stall()
 	}},
-	{"clock jump", func(f *Fleet, rand *base.Rand) func() {
+	{"clock jump", func(f *Fleet, rand *random.Source) func() {
 		any1(f, rand).Clock.Jump(time.Duration(rand.IntN(7200)-3600) * time.Second)
 		return func() {}
 	}},
-	{"frozen", func(f *Fleet, rand *base.Rand) func() {
+	{"frozen", func(f *Fleet, rand *random.Source) func() {
 		m := any1(f, rand)
 		if m.cancel == nil || m.Clock.Frozen() {
 			return func() {}
 		}
 		return f.Freeze(m)
 	}},
-	{"frozen core", func(f *Fleet, rand *base.Rand) func() {
+	{"frozen core", func(f *Fleet, rand *random.Source) func() {
 		var thaws []func()
 		for _, m := range f.Keels[:2] {
 			if m.cancel != nil && !m.Clock.Frozen() {
@@ -162,7 +163,7 @@
 			}
 		}
 	}},
-	{"slow and losing links", func(f *Fleet, rand *base.Rand) func() {
+	{"slow and losing links", func(f *Fleet, rand *random.Source) func() {
 		end := f.Trouble("links", "slow")
 		m := any1(f, rand)
 		for _, other := range f.Every() {
@@ -175,17 +176,17 @@
 			end()
 		}
 	}},
-	{"slow disk", func(f *Fleet, rand *base.Rand) func() {
+	{"slow disk", func(f *Fleet, rand *random.Source) func() {
 		m := any1(f, rand)
 		m.Disk.Slow(time.Duration(5+rand.IntN(60)) * time.Millisecond)
 		return func() { m.Disk.Slow(0) }
 	}},
-	{"full disk of an application machine", func(f *Fleet, rand *base.Rand) func() {
+	{"full disk of an application machine", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
 		m.Disk.Fill(true)
 		return func() { m.Disk.Fill(false) }
 	}},
-	{"bit flip", func(f *Fleet, rand *base.Rand) func() {
+	{"bit flip", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
 			if other.cancel == nil || !other.Controller.Helm.Ready() {
@@ -196,16 +197,16 @@
 		m.Disk.Flip([]string{"/v-", "/p-", "roll-", "brand"}[rand.IntN(4)])
 		return raise(f, m)
 	}},
-	{"upstream leaves and returns", func(f *Fleet, rand *base.Rand) func() {
+	{"upstream leaves and returns", func(f *Fleet, rand *random.Source) func() {
 		u := f.Seats[rand.IntN(len(f.Seats))]
 		u.Leave()
 		return u.Stay
 	}},
-	{"crowd", func(f *Fleet, rand *base.Rand) func() {
+	{"crowd", func(f *Fleet, rand *random.Source) func() {
 		stop := f.crowd(400)
 		return stop
 	}},
-	{"machine re-zoned", func(f *Fleet, rand *base.Rand) func() {
+	{"machine re-zoned", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
 		shown, err := f.Clerk.Show(f.Scope, 0)
 		if err != nil {
@@ -215,7 +216,7 @@
 		f.push(fmt.Sprint("zone-", f.Scope.Clock.Mono()), shown.Serial, &wire.Change{Machines: []*wire.Machine{{Name: m.Name, Address: m.Address, Zone: zone}}})
 		return func() {}
 	}},
-	{"replayed and broken bundles", func(f *Fleet, rand *base.Rand) func() {
+	{"replayed and broken bundles", func(f *Fleet, rand *random.Source) func() {
 		for serial := range uint64(3) {
 			reply, err := f.Clerk.Show(f.Scope, serial+1)
 			if err != nil {
@@ -232,7 +233,7 @@
 		}
 		return func() {}
 	}},
-	{"passed address", func(f *Fleet, rand *base.Rand) func() {
+	{"passed address", func(f *Fleet, rand *random.Source) func() {
 		at := rand.IntN(len(f.Seats))
 		old := f.Seats[at]
 		if len(f.seatsOf(old.Service)) < 2 {
@@ -315,7 +316,7 @@
 // badDay causes random troubles and tells which.
 type badDay struct {
 	*Fleet
-	rand *base.Rand
+	rand *random.Source
 	told []string
 }
 
--- a/internal/testing/openfleet/config_trouble_test.go
+++ b/internal/testing/openfleet/config_trouble_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -17,15 +18,15 @@
 // coreTrouble disturbs the control machines until it is ended.
 type coreTrouble struct {
 	name  string
-	begin func(f *Fleet, m *Machine, random *base.Rand) (end func())
+	begin func(f *Fleet, m *Machine, random *random.Source) (end func())
 }
 
 var coreTroubles = []coreTrouble{
-	{"one cut from the others, both ways or one way", func(f *Fleet, m *Machine, random *base.Rand) func() {
+	{"one cut from the others, both ways or one way", func(f *Fleet, m *Machine, random *random.Source) func() {
 		f.isolate(m, uint64(random.IntN(3)))
 		return f.rejoin
 	}},
-	{"one cut off, nodes restarted beside it with seeds that begin with it", func(f *Fleet, m *Machine, random *base.Rand) func() {
+	{"one cut off, nodes restarted beside it with seeds that begin with it", func(f *Fleet, m *Machine, random *random.Source) func() {
 		f.isolate(m, 0)
 		f.seeds = append([]string{m.At(inwardPort)}, f.seeds...)
 		for range 2 {
@@ -33,14 +34,14 @@
 		}
 		return f.rejoin
 	}},
-	{"one cut off that was restarted meanwhile", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one cut off that was restarted meanwhile", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		f.Kill(m)
 		f.Pass(200 * time.Millisecond)
 		f.revive(m)
 		return f.rejoin
 	}},
-	{"one cut off, the others killed as the cut heals", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one cut off, the others killed as the cut heals", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		return func() {
 			f.rejoin()
@@ -57,7 +58,7 @@
 			}
 		}
 	}},
-	{"one cut off from half of the nodes, too", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one cut off from half of the nodes, too", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		end := []func(){}
 		for _, node := range f.firstNodes() {
@@ -71,7 +72,7 @@
 			}
 		}
 	}},
-	{"one cut off, packets lost between the others and the nodes", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one cut off, packets lost between the others and the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		end := f.Trouble(allLinks, "lossy")
 		for _, node := range f.nodes() {
@@ -85,7 +86,7 @@
 			end()
 		}
 	}},
-	{"the core cut into two halves", func(f *Fleet, _ *Machine, _ *base.Rand) func() {
+	{"the core cut into two halves", func(f *Fleet, _ *Machine, _ *random.Source) func() {
 		half := len(f.Controllers) / 2
 		end := f.Trouble(corePrefix, "cut into halves")
 		for _, a := range f.Controllers[:half] {
@@ -98,7 +99,7 @@
 			end()
 		}
 	}},
-	{"one behind, then the disk of another lost and the rest dark", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one behind, then the disk of another lost and the rest dark", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		f.Pass(2 * time.Second)
 		wiped := false
@@ -122,8 +123,8 @@
 			}
 		}
 	}},
-	{"one frozen", func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) }},
-	{"one killed", func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	{"one frozen", func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) }},
+	{"one killed", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Kill(m)
 		return func() { f.revive(m) }
 	}},
@@ -136,7 +137,7 @@
 func (f *Fleet) lastNodes() []*Machine { return f.nodes()[len(f.nodes())/2:] }
 
 // restartOne kills one of some nodes and raises it again.
-func (f *Fleet) restartOne(nodes []*Machine, random *base.Rand) {
+func (f *Fleet) restartOne(nodes []*Machine, random *random.Source) {
 	m := nodes[random.IntN(len(nodes))]
 	f.Kill(m)
 	f.Pass(100 * time.Millisecond)
@@ -144,7 +145,7 @@
 }
 
 // disturbNodes restarts, freezes and reloads single nodes and steps their clocks; the others stay in touch.
-func (f *Fleet) disturbNodes(random *base.Rand, till time.Duration) {
+func (f *Fleet) disturbNodes(random *random.Source, till time.Duration) {
 	for f.History.Now() < till {
 		nodes := f.lastNodes()
 		m := nodes[random.IntN(len(nodes))]
--- a/internal/testing/openfleet/day_test.go
+++ b/internal/testing/openfleet/day_test.go
@@ -7,19 +7,20 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
-type misfortune func(f *Fleet, m *Machine, random *base.Rand) (end func())
+type misfortune func(f *Fleet, m *Machine, random *random.Source) (end func())
 
 func (f *Fleet) revive(m *Machine) { Expect(f.Raise(m)).To(Succeed()) }
 
 var ofNodes = []misfortune{
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Kill(m)
 		return func() { f.revive(m) }
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.PowerLoss(m)
 		return func() {
 			f.Power(m)
@@ -27,20 +28,20 @@
 			f.Seat(m)
 		}
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Stop(m)
 		return func() { f.revive(m) }
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) },
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) },
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Kill()
 		return func() { f.Seat(m) }
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Leave()
 		return func() { f.Seat(m) }
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Kill()
 		other := f.Upstream(m, "strangers", upstreamPort)
 		other.Dumb = true
@@ -50,17 +51,17 @@
 			f.Seat(m)
 		}
 	},
-	func(f *Fleet, m *Machine, random *base.Rand) func() {
+	func(f *Fleet, m *Machine, random *random.Source) func() {
 		faults := []Fault{Silent, Reset, Torn, Garbled, Unsealed, Endless, Twin, LateTwin, Stale, Trail, LateTrail, Closing, Hangup, Failing, Crossed}
 		at := random.IntN(len(faults))
 		m.Upstream.Set(Trouble{faults[at], 0.3, 10 * time.Millisecond}, Trouble{faults[(at+1)%len(faults)], 0.2, 2 * time.Millisecond})
 		return func() { m.Upstream.Set() }
 	},
-	func(f *Fleet, m *Machine, random *base.Rand) func() {
+	func(f *Fleet, m *Machine, random *random.Source) func() {
 		m.Upstream.SetSpeed(3 + 10*random.Float64())
 		return func() { m.Upstream.SetSpeed(1) }
 	},
-	func(f *Fleet, m *Machine, random *base.Rand) func() {
+	func(f *Fleet, m *Machine, random *random.Source) func() {
 		end := f.Trouble(m.Name, "cut off")
 		all := append(f.nodes(), f.Controllers...)
 		var cut []*Machine
@@ -81,11 +82,11 @@
 }
 
 var ofControllers = []misfortune{
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Kill(m)
 		return func() { f.revive(m) }
 	},
-	func(f *Fleet, m *Machine, random *base.Rand) func() {
+	func(f *Fleet, m *Machine, random *random.Source) func() {
 		f.PowerLoss(m)
 		if random.Float64() < 0.5 {
 			m.Disk.Wipe()
@@ -96,12 +97,12 @@
 			f.Until(8*time.Second, m.Controller.Ready)
 		}
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Stop(m)
 		return func() { f.revive(m) }
 	},
-	func(f *Fleet, m *Machine, _ *base.Rand) func() { return f.Freeze(m) },
-	func(f *Fleet, m *Machine, _ *base.Rand) func() {
+	func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) },
+	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		end := f.Trouble(m.Name, "cut off")
 		for _, other := range f.Controllers {
 			if other != m {
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -19,6 +19,7 @@
 	"curlewreach/internal/controlplane"
 	"curlewreach/internal/dataplane"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -167,10 +168,10 @@
 	return zone
 }
 
-func (f *Fleet) rand(name string) *base.Rand {
+func (f *Fleet) rand(name string) *random.Source {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%d %s", f.Seed, name)
-	return base.SeededRand(hash.Sum64())
+	return random.Seeded(hash.Sum64())
 }
 
 func (f *Fleet) scope(name, ip string, disk base.Disk, clock base.Clock, journal *base.Journal) base.Scope {
--- a/internal/testing/openfleet/visitors.go
+++ b/internal/testing/openfleet/visitors.go
@@ -9,6 +9,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/config"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -87,13 +88,13 @@
 }
 
 func (f *Fleet) arrive(s base.Scope, rate func(time.Duration) float64) {
-	random := f.rand(fmt.Sprint("arrivals ", f.count.Load()))
+	draws := f.rand(fmt.Sprint("arrivals ", f.count.Load()))
 	began := f.Scope.Clock.Mono()
 	base.Await(s, 50*time.Millisecond)
 	var crew base.Group
 	for s.Err() == nil {
 		now := rate(f.Scope.Clock.Mono() - began)
-		gap := -math.Log(1-random.Float64()) / max(now, 0.001)
+		gap := -math.Log(1-draws.Float64()) / max(now, 0.001)
 		base.Await(s, time.Duration(min(gap, 0.1)*float64(time.Second)))
 		if s.Err() != nil || gap > 0.1 {
 			continue
@@ -107,8 +108,8 @@
 		if len(in) == 0 {
 			continue
 		}
-		m, plan, spice := in[random.IntN(len(in))], f.pick(random.Float64()), random.Uint64()
-		crew.Go(func() { f.Job(m, plan, base.SeededRand(spice)) })
+		m, plan, spice := in[draws.IntN(len(in))], f.pick(draws.Float64()), draws.Uint64()
+		crew.Go(func() { f.Job(m, plan, random.Seeded(spice)) })
 	}
 	crew.Wait()
 }
@@ -142,7 +143,7 @@
 }
 
 // Job is one visitor's wish: tries within its time, each on a new connection after the first.
-func (f *Fleet) Job(m *Machine, plan Plan, random *base.Rand) *Job {
+func (f *Fleet) Job(m *Machine, plan Plan, random *random.Source) *Job {
 	n := f.count.Add(1)
 	h := f.History
 	body := []byte(fmt.Sprintf("%0*d", plan.Body, random.Uint64()))[:plan.Body]
--- a/internal/testing/simnet/disk.go
+++ b/internal/testing/simnet/disk.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 )
 
 type inode struct {
@@ -27,7 +28,7 @@
 // Disk is a disk that loses what wasn't synced at a power loss, and that can
 // fill up, stall, be slow or flip bits. It is safe for concurrent use.
 type Disk struct {
-	rand    *base.Rand
+	rand    *random.Source
 	mu      sync.Mutex
 	names   map[string]*inode
 	durable map[string]*inode
@@ -38,7 +39,7 @@
 }
 
 // NewDisk returns an empty disk; what a power loss leaves is drawn from rand.
-func NewDisk(rand *base.Rand) *Disk {
+func NewDisk(rand *random.Source) *Disk {
 	return &Disk{rand: rand, names: map[string]*inode{}, durable: map[string]*inode{}, pending: map[string][]change{}}
 }
 
@@ -95,7 +96,7 @@
 }
 
 // Clone returns a disk of its own with the same content, synced or not.
-func (d *Disk) Clone(rand *base.Rand) *Disk {
+func (d *Disk) Clone(rand *random.Source) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	nodes := map[*inode]*inode{nil: nil}
--- a/internal/testing/simnet/net.go
+++ b/internal/testing/simnet/net.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 )
 
 // Latency returns the usual time that a packet takes between two IP addresses.
@@ -23,7 +24,7 @@
 // World is a network of machines by their IP addresses. Lock order: a pipe's mu
 // before the world's mu.
 type World struct {
-	rand      *base.Rand
+	rand      *random.Source
 	latency   Latency
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -44,7 +45,7 @@
 
 // NewWorld returns a network with the latency given. What is random, as are its
 // jitter and losses, is drawn from rand.
-func NewWorld(rand *base.Rand, latency Latency) *World {
+func NewWorld(rand *random.Source, latency Latency) *World {
 	return &World{
 		rand: rand, latency: latency, listeners: map[string]*listener{}, ends: map[*end]bool{}, cuts: map[[2]string]bool{},
 		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, thin: map[string]*thinLink{}, crossing: map[[2]string]*crossed{}, dead: map[string]bool{},
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -15,6 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 )
 
@@ -46,7 +47,7 @@
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
 		s := &Simulation{Clock: simnet.NewClock(time.Now())}
-		s.World = simnet.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return delay })
+		s.World = simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return delay })
 		defer s.end()
 		test(s)
 	})
@@ -88,7 +89,7 @@
 	}
 	return base.Scope{
 		Context: ctx, Node: ip, Clock: s.Clock, Net: network, Disk: base.NoDisk(),
-		Rand: base.SeededRand(s.seed), Log: hclog.NewNullLogger(), Journal: base.NewJournal(journalEvents),
+		Rand: random.Seeded(s.seed), Log: hclog.NewNullLogger(), Journal: base.NewJournal(journalEvents),
 	}
 }
 
--- a/internal/tracing/fuzz_test.go
+++ b/internal/tracing/fuzz_test.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -22,7 +22,7 @@
 		if proto.Unmarshal(raw, prior) != nil {
 			return
 		}
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		settings := tracing()
 		settings.Draws, settings.Evidence = 50, 20
 		spans := []*wire.Span{{Service: "s", Route: "r", SelfUs: one}, {Service: "s", Route: "r", SelfUs: two}, {Service: "s", Route: "q", SelfUs: two}}
--- a/internal/tracing/learner.go
+++ b/internal/tracing/learner.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -51,7 +51,7 @@
 // Identifier returns what a belief is about: the span's service and route.
 func Identifier(span *wire.Span) string { return span.Service + "/" + span.Route }
 
-type source struct{ rand *base.Rand }
+type source struct{ rand *random.Source }
 
 func (s source) Uint64() uint64 { return s.rand.Uint64() }
 
@@ -83,7 +83,7 @@
 // Learn makes one cycle of learning (the paper, III-B): it updates the prior's
 // beliefs by a batch of spans and draws new odds from them. Only identifiers
 // that named accepts are kept. The prior is not changed.
-func Learn(prior *wire.Learning, spans []*wire.Span, tracing *wire.Tracing, rand *base.Rand, named func(identifier string) bool) *wire.Learning {
+func Learn(prior *wire.Learning, spans []*wire.Span, tracing *wire.Tracing, rand *random.Source, named func(identifier string) bool) *wire.Learning {
 	spans = slices.DeleteFunc(slices.Clone(spans), func(span *wire.Span) bool { return span.Side != FarSide || !named(Identifier(span)) })
 	utilities, counts := Utilities(spans, Measures[tracing.GetUtility()])
 	beliefs := carryOver(prior, counts, named)
@@ -175,7 +175,7 @@
 // Odds approximates for each belief the probability that its utility is at or
 // above the configured percentile of all, by Monte Carlo draws (the paper's
 // ABS, III-B), and raises it to the floor epsilon.
-func Odds(beliefs []*wire.Belief, tracing *wire.Tracing, rand *base.Rand) map[string]float64 {
+func Odds(beliefs []*wire.Belief, tracing *wire.Tracing, rand *random.Source) map[string]float64 {
 	draws := int(tracing.GetDraws())
 	picked := make([]int, len(beliefs))
 	row := make([]float64, len(beliefs))
--- a/internal/tracing/learner_test.go
+++ b/internal/tracing/learner_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -14,7 +14,7 @@
 	ginkgo.DescribeTable("given one route that swings, when cycles pass, then its odds pass 0.9 and the others fall to the floor",
 		func(identifiers int) {
 			for seed := range uint64(5) {
-				rand := base.SeededRand(seed)
+				rand := random.Seeded(seed)
 				odds := learned(rand, 40, func() []*wire.Span { return batch(rand, identifiers, 10, 1) }).Odds.Table
 				Expect(odds["s/r1"]).To(BeNumerically(">", 0.9))
 				for i := range identifiers {
@@ -28,7 +28,7 @@
 	)
 
 	ginkgo.It("given batches that teach nothing, when learned from, then beliefs stay and odds stay lawful", func() {
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		same := func() []*wire.Span {
 			return []*wire.Span{{Id: rand.Name(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Name(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Name(4), Service: "s", Route: "b", SelfUs: 5}}
 		}
@@ -44,12 +44,12 @@
 	})
 
 	ginkgo.It("given a single identifier, when learned, then it is vital by itself", func() {
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		Expect(learned(rand, 5, func() []*wire.Span { return batch(rand, 1, 5) }).Odds.Table["s/r0"]).To(Equal(1.0))
 	})
 
 	ginkgo.It("given spans with an uncertain self time, when learned, then they don't move beliefs", func() {
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		learning := learned(rand, 10, func() []*wire.Span {
 			spans := batch(rand, 3, 10, 0)
 			for i := range 10 {
@@ -61,7 +61,7 @@
 	})
 
 	ginkgo.It("given the swing moves, when cycles pass, then the odds follow", func() {
-		rand := base.SeededRand(3)
+		rand := random.Seeded(3)
 		learning := learned(rand, 20, func() []*wire.Span { return batch(rand, 6, 10, 1) })
 		moved := 0
 		for ; learning.Odds.Table["s/r4"] < 0.9 && moved < 200; moved++ {
@@ -72,7 +72,7 @@
 	})
 
 	ginkgo.It("given the bounds of one cycle, when beliefs are updated, then alpha and beta together grow by one", func() {
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		learning := learned(rand, 7, func() []*wire.Span { return batch(rand, 4, 10, 0) })
 		for _, belief := range learning.Beliefs {
 			Expect(belief.Alpha + belief.Beta).To(BeNumerically("~", 9, 1e-9))
--- a/internal/tracing/lens_test.go
+++ b/internal/tracing/lens_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -25,7 +25,7 @@
 	return &wire.Tracing{Percentile: 0.9, Epsilon: 0.05, Draws: 1000, Memory: 0.3, Utility: "variance"}
 }
 
-func batch(rand *base.Rand, identifiers, each int, swinging ...int) []*wire.Span {
+func batch(rand *random.Source, identifiers, each int, swinging ...int) []*wire.Span {
 	var spans []*wire.Span
 	for i := range identifiers {
 		swing := 500.0
@@ -41,7 +41,7 @@
 	return spans
 }
 
-func learned(rand *base.Rand, cycles int, spans func() []*wire.Span) *wire.Learning {
+func learned(rand *random.Source, cycles int, spans func() []*wire.Span) *wire.Learning {
 	learning := &wire.Learning{}
 	for range cycles {
 		learning = Learn(learning, spans(), tracing(), rand, every)
--- a/internal/tracing/measure_test.go
+++ b/internal/tracing/measure_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
@@ -18,7 +18,7 @@
 }
 
 func run(seed uint64, identifiers int, percentile, epsilon float64) trial {
-	rand := base.SeededRand(seed)
+	rand := random.Seeded(seed)
 	settings := tracing()
 	settings.Percentile, settings.Epsilon = percentile, epsilon
 	learning, keeper := &wire.Learning{}, NewKeeper(rand)
@@ -81,7 +81,7 @@
 })
 
 func follow(seed uint64, quiet int, percentile, evidence float64) (found, gone int) {
-	rand := base.SeededRand(seed)
+	rand := random.Seeded(seed)
 	settings := tracing()
 	settings.Percentile, settings.Evidence, settings.Draws = percentile, evidence, 100
 	learning := &wire.Learning{}
@@ -135,7 +135,7 @@
 	}
 
 	ginkgo.It("given a route that no bundle names any more, when a cycle passes, then its belief and odds are gone", func() {
-		rand := base.SeededRand(1)
+		rand := random.Seeded(1)
 		learning := learned(rand, 5, func() []*wire.Span { return batch(rand, 4, 10, 1) })
 		learning = Learn(learning, batch(rand, 4, 10, 1), tracing(), rand, func(identifier string) bool { return identifier != "s/r2" })
 		Expect(learning.Beliefs).To(HaveLen(3))
--- a/internal/tracing/odds.go
+++ b/internal/tracing/odds.go
@@ -4,18 +4,19 @@
 	"sync/atomic"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
 // Keeper holds the odds in force on a node and draws by them. It is safe for
 // concurrent use and takes no lock.
 type Keeper struct {
-	rand *base.Rand
+	rand *random.Source
 	odds atomic.Pointer[wire.Odds]
 }
 
 // NewKeeper returns a keeper without odds, which records everything.
-func NewKeeper(rand *base.Rand) *Keeper { return &Keeper{rand: rand} }
+func NewKeeper(rand *random.Source) *Keeper { return &Keeper{rand: rand} }
 
 // Odds returns the odds in force, nil if there are none yet.
 func (k *Keeper) Odds() *wire.Odds { return k.odds.Load() }
--- a/internal/tracing/odds_test.go
+++ b/internal/tracing/odds_test.go
@@ -8,13 +8,13 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
 var _ = ginkgo.Describe("keep odds at a node", func() {
 	ginkgo.It("given odds, when calls begin, then that part is kept, and an unknown identifier always", func() {
-		keeper := NewKeeper(base.SeededRand(7))
+		keeper := NewKeeper(random.Seeded(7))
 		Expect(keeper.Keep("anything")).To(BeTrue(), "with no odds yet everything is kept")
 		Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25, "b": 0.05}})).To(BeNil())
 		counts := map[string]int{}
@@ -32,7 +32,7 @@
 
 	ginkgo.DescribeTable("given nonsense odds, when loaded, then they are bounced and the old ones stay",
 		func(odds *wire.Odds) {
-			keeper := NewKeeper(base.SeededRand(7))
+			keeper := NewKeeper(random.Seeded(7))
 			Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
 			Expect(keeper.Load(odds)).NotTo(BeNil())
 			Expect(keeper.Serial()).To(Equal(uint64(1)))
@@ -45,7 +45,7 @@
 	)
 
 	ginkgo.It("given odds, when older ones come late from one that is cut off, then they are passed over", func() {
-		keeper := NewKeeper(base.SeededRand(7))
+		keeper := NewKeeper(random.Seeded(7))
 		Expect(keeper.Load(&wire.Odds{Serial: 9, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
 		for _, serial := range []uint64{8, 9} {
 			Expect(keeper.Load(&wire.Odds{Serial: serial, Epsilon: 0.05, Table: map[string]float64{"a": 0.5}})).To(BeNil())
@@ -56,14 +56,14 @@
 	})
 
 	ginkgo.It("given the choice at span start, when made, then it allocates nothing", func() {
-		keeper := NewKeeper(base.SeededRand(7))
+		keeper := NewKeeper(random.Seeded(7))
 		Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
 		Expect(testing.AllocsPerRun(1000, func() { keeper.Keep("a") })).To(BeZero())
 	})
 })
 
 func BenchmarkKeep(b *testing.B) {
-	keeper := NewKeeper(base.SeededRand(7))
+	keeper := NewKeeper(random.Seeded(7))
 	table := map[string]float64{}
 	for i := range 500 {
 		table[fmt.Sprint("service/route-", i)] = 0.05
--- a/internal/tracing/sink_test.go
+++ b/internal/tracing/sink_test.go
@@ -13,6 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -27,7 +28,7 @@
 		w.stops = append(w.stops, cancel)
 		return base.Scope{
 			Context: ctx, Node: ip, Clock: simnet.NewClock(time.Now()), Net: w.world.At(ip, ip), Disk: base.NoDisk(),
-			Rand: base.SeededRand(7), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100),
+			Rand: random.Seeded(7), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100),
 		}
 	}
 	control := func(w *stand, i int) (string, *Store) {
@@ -43,7 +44,7 @@
 	ginkgo.It("given control machines that come and go, when spans are sent, then the live ones of the moment keep them, two each, and a dark one costs nothing", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
-			w := &stand{world: simnet.NewWorld(base.SeededRand(1), func(_, _ string) time.Duration { return time.Millisecond })}
+			w := &stand{world: simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
 			var addresses []string
 			var stores []*Store
 			for i := range 4 {
--- a/internal/tracing/tags_test.go
+++ b/internal/tracing/tags_test.go
@@ -4,13 +4,13 @@
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"curlewreach/base"
+	"curlewreach/internal/random"
 	"curlewreach/proto/wire"
 )
 
 var _ = ginkgo.Describe("tag correlations", func() {
 	ginkgo.It("given one seat that is slow, when tags are correlated with latency, then that tag stands out and no other does", func() {
-		rand := base.SeededRand(5)
+		rand := random.Seeded(5)
 		var spans []*wire.Span
 		for i := range 200 {
 			span := &wire.Span{Service: "s", Route: "r", DurationUs: uint64(1000 + 300*rand.Float64()), Tags: map[string]string{"zone": string(rune('a' + i%3)), "seat": "good"}}
