--- a/base/program.go
+++ b/base/program.go
@@ -9,6 +9,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 )
 
 // Version is the release that all programs tell by --version.
@@ -22,10 +23,10 @@
 // network and randomness, its data folder (none if empty), a log in JSON lines
 // at the level on standard error, and a journal that is logged at debug level.
 func NewScope(program, node, folder, level string) (Scope, error) {
-	disk := NoDisk()
+	disk := storage.None()
 	if folder != "" {
 		var err error
-		if disk, err = RealDisk(folder); err != nil {
+		if disk, err = storage.Open(folder); err != nil {
 			return Scope{}, err
 		}
 	}
--- a/base/scope.go
+++ b/base/scope.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 )
 
 // Scope is the surroundings that a part of a process runs in: its lifetime, as
@@ -22,7 +23,7 @@
 	Node    string
 	Clock   Clock
 	Net     Net
-	Disk    Disk
+	Disk    storage.Disk
 	Rand    *random.Source
 	Log     hclog.Logger
 	Journal *Journal
--- a/internal/command/ctl/open_test.go
+++ b/internal/command/ctl/open_test.go
@@ -19,6 +19,7 @@
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/listedcore"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -30,7 +31,7 @@
 }
 
 func scoped(name string) base.Scope {
-	disk, err := base.RealDisk(ginkgo.GinkgoT().TempDir())
+	disk, err := storage.Open(ginkgo.GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	return base.Scope{
 		Context: context.Background(), Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: disk,
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -16,6 +16,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -69,7 +70,7 @@
 	return f
 }
 
-func (f *fleet) scoped(ip, life string, disk base.Disk, clock base.Clock) base.Scope {
+func (f *fleet) scoped(ip, life string, disk storage.Disk, clock base.Clock) base.Scope {
 	f.seed++
 	return base.Scope{
 		Context: context.Background(), Node: ip, Clock: clock, Net: f.world.At(ip, life), Disk: disk,
--- a/internal/dataplane/standin_test.go
+++ b/internal/dataplane/standin_test.go
@@ -24,6 +24,7 @@
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -263,7 +264,7 @@
 func realScope(name string) (base.Scope, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := base.Scope{
-		Context: ctx, Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: base.NoDisk(),
+		Context: ctx, Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: storage.None(),
 		Rand: random.Seeded(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(400),
 	}
 	return s, cancel
--- a/internal/listednode/recall.go
+++ b/internal/listednode/recall.go
@@ -7,6 +7,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -16,7 +17,7 @@
 	if err != nil {
 		return
 	}
-	if err := base.Unframe(raw, odds); err != nil {
+	if err := storage.Unframe(raw, odds); err != nil {
 		n.scope.Record("odds-bounced", "", "from disk: "+err.Error())
 		return
 	}
@@ -65,7 +66,7 @@
 }
 
 func (n *Node) remember(s base.Scope) {
-	if !base.HasFolder(n.scope.Disk) {
+	if !storage.HasFolder(n.scope.Disk) {
 		return
 	}
 	var crew base.Group
@@ -84,7 +85,7 @@
 			if odds == nil {
 				return nil, nil
 			}
-			return base.Frame(odds)
+			return storage.Frame(odds)
 		})
 	})
 	crew.Wait()
@@ -95,7 +96,7 @@
 		heard := bell.Next()
 		raw, err := body()
 		if err == nil && raw != nil {
-			err = base.WriteAtomically(n.scope.Disk, file, raw)
+			err = storage.WriteAtomically(n.scope.Disk, file, raw)
 		}
 		if err != nil {
 			n.scope.Record(file+"-unkept", "", err.Error())
--- a/internal/quorum/old_test.go
+++ b/internal/quorum/old_test.go
@@ -12,6 +12,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -19,7 +20,7 @@
 	ginkgo.It("given a core disk it wrote, when today's code opens it, then it is founded, whole and promises on", func() {
 		folder := ginkgo.GinkgoT().TempDir()
 		Expect(os.CopyFS(folder, os.DirFS("../../proto/compat/testdata/core"))).To(Succeed())
-		disk, err := base.RealDisk(folder)
+		disk, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
 		s := base.Scope{Context: ginkgo.GinkgoT().Context(), Clock: base.RealClock(), Disk: disk, Rand: random.Seeded(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100)}
 		store, err := OpenStore(s, 8)
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -14,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -74,9 +75,9 @@
 }
 
 func (t *Store) write(name string, message proto.Message) error {
-	raw, err := base.Frame(message)
+	raw, err := storage.Frame(message)
 	if err == nil {
-		err = base.WriteAtomically(t.scope.Disk, name, raw)
+		err = storage.WriteAtomically(t.scope.Disk, name, raw)
 	}
 	if err != nil {
 		t.scope.Record("disk-trouble", name, err.Error())
@@ -90,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	if err := base.Unframe(raw, message); err != nil {
+	if err := storage.Unframe(raw, message); err != nil {
 		t.scope.Record("set-aside", name, err.Error())
 		_ = t.scope.Disk.Rename(name, name+badSuffix)
 		return err
@@ -141,7 +142,7 @@
 // older one is never taken in place of one that can't be read.
 func (t *Store) loadManifest(names []string) bool {
 	at := slices.IndexFunc(names, func(name string) bool {
-		return strings.HasPrefix(name, rollPrefix) && !strings.HasSuffix(name, base.TemporarySuffix) && !strings.HasSuffix(name, badSuffix)
+		return strings.HasPrefix(name, rollPrefix) && !strings.HasSuffix(name, storage.TemporarySuffix) && !strings.HasSuffix(name, badSuffix)
 	})
 	if at < 0 {
 		return false
--- a/internal/statestore/file.go
+++ b/internal/statestore/file.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"curlewreach/base"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -53,7 +53,7 @@
 
 // isTemporary tells whether the name is that of a file of this store which was being written.
 func isTemporary(name string) bool {
-	written, found := strings.CutSuffix(name, base.TemporarySuffix)
+	written, found := strings.CutSuffix(name, storage.TemporarySuffix)
 	_, ours := parseName(written)
 	return found && ours
 }
@@ -61,7 +61,7 @@
 // decodeFile returns what a file holds, unless its digest or its number is not the one stated.
 func decodeFile(name fileName, raw []byte) (*wire.StateFile, error) {
 	file := &wire.StateFile{}
-	if err := base.Unframe(raw, file); err != nil {
+	if err := storage.Unframe(raw, file); err != nil {
 		return nil, errors.Wrap(err, name.String())
 	}
 	if file.Number != name.number {
--- a/internal/statestore/flat_test.go
+++ b/internal/statestore/flat_test.go
@@ -22,6 +22,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/quorum"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -37,11 +38,11 @@
 
 // meter is a disk that counts what is written, synced and read.
 type meter struct {
-	base.Disk
+	storage.Disk
 	written, syncs, read int
 }
 
-func (m *meter) Create(name string) (base.DiskFile, error) {
+func (m *meter) Create(name string) (storage.File, error) {
 	file, err := m.Disk.Create(name)
 	return &meteredFile{file, m}, err
 }
@@ -58,7 +59,7 @@
 }
 
 type meteredFile struct {
-	base.DiskFile
+	storage.File
 	meter *meter
 }
 
@@ -119,12 +120,12 @@
 	}}
 }
 
-func emptyDisk(t *testing.T) base.Disk {
+func emptyDisk(t *testing.T) storage.Disk {
 	t.Helper()
 	if os.Getenv(reportVariable) == "" {
 		return newDisk(1)
 	}
-	disk, err := base.RealDisk(t.TempDir())
+	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +159,7 @@
 }
 
 // noteSizes keeps the most bytes and files that the disk held; sizes are those of known files, which never change.
-func (f *figures) noteSizes(t *testing.T, disk base.Disk, sizes map[string]int) {
+func (f *figures) noteSizes(t *testing.T, disk storage.Disk, sizes map[string]int) {
 	t.Helper()
 	names, err := disk.List("")
 	if err != nil {
@@ -226,11 +227,11 @@
 	return cost
 }
 
-func keepFramed(t *testing.T, disk base.Disk, name string, message proto.Message) {
+func keepFramed(t *testing.T, disk storage.Disk, name string, message proto.Message) {
 	t.Helper()
-	raw, err := base.Frame(message)
+	raw, err := storage.Frame(message)
 	if err == nil {
-		err = base.WriteAtomically(disk, name, raw)
+		err = storage.WriteAtomically(disk, name, raw)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/statestore/load.go
+++ b/internal/statestore/load.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"curlewreach/base"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -21,7 +21,7 @@
 	highest, snapshot uint64
 }
 
-func takeInventory(disk base.Disk) (*inventory, error) {
+func takeInventory(disk storage.Disk) (*inventory, error) {
 	names, err := disk.List("")
 	if err != nil {
 		return nil, errors.Wrap(err, "list")
@@ -72,7 +72,7 @@
 }
 
 // load reads the newest snapshot and all changes after it. An error that is not ErrUnreadable may pass.
-func load(disk base.Disk, found *inventory) (*loaded, error) {
+func load(disk storage.Disk, found *inventory) (*loaded, error) {
 	if found.snapshot == 0 {
 		return nil, errors.Wrap(ErrUnreadable, "no snapshot")
 	}
@@ -88,7 +88,7 @@
 	return at, nil
 }
 
-func loadSnapshot(disk base.Disk, name fileName) (*loaded, error) {
+func loadSnapshot(disk storage.Disk, name fileName) (*loaded, error) {
 	raw, file, err := readFile(disk, name)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	return &loaded{state: state, number: name.number, digest: sha256.Sum256(raw), snapshotBytes: len(raw)}, nil
 }
 
-func (l *loaded) loadChange(disk base.Disk, name fileName) error {
+func (l *loaded) loadChange(disk storage.Disk, name fileName) error {
 	raw, file, err := readFile(disk, name)
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 }
 
 // readFile returns ErrUnreadable for a file that is missing, bad or on a bad sector.
-func readFile(disk base.Disk, name fileName) ([]byte, *wire.StateFile, error) {
+func readFile(disk storage.Disk, name fileName) ([]byte, *wire.StateFile, error) {
 	raw, err := disk.Read(name.String())
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.EIO) {
 		return nil, nil, errors.Wrapf(ErrUnreadable, "%s: %s", name, err)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 )
 
@@ -48,7 +48,7 @@
 
 // Store writes the versions of one replica's state. Its Save must not be called twice at once; Stats may always be.
 type Store struct {
-	disk   base.Disk
+	disk   storage.Disk
 	note   Note
 	limits limits
 	// current is the last version that was saved or loaded; its state is nil before the first.
@@ -83,11 +83,11 @@
 // whole gives an error caused by ErrUnreadable and a store on which a fresh state can be saved: as a snapshot numbered
 // above all files there, which outdates them in one step. Until then they stay, and Open keeps saying ErrUnreadable.
 // With any other error there is no store, and Open may be called again.
-func Open(disk base.Disk, note func(what, subject, detail string)) (*Store, *wire.ReplicaState, error) {
+func Open(disk storage.Disk, note func(what, subject, detail string)) (*Store, *wire.ReplicaState, error) {
 	return open(disk, note, limits{changesPerSnapshot, outweighRatio, trimmedPerSave})
 }
 
-func open(disk base.Disk, note Note, limits limits) (*Store, *wire.ReplicaState, error) {
+func open(disk storage.Disk, note Note, limits limits) (*Store, *wire.ReplicaState, error) {
 	// What a process before this one renamed may not be durable yet, and is about to be relied upon.
 	if err := disk.SyncFolder(""); err != nil {
 		return nil, nil, errors.Wrap(err, "sync folder")
@@ -133,15 +133,15 @@
 	if file == nil {
 		return nil
 	}
-	raw, err := base.Frame(file)
+	raw, err := storage.Frame(file)
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
 	name := fileName{file.Number, kindOf(file)}
 	s.attempted = name.kind
 	s.track(name.String())
-	if err := base.WriteAtomically(s.disk, name.String(), raw); err != nil {
-		s.outdate(name.String() + base.TemporarySuffix)
+	if err := storage.WriteAtomically(s.disk, name.String(), raw); err != nil {
+		s.outdate(name.String() + storage.TemporarySuffix)
 		return errors.Wrap(err, name.String())
 	}
 	s.attempted = ""
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -49,7 +49,7 @@
 	return state
 }
 
-func mustOpen(t *testing.T, disk base.Disk) (*Store, *wire.ReplicaState) {
+func mustOpen(t *testing.T, disk storage.Disk) (*Store, *wire.ReplicaState) {
 	t.Helper()
 	store, state, err := open(disk, discard, small)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return disk, names
 }
 
-func expectUnreadable(t *testing.T, disk base.Disk) *Store {
+func expectUnreadable(t *testing.T, disk storage.Disk) *Store {
 	t.Helper()
 	store, state, err := open(disk, discard, small)
 	if !errors.Is(err, ErrUnreadable) || state != nil || store == nil {
@@ -149,7 +149,7 @@
 			disk, _ := savedFiles(t)
 			flipped := bytes.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
-			if err := base.WriteAtomically(disk, name, flipped); err != nil {
+			if err := storage.WriteAtomically(disk, name, flipped); err != nil {
 				t.Fatal(err)
 			}
 			expectUnreadable(t, disk)
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := base.WriteAtomically(disk, names[1], raw); err != nil {
+	if err := storage.WriteAtomically(disk, names[1], raw); err != nil {
 		t.Fatal(err)
 	}
 	expectUnreadable(t, disk)
@@ -191,7 +191,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := base.WriteAtomically(disk, other.String(), raw); err != nil {
+		if err := storage.WriteAtomically(disk, other.String(), raw); err != nil {
 			t.Fatal(err)
 		}
 		expectUnreadable(t, disk)
--- a/base/disk.go
+++ b/internal/storage/disk.go
@@ -1,4 +1,4 @@
-package base
+package storage
 
 import (
 	"io"
@@ -15,7 +15,7 @@
 // renames and removals in a folder) returned nil.
 type Disk interface {
 	// Create makes a file, or empties the present one.
-	Create(name string) (DiskFile, error)
+	Create(name string) (File, error)
 	// Rename moves a file in one step and replaces what stands at to.
 	Rename(from, to string) error
 	// SyncFolder makes the folder's entries durable.
@@ -30,9 +30,9 @@
 	Remove(name string) error
 }
 
-// DiskFile is a file being written. Its content is durable once Sync returned
+// File is a file being written. Its content is durable once Sync returned
 // nil.
-type DiskFile interface {
+type File interface {
 	io.Writer
 	Sync() error
 	Close() error
@@ -72,9 +72,9 @@
 
 type realDisk struct{ root string }
 
-// RealDisk returns the folder root of the machine's file system, which is made
+// Open returns the folder root of the machine's file system, which is made
 // if missing.
-func RealDisk(root string) (Disk, error) {
+func Open(root string) (Disk, error) {
 	if err := os.MkdirAll(root, 0o755); err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
@@ -83,7 +83,7 @@
 
 func (d *realDisk) at(name string) string { return filepath.Join(d.root, filepath.FromSlash(name)) }
 
-func (d *realDisk) Create(name string) (DiskFile, error) { return os.Create(d.at(name)) }
+func (d *realDisk) Create(name string) (File, error) { return os.Create(d.at(name)) }
 
 func (d *realDisk) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
 
--- a/base/frame.go
+++ b/internal/storage/frame.go
@@ -1,4 +1,4 @@
-package base
+package storage
 
 import (
 	"crypto/sha256"
--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -23,6 +23,7 @@
 	"curlewreach/internal/listedcore"
 	"curlewreach/internal/listednode"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/judge"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
@@ -151,7 +152,7 @@
 	return random.Seeded(hash.Sum64())
 }
 
-func (f *Fleet) scope(name, ip string, disk base.Disk, clock base.Clock, journal *base.Journal) base.Scope {
+func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return base.Scope{
 		Context: context.Background(), Node: name, Clock: clock, Net: f.World.At(ip, name), Disk: disk,
 		Rand: f.rand(name), Log: hclog.NewNullLogger(), Journal: journal,
@@ -182,7 +183,7 @@
 	}
 	folder := "data"
 	if f.Diskless {
-		s.Disk, folder = base.NoDisk(), ""
+		s.Disk, folder = storage.None(), ""
 	}
 	params := &wire.VaneParams{
 		Name: m.Name, Zone: m.Zone, Mates: m.Address, Visitors: m.At(visitorsPort), Upstreams: m.At(upstreamsPort), Ops: m.At(opsPort),
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -20,6 +20,7 @@
 	"curlewreach/internal/dataplane"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -174,7 +175,7 @@
 	return random.Seeded(hash.Sum64())
 }
 
-func (f *Fleet) scope(name, ip string, disk base.Disk, clock base.Clock, journal *base.Journal) base.Scope {
+func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return base.Scope{
 		Context: context.Background(), Node: name, Clock: clock, Net: f.World.At(ip, name), Disk: disk,
 		Rand: f.rand(name), Log: hclog.NewNullLogger(), Journal: journal,
--- a/internal/testing/simnet/disk.go
+++ b/internal/testing/simnet/disk.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"curlewreach/base"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 )
 
 type inode struct {
@@ -213,7 +213,7 @@
 }
 
 // Create implements base.Disk. It returns ENOSPC if the disk is full.
-func (d *Disk) Create(name string) (base.DiskFile, error) {
+func (d *Disk) Create(name string) (storage.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full {
--- a/internal/testing/simnet/faults.go
+++ b/internal/testing/simnet/faults.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"curlewreach/base"
+	"curlewreach/internal/storage"
 )
 
 // Outcome tells what becomes of one write to a disk.
@@ -33,7 +33,7 @@
 
 // Faults is a disk whose writes are numbered from 0 on and fail or crash as told. It is for one goroutine.
 type Faults struct {
-	base.Disk
+	storage.Disk
 	// Decide returns the outcome of the write with the given number.
 	Decide  func(point int) Outcome
 	points  int
@@ -76,7 +76,7 @@
 func nothing() error { return nil }
 
 // Create opens a new file for writing.
-func (f *Faults) Create(name string) (created base.DiskFile, err error) {
+func (f *Faults) Create(name string) (created storage.File, err error) {
 	err = f.write(func() (err error) {
 		created, err = f.Disk.Create(name)
 		return err
@@ -103,22 +103,22 @@
 }
 
 type faultyFile struct {
-	base.DiskFile
+	storage.File
 	faults *Faults
 }
 
 // Write appends to the file; torn, it appends the first half only.
 func (f *faultyFile) Write(data []byte) (written int, err error) {
 	half := func() error {
-		_, err := f.DiskFile.Write(data[:len(data)/2])
+		_, err := f.File.Write(data[:len(data)/2])
 		return err
 	}
 	err = f.faults.write(func() error {
-		written, err = f.DiskFile.Write(data)
+		written, err = f.File.Write(data)
 		return err
 	}, half)
 	return written, err
 }
 
 // Sync makes the file's bytes durable.
-func (f *faultyFile) Sync() error { return f.faults.write(f.DiskFile.Sync, nothing) }
+func (f *faultyFile) Sync() error { return f.faults.write(f.File.Sync, nothing) }
--- a/internal/testing/simnet/mount.go
+++ b/internal/testing/simnet/mount.go
@@ -4,7 +4,7 @@
 	"os"
 	"sync"
 
-	"curlewreach/base"
+	"curlewreach/internal/storage"
 )
 
 // Mount is a disk as one process has it. Its changes wait while the disk
@@ -32,7 +32,7 @@
 }
 
 // Create implements base.Disk.
-func (m *Mount) Create(name string) (created base.DiskFile, err error) {
+func (m *Mount) Create(name string) (created storage.File, err error) {
 	err = m.held(func() error {
 		file, err := m.Disk.Create(name)
 		created = &mounted{file, m}
@@ -57,16 +57,16 @@
 }
 
 type mounted struct {
-	base.DiskFile
+	storage.File
 	mount *Mount
 }
 
 func (f *mounted) Write(data []byte) (written int, err error) {
 	err = f.mount.held(func() error {
-		written, err = f.DiskFile.Write(data)
+		written, err = f.File.Write(data)
 		return err
 	})
 	return written, err
 }
 
-func (f *mounted) Sync() error { return f.mount.held(f.DiskFile.Sync) }
+func (f *mounted) Sync() error { return f.mount.held(f.File.Sync) }
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -16,6 +16,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 )
 
@@ -88,7 +89,7 @@
 		network = s.Wrap(network)
 	}
 	return base.Scope{
-		Context: ctx, Node: ip, Clock: s.Clock, Net: network, Disk: base.NoDisk(),
+		Context: ctx, Node: ip, Clock: s.Clock, Net: network, Disk: storage.None(),
 		Rand: random.Seeded(s.seed), Log: hclog.NewNullLogger(), Journal: base.NewJournal(journalEvents),
 	}
 }
--- a/internal/tracing/sink_test.go
+++ b/internal/tracing/sink_test.go
@@ -14,6 +14,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
 )
@@ -27,7 +28,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		w.stops = append(w.stops, cancel)
 		return base.Scope{
-			Context: ctx, Node: ip, Clock: simnet.NewClock(time.Now()), Net: w.world.At(ip, ip), Disk: base.NoDisk(),
+			Context: ctx, Node: ip, Clock: simnet.NewClock(time.Now()), Net: w.world.At(ip, ip), Disk: storage.None(),
 			Rand: random.Seeded(7), Log: hclog.NewNullLogger(), Journal: base.NewJournal(100),
 		}
 	}
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -169,7 +170,7 @@
 	}
 	raw, err := proto.Marshal(&wire.Batch{Spans: fresh})
 	if err == nil {
-		err = base.WriteAtomically(t.scope.Disk, fmt.Sprintf("%s/%016x", traceFolder, number), raw)
+		err = storage.WriteAtomically(t.scope.Disk, fmt.Sprintf("%s/%016x", traceFolder, number), raw)
 	}
 	if err != nil {
 		t.scope.Record("trace-lost", "", err.Error())
