--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -58,10 +58,10 @@
 		func(kind base.Kind, path string, spoil func(*wire.Bundle)) {
 			b := example("library")
 			spoil(b)
-			mishap := Check(b, limits)
-			Expect(mishap).NotTo(BeNil())
-			Expect(mishap.Kind).To(Equal(kind), mishap.Error())
-			Expect(mishap.Path).To(Equal(path))
+			fault := Check(b, limits)
+			Expect(fault).NotTo(BeNil())
+			Expect(fault.Kind).To(Equal(kind), fault.Error())
+			Expect(fault.Path).To(Equal(path))
 		},
 		ginkgo.Entry("bad name", base.OutOfRange, "services[0].name", func(b *wire.Bundle) { b.Services[0].Name = "No Good" }),
 		ginkgo.Entry("bad address", base.OutOfRange, "common.machines[0].address", func(b *wire.Bundle) { b.Common.Machines[0].Address = "host:80" }),
@@ -98,10 +98,10 @@
 		b.Machine("app-1").Calls = []string{"catalogue"}
 		slice := Slice(sealed, b.Concerns("app-1", nil))
 		Expect(slice.Parts).To(HaveLen(2))
-		_, mishap := trust.Verify(slice)
-		Expect(mishap).To(BeNil())
-		raw, mishap := Open(slice)
-		Expect(mishap).To(BeNil())
+		_, fault := trust.Verify(slice)
+		Expect(fault).To(BeNil())
+		raw, fault := Open(slice)
+		Expect(fault).To(BeNil())
 		Expect(raw.Services).To(HaveLen(1))
 		Expect(Slice(sealed, b.Concerns("app-1", []string{"lending"})).Parts).To(HaveLen(3), "a seat's further calls concern it")
 	})
@@ -111,9 +111,9 @@
 			key, trust := keys(1)
 			sealed := proto.Clone(signed(example("library"), key)).(*wire.Sealed)
 			touch(sealed)
-			_, mishap := trust.Verify(sealed)
-			Expect(mishap).NotTo(BeNil())
-			Expect(mishap.Kind).To(Equal(kind))
+			_, fault := trust.Verify(sealed)
+			Expect(fault).NotTo(BeNil())
+			Expect(fault.Kind).To(Equal(kind))
 		},
 		ginkgo.Entry("unsigned", base.Unsigned, func(s *wire.Sealed) { s.Signature = nil }),
 		ginkgo.Entry("another signature", base.Untrusted, func(s *wire.Sealed) { s.Signature[3] ^= 1 }),
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -116,7 +116,7 @@
 // inquest collects the first fault found.
 type inquest struct{ found *base.Fault }
 
-func (q *inquest) bounce(kind base.Kind, path, format string, args ...any) {
+func (q *inquest) reject(kind base.Kind, path, format string, args ...any) {
 	if q.found == nil {
 		q.found = base.NewFault(kind, path, format, args...)
 	}
@@ -124,14 +124,14 @@
 
 func (q *inquest) value(path string, value any, rules ...validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
-		q.bounce(base.OutOfRange, path, "%s", err)
+		q.reject(base.OutOfRange, path, "%s", err)
 	}
 }
 
 func (q *inquest) once(seen map[string]bool, path, name string) {
 	q.value(path, name, validation.Required, base.IsName)
 	if seen[name] {
-		q.bounce(base.Duplicate, path, "%q is named twice", name)
+		q.reject(base.Duplicate, path, "%q is named twice", name)
 	}
 	seen[name] = true
 }
@@ -150,14 +150,14 @@
 func (q *inquest) machines(b *wire.Bundle, limits Limits) {
 	machines := b.GetCommon().GetMachines()
 	if len(machines) > limits.Machines {
-		q.bounce(base.TooLarge, "common.machines", "%d machines, %d at most", len(machines), limits.Machines)
+		q.reject(base.TooLarge, "common.machines", "%d machines, %d at most", len(machines), limits.Machines)
 	}
 	if vanes(b) == 0 {
-		q.bounce(base.OutOfRange, "common.machines", "no application machine is listed")
+		q.reject(base.OutOfRange, "common.machines", "no application machine is listed")
 	}
 	for i, name := range b.Forsaken {
 		if slices.ContainsFunc(machines, func(m *wire.Machine) bool { return m.Name == name }) {
-			q.bounce(base.Duplicate, fmt.Sprintf("forsaken[%d]", i), "%q is forsaken and yet listed", name)
+			q.reject(base.Duplicate, fmt.Sprintf("forsaken[%d]", i), "%q is forsaken and yet listed", name)
 		}
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
@@ -166,10 +166,10 @@
 		q.once(names, path+".name", machine.Name)
 		q.value(path+".zone", machine.Zone, validation.Required, base.IsName)
 		if _, err := netip.ParseAddrPort(machine.Address); err != nil {
-			q.bounce(base.OutOfRange, path+".address", "%q is not an IP number and port", machine.Address)
+			q.reject(base.OutOfRange, path+".address", "%q is not an IP number and port", machine.Address)
 		}
 		if addresses[machine.Address] {
-			q.bounce(base.Duplicate, path+".address", "%q is used twice", machine.Address)
+			q.reject(base.Duplicate, path+".address", "%q is used twice", machine.Address)
 		}
 		addresses[machine.Address] = true
 	}
@@ -177,7 +177,7 @@
 
 func (q *inquest) services(b *wire.Bundle, limits Limits) {
 	if len(b.Services) > limits.Services {
-		q.bounce(base.TooLarge, "services", "%d services, %d at most", len(b.Services), limits.Services)
+		q.reject(base.TooLarge, "services", "%d services, %d at most", len(b.Services), limits.Services)
 	}
 	names := map[string]bool{}
 	for i, service := range b.Services {
@@ -189,7 +189,7 @@
 	for i, machine := range b.GetCommon().GetMachines() {
 		for j, call := range machine.Calls {
 			if !names[call] {
-				q.bounce(base.DanglingReference, fmt.Sprintf("common.machines[%d].calls[%d]", i, j), "no service %q", call)
+				q.reject(base.DanglingReference, fmt.Sprintf("common.machines[%d].calls[%d]", i, j), "no service %q", call)
 			}
 		}
 	}
@@ -218,10 +218,10 @@
 	for i, service := range share.Services {
 		at := fmt.Sprintf("%s.services[%d]", path, i)
 		if !services[service] {
-			q.bounce(base.DanglingReference, at, "no service %q", service)
+			q.reject(base.DanglingReference, at, "no service %q", service)
 		}
 		if owned[service] {
-			q.bounce(base.Duplicate, at, "service %q is in two shares", service)
+			q.reject(base.Duplicate, at, "service %q is in two shares", service)
 		}
 		owned[service] = true
 	}
@@ -231,11 +231,11 @@
 // that have one.
 func (q *inquest) groups(path string, service *wire.Service, groups, owned map[string]bool) {
 	if !owned[service.Name] {
-		q.bounce(base.DanglingReference, path+".name", "service %q is in no share", service.Name)
+		q.reject(base.DanglingReference, path+".name", "service %q is in no share", service.Name)
 	}
 	for i, route := range service.Routes {
 		if route.Group != "" && !groups[route.Group] {
-			q.bounce(base.DanglingReference, fmt.Sprintf("%s.routes[%d].group", path, i), "no share for group %q", route.Group)
+			q.reject(base.DanglingReference, fmt.Sprintf("%s.routes[%d].group", path, i), "no share for group %q", route.Group)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 		}
 	}
 	if count > limits.Routes {
-		q.bounce(base.TooLarge, "services", "%d routes, %d at most", count, limits.Routes)
+		q.reject(base.TooLarge, "services", "%d routes, %d at most", count, limits.Routes)
 		return
 	}
 	templates := newTree()
@@ -276,11 +276,11 @@
 		ok = ok && chunk.MatchString(segment)
 	}
 	if !ok && route.Path != "/" {
-		q.bounce(base.OutOfRange, path, "%q is not a path template", route.Path)
+		q.reject(base.OutOfRange, path, "%q is not a path template", route.Path)
 		return false
 	}
 	if other := templates.clash(route.Method, segments); other != "" {
-		q.bounce(base.Overlapping, path, "%s %s overlaps %s", route.Method, route.Path, other)
+		q.reject(base.Overlapping, path, "%s %s overlaps %s", route.Method, route.Path, other)
 	}
 	templates.add(route.Method, segments, service.Name+"/"+route.Name, nil, nil)
 	return true
@@ -291,7 +291,7 @@
 	for i, further := range route.Further {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if !known[further.Service+"/"+further.Route] {
-			q.bounce(base.DanglingReference, at, "no route %s/%s", further.Service, further.Route)
+			q.reject(base.DanglingReference, at, "no route %s/%s", further.Service, further.Route)
 		}
 		q.value(at+".most", further.Most, validation.Max(uint32(mostFurther)))
 		for j, match := range further.Keys {
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -37,9 +37,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, mishap := Open(sealed)
-		if mishap != nil {
-			t.Fatal(mishap)
+		opened, fault := Open(sealed)
+		if fault != nil {
+			t.Fatal(fault)
 		}
 		if !proto.Equal(b, opened) {
 			t.Fatal("a bundle that passed its checks changed on the way")
@@ -84,9 +84,9 @@
 		if proto.Unmarshal(raw, got) != nil {
 			return
 		}
-		manifest, mishap := trust.Verify(got)
+		manifest, fault := trust.Verify(got)
 		opened, _ := Open(got)
-		if mishap == nil && string(got.Manifest) != string(sealed.Manifest) {
+		if fault == nil && string(got.Manifest) != string(sealed.Manifest) {
 			t.Fatalf("verified what was never signed: serial %d", manifest.Serial)
 		}
 		if opened != nil {
--- a/internal/bundle/seal.go
+++ b/internal/bundle/seal.go
@@ -127,9 +127,9 @@
 // Open decodes the parts after checking their digests, but not the signature.
 // The error is of kind Malformed.
 func Open(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
-	manifest, mishap := digests(sealed)
-	if mishap != nil {
-		return nil, mishap
+	manifest, fault := digests(sealed)
+	if fault != nil {
+		return nil, fault
 	}
 	b := &wire.Bundle{Serial: manifest.Serial, Base: manifest.Base, Forsaken: manifest.Forsaken}
 	for _, part := range sealed.Parts {
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -24,6 +24,7 @@
 	"curlewreach/internal/controlplane"
 	"curlewreach/internal/dataplane"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -252,7 +253,7 @@
 		return err
 	}
 	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
-	door, err := base.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	door, err := httpserver.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openSlow))
 		w.Header().Set(forwarding.Plain.Attempt, r.Header.Get(forwarding.Plain.Attempt))
 		w.Header().Set(forwarding.Plain.Seal, "whole")
--- a/internal/command/simulate/trouble.go
+++ b/internal/command/simulate/trouble.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"github.com/pkg/errors"
-
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -14,6 +14,7 @@
 	"github.com/pkg/errors"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -45,7 +46,7 @@
 	incarnation string
 	client      *http.Client
 	cancel      context.CancelFunc
-	servers     []*base.Server
+	servers     []*httpserver.Server
 	tasks       base.Group
 	core        atomic.Pointer[core]
 	registry    *registry
@@ -65,7 +66,7 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: base.HTTPClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
+	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
 	m.started = s.Clock.Mono()
 	m.params.Store(p)
 	m.view.Store(newView(nil, nil))
@@ -79,7 +80,7 @@
 		address string
 		handler http.Handler
 	}{{p.Peers, mux}, {p.Operators, desk(m)}} {
-		door, err := base.Serve(s, each.address, each.handler)
+		door, err := httpserver.Serve(s, each.address, each.handler)
 		if err != nil {
 			m.Kill()
 			return nil, err
@@ -220,7 +221,7 @@
 	m.stopping.Store(true)
 	m.changed.Notify()
 	m.cancel()
-	base.Parallel(m.servers, func(door *base.Server) { door.CloseWhenIdle(s) })
+	base.Parallel(m.servers, func(door *httpserver.Server) { door.CloseWhenIdle(s) })
 	m.Kill()
 	m.scope.Log.Info("stopped")
 }
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -15,6 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
@@ -60,7 +61,7 @@
 	f := &fleet{seed: seed, born: time.Now()}
 	f.world = simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
 	f.scope = f.scoped("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.born))
-	f.web = base.HTTPClient(f.scope)
+	f.web = httpserver.NewClient(f.scope)
 	for i := range count {
 		f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(random.Seeded(seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
 	}
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
@@ -19,25 +20,25 @@
 
 // registerViews lets operators look, on the door for peers: GET /view, /configuration, /odds, /journal, /metrics.
 func (m *Server) registerViews(mux *http.ServeMux) {
-	base.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collect)
+	httpserver.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collect)
 	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		if err != nil {
 			fault := base.FaultOf(err)
-			base.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"mishap": fault})
+			httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"mishap": fault})
 			return
 		}
 		if configuration == nil {
 			configuration = &wire.Configuration{}
 		}
-		base.ReplyProto(w, configuration)
+		httpserver.ReplyProto(w, configuration)
 	})
 	mux.HandleFunc("GET /odds", func(w http.ResponseWriter, _ *http.Request) {
 		said := m.learning.Load().said
 		if said == nil {
 			said = &wire.Learning{}
 		}
-		base.ReplyProto(w, said)
+		httpserver.ReplyProto(w, said)
 	})
 }
 
--- a/internal/dataplane/balancer/failure_rates_test.go
+++ b/internal/dataplane/balancer/failure_rates_test.go
@@ -3,14 +3,13 @@
 import (
 	"time"
 
+	"github.com/onsi/ginkgo/v2"
+	"github.com/onsi/gomega"
+
 	"curlewreach/internal/dataplane/admission"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simulation"
-
-	"github.com/onsi/ginkgo/v2"
-	"github.com/onsi/gomega"
-
 	"curlewreach/proto/wire"
 )
 
--- a/internal/dataplane/callgraph/tracker_test.go
+++ b/internal/dataplane/callgraph/tracker_test.go
@@ -4,14 +4,13 @@
 	"slices"
 	"time"
 
-	"curlewreach/internal/dataplane/forwarding"
-	"curlewreach/internal/random"
-	"curlewreach/internal/testing/simulation"
-
 	"github.com/onsi/ginkgo/v2"
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
+	"curlewreach/internal/testing/simulation"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 )
--- a/internal/dataplane/connection/pool_test.go
+++ b/internal/dataplane/connection/pool_test.go
@@ -9,13 +9,12 @@
 	"syscall"
 	"time"
 
-	"curlewreach/internal/random"
-	"curlewreach/internal/testing/simulation"
-
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/random"
+	"curlewreach/internal/testing/simulation"
 )
 
 const (
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -10,6 +10,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/config"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 )
@@ -66,7 +67,7 @@
 	now := s.Clock.Mono()
 	return &Client{
 		scope: s, settings: settings, hooks: hooks, http: httpClient,
-		refreshHTTP: base.HTTPClientWithin(s, base.Ratio(settings.InForce, refreshDialRatio)),
+		refreshHTTP: httpserver.NewClientWithin(s, base.Ratio(settings.InForce, refreshDialRatio)),
 		startedAt:   now, confirmationWait: base.Ratio(settings.Contact, patienceRatio),
 		directory:   newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
 		freshness:   newConfigFreshness(settings.InForce, now),
--- a/internal/dataplane/controlclient/control_machine_test.go
+++ b/internal/dataplane/controlclient/control_machine_test.go
@@ -13,6 +13,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/config"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -23,7 +24,7 @@
 	wireconnect.UnimplementedMoorHandler
 	scope          base.Scope
 	ip             string
-	door           *base.Server
+	door           *httpserver.Server
 	spans          *tracing.Store
 	mu             sync.Mutex
 	serial         uint64
@@ -144,7 +145,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewMoorHandler(c, connect.WithCompressMinBytes(32<<20))) // as control machines do
 	mux.Handle(tracing.Handler(c.spans))
-	door, err := base.Serve(c.scope, c.address(), mux)
+	door, err := httpserver.Serve(c.scope, c.address(), mux)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/dataplane/controlclient/suite_test.go
+++ b/internal/dataplane/controlclient/suite_test.go
@@ -9,6 +9,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/simulation"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
@@ -57,7 +58,7 @@
 	status := func() *wire.NodeStatus {
 		return &wire.NodeStatus{Node: name, Incarnation: "one", Number: 1, Inward: ip + ":7002", Zone: "a", Service: books}
 	}
-	web := base.HTTPClientWithin(scope, DialPatience(contact))
+	web := httpserver.NewClientWithin(scope, DialPatience(contact))
 	n := &node{Client: New(scope, Settings{InForce: inForce, Contact: contact, Seeds: seeds}, web, Hooks{
 		Status: status, Observed: func(string, bool, []*wire.Observation) {}, Forgotten: func(string) {}, Sampling: tracing.NewKeeper(scope.Rand),
 	})}
--- a/internal/dataplane/fence_test.go
+++ b/internal/dataplane/fence_test.go
@@ -18,6 +18,7 @@
 	"curlewreach/internal/dataplane/fencing"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/dataplane/retry"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/simulation"
 	"curlewreach/proto/wire"
 )
@@ -365,7 +366,7 @@
 		p.acquainted()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		web := base.HTTPClient(s.Scope(otherBox))
+		web := httpserver.NewClient(s.Scope(otherBox))
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.near.params.Outward+"/lend/1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		r.Host, r.Header = "books.example", asking("a", 2*time.Second)
@@ -390,7 +391,7 @@
 			r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.near.params.Outward+"/lend/1", nil)
 			Expect(err).NotTo(HaveOccurred())
 			r.Host, r.Header = "books.example", asking("a", 2*time.Second)
-			_, err = base.HTTPClient(s.Scope(otherBox)).Do(r)
+			_, err = httpserver.NewClient(s.Scope(otherBox)).Do(r)
 			Expect(err).To(HaveOccurred())
 		})
 		_, gate, _ := p.far.instance.Now()
--- a/internal/dataplane/fencing/fences.go
+++ b/internal/dataplane/fencing/fences.go
@@ -15,6 +15,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/attempts"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire/wireconnect"
 )
 
@@ -90,7 +91,7 @@
 	f.scope, f.attemptName, f.count = s, settings.AttemptHeader, count
 	f.linger, f.question = portion(LingerRatio), portion(questionRatio)
 	f.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, DisableKeepAlives: true, DisableCompression: true}}
-	_, f.questions = wireconnect.NewAttemptsHandler(attemptsServer{f}, base.Plain(), connect.WithReadMaxBytes(questionBytes))
+	_, f.questions = wireconnect.NewAttemptsHandler(attemptsServer{f}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(questionBytes))
 	return f
 }
 
--- a/internal/dataplane/fencing/questions.go
+++ b/internal/dataplane/fencing/questions.go
@@ -12,6 +12,7 @@
 	"curlewreach/base"
 	"curlewreach/internal/attempts"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -122,7 +123,7 @@
 func (f *Fences) ask(ctx context.Context, to Peer, ref attempts.Reference, wait, within time.Duration) (*wire.AttemptReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	client := wireconnect.NewAttemptsClient(f.web, "http://"+to.Address, base.Plain(), connect.WithReadMaxBytes(questionBytes))
+	client := wireconnect.NewAttemptsClient(f.web, "http://"+to.Address, httpserver.HandlerOptions(), connect.WithReadMaxBytes(questionBytes))
 	question := &wire.AttemptQuestion{Id: string(ref.ID), Mark: ref.Mark.Message(), WaitMs: uint64(max(wait.Milliseconds(), 0))}
 	reply, err := client.Resolve(ctx, connect.NewRequest(question))
 	if err != nil {
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -21,6 +21,7 @@
 	"curlewreach/internal/dataplane/fencing"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/dataplane/retry"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/metrics"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
@@ -97,7 +98,7 @@
 	counts              base.Table[*atomic.Uint64]
 	durations           [len(classes)]metrics.Histogram
 	clients             *connection.ClientConnections
-	servers             []*base.Server
+	servers             []*httpserver.Server
 	cancel              context.CancelFunc
 	tasks               base.Group
 }
@@ -164,7 +165,7 @@
 func newNode(s base.Scope, p *wire.NodeParams, speech forwarding.HeaderNames) *Node {
 	force, contact := p.InForce.AsDuration(), p.Contact.AsDuration()
 	n := &Node{
-		scope: s, params: p, headers: speech.Canonical(), incarnation: s.Rand.Name(6), startedAt: s.Clock.Mono(), client: base.HTTPClientWithin(s, controlclient.DialPatience(contact)),
+		scope: s, params: p, headers: speech.Canonical(), incarnation: s.Rand.Name(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithin(s, controlclient.DialPatience(contact)),
 		peerConnections:     connection.NewPool(s.Net, s.Clock, peerIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
 		instanceConnections: connection.NewPool(s.Net, s.Clock, upstreamIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
 		peers:               balancer.NewTable(s.Clock, p.Name, absenceSlack), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
@@ -201,7 +202,7 @@
 		{n.params.Ready, http.HandlerFunc(n.serveReadiness), usual},
 		{n.params.Outward, http.HandlerFunc(n.serveClient), forClients},
 	} {
-		door, err := base.ServeWith(s, each.address, each.handler, each.set)
+		door, err := httpserver.ServeWith(s, each.address, each.handler, each.set)
 		if err != nil {
 			return err
 		}
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -21,6 +21,7 @@
 	"curlewreach/internal/dataplane/connection"
 	"curlewreach/internal/dataplane/forwarding"
 	"curlewreach/internal/dataplane/retry"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/tracing"
 	"curlewreach/proto/wire"
@@ -177,7 +178,7 @@
 
 func benchUpstream(b *testing.B, s base.Scope, address string) {
 	body := make([]byte, 1024)
-	door, err := base.Serve(s, address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	door, err := httpserver.Serve(s, address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forwarding.Plain.Seal, "whole")
 		w.Header()[forwarding.Plain.Attempt] = r.Header[forwarding.Plain.Attempt]
 		_, _ = w.Write(body)
--- a/internal/dataplane/peer_server.go
+++ b/internal/dataplane/peer_server.go
@@ -11,6 +11,7 @@
 	"curlewreach/internal/dataplane/connection"
 	"curlewreach/internal/dataplane/fencing"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/httpserver"
 )
 
 const (
@@ -46,7 +47,7 @@
 	}
 	f, ok := n.readPeerRequest(r)
 	if !ok {
-		base.Reply(w, http.StatusBadRequest, map[string]string{"kind": string(base.Malformed), "reason": "this door is for peers"})
+		httpserver.Reply(w, http.StatusBadRequest, map[string]string{"kind": string(base.Malformed), "reason": "this door is for peers"})
 		return
 	}
 	n.control.PeerServes(f.metadata.Serial)
--- a/internal/dataplane/retry/budget_test.go
+++ b/internal/dataplane/retry/budget_test.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"curlewreach/internal/testing/simulation"
-
 	"github.com/onsi/ginkgo/v2"
 	"github.com/onsi/gomega"
+
+	"curlewreach/internal/testing/simulation"
 )
 
 var _ = ginkgo.Describe("the retry budget", func() {
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"curlewreach/base"
 	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/simulation"
 	"curlewreach/proto/wire"
 )
@@ -97,7 +97,7 @@
 // ask sends one request and reads its answer to the end.
 func (s *stand) ask(to, path string, header http.Header) (t said) {
 	scope := s.Scope(otherBox)
-	web := base.HTTPClient(scope)
+	web := httpserver.NewClient(scope)
 	defer web.CloseIdleConnections()
 	r, err := http.NewRequestWithContext(scope, http.MethodGet, "http://"+to+path, nil)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/dataplane/urgency_test.go
+++ b/internal/dataplane/urgency_test.go
@@ -6,16 +6,15 @@
 	"sync"
 	"time"
 
-	"curlewreach/internal/dataplane/connection"
-	"curlewreach/internal/dataplane/forwarding"
-	"curlewreach/internal/random"
-	"curlewreach/internal/testing/simulation"
-
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/dataplane/connection"
+	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
+	"curlewreach/internal/testing/simulation"
 	"curlewreach/proto/wire"
 )
 
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
@@ -18,8 +19,8 @@
 		return
 	}
 	mux := http.NewServeMux()
-	base.Views(mux, s, func() proto.Message { return n.View() }, n.collect)
-	door, err := base.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
+	httpserver.Views(mux, s, func() proto.Message { return n.View() }, n.collect)
+	door, err := httpserver.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
 		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = headerBytes, headerTime, idleTime, idleTime
 	})
 	if err != nil {
--- a/base/web.go
+++ b/internal/httpserver/server.go
@@ -1,4 +1,4 @@
-package base
+package httpserver
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
+
+	"curlewreach/base"
 )
 
 const (
@@ -28,7 +30,7 @@
 type Server struct {
 	server   *http.Server
 	listener net.Listener
-	crew     Group
+	tasks    base.Group
 	inFlight atomic.Int64 // requests whose handler is at work
 }
 
@@ -41,32 +43,32 @@
 
 // Serve listens at the address and serves it. Requests outlive the scope: a
 // server ends by Shutdown or Close.
-func Serve(s Scope, address string, handler http.Handler) (*Server, error) {
+func Serve(s base.Scope, address string, handler http.Handler) (*Server, error) {
 	return ServeWith(s, address, handler, func(*http.Server) {})
 }
 
 // ServeWith is Serve with a server that set changes before it serves.
-func ServeWith(s Scope, address string, handler http.Handler, set func(*http.Server)) (*Server, error) {
+func ServeWith(s base.Scope, address string, handler http.Handler, set func(*http.Server)) (*Server, error) {
 	listener, err := s.Net.Listen(address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen %s", address)
 	}
-	base := s.Context
-	door := &Server{listener: listener, server: &http.Server{
+	parent := s.Context
+	server := &Server{listener: listener, server: &http.Server{
 		Handler:           handler,
-		BaseContext:       func(net.Listener) context.Context { return context.WithoutCancel(base) },
+		BaseContext:       func(net.Listener) context.Context { return context.WithoutCancel(parent) },
 		ReadHeaderTimeout: headerWait,
 		ErrorLog:          s.Log.StandardLogger(nil),
 	}}
-	set(door.server)
-	inner := door.server.Handler
-	door.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		door.inFlight.Add(1)
-		defer door.inFlight.Add(-1)
+	set(server.server)
+	inner := server.server.Handler
+	server.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server.inFlight.Add(1)
+		defer server.inFlight.Add(-1)
 		inner.ServeHTTP(w, r)
 	})
-	door.crew.Go(func() { _ = door.server.Serve(listener) })
-	return door, nil
+	server.tasks.Go(func() { _ = server.server.Serve(listener) })
+	return server, nil
 }
 
 // Address returns the address that the server listens at, with the port that
@@ -84,10 +86,10 @@
 // scope ends, and closes all connections. Unlike Shutdown it doesn't wait for
 // connections on which no request has come, which a client may have dialled in
 // advance: Shutdown gives those five seconds.
-func (d *Server) CloseWhenIdle(s Scope) {
+func (d *Server) CloseWhenIdle(s base.Scope) {
 	d.CloseListener()
 	for calm := 0; calm < calmLooks && s.Err() == nil; calm++ {
-		Await(s, lookPause)
+		base.Await(s, lookPause)
 		if d.inFlight.Load() > 0 {
 			calm = -1
 		}
@@ -105,17 +107,17 @@
 // Close closes the listener and all connections at once.
 func (d *Server) Close() {
 	_ = d.server.Close()
-	d.crew.Wait()
+	d.tasks.Wait()
 }
 
-// HTTPClient returns an HTTP client for calls between the project's own processes
+// NewClient returns an HTTP client for calls between the project's own processes
 // over the scope's network.
-func HTTPClient(s Scope) *http.Client { return HTTPClientWithin(s, longestDial) }
+func NewClient(s base.Scope) *http.Client { return NewClientWithin(s, longestDial) }
 
-// HTTPClientWithin returns such a client that gives a connection up unless it comes up
+// NewClientWithin returns such a client that gives a connection up unless it comes up
 // in time. A transport goes on dialling after the call that wanted the connection
 // has ended: without such a bound each call to a dark machine leaves a dial behind.
-func HTTPClientWithin(s Scope, longest time.Duration) *http.Client {
+func NewClientWithin(s base.Scope, longest time.Duration) *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, longest)
 		defer cancel()
@@ -136,9 +138,11 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Plain returns the connect option of our servers: answers under compressFrom
+// HandlerOptions returns the connect option of our servers: answers under compressFrom
 // are sent as they are.
-func Plain() connect.Option { return connect.WithOptions(connect.WithCompressMinBytes(compressFrom)) }
+func HandlerOptions() connect.Option {
+	return connect.WithOptions(connect.WithCompressMinBytes(compressFrom))
+}
 
 // compressFrom is the size in bytes from which answers are compressed: below,
 // the bytes saved are worth less than the time.
--- a/base/views.go
+++ b/internal/httpserver/views.go
@@ -1,4 +1,4 @@
-package base
+package httpserver
 
 import (
 	"net/http"
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
+	"curlewreach/base"
 	"curlewreach/internal/metrics"
 	"curlewreach/proto/wire"
 )
@@ -24,7 +25,7 @@
 // GET /journal?subject=&last= (its newest events) and GET /metrics
 // (Prometheus). One view or metrics page is made at a time, to bound what
 // looking costs.
-func Views(mux *http.ServeMux, s Scope, view func() proto.Message, collect func(*metrics.Samples)) {
+func Views(mux *http.ServeMux, s base.Scope, view func() proto.Message, collect func(*metrics.Samples)) {
 	var turn sync.Mutex
 	mux.HandleFunc("GET /view", func(w http.ResponseWriter, _ *http.Request) {
 		turn.Lock()
@@ -58,7 +59,7 @@
 func ReplyProto(w http.ResponseWriter, message proto.Message) {
 	body, err := protojson.Marshal(message)
 	if err != nil {
-		Reply(w, http.StatusInternalServerError, map[string]any{"mishap": FaultOf(err)})
+		Reply(w, http.StatusInternalServerError, map[string]any{"mishap": base.FaultOf(err)})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -82,7 +82,9 @@
 // but for outcomes, which tell it themselves.
 func read(response *http.Response, said []byte, reply proto.Message) error {
 	if _, verdict := reply.(*wire.Outcome); response.StatusCode >= http.StatusMultipleChoices && !verdict {
-		var rejected struct{ Fault *base.Fault }
+		var rejected struct {
+			Fault *base.Fault `json:"mishap"`
+		}
 		if json.Unmarshal(said, &rejected) == nil && rejected.Fault != nil {
 			return rejected.Fault
 		}
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -10,6 +10,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/membership"
 	"curlewreach/internal/quorum"
 	"curlewreach/proto/wire"
@@ -20,7 +21,7 @@
 
 // Handler returns the path and handler that nodes and other core machines call.
 func Handler(h *ControlPlane) (string, http.Handler) {
-	return wireconnect.NewHelmHandler(server{h}, base.Plain())
+	return wireconnect.NewHelmHandler(server{h}, httpserver.HandlerOptions())
 }
 
 func (v server) Propose(ctx context.Context, request *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error) {
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -15,6 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 )
 
@@ -66,17 +67,17 @@
 		return h.State(), nil
 	}, whole)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		base.Reply(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.Reply(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		base.Reply(w, http.StatusOK, h.scope.Journal.Counts())
+		httpserver.Reply(w, http.StatusOK, h.scope.Journal.Counts())
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
 		if !h.Ready() {
 			status = http.StatusServiceUnavailable
 		}
-		base.Reply(w, status, map[string]any{"ready": h.Ready(), "name": h.self})
+		httpserver.Reply(w, status, map[string]any{"ready": h.Ready(), "name": h.self})
 	})
 	return mux
 }
@@ -160,5 +161,5 @@
 
 func refuse(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
-	base.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
+	httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -11,6 +11,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/membership"
 	"curlewreach/internal/quorum"
 	"curlewreach/internal/tracing"
@@ -65,7 +66,7 @@
 	Traces          *tracing.Store
 	params          *wire.KeelParams
 	cancel          context.CancelFunc
-	doors           []*base.Server
+	doors           []*httpserver.Server
 	crew            base.Group
 }
 
@@ -103,7 +104,7 @@
 
 // assemble makes the parts of the process; nothing runs yet.
 func (k *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
-	params, web := k.params, base.HTTPClient(s)
+	params, web := k.params, httpserver.NewClient(s)
 	bounds, force := params.Bounds, params.Bounds.InForce.AsDuration()
 	peers := make([]quorum.Peer, len(params.Seeds))
 	for i, seed := range params.Seeds {
@@ -112,7 +113,7 @@
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
 	k.ReplicatedStore = quorum.New(s, store, web, params.Mates, peers, time.Duration(float64(force)*roundRatio))
 	k.Traces = tracing.OpenStore(s, int(params.Traces))
-	k.Traces.Mates(web, relays)
+	k.Traces.Peers(web, relays)
 	member := membership.NewMember(s, web, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
 		params.Seeds, relays, time.Duration(float64(bounds.Leaving.AsDuration())*beatRatio))
 	limits := bundle.UsualLimits(bounds.Grace.AsDuration())
@@ -133,7 +134,7 @@
 	mux.Handle(tracing.Handler(k.Traces))
 	mux.Handle(Handler(k.Helm))
 	for address, handler := range map[string]http.Handler{k.params.Mates: mux, k.params.Operators: OperatorHandler(k.Helm)} {
-		door, err := base.Serve(s, address, handler)
+		door, err := httpserver.Serve(s, address, handler)
 		if err != nil {
 			return err
 		}
--- a/internal/listednode/answer.go
+++ b/internal/listednode/answer.go
@@ -12,6 +12,7 @@
 	"strings"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 )
 
@@ -103,5 +104,5 @@
 	if answer.Retriable {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.After.Seconds())))))
 	}
-	base.Reply(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
+	httpserver.Reply(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/process.go
+++ b/internal/listednode/process.go
@@ -9,6 +9,7 @@
 
 	"curlewreach/base"
 	"curlewreach/internal/bundle"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 )
 
@@ -26,7 +27,7 @@
 	Node   *Node
 	params *wire.VaneParams
 	cancel context.CancelFunc
-	doors  []*base.Server
+	doors  []*httpserver.Server
 	crew   base.Group
 }
 
@@ -41,14 +42,14 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	v := &Process{Node: NewNode(s, base.HTTPClient(s), params, trust), params: params, cancel: cancel}
+	v := &Process{Node: NewNode(s, httpserver.NewClient(s), params, trust), params: params, cancel: cancel}
 	for _, each := range []opening{
 		{params.Mates, v.Node.PeerHandler()},
 		{params.Ops, v.Node.OperatorHandler()},
 		{params.Upstreams, v.closingWhileStopping(v.Node.InstanceHandler())},
 		{params.Visitors, v.closingWhileStopping(v.Node.ClientHandler())},
 	} {
-		door, err := base.Serve(s, each.address, each.handler)
+		door, err := httpserver.Serve(s, each.address, each.handler)
 		if err != nil {
 			v.Kill()
 			return nil, err
@@ -101,7 +102,7 @@
 	defer cancel()
 	v.Node.Stop(ctx, grace)
 	s := v.Node.scope.WithContext(ctx)
-	base.Parallel(v.doors, func(door *base.Server) { door.CloseWhenIdle(s) })
+	base.Parallel(v.doors, func(door *httpserver.Server) { door.CloseWhenIdle(s) })
 	v.Kill()
 }
 
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -10,6 +10,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/membership"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -30,7 +31,7 @@
 // PeerHandler returns the handler for other nodes.
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(wireconnect.NewFlowHandler(peerServer{n}, base.Plain()))
+	mux.Handle(wireconnect.NewFlowHandler(peerServer{n}, httpserver.HandlerOptions()))
 	mux.Handle(membership.Handler(n.member))
 	return mux
 }
@@ -44,11 +45,13 @@
 		if !ready {
 			status = http.StatusServiceUnavailable
 		}
-		base.Reply(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.keeper.Serial()})
+		httpserver.Reply(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.keeper.Serial()})
+	})
+	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
+		httpserver.Reply(w, http.StatusOK, n.scope.Journal.Counts())
 	})
-	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) { base.Reply(w, http.StatusOK, n.scope.Journal.Counts()) })
 	mux.HandleFunc("GET /journal", func(w http.ResponseWriter, r *http.Request) {
-		base.Reply(w, http.StatusOK, slices.Collect(n.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.Reply(w, http.StatusOK, slices.Collect(n.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	return mux
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -15,6 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -217,7 +218,7 @@
 
 // Handler returns the path and handler that other members call.
 func Handler(m *Member) (string, http.Handler) {
-	return wireconnect.NewKinHandler(server{m}, base.Plain())
+	return wireconnect.NewKinHandler(server{m}, httpserver.HandlerOptions())
 }
 
 func (v server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
--- a/internal/quorum/band_test.go
+++ b/internal/quorum/band_test.go
@@ -13,6 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/proto/wire"
@@ -51,10 +52,10 @@
 	for j := range b.members {
 		peers = append(peers, Peer{Name: address(j), Address: address(j)})
 	}
-	m.replica = New(s, store, base.HTTPClient(s), address(i), peers, 300*time.Millisecond, options...)
+	m.replica = New(s, store, httpserver.NewClient(s), address(i), peers, 300*time.Millisecond, options...)
 	mux := http.NewServeMux()
 	mux.Handle(Handler(m.replica))
-	m.door, err = base.Serve(s, address(i), mux)
+	m.door, err = httpserver.Serve(s, address(i), mux)
 	Expect(err).NotTo(HaveOccurred())
 	go m.replica.Recover(s, 100*time.Millisecond)
 }
--- a/internal/quorum/server.go
+++ b/internal/quorum/server.go
@@ -7,6 +7,7 @@
 	"connectrpc.com/connect"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -15,7 +16,7 @@
 
 // Handler returns the path and handler of this machine's disk.
 func Handler(t *Replica) (string, http.Handler) {
-	return wireconnect.NewTroveHandler(server{t}, base.Plain())
+	return wireconnect.NewTroveHandler(server{t}, httpserver.HandlerOptions())
 }
 
 func (v server) Promise(ctx context.Context, request *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error) {
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -13,6 +13,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/testing/simnet"
 )
@@ -29,7 +30,7 @@
 	disk    *simnet.Disk
 	mount   *simnet.Mount
 	replica *Replica
-	door    *base.Server
+	door    *httpserver.Server
 	cancel  context.CancelFunc
 }
 
@@ -68,10 +69,10 @@
 	for j := range t.members {
 		peers = append(peers, Peer{Name: address(j), Address: address(j)})
 	}
-	m.replica = New(s, store, base.HTTPClient(s), address(i), peers, 500*time.Millisecond)
+	m.replica = New(s, store, httpserver.NewClient(s), address(i), peers, 500*time.Millisecond)
 	mux := http.NewServeMux()
 	mux.Handle(Handler(m.replica))
-	m.door, err = base.Serve(s, address(i), mux)
+	m.door, err = httpserver.Serve(s, address(i), mux)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	go m.replica.Recover(s, 200*time.Millisecond)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,6 +9,7 @@
 	"connectrpc.com/connect"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
 )
@@ -144,7 +145,7 @@
 
 // Handler serves the other replicas.
 func (r *Replica) Handler() (path string, handler http.Handler) {
-	return wireconnect.NewReplicasHandler(server{r}, base.Plain(), connect.WithReadMaxBytes(largestMessage))
+	return wireconnect.NewReplicasHandler(server{r}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(largestMessage))
 }
 
 // Exchange answers one question.
--- a/internal/statestore/flat_test.go
+++ b/internal/statestore/flat_test.go
@@ -65,12 +65,12 @@
 
 func (f *meteredFile) Write(data []byte) (int, error) {
 	f.meter.written += len(data)
-	return f.DiskFile.Write(data)
+	return f.File.Write(data)
 }
 
 func (f *meteredFile) Sync() error {
 	f.meter.syncs++
-	return f.DiskFile.Sync()
+	return f.File.Sync()
 }
 
 // figures are what a number of changes cost.
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -28,7 +28,9 @@
 	defer response.Body.Close()
 	said, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	var reply struct{ Fault *base.Fault }
+	var reply struct {
+		Fault *base.Fault `json:"mishap"`
+	}
 	Expect(json.NewDecoder(bytes.NewReader(said)).Decode(&reply)).To(Succeed(), string(said))
 	return response.StatusCode, reply.Fault
 }
--- a/internal/testing/listedfleet/trouble_test.go
+++ b/internal/testing/listedfleet/trouble_test.go
@@ -12,6 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/judge"
 	"curlewreach/internal/testing/simnet"
 	"curlewreach/internal/testing/standin"
@@ -110,7 +111,7 @@
 		f.Habits = []standin.Habit{{Prefix: "/lending/hold", Base: 300, Size: 50}}
 		raised(f)
 		far := f.Vanes[1]
-		callee := wireconnect.NewFlowClient(base.HTTPClient(f.Scope), "http://"+far.Address)
+		callee := wireconnect.NewFlowClient(httpserver.NewClient(f.Scope), "http://"+far.Address)
 		ask := &wire.CarryRequest{
 			Attempt: "twice", Incarnation: far.Node.Node.Incarnation(), Serial: 1, Service: "lending", Route: "hold", Seat: far.At(8001), Group: "patrons",
 			Method: "POST", Target: "/lending/hold/7", NotAfterUs: (far.Clock.Mono() + 2*time.Second).Microseconds(), Trail: &wire.Trail{Trace: "t"},
--- a/internal/testing/openfleet/look_test.go
+++ b/internal/testing/openfleet/look_test.go
@@ -12,14 +12,14 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/proto/wire"
 )
 
 const viewsPort = 7006
 
 func (f *Fleet) see(address, path string) string {
-	web := base.HTTPClient(f.Scope)
+	web := httpserver.NewClient(f.Scope)
 	defer web.CloseIdleConnections()
 	s, cancel := f.Scope.WithTimeout(2 * time.Second)
 	defer cancel()
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -15,6 +15,7 @@
 	"github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
@@ -103,7 +104,7 @@
 
 // Serve opens an HTTP server at the address on the machine that the address names.
 func (s *Simulation) Serve(address string, handler http.Handler) {
-	door, err := base.Serve(s.Scope(Host(address)), address, handler)
+	door, err := httpserver.Serve(s.Scope(Host(address)), address, handler)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	s.Cleanup(door.Close)
 }
--- a/internal/testing/standin/upstream.go
+++ b/internal/testing/standin/upstream.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/judge"
 )
 
@@ -99,7 +100,7 @@
 	ran     map[string]int
 	right   int
 	other   int
-	door    *base.Server
+	door    *httpserver.Server
 	cancel  context.CancelFunc
 	crew    base.Group
 }
@@ -123,11 +124,11 @@
 	u.cancel = cancel
 	u.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 16}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /mime/counts", func(w http.ResponseWriter, r *http.Request) { base.Reply(w, http.StatusOK, u.Counts()) })
+	mux.HandleFunc("GET /mime/counts", func(w http.ResponseWriter, r *http.Request) { httpserver.Reply(w, http.StatusOK, u.Counts()) })
 	mux.HandleFunc("PUT /mime/fault/{fault}", func(w http.ResponseWriter, r *http.Request) { u.SetFault(Fault(r.PathValue("fault"))) })
 	mux.HandleFunc("PUT /mime/leave", func(w http.ResponseWriter, r *http.Request) { u.Leave() })
 	mux.HandleFunc("/", u.serve)
-	door, err := base.Serve(s, u.Address, mux)
+	door, err := httpserver.Serve(s, u.Address, mux)
 	if err != nil {
 		return err
 	}
--- a/internal/tracing/fuzz_test.go
+++ b/internal/tracing/fuzz_test.go
@@ -27,8 +27,8 @@
 		settings.Draws, settings.Evidence = 50, 20
 		spans := []*wire.Span{{Service: "s", Route: "r", SelfUs: one}, {Service: "s", Route: "r", SelfUs: two}, {Service: "s", Route: "q", SelfUs: two}}
 		learning := Learn(prior, spans, settings, rand, every)
-		if mishap := NewKeeper(rand).Load(learning.Odds); mishap != nil {
-			t.Fatal(mishap)
+		if fault := NewKeeper(rand).Load(learning.Odds); fault != nil {
+			t.Fatal(fault)
 		}
 	})
 }
--- a/internal/tracing/odds_test.go
+++ b/internal/tracing/odds_test.go
@@ -68,8 +68,8 @@
 	for i := range 500 {
 		table[fmt.Sprint("service/route-", i)] = 0.05
 	}
-	if mishap := keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: table}); mishap != nil {
-		b.Fatal(mishap)
+	if fault := keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: table}); fault != nil {
+		b.Fatal(fault)
 	}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/tracing/sink_test.go
+++ b/internal/tracing/sink_test.go
@@ -13,6 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/random"
 	"curlewreach/internal/storage"
 	"curlewreach/internal/testing/simnet"
@@ -37,7 +38,7 @@
 		s := scope(w, fmt.Sprintf("10.9.0.%d", i))
 		store, mux := OpenStore(s, 1000), http.NewServeMux()
 		mux.Handle(Handler(store))
-		door, err := base.Serve(s, address, mux)
+		door, err := httpserver.Serve(s, address, mux)
 		Expect(err).NotTo(HaveOccurred())
 		w.stops = append(w.stops, door.Close)
 		return address, store
@@ -54,7 +55,7 @@
 			}
 			live, rest := addresses[:2], addresses[2:]
 			s := scope(w, "10.9.1.1")
-			web := base.HTTPClient(s)
+			web := httpserver.NewClient(s)
 			sink := NewSink(s, web, func() ([]string, []string) { return live, rest }, 100)
 			done := make(chan struct{})
 			go func() {
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
+	"curlewreach/internal/httpserver"
 	"curlewreach/internal/storage"
 	"curlewreach/proto/wire"
 	"curlewreach/proto/wire/wireconnect"
@@ -37,7 +38,7 @@
 	fresh       []*wire.Span
 	number      uint64
 	owed        deque.Deque[*wire.Batch]
-	mates       func() []wireconnect.LensClient
+	peers       func() []wireconnect.LensClient
 }
 
 // OpenStore returns a store of at most bound spans, with those that the disk
@@ -83,25 +84,25 @@
 	}
 }
 
-// Mates sets the other core machines, which get the copies that this one keeps
+// Peers sets the other core machines, which get the copies that this one keeps
 // for them. It is called once, before Run.
-func (t *Store) Mates(web *http.Client, addresses []string) {
+func (t *Store) Peers(web *http.Client, addresses []string) {
 	var clients []wireconnect.LensClient
 	for _, address := range addresses {
 		clients = append(clients, wireconnect.NewLensClient(web, "http://"+address))
 	}
-	t.FollowMates(func() []wireconnect.LensClient { return clients })
+	t.FollowPeers(func() []wireconnect.LensClient { return clients })
 }
 
-// FollowMates names the other stores by a function that is asked each time, as they may change.
+// FollowPeers names the other stores by a function that is asked each time, as they may change.
 // It must be called before Run.
-func (t *Store) FollowMates(mates func() []wireconnect.LensClient) { t.mates = mates }
+func (t *Store) FollowPeers(peers func() []wireconnect.LensClient) { t.peers = peers }
 
 func (t *Store) others() []wireconnect.LensClient {
-	if t.mates == nil {
+	if t.peers == nil {
 		return nil
 	}
-	return t.mates()
+	return t.peers()
 }
 
 // Run writes files and delivers copies at each interval until the scope ends.
@@ -141,8 +142,8 @@
 		t.mu.Lock()
 		batch := t.owed.Front()
 		t.mu.Unlock()
-		if !slices.ContainsFunc(t.others(), func(mate wireconnect.LensClient) bool {
-			return keep(s, mate, &wire.KeepRequest{Batch: batch}, every)
+		if !slices.ContainsFunc(t.others(), func(peer wireconnect.LensClient) bool {
+			return keep(s, peer, &wire.KeepRequest{Batch: batch}, every)
 		}) {
 			return
 		}
@@ -215,7 +216,7 @@
 
 // Handler returns the path and handler of the store's service.
 func Handler(t *Store) (string, http.Handler) {
-	return wireconnect.NewLensHandler(server{t}, base.Plain())
+	return wireconnect.NewLensHandler(server{t}, httpserver.HandlerOptions())
 }
 
 func (v server) Keep(_ context.Context, request *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error) {
