--- a/internal/command/core/main.go
+++ b/internal/command/core/main.go
@@ -4,12 +4,10 @@
 package core
 
 import (
-	"fmt"
-	"os"
-
 	"github.com/alexflint/go-arg"
 
 	"curlewreach/base"
+	"curlewreach/internal/command/process"
 	"curlewreach/internal/listedcore"
 	"curlewreach/proto/wire"
 )
@@ -37,20 +35,12 @@
 	if err := base.LoadParams(a.Params, params); err != nil {
 		return nil, err
 	}
-	for at, value := range map[*string]string{
+	process.Override(map[*string]string{
 		&params.Name: a.Name, &params.Zone: a.Zone, &params.Mates: a.Peers,
 		&params.Operators: a.Operators, &params.Folder: a.Folder, &params.Log: a.Log,
-	} {
-		if value != "" {
-			*at = value
-		}
-	}
-	if len(a.Seeds) > 0 {
-		params.Seeds = a.Seeds
-	}
-	if len(a.Trusted) > 0 {
-		params.Trusted = a.Trusted
-	}
+	})
+	process.OverrideList(&params.Seeds, a.Seeds)
+	process.OverrideList(&params.Trusted, a.Trusted)
 	listedcore.SetDefaults(params)
 	return params, listedcore.Check(params)
 }
@@ -59,28 +49,5 @@
 func Main() {
 	var a args
 	arg.MustParse(&a)
-	params, err := a.load()
-	if err != nil {
-		base.PrintErrors(program, err)
-	}
-	s, err := base.NewScope(program, params.Name, params.Folder, params.Log)
-	if err != nil {
-		base.PrintErrors(program, err)
-	}
-	process, err := listedcore.Start(s, params)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, program+":", err)
-		os.Exit(1)
-	}
-	base.Signals(process.Stop, func() {
-		fresh, err := a.load()
-		if err == nil {
-			err = process.Reload(fresh)
-		}
-		if err != nil {
-			s.Log.Error("reload rejected; the old settings stay", "faults", base.ErrorLines(err))
-			return
-		}
-		s.Log.Info("reloaded")
-	})
+	process.Run(program, a.load, listedcore.Start)
 }
