--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -68,7 +68,7 @@
 }
 
 // Node is the data path on one machine. Lock order: picking before any other;
-// ties, seats, gates, fences and repeats never nest.
+// ties, instances, gates, fences and repeats never nest.
 type Node struct {
 	scope       base.Scope
 	self        string
--- a/internal/testing/judge/rules_config.go
+++ b/internal/testing/judge/rules_config.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// outcomes returns the submissions that were only ever bounced, by digest, and
+// outcomes returns the submissions that were only ever rejected, by digest, and
 // the serials that were or may have been acked.
 func (a *account) outcomes() (out map[string]string, serials map[uint64]bool) {
 	out, serials = map[string]string{}, map[uint64]bool{}
