--- a/internal/dataplane/admission/link_pacer_test.go
+++ b/internal/dataplane/admission/link_pacer_test.go
@@ -19,7 +19,7 @@
 var largeSpell = NewLinkPacer(&simulation.ManualClock{}, thinMbps).spell(largeSize)
 
 var _ = ginkgo.Describe("a thin link", func() {
-	story("given a machine whose link is not told, when large answers come, then nothing is paced", func(s *simulation.Simulation) {
+	simulation.It("given a machine whose link is not told, when large answers come, then nothing is paced", func(s *simulation.Simulation) {
 		p := NewLinkPacer(s.Clock, 0)
 		for range 10 {
 			p.Pass(context.Background(), 1<<20)
@@ -29,7 +29,7 @@
 		Expect(p.Large("archive")).To(BeFalse())
 	})
 
-	story("given an answer that is waiting for its turn, when its visitor goes, then it waits no longer", func(s *simulation.Simulation) {
+	simulation.It("given an answer that is waiting for its turn, when its visitor goes, then it waits no longer", func(s *simulation.Simulation) {
 		p := NewLinkPacer(s.Clock, thinMbps)
 		p.Pass(context.Background(), 10*largeSize)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -38,7 +38,7 @@
 		Expect(s.Clock.Mono()).To(BeNumerically("~", 50*time.Millisecond, time.Millisecond))
 	})
 
-	story("given answers that are owed, when they are settled or end without one, then nothing is owed any more", func(s *simulation.Simulation) {
+	simulation.It("given answers that are owed, when they are settled or end without one, then nothing is owed any more", func(s *simulation.Simulation) {
 		p := NewLinkPacer(s.Clock, thinMbps)
 		p.Owe("archive")(largeSize)
 		Expect(p.Large("archive")).To(BeTrue())
--- a/internal/dataplane/admission/queue_test.go
+++ b/internal/dataplane/admission/queue_test.go
@@ -48,7 +48,7 @@
 }
 
 var _ = ginkgo.Describe("a full queue", func() {
-	story("given a queue full of the lowest rank, when one of a top rank comes, then it takes the place of the last, who is told at once when to come back, and goes first", func(s *simulation.Simulation) {
+	simulation.It("given a queue full of the lowest rank, when one of a top rank comes, then it takes the place of the last, who is told at once when to come back, and goes first", func(s *simulation.Simulation) {
 		g, leave, ended := full(s, 2)
 		Expect(ended).To(BeEmpty())
 		came := s.Clock.Mono()
@@ -69,7 +69,7 @@
 		Expect(ended).To(HaveLen(queueRatio*2 - 1))
 	})
 
-	story("given a queue full of top ranks, when one of the lowest comes, then it is rejected and nobody loses a place", func(s *simulation.Simulation) {
+	simulation.It("given a queue full of top ranks, when one of the lowest comes, then it is rejected and nobody loses a place", func(s *simulation.Simulation) {
 		g, leave, ended := full(s, 2)
 		for range queueRatio * 2 {
 			enter(s, g, 0, ended)
--- a/internal/dataplane/balancer/table_test.go
+++ b/internal/dataplane/balancer/table_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 
-	story("given a peer that answers, when every control machine calls it absent, then it stays", func(s *simulation.Simulation) {
+	simulation.It("given a peer that answers, when every control machine calls it absent, then it stays", func(s *simulation.Simulation) {
 		r := heard(s)
 		r.AttemptBegun("app-2")
 		r.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{Limit: 4}}, 100*time.Millisecond, 100*time.Millisecond, true)
@@ -66,7 +66,7 @@
 		}
 	})
 
-	story("given a peer that last answered a while ago, when every control machine calls it absent, then it goes", func(s *simulation.Simulation) {
+	simulation.It("given a peer that last answered a while ago, when every control machine calls it absent, then it goes", func(s *simulation.Simulation) {
 		r := heard(s)
 		r.AttemptBegun("app-2")
 		r.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{Limit: 4}}, 100*time.Millisecond, 100*time.Millisecond, true)
@@ -75,7 +75,7 @@
 		Expect(r.offers(books)).To(BeEmpty())
 	})
 
-	story("given a peer that answered and then could not be reached, when every control machine calls it absent, then it goes at once", func(s *simulation.Simulation) {
+	simulation.It("given a peer that answered and then could not be reached, when every control machine calls it absent, then it goes at once", func(s *simulation.Simulation) {
 		r := heard(s)
 		r.AttemptBegun("app-2")
 		r.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{Limit: 4}}, 100*time.Millisecond, 100*time.Millisecond, true)
@@ -84,7 +84,7 @@
 		Expect(r.offers(books)).To(BeEmpty())
 	})
 
-	story("given a peer that was never asked, when every control machine calls it absent, then it goes; while one still sees it, it stays", func(s *simulation.Simulation) {
+	simulation.It("given a peer that was never asked, when every control machine calls it absent, then it goes; while one still sees it, it stays", func(s *simulation.Simulation) {
 		r := heard(s)
 		r.Heard("core-1", false, observed(true))
 		r.Heard("core-2", false, observed(true))
--- a/internal/dataplane/connection/pool_test.go
+++ b/internal/dataplane/connection/pool_test.go
@@ -49,7 +49,7 @@
 var _ = ginkgo.Describe("kept connections", func() {
 	const address = "10.9.2.1:8080"
 	const rest = 320 * time.Millisecond
-	story("given an upstream that closes connections after a short rest, when requests come that may run once, then none is in doubt, and many still use kept connections", func(s *simulation.Simulation) {
+	simulation.It("given an upstream that closes connections after a short rest, when requests come that may run once, then none is in doubt, and many still use kept connections", func(s *simulation.Simulation) {
 		idleUpstream(s, address, rest)
 		scope := s.Scope(clientIP)
 		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
@@ -74,7 +74,7 @@
 		Expect(share).To(BeNumerically("<", 0.8))
 	})
 
-	story("given an upstream that keeps connections, when requests that may run once come at a steady pace, then hardly any needs a new connection", func(s *simulation.Simulation) {
+	simulation.It("given an upstream that keeps connections, when requests that may run once come at a steady pace, then hardly any needs a new connection", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
 		scope := s.Scope(clientIP)
 		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
@@ -89,7 +89,7 @@
 		Expect(pool.dialed).To(BeNumerically("<", 10))
 	})
 
-	story("given a peer that broke a rest, when a request that may run once comes, then it takes a new connection, and few are left idle", func(s *simulation.Simulation) {
+	simulation.It("given a peer that broke a rest, when a request that may run once comes, then it takes a new connection, and few are left idle", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
 		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
 		exchanged(pool, address, false)
@@ -106,7 +106,7 @@
 		Expect(pool.kept[address]).To(HaveLen(spareKept))
 	})
 
-	story("given peers to which no request goes that may run once, when their connections rest, then nobody looks at them", func(s *simulation.Simulation) {
+	simulation.It("given peers to which no request goes that may run once, when their connections rest, then nobody looks at them", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
 		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
 		exchanged(pool, address, false)
@@ -124,7 +124,7 @@
 		Expect(pool.kept[address]).To(BeEmpty(), "idle for too long, watched or not")
 	})
 
-	story("given a kept connection that takes no byte, when a request is written on it, then it goes once on a new one", func(s *simulation.Simulation) {
+	simulation.It("given a kept connection that takes no byte, when a request is written on it, then it goes once on a new one", func(s *simulation.Simulation) {
 		asked := &simulation.Tally{}
 		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			asked.Add("asked", 1)
@@ -141,7 +141,7 @@
 		Expect(pool.dialed).To(BeEquivalentTo(2))
 	})
 
-	story("given a connection that breaks after a part of the request, when it is written, then it is in doubt and sent no second time", func(s *simulation.Simulation) {
+	simulation.It("given a connection that breaks after a part of the request, when it is written, then it is in doubt and sent no second time", func(s *simulation.Simulation) {
 		asked := &simulation.Tally{}
 		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { asked.Add("asked", 1) }))
 		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
--- a/internal/dataplane/connection/suite_test.go
+++ b/internal/dataplane/connection/suite_test.go
@@ -3,20 +3,7 @@
 import (
 	"testing"
 
-	"github.com/onsi/ginkgo/v2"
-	"github.com/onsi/gomega"
-
 	"curlewreach/internal/testing/simulation"
 )
 
-var suite *testing.T
-
-func TestConnection(t *testing.T) {
-	suite = t
-	gomega.RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "connection")
-}
-
-func story(text string, test func(s *simulation.Simulation)) {
-	ginkgo.It(text, func() { simulation.Run(suite, simulation.UsualDelay, test) })
-}
+func TestConnection(t *testing.T) { simulation.RunSpecs(t, "connection") }
--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -67,14 +67,6 @@
 	}
 }
 
-func (s *stand) until(longest time.Duration, reached func() bool) time.Duration {
-	began := s.Clock.Mono()
-	for s.Clock.Mono()-began < longest && !reached() {
-		time.Sleep(5 * time.Millisecond)
-	}
-	return s.Clock.Mono() - began
-}
-
 var _ = ginkgo.Describe("a node that hears of a newer configuration", func() {
 	story("given control machines that take 400 ms to hand a configuration out, when peers that are ahead keep calling, then the fetch is let finish", func(s *stand) {
 		seeds, newest, _ := s.standControllers(3, 400*time.Millisecond)
@@ -84,7 +76,7 @@
 		time.Sleep(2 * time.Second)
 		newest.Store(2)
 		s.callsFromAhead(n, 60, 40*time.Millisecond)
-		took := s.until(5*time.Second, func() bool { return n.control.Serial() == 2 })
+		took := s.Until(5*time.Second, func() bool { return n.control.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", time.Second), "the older configuration was served for so long")
 	})
@@ -98,7 +90,7 @@
 		s.callsFromAhead(n, 300, 10*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		newest.Store(2)
-		took := s.until(5*time.Second, func() bool { return n.control.Serial() == 2 })
+		took := s.Until(5*time.Second, func() bool { return n.control.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "the older configuration was served for so long")
 	})
@@ -111,7 +103,7 @@
 		time.Sleep(2 * time.Second)
 		before := asked.Add("wants", 0)
 		newest.Store(2)
-		s.until(3*time.Second, func() bool { return n.control.Serial() == 2 })
+		s.Until(3*time.Second, func() bool { return n.control.Serial() == 2 })
 		time.Sleep(time.Second)
 		Expect(n.control.Serial()).To(Equal(uint64(2)))
 		Expect(asked.Add("wants", 0) - before).To(Equal(1))
--- a/internal/dataplane/controlclient/suite_test.go
+++ b/internal/dataplane/controlclient/suite_test.go
@@ -5,9 +5,6 @@
 	"testing"
 	"time"
 
-	"github.com/onsi/ginkgo/v2"
-	"github.com/onsi/gomega"
-
 	"curlewreach/base"
 	"curlewreach/internal/httpserver"
 	"curlewreach/internal/testing/simulation"
@@ -15,12 +12,8 @@
 	"curlewreach/proto/wire"
 )
 
-var suite *testing.T
-
 func TestControlClient(t *testing.T) {
-	suite = t
-	gomega.RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "control client")
+	simulation.RunSpecs(t, "control client")
 }
 
 // Bounds of the nodes that a stand starts.
@@ -37,9 +30,7 @@
 type stand struct{ *simulation.Simulation }
 
 func story(text string, tell func(s *stand)) {
-	ginkgo.It(text, func() {
-		simulation.Run(suite, simulation.UsualDelay, func(s *simulation.Simulation) { tell(&stand{s}) })
-	})
+	simulation.It(text, func(s *simulation.Simulation) { tell(&stand{s}) })
 }
 
 // node is as much of a node as speaks to control machines.
@@ -73,22 +64,6 @@
 	return n
 }
 
-// until waits until reached, for longest at most, and returns how long that took.
-func (s *stand) until(longest time.Duration, reached func() bool) time.Duration {
-	began := s.Clock.Mono()
-	for s.Clock.Mono()-began < longest && !reached() {
-		time.Sleep(5 * time.Millisecond)
-	}
-	return s.Clock.Mono() - began
-}
-
 func aConfiguration(serial uint64) *wire.Configuration {
-	service := books
-	c := &wire.Configuration{Serial: serial, Services: []*wire.ConfigurationService{{Name: books, Probe: "/health", ConnLimit: 130, Protocol: "h1"}}}
-	for i, name := range []string{"index", "search", "archive"} {
-		c.Routes = append(c.Routes, &wire.ConfigurationRoute{
-			Name: name, Host: "books.example", Prefix: "/" + name + "/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 5000, AimMs: 1000, Rank: uint32(i + 1), Tries: 2, Service: &service,
-		})
-	}
-	return c
+	return simulation.Configuration(serial, books)
 }
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/types/known/durationpb"
 
@@ -18,12 +17,8 @@
 	"curlewreach/proto/wire"
 )
 
-var suite *testing.T
-
 func TestDataPlane(t *testing.T) {
-	suite = t
-	RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "ford")
+	simulation.RunSpecs(t, "ford")
 }
 
 const (
@@ -36,19 +31,11 @@
 // stand is a simulation on which single nodes, control machines and peers are set up.
 type stand struct{ *simulation.Simulation }
 
-func story(text string, tell func(s *stand)) { ginkgo.It(text, told(tell)) }
+func story(text string, tell func(s *stand)) { distant(text, simulation.UsualDelay, tell) }
 
 // distant is a story whose machines are further apart than usual, one way.
 func distant(text string, delay time.Duration, tell func(s *stand)) {
-	ginkgo.It(text, toldAt(delay, tell))
-}
-
-func told(tell func(s *stand)) func() { return toldAt(simulation.UsualDelay, tell) }
-
-func toldAt(delay time.Duration, tell func(s *stand)) func() {
-	return func() {
-		simulation.Run(suite, delay, func(s *simulation.Simulation) { tell(&stand{s}) })
-	}
+	simulation.ItAt(text, delay, func(s *simulation.Simulation) { tell(&stand{s}) })
 }
 
 func (s *stand) node(i int, seeds []string) *Node {
@@ -76,14 +63,7 @@
 }
 
 func aConfiguration(serial uint64) *wire.Configuration {
-	service := books
-	c := &wire.Configuration{Serial: serial, Services: []*wire.ConfigurationService{{Name: books, Probe: "/health", ConnLimit: 130, Protocol: "h1"}}}
-	for i, name := range []string{"index", "search", "archive"} {
-		c.Routes = append(c.Routes, &wire.ConfigurationRoute{
-			Name: name, Host: "books.example", Prefix: "/" + name + "/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 5000, AimMs: 1000, Rank: uint32(i + 1), Tries: 2, Service: &service,
-		})
-	}
-	return c
+	return simulation.Configuration(serial, books)
 }
 
 type said struct {
