--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -10,13 +10,11 @@
 	"crypto/ed25519"
 	"encoding/base64"
 	"fmt"
-	"hash/fnv"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"google.golang.org/protobuf/proto"
 
 	"curlewreach/base"
@@ -146,17 +144,10 @@
 	return f
 }
 
-func (f *Fleet) rand(name string) *random.Source {
-	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%d %s", f.Seed, name)
-	return random.Seeded(hash.Sum64())
-}
+func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
-	return base.Scope{
-		Context: context.Background(), Node: name, Clock: clock, Net: f.World.At(ip, name), Disk: disk,
-		Rand: f.rand(name), Log: hclog.NewNullLogger(), Journal: journal,
-	}
+	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
 }
 
 // Raise starts a machine's process.
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -4,14 +4,12 @@
 import (
 	"context"
 	"fmt"
-	"hash/fnv"
 	"net/http"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
@@ -169,17 +167,10 @@
 	return zone
 }
 
-func (f *Fleet) rand(name string) *random.Source {
-	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%d %s", f.Seed, name)
-	return random.Seeded(hash.Sum64())
-}
+func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
-	return base.Scope{
-		Context: context.Background(), Node: name, Clock: clock, Net: f.World.At(ip, name), Disk: disk,
-		Rand: f.rand(name), Log: hclog.NewNullLogger(), Journal: journal,
-	}
+	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
 }
 
 // Raise starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
