--- a/internal/dataplane/admission/body_memory_test.go
+++ b/internal/dataplane/admission/body_memory_test.go
@@ -10,42 +10,42 @@
 	"curlewreach/base"
 )
 
-var _ = ginkgo.Describe("holding bodies", func() {
-	read := func(h *BodyMemory, size int, chunked bool, limit int64) ([]byte, func(), *base.Fault) {
+var _ = ginkgo.Describe("the memory of request bodies", func() {
+	read := func(memory *BodyMemory, size int, chunked bool, limit int64) ([]byte, func(), *base.Fault) {
 		r := httptest.NewRequest("POST", "/", strings.NewReader(strings.Repeat("x", size)))
 		if chunked {
 			r.ContentLength = -1
 		}
-		return h.Read(r, limit)
+		return memory.Read(r, limit)
 	}
-	ginkgo.It("given a body within the configuration's limit, when it comes, then it is held whole, with a length or in chunks", func() {
+	ginkgo.It("given a body within the configured limit, when it is read, with a length or in chunks, then all of it counts against the memory until it is released", func() {
 		for _, chunked := range []bool{false, true} {
-			h := NewBodyMemory(284)
-			body, done, fault := read(h, 12<<20, chunked, 64<<20)
+			memory := NewBodyMemory(284)
+			body, release, fault := read(memory, 12<<20, chunked, 64<<20)
 			gomega.Expect(fault).To(gomega.BeNil())
 			gomega.Expect(body).To(gomega.HaveLen(12 << 20))
-			gomega.Expect(h.held.Load()).To(gomega.BeEquivalentTo(12 << 20))
-			done()
-			gomega.Expect(h.held.Load()).To(gomega.BeZero())
+			gomega.Expect(memory.reserved.Load()).To(gomega.BeEquivalentTo(12 << 20))
+			release()
+			gomega.Expect(memory.reserved.Load()).To(gomega.BeZero())
 		}
 	})
-	ginkgo.It("given a body over the configuration's limit, when it comes, then it is too large, and nothing stays held", func() {
+	ginkgo.It("given a body over the configured limit, when it is read, then it is too large and no memory stays reserved", func() {
 		for _, chunked := range []bool{false, true} {
-			h := NewBodyMemory(284)
-			_, _, fault := read(h, 5000, chunked, 4000)
+			memory := NewBodyMemory(284)
+			_, _, fault := read(memory, 5000, chunked, 4000)
 			gomega.Expect(fault.Kind).To(gomega.Equal(base.TooLarge))
-			gomega.Expect(h.held.Load()).To(gomega.BeZero())
+			gomega.Expect(memory.reserved.Load()).To(gomega.BeZero())
 		}
 	})
-	ginkgo.It("given no room, when a body comes, then it is told to come back, and has room later", func() {
-		h := NewBodyMemory(16)
-		_, done, fault := read(h, 3<<20, false, 64<<20)
+	ginkgo.It("given too little memory, when a body is read, then it is rejected with a time to retry, and accepted once memory is released", func() {
+		memory := NewBodyMemory(16)
+		_, release, fault := read(memory, 3<<20, false, 64<<20)
 		gomega.Expect(fault).To(gomega.BeNil())
-		_, _, fault = read(h, 3<<20, false, 64<<20)
+		_, _, fault = read(memory, 3<<20, false, 64<<20)
 		gomega.Expect(fault.Kind).To(gomega.Equal(base.Overloaded))
 		gomega.Expect(fault.After).NotTo(gomega.BeZero())
-		done()
-		_, _, fault = read(h, 3<<20, false, 64<<20)
+		release()
+		_, _, fault = read(memory, 3<<20, false, 64<<20)
 		gomega.Expect(fault).To(gomega.BeNil())
 	})
 })
--- a/internal/dataplane/admission/doc.go
+++ b/internal/dataplane/admission/doc.go
@@ -1,3 +1,3 @@
-// Package admission decides what may be at an upstream, in memory and on the link of a machine at a time: a queue in front
-// of the upstream, a bound on the bodies in memory, and a pacer of large answers.
+// Package admission limits what a machine handles at a time: it queues requests in front of an upstream,
+// bounds the request bodies held in memory and paces large responses on the machine's link.
 package admission
--- a/internal/dataplane/admission/link_pacer.go
+++ b/internal/dataplane/admission/link_pacer.go
@@ -9,90 +9,98 @@
 )
 
 const (
-	// PacerBurst is how much of the link's time may be saved up.
+	// PacerBurst is how much unused link time may be saved up.
 	PacerBurst = 20 * time.Millisecond
 
-	// pacerRatio is the part of the link that answers may fill.
-	pacerRatio = 0.8
-	// smallBytes is the largest answer that never waits.
-	smallBytes = 16 << 10
-	// sizeMemory is the weight of the newest answer in the average size of a route's answers.
-	sizeMemory = 0.05
+	// linkUtilization is the fraction of the link's bandwidth that responses may use.
+	linkUtilization = 0.8
+	// maxUnpacedBytes is the size of the largest response that never waits.
+	maxUnpacedBytes = 16 << 10
+	// sizeSmoothing is the weight of the newest response in the average response size of a route.
+	sizeSmoothing = 0.05
 )
 
-// LinkPacer paces what leaves by this machine's link: small answers at once, large ones one after the other, so that neither
-// they nor control traffic wait behind a full link. It is safe for concurrent use.
+// LinkPacer paces the responses that leave by this machine's link. Small responses are sent at once and large
+// ones one after the other, so that neither they nor control traffic wait behind a saturated link. It is safe
+// for concurrent use.
 type LinkPacer struct {
 	clock base.Clock
-	rate  float64
-	mu    sync.Mutex
-	free  time.Duration
-	owed  float64
-	sizes map[string]float64
+	// rate is in bytes per second; 0 disables pacing.
+	rate float64
+	mu   sync.Mutex
+	// busyUntil is when the link has sent every response accepted so far, at the given rate.
+	busyUntil time.Duration
+	// pendingBytes is the expected total size of the responses reserved and not settled.
+	pendingBytes float64
+	// averageSizes holds the average response size in bytes by route.
+	averageSizes map[string]float64
 }
 
-// NewLinkPacer paces to a part of the link's megabits a second; zero paces nothing.
+// NewLinkPacer returns a pacer for a link of the given megabits per second; 0 disables pacing.
 func NewLinkPacer(clock base.Clock, mbps float64) *LinkPacer {
-	return &LinkPacer{clock: clock, rate: mbps * pacerRatio * 1e6 / 8, sizes: map[string]float64{}}
+	return &LinkPacer{clock: clock, rate: mbps * linkUtilization * 1e6 / 8, averageSizes: map[string]float64{}}
 }
 
-func (p *LinkPacer) spell(bytes float64) time.Duration {
+// transmitTime returns how long the paced link takes for the given number of bytes.
+func (p *LinkPacer) transmitTime(bytes float64) time.Duration {
 	return time.Duration(bytes / p.rate * float64(time.Second))
 }
 
-// Backlog is how long an answer begun now would wait.
+// Backlog returns how long a large response would wait if it began now, reserved responses included.
 func (p *LinkPacer) Backlog() time.Duration {
 	if p.rate <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.free-p.clock.Mono(), 0) + p.spell(p.owed)
+	return max(p.busyUntil-p.clock.Mono(), 0) + p.transmitTime(p.pendingBytes)
 }
 
-// Owe expects an answer of a route's usual size until settle is called with its size, 0 if there was none.
-func (p *LinkPacer) Owe(route string) (settle func(size int64)) {
+// Reserve accounts for a response of the route's average size until settle is called with its actual size, or
+// with 0 if there was no response. Further calls of settle have no effect.
+func (p *LinkPacer) Reserve(route string) (settle func(size int64)) {
 	if p.rate <= 0 {
 		return func(int64) {}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	expected := p.sizes[route]
-	p.owed += expected
+	estimate := p.averageSizes[route]
+	p.pendingBytes += estimate
 	var once sync.Once
 	return func(size int64) {
 		once.Do(func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.owed = max(p.owed-expected, 0)
+			p.pendingBytes = max(p.pendingBytes-estimate, 0)
 			if size > 0 {
-				p.sizes[route] += sizeMemory * (float64(size) - p.sizes[route])
-				if expected == 0 {
-					p.sizes[route] = float64(size)
+				p.averageSizes[route] += sizeSmoothing * (float64(size) - p.averageSizes[route])
+				if estimate == 0 {
+					p.averageSizes[route] = float64(size)
 				}
 			}
 		})
 	}
 }
 
-// Large tells whether a route's answers are usually paced.
-func (p *LinkPacer) Large(route string) bool {
+// IsPaced reports whether responses of a route are usually large enough to be paced.
+func (p *LinkPacer) IsPaced(route string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rate > 0 && p.sizes[route] > smallBytes
+	return p.rate > 0 && p.averageSizes[route] > maxUnpacedBytes
 }
 
-// Pass waits until so many bytes may be written, or ctx ends.
-func (p *LinkPacer) Pass(ctx context.Context, bytes int64) {
+// Wait accounts for a response of the given size and waits until it may be written or ctx is done. Responses
+// of up to maxUnpacedBytes do not wait.
+func (p *LinkPacer) Wait(ctx context.Context, bytes int64) {
 	if p.rate <= 0 {
 		return
 	}
 	p.mu.Lock()
 	now := p.clock.Mono()
-	p.free = max(p.free, now-PacerBurst) + p.spell(float64(bytes))
-	wait := p.free - p.spell(float64(bytes)) - now
+	p.busyUntil = max(p.busyUntil, now-PacerBurst) + p.transmitTime(float64(bytes))
+	wait := p.busyUntil - p.transmitTime(float64(bytes)) - now
 	p.mu.Unlock()
-	if bytes <= smallBytes || wait <= 0 {
+	if bytes <= maxUnpacedBytes || wait <= 0 {
 		return
 	}
 	wakeup := time.NewTimer(wait)
--- a/internal/dataplane/admission/queue.go
+++ b/internal/dataplane/admission/queue.go
@@ -9,163 +9,185 @@
 	"curlewreach/base"
 )
 
-// UrgentRank is the last of the urgent ranks: their requests are served before all others, also when late.
-const UrgentRank = 1
+// MaxUrgentRank is the highest rank that counts as urgent. Urgent requests are not set back among themselves
+// when they are past their soft deadline.
+const MaxUrgentRank = 1
 
 const (
-	// holdMemory is the weight of the newest request in the average time that requests hold a slot.
-	holdMemory = 0.1
-	// urgentMemory is the weight of the newest request in the urgent ranks' share of all.
-	urgentMemory = 0.02
-	// mostUrgent bounds that share where waits are guessed.
-	mostUrgent = 0.9
-	// staleHolds average holds after it began, a request no longer counts as holding its slot.
-	staleHolds = 8
-	// queueRatio, times the number of slots, is how many may wait.
-	queueRatio = 1
-	// shortestHold, in seconds, bounds the average from below.
-	shortestHold = 0.001
+	// serviceTimeSmoothing is the weight of the newest request in the average service time.
+	serviceTimeSmoothing = 0.1
+	// urgentShareSmoothing is the weight of the newest request in the share of urgent requests.
+	urgentShareSmoothing = 0.02
+	// maxUrgentShare bounds the share of urgent requests in estimates of the wait.
+	maxUrgentShare = 0.9
+	// staleServiceTimes is the number of average service times after which an admitted request no longer
+	// counts as occupying its slot.
+	staleServiceTimes = 8
+	// waitersPerSlot is how many requests may wait for each slot.
+	waitersPerSlot = 1
+	// minServiceTime is the lower bound of the average service time, in seconds.
+	minServiceTime = 0.001
 )
 
-// Request is what a request asks of an admission queue. Times are by the steady clock.
+// Request holds the conditions of a request that asks for admission. Times are readings of the monotonic
+// clock.
 type Request struct {
 	// Rank is the priority; 0 is the most urgent.
 	Rank int
-	// AimBy is the last moment to start so that the answer meets the latency target.
-	AimBy time.Duration
-	// DieBy is the last moment to start at all.
-	DieBy time.Duration
-	// Patience is the longest wait that the request accepts; it is rejected at once if a longer one is to be expected.
-	Patience time.Duration
+	// SoftDeadline is the latest start with which the response still meets the latency target.
+	SoftDeadline time.Duration
+	// HardDeadline is the latest start; a request that has not been admitted by then is rejected.
+	HardDeadline time.Duration
+	// MaxWait is the longest wait that the request accepts. If the expected wait is longer, the request is
+	// rejected at once.
+	MaxWait time.Duration
 }
 
+// waiter is a request in the queue.
 type waiter struct {
 	Request
-	turn  uint64
-	grant chan *base.Fault
+	// sequence is the order of arrival.
+	sequence uint64
+	// decision receives nil when the request is admitted, and a fault when it is rejected.
+	decision chan *base.Fault
 }
 
+// before reports whether w is admitted ahead of other. Requests that can still meet their soft deadline go
+// ahead of those that can't, unless both are urgent. Ties are broken by rank, soft deadline and order of
+// arrival.
 func (w *waiter) before(other *waiter, now time.Duration) bool {
-	late, otherLate := now > w.AimBy, now > other.AimBy
+	late, otherLate := now > w.SoftDeadline, now > other.SoftDeadline
 	switch {
-	case w.Rank > UrgentRank && late != otherLate || other.Rank > UrgentRank && late != otherLate:
+	case w.Rank > MaxUrgentRank && late != otherLate || other.Rank > MaxUrgentRank && late != otherLate:
 		return otherLate
 	case w.Rank != other.Rank:
 		return w.Rank < other.Rank
-	case w.AimBy != other.AimBy:
-		return w.AimBy < other.AimBy
+	case w.SoftDeadline != other.SoftDeadline:
+		return w.SoftDeadline < other.SoftDeadline
 	}
-	return w.turn < other.turn
+	return w.sequence < other.sequence
 }
 
-// Queue lets a bounded number of requests through to an upstream at a time. The others wait; those that can still meet their
-// latency target go first, by rank and by the time they have left. It is safe for concurrent use.
+// Queue limits the number of requests at an upstream. Further requests wait. Those that can still meet their
+// latency target are admitted first, by rank and then by the time left. It is safe for concurrent use.
 type Queue struct {
-	clock   base.Clock
-	mu      sync.Mutex
-	limit   int
-	flights map[uint64]time.Duration
-	queue   []*waiter
-	turn    uint64
-	hold    float64
-	top     float64
+	clock base.Clock
+	mu    sync.Mutex
+	limit int
+	// startedAt holds the admission time of the requests in flight, by sequence number.
+	startedAt    map[uint64]time.Duration
+	waiters      []*waiter
+	lastSequence uint64
+	// serviceTime is the average time in seconds for which a request occupies a slot.
+	serviceTime float64
+	// urgentShare is the average share of urgent requests among those admitted.
+	urgentShare float64
 }
 
-// NewQueue returns a queue in front of limit slots. usual is how long a request is expected to hold one, until some have.
-func NewQueue(clock base.Clock, limit int, usual time.Duration) *Queue {
-	return &Queue{clock: clock, limit: max(limit, 1), flights: map[uint64]time.Duration{}, hold: usual.Seconds()}
+// NewQueue returns a queue in front of limit slots. serviceTime is the assumed service time until requests
+// have been measured.
+func NewQueue(clock base.Clock, limit int, serviceTime time.Duration) *Queue {
+	return &Queue{clock: clock, limit: max(limit, 1), startedAt: map[uint64]time.Duration{}, serviceTime: serviceTime.Seconds()}
 }
 
-// Resize sets the number of slots.
+// Resize sets the number of slots; at least one.
 func (q *Queue) Resize(limit int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.limit = max(limit, 1)
-	q.advance()
+	q.admitWaiters()
 }
 
-func (q *Queue) flying() int {
-	if len(q.flights) < q.limit {
-		return len(q.flights)
+// inFlight counts the occupied slots. Once all are taken, requests admitted longer than staleServiceTimes
+// average service times ago are left out. The caller must hold q.mu.
+func (q *Queue) inFlight() int {
+	if len(q.startedAt) < q.limit {
+		return len(q.startedAt)
 	}
-	stale, count := q.clock.Mono()-time.Duration(staleHolds*q.hold*float64(time.Second)), 0
-	for _, began := range q.flights {
-		if began >= stale {
+	cutoff, count := q.clock.Mono()-time.Duration(staleServiceTimes*q.serviceTime*float64(time.Second)), 0
+	for _, began := range q.startedAt {
+		if began >= cutoff {
 			count++
 		}
 	}
 	return count
 }
 
-func (q *Queue) spell(ahead int, rank int) time.Duration {
-	rate := float64(q.limit) / q.hold
-	if rank > UrgentRank {
-		rate *= 1 - min(q.top, mostUrgent)
+// drainTime estimates how long it takes until as many slots are released as there are requests ahead. For
+// ranks that are not urgent, the share of urgent requests is deducted from the rate.
+func (q *Queue) drainTime(ahead int, rank int) time.Duration {
+	rate := float64(q.limit) / q.serviceTime
+	if rank > MaxUrgentRank {
+		rate *= 1 - min(q.urgentShare, maxUrgentShare)
 	}
 	return time.Duration(float64(ahead) / rate * float64(time.Second))
 }
 
-// Load is how full an admission queue is.
+// Load describes how full a queue is.
 type Load struct {
-	// Flying counts the requests at the upstream, Waiting those in the queue, and Limit how many may be at the upstream.
+	// InFlight is the number of requests at the upstream, Waiting those in the queue, and Limit the number of
+	// slots.
 	InFlight, Waiting, Limit int
-	// HoldMs is how long a request is at the upstream, on average, in milliseconds.
-	HoldMs int
-	// TopMs and RestMs are how long a request of the most urgent ranks, and of the others, would wait, in milliseconds.
-	TopMs, RestMs int
+	// ServiceTimeMs is the average time in milliseconds for which a request occupies a slot.
+	ServiceTimeMs int
+	// UrgentWaitMs and NormalWaitMs are the expected waits in milliseconds of an urgent request and of
+	// others; 0 while a slot is free.
+	UrgentWaitMs, NormalWaitMs int
 }
 
-// Load tells how full the admission queue is, and how long a request of the top ranks and of the others would wait.
+// Load returns how full the queue is and how long urgent and other requests would wait.
 func (q *Queue) Load() Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	w := Load{InFlight: q.flying(), Waiting: len(q.queue), Limit: q.limit, HoldMs: int(q.hold * 1000)}
-	if w.InFlight >= q.limit {
+	load := Load{InFlight: q.inFlight(), Waiting: len(q.waiters), Limit: q.limit, ServiceTimeMs: int(q.serviceTime * 1000)}
+	if load.InFlight >= q.limit {
 		now := q.clock.Mono()
-		w.TopMs = int(q.wait(&waiter{Request: Request{Rank: UrgentRank, AimBy: now}}, now).Milliseconds())
-		w.RestMs = int(q.wait(&waiter{Request: Request{Rank: UrgentRank + 1, AimBy: now + time.Hour}}, now).Milliseconds())
+		load.UrgentWaitMs = int(q.expectedWait(&waiter{Request: Request{Rank: MaxUrgentRank, SoftDeadline: now}}, now).Milliseconds())
+		load.NormalWaitMs = int(q.expectedWait(&waiter{Request: Request{Rank: MaxUrgentRank + 1, SoftDeadline: now + time.Hour}}, now).Milliseconds())
 	}
-	return w
+	return load
 }
 
-func (q *Queue) wait(mine *waiter, now time.Duration) time.Duration {
+// expectedWait estimates the wait of a request by the waiters ahead of it. The caller must hold q.mu.
+func (q *Queue) expectedWait(w *waiter, now time.Duration) time.Duration {
 	ahead := 1
-	for _, each := range q.queue {
-		if each.before(mine, now) {
+	for _, each := range q.waiters {
+		if each.before(w, now) {
 			ahead++
 		}
 	}
-	return q.spell(ahead, mine.Rank)
+	return q.drainTime(ahead, w.Rank)
 }
 
-// Enter takes a slot, or waits for one if the wait looks no longer than the request's patience. leave gives the slot back.
-// A fault of kind Crowded says after how long to come back.
-func (q *Queue) Enter(ctx context.Context, request Request) (leave func(), fault *base.Fault) {
+// Acquire takes a slot. If none is free, it waits for one, provided that the expected wait does not exceed
+// the request's MaxWait. release returns the slot. A fault of kind Overloaded carries the time after which to
+// retry.
+func (q *Queue) Acquire(ctx context.Context, request Request) (release func(), fault *base.Fault) {
 	q.mu.Lock()
-	q.turn++
+	q.lastSequence++
 	now := q.clock.Mono()
-	mine := &waiter{Request: request, turn: q.turn, grant: make(chan *base.Fault, 1)}
-	if len(q.queue) == 0 && q.flying() < q.limit {
+	w := &waiter{Request: request, sequence: q.lastSequence, decision: make(chan *base.Fault, 1)}
+	if len(q.waiters) == 0 && q.inFlight() < q.limit {
 		defer q.mu.Unlock()
-		return q.take(mine), nil
+		return q.admit(w), nil
 	}
-	wait := q.wait(mine, now)
-	impatient := request.Patience <= 0 || wait > request.Patience
-	if impatient && !q.outranks(mine) || len(q.queue) >= queueRatio*q.limit && !q.evict(mine, now) {
+	wait := q.expectedWait(w, now)
+	waitTooLong := request.MaxWait <= 0 || wait > request.MaxWait
+	if waitTooLong && !q.outranksWaiter(w) || len(q.waiters) >= waitersPerSlot*q.limit && !q.evict(w, now) {
 		q.mu.Unlock()
 		return nil, base.NewFault(base.Overloaded, "", "every slot is taken").WithRetryAfter(wait)
 	}
-	q.queue = append(q.queue, mine)
-	q.advance()
+	q.waiters = append(q.waiters, w)
+	q.admitWaiters()
 	q.mu.Unlock()
-	wakeup := time.NewTimer(request.DieBy - now)
+	wakeup := time.NewTimer(request.HardDeadline - now)
 	defer wakeup.Stop()
 	select {
-	case fault = <-mine.grant:
+	case fault = <-w.decision:
 		if fault != nil {
 			return nil, fault
 		}
-		return q.leaver(mine.turn), nil
+		return q.releaseFunc(w.sequence), nil
 	case <-ctx.Done():
 		fault = base.NewFault(base.Expired, "", "the client is gone")
 	case <-wakeup.C:
@@ -173,88 +195,94 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for i, each := range q.queue {
-		if each == mine {
-			q.queue = append(q.queue[:i], q.queue[i+1:]...)
-			return nil, fault.WithRetryAfter(q.wait(mine, q.clock.Mono()))
+	for i, each := range q.waiters {
+		if each == w {
+			q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
+			return nil, fault.WithRetryAfter(q.expectedWait(w, q.clock.Mono()))
 		}
 	}
-	if said := <-mine.grant; said != nil {
-		return nil, said
+	if decided := <-w.decision; decided != nil {
+		return nil, decided
 	}
 	if ctx.Err() == nil {
-		return q.leaver(mine.turn), nil
+		return q.releaseFunc(w.sequence), nil
 	}
-	delete(q.flights, mine.turn)
-	q.advance()
+	delete(q.startedAt, w.sequence)
+	q.admitWaiters()
 	return nil, fault
 }
 
-// outranks tells whether one of a less urgent kind waits here: a request that is refused while that one is served later
-// would be served less often than what is less urgent. The top ranks are served first anyway.
-func (q *Queue) outranks(mine *waiter) bool {
-	return mine.Rank > UrgentRank && slices.ContainsFunc(q.queue, func(each *waiter) bool { return each.Rank > mine.Rank })
+// outranksWaiter reports whether a request of a lower priority is waiting. A request is not rejected for its
+// expected wait then: if it were, while that one is served later, its rank would be served less often than a
+// lower one. Urgent ranks are excluded, since they are served first anyway.
+func (q *Queue) outranksWaiter(w *waiter) bool {
+	return w.Rank > MaxUrgentRank && slices.ContainsFunc(q.waiters, func(each *waiter) bool { return each.Rank > w.Rank })
 }
 
-// evict makes room for a better waiter by refusing the one who would be served last.
-func (q *Queue) evict(mine *waiter, now time.Duration) bool {
+// evict rejects the waiter that would be served last if w goes ahead of it, and reports whether it did.
+func (q *Queue) evict(w *waiter, now time.Duration) bool {
 	worst := 0
-	for i, each := range q.queue {
-		if q.queue[worst].before(each, now) {
+	for i, each := range q.waiters {
+		if q.waiters[worst].before(each, now) {
 			worst = i
 		}
 	}
-	out := q.queue[worst]
-	if !mine.before(out, now) {
+	evicted := q.waiters[worst]
+	if !w.before(evicted, now) {
 		return false
 	}
-	q.queue = append(q.queue[:worst], q.queue[worst+1:]...)
-	out.grant <- base.NewFault(base.Overloaded, "", "a better one took its place").WithRetryAfter(q.wait(out, now))
+	q.waiters = append(q.waiters[:worst], q.waiters[worst+1:]...)
+	evicted.decision <- base.NewFault(base.Overloaded, "", "a better one took its place").WithRetryAfter(q.expectedWait(evicted, now))
 	return true
 }
 
-func (q *Queue) take(w *waiter) func() {
-	q.flights[w.turn] = q.clock.Mono()
-	share := 0.0
-	if w.Rank <= UrgentRank {
-		share = 1
+// admit gives a slot to a request and returns its release function. The caller must hold q.mu.
+func (q *Queue) admit(w *waiter) func() {
+	q.startedAt[w.sequence] = q.clock.Mono()
+	sample := 0.0
+	if w.Rank <= MaxUrgentRank {
+		sample = 1
 	}
-	q.top += urgentMemory * (share - q.top)
-	return q.leaver(w.turn)
+	q.urgentShare += urgentShareSmoothing * (sample - q.urgentShare)
+	return q.releaseFunc(w.sequence)
 }
 
-func (q *Queue) leaver(turn uint64) func() {
+// releaseFunc returns the function that releases a slot, adds the service time to the average and admits
+// waiters. Further calls of the function have no effect.
+func (q *Queue) releaseFunc(sequence uint64) func() {
 	return func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		began, flying := q.flights[turn]
-		if !flying {
+		began, active := q.startedAt[sequence]
+		if !active {
 			return
 		}
-		delete(q.flights, turn)
+		delete(q.startedAt, sequence)
 		took := (q.clock.Mono() - began).Seconds()
-		q.hold += holdMemory * (min(took, staleHolds*q.hold) - q.hold)
-		q.hold = max(q.hold, shortestHold)
-		q.advance()
+		q.serviceTime += serviceTimeSmoothing * (min(took, staleServiceTimes*q.serviceTime) - q.serviceTime)
+		q.serviceTime = max(q.serviceTime, minServiceTime)
+		q.admitWaiters()
 	}
 }
 
-func (q *Queue) advance() {
+// admitWaiters gives free slots to waiters in their order, and rejects those past their hard deadline. The
+// caller must hold q.mu.
+func (q *Queue) admitWaiters() {
 	now := q.clock.Mono()
-	for len(q.queue) > 0 && q.flying() < q.limit {
+	for len(q.waiters) > 0 && q.inFlight() < q.limit {
 		first := 0
-		for i, each := range q.queue {
-			if each.before(q.queue[first], now) {
+		for i, each := range q.waiters {
+			if each.before(q.waiters[first], now) {
 				first = i
 			}
 		}
-		next := q.queue[first]
-		q.queue = append(q.queue[:first], q.queue[first+1:]...)
-		if now > next.DieBy {
-			next.grant <- base.NewFault(base.Overloaded, "", "no turn in time")
+		next := q.waiters[first]
+		q.waiters = append(q.waiters[:first], q.waiters[first+1:]...)
+		if now > next.HardDeadline {
+			next.decision <- base.NewFault(base.Overloaded, "", "no turn in time")
 			continue
 		}
-		q.take(next)
-		next.grant <- nil
+		q.admit(next)
+		next.decision <- nil
 	}
 }
--- a/internal/dataplane/admission/queue_test.go
+++ b/internal/dataplane/admission/queue_test.go
@@ -11,83 +11,84 @@
 	"curlewreach/internal/testing/simulation"
 )
 
-type entry struct {
+type acquireResult struct {
 	rank  int
 	fault *base.Fault
 	at    time.Duration
 }
 
-func patientOf(rank int, now time.Duration) Request {
-	return Request{Rank: rank, AimBy: now + 5*time.Second, DieBy: now + 8*time.Second, Patience: 8 * time.Second}
+func patientRequest(rank int, now time.Duration) Request {
+	return Request{Rank: rank, SoftDeadline: now + 5*time.Second, HardDeadline: now + 8*time.Second, MaxWait: 8 * time.Second}
 }
 
-// full gives an admission queue with every slot taken and its queue filled with the lowest rank.
-func full(s *simulation.Simulation, limit int) (g *Queue, leave []func(), ended chan entry) {
-	g, ended = NewQueue(s.Clock, limit, 100*time.Millisecond), make(chan entry, 100)
+// fullQueue returns a queue with every slot taken and every waiting place taken by requests of the lowest
+// rank.
+func fullQueue(s *simulation.Simulation, limit int) (q *Queue, releases []func(), results chan acquireResult) {
+	q, results = NewQueue(s.Clock, limit, 100*time.Millisecond), make(chan acquireResult, 100)
 	for range limit {
-		done, fault := g.Enter(context.Background(), patientOf(3, s.Clock.Mono()))
+		release, fault := q.Acquire(context.Background(), patientRequest(3, s.Clock.Mono()))
 		Expect(fault).To(BeNil())
-		leave = append(leave, done)
+		releases = append(releases, release)
 	}
-	for range queueRatio * limit {
-		enter(s, g, 3, ended)
+	for range waitersPerSlot * limit {
+		acquireAsync(s, q, 3, results)
 	}
-	return g, leave, ended
+	return q, releases, results
 }
 
-func enter(s *simulation.Simulation, g *Queue, rank int, ended chan entry) {
+func acquireAsync(s *simulation.Simulation, q *Queue, rank int, results chan acquireResult) {
 	s.Go(func() {
-		done, fault := g.Enter(context.Background(), patientOf(rank, s.Clock.Mono()))
-		ended <- entry{rank, fault, s.Clock.Mono()}
+		release, fault := q.Acquire(context.Background(), patientRequest(rank, s.Clock.Mono()))
+		results <- acquireResult{rank, fault, s.Clock.Mono()}
 		if fault == nil {
 			time.Sleep(100 * time.Millisecond)
-			done()
+			release()
 		}
 	})
 	time.Sleep(time.Millisecond)
 }
 
 var _ = ginkgo.Describe("a full queue", func() {
-	simulation.It("given a queue full of the lowest rank, when one of a top rank comes, then it takes the place of the last, who is told at once when to come back, and goes first", func(s *simulation.Simulation) {
-		g, leave, ended := full(s, 2)
-		Expect(ended).To(BeEmpty())
-		came := s.Clock.Mono()
-		enter(s, g, 0, ended)
-		Expect(ended).To(HaveLen(1))
-		out := <-ended
-		Expect(out.rank).To(Equal(3))
-		Expect(out.fault).NotTo(BeNil())
-		Expect(out.fault.Kind).To(Equal(base.Overloaded))
-		Expect(out.fault.After).To(BeNumerically(">", 0))
-		Expect(out.at - came).To(BeNumerically("<", 2*time.Millisecond))
-		leave[0]()
-		first := <-ended
+	simulation.It("given a queue full of the lowest rank, when an urgent request arrives, then it evicts the last waiter, which is told at once when to retry, and is admitted first", func(s *simulation.Simulation) {
+		q, releases, results := fullQueue(s, 2)
+		Expect(results).To(BeEmpty())
+		enteredAt := s.Clock.Mono()
+		acquireAsync(s, q, 0, results)
+		Expect(results).To(HaveLen(1))
+		evicted := <-results
+		Expect(evicted.rank).To(Equal(3))
+		Expect(evicted.fault).NotTo(BeNil())
+		Expect(evicted.fault.Kind).To(Equal(base.Overloaded))
+		Expect(evicted.fault.After).To(BeNumerically(">", 0))
+		Expect(evicted.at - enteredAt).To(BeNumerically("<", 2*time.Millisecond))
+		releases[0]()
+		first := <-results
 		Expect(first.rank).To(Equal(0))
 		Expect(first.fault).To(BeNil())
-		leave[1]()
+		releases[1]()
 		s.Wait()
-		Expect(ended).To(HaveLen(queueRatio*2 - 1))
+		Expect(results).To(HaveLen(waitersPerSlot*2 - 1))
 	})
 
-	simulation.It("given a queue full of top ranks, when one of the lowest comes, then it is rejected and nobody loses a place", func(s *simulation.Simulation) {
-		g, leave, ended := full(s, 2)
-		for range queueRatio * 2 {
-			enter(s, g, 0, ended)
+	simulation.It("given a queue full of urgent requests, when one of the lowest rank arrives, then it is rejected and no waiter is evicted", func(s *simulation.Simulation) {
+		q, releases, results := fullQueue(s, 2)
+		for range waitersPerSlot * 2 {
+			acquireAsync(s, q, 0, results)
 		}
-		for range queueRatio * 2 {
-			Expect((<-ended).rank).To(Equal(3))
+		for range waitersPerSlot * 2 {
+			Expect((<-results).rank).To(Equal(3))
 		}
-		enter(s, g, 3, ended)
-		out := <-ended
-		Expect(out.rank).To(Equal(3))
-		Expect(out.fault).NotTo(BeNil())
-		Expect(ended).To(BeEmpty())
-		for _, done := range leave {
-			done()
+		acquireAsync(s, q, 3, results)
+		rejected := <-results
+		Expect(rejected.rank).To(Equal(3))
+		Expect(rejected.fault).NotTo(BeNil())
+		Expect(results).To(BeEmpty())
+		for _, release := range releases {
+			release()
 		}
 		s.Wait()
-		for range queueRatio * 2 {
-			served := <-ended
+		for range waitersPerSlot * 2 {
+			served := <-results
 			Expect(served.rank).To(Equal(0))
 			Expect(served.fault).To(BeNil())
 		}
--- a/internal/dataplane/balancer/doc.go
+++ b/internal/dataplane/balancer/doc.go
@@ -1,3 +1,3 @@
-// Package balancer chooses the upstream for a request: by what the control machines tell of the peers and the upstreams beside
-// them, and by what requests saw of both.
+// Package balancer selects the upstream instance for a request. It combines what the controllers report about
+// the peer nodes and their upstreams with what this node observed in its own requests.
 package balancer
--- a/internal/dataplane/balancer/table.go
+++ b/internal/dataplane/balancer/table.go
@@ -16,178 +16,204 @@
 )
 
 const (
-	// shortestAvoid and longestAvoid bound how long a peer is avoided that could not be reached.
-	shortestAvoid = 150 * time.Millisecond
-	longestAvoid  = 2 * time.Second
-	// speedMemory is the weight of the newest answer in the average speed of a peer.
-	speedMemory = 0.15
-	// slowestRatio and fastestRatio bound what one answer counts for, slowest and fastest the average.
-	slowestRatio, fastestRatio = 5, 0.2
-	slowest, fastest           = 4, 0.3
-	// loadFade is the age from which what a peer told of its load counts less and less, failureFade that of its failures.
-	loadFade    = 400 * time.Millisecond
-	failureFade = 3 * time.Second
-	// sizeEvery is how long a count of the peers holds.
-	sizeEvery = 250 * time.Millisecond
+	// minAvoidance and maxAvoidance bound how long a peer is avoided after it could not be reached.
+	minAvoidance = 150 * time.Millisecond
+	maxAvoidance = 2 * time.Second
+	// latencySmoothing is the weight of the newest response in a peer's average relative latency.
+	latencySmoothing = 0.15
+	// minLatencySample and maxLatencySample bound a single relative latency before it is averaged;
+	// minRelativeLatency and maxRelativeLatency bound the average.
+	maxLatencySample, minLatencySample     = 5, 0.2
+	maxRelativeLatency, minRelativeLatency = 4, 0.3
+	// loadDecayAge is the age beyond which a peer's load report counts less the older it is; failureDecayAge
+	// is the same for its reported failure rate.
+	loadDecayAge    = 400 * time.Millisecond
+	failureDecayAge = 3 * time.Second
+	// countTTL is how long a count of the nodes is cached.
+	countTTL = 250 * time.Millisecond
 )
 
-// Parts of a candidate's score; the lowest is the best. 1 is a peer that answers as fast as usual.
+// Terms of a candidate's score; the lowest score is the best. A score of 1 is an idle peer with the usual
+// latency.
 const (
-	farZonePenalty = 0.8
-	fillWeight     = 0.35
-	jitter         = 0.1
-	warmUpFactor   = 2
-	// avoidedScore puts a peer that could not be reached lately behind all others.
-	avoidedScore = 100
+	// crossZonePenalty is added for a peer in another zone.
+	crossZonePenalty = 0.8
+	// utilizationWeight is the relative increase of the score of a fully used upstream.
+	utilizationWeight = 0.35
+	// scoreJitter bounds the random term that spreads requests over candidates with similar scores.
+	scoreJitter = 0.1
+	// warmUpFactor multiplies the latency of an upstream that is still warming up.
+	warmUpFactor = 2
+	// avoidedPenalty ranks a peer that was unreachable recently behind all others.
+	avoidedPenalty = 100
 )
 
-// urgentWaitRatio is the part of a wait that the urgent ranks have to expect.
+// urgentWaitRatio is the fraction of the estimated wait that requests of urgent ranks are expected to wait,
+// since they overtake the others.
 const urgentWaitRatio = 0.5
 
-// sighting is what a control machine says of a peer.
-type sighting struct {
+// observation is what one controller reports about a peer.
+type observation struct {
 	absent bool
 }
 
-// peer is another node with the upstream beside it, and what this node knows of both. Times are by the steady clock.
+// peer is a node together with its upstream, and what this node knows of both. Times are readings of the
+// monotonic clock.
 type peer struct {
-	status         *wire.NodeStatus
-	heardAt        time.Duration
-	observations   map[string]sighting
-	inFlight       int
+	status *wire.NodeStatus
+	// heardAt is when the peer's status was last reported, observations the latest report by controller.
+	heardAt      time.Duration
+	observations map[string]observation
+	// inFlight counts this node's own attempts in flight to the peer.
+	inFlight int
+	// load is the newest load report and loadAt its time; inFlightAtLoad is inFlight at that time.
 	load           forwarding.LoadReport
 	loadAt         time.Duration
 	inFlightAtLoad int
-	speed          float64
-	avoidUntil     time.Duration
-	avoidFor       time.Duration
-	goneInstance   string
-	reachedAt      time.Duration
+	// relativeLatency is the average latency in proportion to the latency that is usual for the request; 1 is
+	// usual.
+	relativeLatency float64
+	// avoidUntil is the end of the present avoidance, avoidance its length, which doubles with each failure.
+	avoidUntil time.Duration
+	avoidance  time.Duration
+	// goneInstance is the ID of an instance that was found to be gone or leaving.
+	goneInstance string
+	// reachedAt is when an attempt last reached the peer; 0 if none has since the peer was last unreachable.
+	reachedAt time.Duration
 }
 
-// Table merges what the control machines say of the peers with what requests saw of them. It is safe for concurrent use.
+// Table holds the known peers. It merges the controllers' reports with the results of this node's own
+// requests. It is safe for concurrent use.
 type Table struct {
 	clock base.Clock
 	self  string
-	// LocalLoad tells of the upstream beside this node; nil for none. It is set before the table is used.
-	LocalLoad      func() forwarding.LoadReport
-	absenceSlack   time.Duration
+	// LocalLoad reports the load of the local upstream; nil if there is none. It must be set before the table
+	// is used.
+	LocalLoad func() forwarding.LoadReport
+	// observationTTL is how long a controller's reports count after it was last heard.
+	observationTTL time.Duration
 	mu             sync.Mutex
 	peers          map[string]*peer
-	controllers    map[string]time.Duration
-	index          map[string][]string
-	size           int
-	sizedAt        time.Duration
-	nodesByService map[string]int // nodes of each service in this zone; replaced, never changed once it has been handed out
-	countedAt      time.Duration
+	// controllers holds when each controller was last heard.
+	controllers map[string]time.Duration
+	// nodesByInstanceService is a cache of the node names by the service of their instance; nil if it must be
+	// rebuilt.
+	nodesByInstanceService map[string][]string
+	size                   int
+	sizeCountedAt          time.Duration
+	nodesByService         map[string]int // nodes of each service in one zone; replaced, never modified after it has been returned
+	servicesCountedAt      time.Duration
 }
 
-// NewTable returns a table without peers for the node named self. What a control machine says of absent peers counts for
-// absenceSlack after it last spoke.
-func NewTable(clock base.Clock, self string, absenceSlack time.Duration) *Table {
-	return &Table{clock: clock, self: self, absenceSlack: absenceSlack, peers: map[string]*peer{}, controllers: map[string]time.Duration{}}
+// NewTable returns an empty table for the node named self. A controller's reports count for observationTTL
+// after it was last heard.
+func NewTable(clock base.Clock, self string, observationTTL time.Duration) *Table {
+	return &Table{clock: clock, self: self, observationTTL: observationTTL, peers: map[string]*peer{}, controllers: map[string]time.Duration{}}
 }
 
-// Heard folds in a control machine's reports.
-func (t *Table) Heard(controller string, whole bool, observations []*wire.Observation) {
+// ApplyObservations applies the reports of a controller. If full is set, they replace all that it reported
+// before.
+func (t *Table) ApplyObservations(controller string, full bool, observations []*wire.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
 	t.controllers[controller] = now
-	if whole {
-		for _, at := range t.peers {
-			delete(at.observations, controller)
+	if full {
+		for _, p := range t.peers {
+			delete(p.observations, controller)
 		}
 	}
-	for _, each := range observations {
-		nodeStatus := each.GetNodeStatus()
+	for _, report := range observations {
+		nodeStatus := report.GetNodeStatus()
 		if nodeStatus.GetNode() == "" || nodeStatus.Node == t.self {
 			continue
 		}
-		at := t.peer(nodeStatus.Node)
-		at.observations[controller] = sighting{each.Absent}
-		t.learnStatus(at, nodeStatus, now-time.Duration(each.SilenceMs)*time.Millisecond)
+		p := t.peer(nodeStatus.Node)
+		p.observations[controller] = observation{report.Absent}
+		t.learnStatus(p, nodeStatus, now-time.Duration(report.SilenceMs)*time.Millisecond)
 	}
 }
 
-// peer returns what is known of a node; a new row if nothing is.
+// peer returns the entry of a node and adds one if there is none.
 func (t *Table) peer(node string) *peer {
-	at := t.peers[node]
-	if at == nil {
-		at = &peer{speed: 1, observations: map[string]sighting{}}
-		t.peers[node] = at
+	p := t.peers[node]
+	if p == nil {
+		p = &peer{relativeLatency: 1, observations: map[string]observation{}}
+		t.peers[node] = p
 	}
-	return at
+	return p
 }
 
-// learnStatus takes what a peer told of itself at some moment, unless something newer is known: a higher number of the same
-// incarnation, or an incarnation heard of later.
-func (t *Table) learnStatus(at *peer, nodeStatus *wire.NodeStatus, heard time.Duration) {
-	same := at.status.GetIncarnation() == nodeStatus.Incarnation
-	if at.status == nil || same && nodeStatus.Number > at.status.Number || !same && heard > at.heardAt {
-		t.replaceStatus(at, nodeStatus, !same)
+// learnStatus stores a status that a peer published at the given time, unless a newer one is known. Within
+// one incarnation the higher number is the newer; between incarnations it is the one published later.
+func (t *Table) learnStatus(p *peer, nodeStatus *wire.NodeStatus, heardAt time.Duration) {
+	sameIncarnation := p.status.GetIncarnation() == nodeStatus.Incarnation
+	if p.status == nil || sameIncarnation && nodeStatus.Number > p.status.Number || !sameIncarnation && heardAt > p.heardAt {
+		t.replaceStatus(p, nodeStatus, !sameIncarnation)
 	}
-	at.heardAt = max(at.heardAt, heard)
+	p.heardAt = max(p.heardAt, heardAt)
 }
 
-// replaceStatus forgets what requests saw of a peer if another incarnation, or another upstream, is there.
-func (t *Table) replaceStatus(at *peer, nodeStatus *wire.NodeStatus, anew bool) {
-	if anew || at.status.GetInstance().GetId() != nodeStatus.GetInstance().GetId() {
-		at.load, at.loadAt, at.avoidUntil, at.avoidFor, at.goneInstance, at.reachedAt = forwarding.LoadReport{}, 0, 0, 0, "", 0
-		at.speed = 1
+// replaceStatus stores a status. It resets what requests observed of the peer if its incarnation or its
+// upstream instance is another one.
+func (t *Table) replaceStatus(p *peer, nodeStatus *wire.NodeStatus, newIncarnation bool) {
+	if newIncarnation || p.status.GetInstance().GetId() != nodeStatus.GetInstance().GetId() {
+		p.load, p.loadAt, p.avoidUntil, p.avoidance, p.goneInstance, p.reachedAt = forwarding.LoadReport{}, 0, 0, 0, "", 0
+		p.relativeLatency = 1
 	}
-	if at.status.GetInstance().GetService() != nodeStatus.GetInstance().GetService() {
-		t.index = nil
+	if p.status.GetInstance().GetService() != nodeStatus.GetInstance().GetService() {
+		t.nodesByInstanceService = nil
 	}
-	at.status = nodeStatus
+	p.status = nodeStatus
 }
 
-// absent tells whether a peer is gone: control machines say so and none says otherwise, and no request reached it lately.
-func (t *Table) absent(at *peer) bool {
-	if at.status.GetNode() == t.self {
+// absent reports whether a peer is considered gone: at least one recently heard controller reports it absent,
+// none reports it present, and no request reached it within observationTTL. The node itself is never absent.
+func (t *Table) absent(p *peer) bool {
+	if p.status.GetNode() == t.self {
 		return false
 	}
-	now, said := t.clock.Mono(), false
-	for controller, spoke := range t.controllers {
-		if now-spoke > t.absenceSlack {
+	now, reportedAbsent := t.clock.Mono(), false
+	for controller, heardAt := range t.controllers {
+		if now-heardAt > t.observationTTL {
 			continue
 		}
-		each, knows := at.observations[controller]
-		if knows && !each.absent {
+		seen, known := p.observations[controller]
+		if known && !seen.absent {
 			return false
 		}
-		said = said || knows
+		reportedAbsent = reportedAbsent || known
 	}
-	return said && (at.reachedAt == 0 || now-at.reachedAt > t.absenceSlack)
+	return reportedAbsent && (p.reachedAt == 0 || now-p.reachedAt > t.observationTTL)
 }
 
-// Own takes this node's own status.
-func (t *Table) Own(nodeStatus *wire.NodeStatus) {
+// SetOwnStatus stores the status of this node itself.
+func (t *Table) SetOwnStatus(nodeStatus *wire.NodeStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.peer(t.self)
-	t.replaceStatus(at, nodeStatus, false)
-	at.heardAt = t.clock.Mono()
+	p := t.peer(t.self)
+	t.replaceStatus(p, nodeStatus, false)
+	p.heardAt = t.clock.Mono()
 }
 
-// Forget drops what a control machine said that is asked no longer.
-func (t *Table) Forget(controller string) {
+// RemoveController drops the reports of a controller that is no longer polled.
+func (t *Table) RemoveController(controller string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.controllers, controller)
-	for _, at := range t.peers {
-		delete(at.observations, controller)
+	for _, p := range t.peers {
+		delete(p.observations, controller)
 	}
 }
 
-// Size counts the nodes that are there.
+// Size returns the number of nodes that are not absent, at least 1. The count is cached for countTTL.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now := t.clock.Mono(); t.sizedAt == 0 || now-t.sizedAt > sizeEvery {
-		t.size, t.sizedAt = 0, now
-		for _, at := range t.peers {
-			if !t.absent(at) {
+	if now := t.clock.Mono(); t.sizeCountedAt == 0 || now-t.sizeCountedAt > countTTL {
+		t.size, t.sizeCountedAt = 0, now
+		for _, p := range t.peers {
+			if !t.absent(p) {
 				t.size++
 			}
 		}
@@ -195,227 +221,237 @@
 	return max(t.size, 1)
 }
 
-// Services counts the nodes of each service in a zone. The map must not be changed.
-func (t *Table) Services(zone string) map[string]int {
+// NodesByService counts the nodes of each service in a zone. The count is cached for countTTL. The caller
+// must not modify the map.
+func (t *Table) NodesByService(zone string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
-	if t.nodesByService == nil || now-t.countedAt > sizeEvery {
-		t.nodesByService, t.countedAt = map[string]int{}, now
-		for _, at := range t.peers {
-			if at.status.GetZone() == zone && at.status.Service != "" {
-				t.nodesByService[at.status.Service]++
+	if t.nodesByService == nil || now-t.servicesCountedAt > countTTL {
+		t.nodesByService, t.servicesCountedAt = map[string]int{}, now
+		for _, p := range t.peers {
+			if p.status.GetZone() == zone && p.status.Service != "" {
+				t.nodesByService[p.status.Service]++
 			}
 		}
 	}
 	return t.nodesByService
 }
 
-// Sweep forgets peers that every fresh control machine has forgotten.
-func (t *Table) Sweep(after time.Duration) {
+// Sweep removes absent peers that were not heard of for longer than silence and have no attempt in flight.
+func (t *Table) Sweep(silence time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for name, at := range t.peers {
-		if at.inFlight == 0 && t.clock.Mono()-at.heardAt > after && t.absent(at) {
+	for name, p := range t.peers {
+		if p.inFlight == 0 && t.clock.Mono()-p.heardAt > silence && t.absent(p) {
 			delete(t.peers, name)
-			t.index = nil
+			t.nodesByInstanceService = nil
 		}
 	}
 }
 
 // Candidate is a peer whose upstream may serve a request.
 type Candidate struct {
-	Node        string
-	Address     string
-	Instance    string
-	zone        string
-	Free        bool
-	Wait        time.Duration
-	score       float64
+	Node     string
+	Address  string
+	Instance string
+	zone     string
+	// Free is set if the upstream is expected to have a free slot; otherwise Wait is the estimated time in
+	// its queue.
+	Free  bool
+	Wait  time.Duration
+	score float64
+	// Avoided is set if the peer could not be reached recently.
 	Avoided     bool
 	failureRate float64
 }
 
-// indexed returns the peers by the service of the upstream beside them.
-func (t *Table) indexed() map[string][]string {
-	if t.index == nil {
-		t.index = map[string][]string{}
+// indexByService returns the sorted names of the nodes by the service of their upstream instance.
+func (t *Table) indexByService() map[string][]string {
+	if t.nodesByInstanceService == nil {
+		t.nodesByInstanceService = map[string][]string{}
 		for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 			if instance := t.peers[name].status.GetInstance(); instance != nil {
-				t.index[instance.Service] = append(t.index[instance.Service], name)
+				t.nodesByInstanceService[instance.Service] = append(t.nodesByInstanceService[instance.Service], name)
 			}
 		}
 	}
-	return t.index
+	return t.nodesByInstanceService
 }
 
-// serving yields the peers whose upstreams may take requests for a service.
-func (t *Table) serving(service string) iter.Seq2[string, *peer] {
+// eligible yields the peers whose upstreams may take requests for a service.
+func (t *Table) eligible(service string) iter.Seq2[string, *peer] {
 	return func(yield func(string, *peer) bool) {
-		for _, name := range t.indexed()[service] {
-			at := t.peers[name]
-			instance := at.status.GetInstance()
-			if instance == nil || instance.Service != service || instance.Leaving || at.status.Stopping || at.goneInstance == instance.Id || t.absent(at) {
+		for _, name := range t.indexByService()[service] {
+			p := t.peers[name]
+			instance := p.status.GetInstance()
+			if instance == nil || instance.Service != service || instance.Leaving || p.status.Stopping || p.goneInstance == instance.Id || t.absent(p) {
 				continue
 			}
-			if !yield(name, at) {
+			if !yield(name, p) {
 				return
 			}
 		}
 	}
 }
 
-// expectedLoad is how many requests are likely to be at the upstream now, and how many it takes.
-func (at *peer) expectedLoad(now time.Duration) (flying float64, limit int) {
-	limit = max(int(at.status.GetInstance().GetCapacity()), 1)
+// expectedLoad estimates the number of requests at the peer's upstream, queued ones included, and returns the
+// number of its slots. It adds this node's attempts in flight to the other nodes' share of the last load
+// report.
+func (p *peer) expectedLoad(now time.Duration) (inFlight float64, limit int) {
+	limit = max(int(p.status.GetInstance().GetCapacity()), 1)
 	others := 0.0
-	if at.loadAt > 0 {
-		others = float64(max(at.load.InFlight+at.load.Waiting-at.inFlightAtLoad, 0))
-		if age := now - at.loadAt; age > loadFade {
-			others *= float64(loadFade) / float64(age)
+	if p.loadAt > 0 {
+		others = float64(max(p.load.InFlight+p.load.Waiting-p.inFlightAtLoad, 0))
+		if age := now - p.loadAt; age > loadDecayAge {
+			others *= float64(loadDecayAge) / float64(age)
 		}
 	}
-	return others + float64(at.inFlight), limit
+	return others + float64(p.inFlight), limit
 }
 
-// Candidates lists the peers that may serve a request, the best first. hold is how long such requests usually take; peers
-// for which tried is true are left out.
-func (t *Table) Candidates(service, zone string, rank int, hold time.Duration, tried func(node string) bool, rand *random.Source) []Candidate {
+// Candidates returns the peers that may serve a request, the best first. serviceTime is how long such
+// requests usually occupy a slot. Peers for which tried returns true are left out.
+func (t *Table) Candidates(service, zone string, rank int, serviceTime time.Duration, tried func(node string) bool, rand *random.Source) []Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
-	var options []Candidate
-	for name, at := range t.serving(service) {
+	var candidates []Candidate
+	for name, p := range t.eligible(service) {
 		if tried(name) {
 			continue
 		}
 		if name == t.self && t.LocalLoad != nil {
-			at.load, at.loadAt, at.inFlightAtLoad = t.LocalLoad(), now, at.inFlight
+			p.load, p.loadAt, p.inFlightAtLoad = t.LocalLoad(), now, p.inFlight
 		}
-		o := at.candidate(name, now)
-		flying, limit := at.expectedLoad(now)
-		if over := flying + 1 - float64(limit); over > 0 {
-			o.Free, o.Wait = false, at.waitFor(over/float64(limit), rank, hold, now)
+		candidate := p.candidate(name, now)
+		inFlight, limit := p.expectedLoad(now)
+		if excess := inFlight + 1 - float64(limit); excess > 0 {
+			candidate.Free, candidate.Wait = false, p.expectedWait(excess/float64(limit), rank, serviceTime, now)
 		}
-		o.score = at.latency(now)*(1+fillWeight*min(flying/float64(limit), 1)) + jitter*rand.Float64() + float64(o.Wait)/float64(max(hold, time.Millisecond))
-		if at.status.Zone != zone {
-			o.score += farZonePenalty
+		candidate.score = p.expectedLatency(now)*(1+utilizationWeight*min(inFlight/float64(limit), 1)) + scoreJitter*rand.Float64() + float64(candidate.Wait)/float64(max(serviceTime, time.Millisecond))
+		if p.status.Zone != zone {
+			candidate.score += crossZonePenalty
 		}
-		if o.Avoided {
-			o.score += avoidedScore + (at.avoidUntil - now).Seconds()
+		if candidate.Avoided {
+			candidate.score += avoidedPenalty + (p.avoidUntil - now).Seconds()
 		}
-		options = append(options, o)
+		candidates = append(candidates, candidate)
 	}
-	penalizeFailures(options)
-	slices.SortFunc(options, func(a, b Candidate) int { return cmp.Compare(a.score, b.score) })
-	return options
+	penalizeFailures(candidates)
+	slices.SortFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.score, b.score) })
+	return candidates
 }
 
-// candidate tells of a peer what doesn't depend on the request.
-func (at *peer) candidate(name string, now time.Duration) Candidate {
-	o := Candidate{Node: name, Address: at.status.Inward, Instance: at.status.Instance.Id, zone: at.status.Zone, Free: true, Avoided: now < at.avoidUntil}
-	if o.failureRate = float64(at.load.FailurePercent) / 100; now-at.loadAt > failureFade {
-		o.failureRate *= float64(failureFade) / float64(now-at.loadAt)
+// candidate returns the fields of a candidate that do not depend on the request.
+func (p *peer) candidate(name string, now time.Duration) Candidate {
+	candidate := Candidate{Node: name, Address: p.status.Inward, Instance: p.status.Instance.Id, zone: p.status.Zone, Free: true, Avoided: now < p.avoidUntil}
+	if candidate.failureRate = float64(p.load.FailurePercent) / 100; now-p.loadAt > failureDecayAge {
+		candidate.failureRate *= float64(failureDecayAge) / float64(now-p.loadAt)
 	}
-	return o
+	return candidate
 }
 
-// latency is how long the peer takes beside the usual; more while its upstream warms up.
-func (at *peer) latency(now time.Duration) float64 {
-	if now < at.heardAt+time.Duration(at.status.Instance.WarmMs)*time.Millisecond {
-		return at.speed * warmUpFactor
+// expectedLatency returns the relative latency to expect of the peer, which is higher while its upstream
+// warms up.
+func (p *peer) expectedLatency(now time.Duration) float64 {
+	if now < p.heardAt+time.Duration(p.status.Instance.WarmMs)*time.Millisecond {
+		return p.relativeLatency * warmUpFactor
 	}
-	return at.speed
+	return p.relativeLatency
 }
 
-// waitFor guesses how long a request waits at a full upstream; share is the part of the upstream's slots that must come
-// free before. hold is how long such requests take.
-func (at *peer) waitFor(share float64, rank int, hold, now time.Duration) time.Duration {
-	turn := hold
-	if at.load.HoldMs > 0 {
-		turn = time.Duration(at.load.HoldMs) * time.Millisecond
+// expectedWait estimates how long a request waits at a full upstream. slots is the fraction of the upstream's
+// slots that must be released first. serviceTime is how long such requests usually occupy a slot; it applies
+// if the upstream has not reported its own.
+func (p *peer) expectedWait(slots float64, rank int, serviceTime, now time.Duration) time.Duration {
+	slotTime := serviceTime
+	if p.load.ServiceTimeMs > 0 {
+		slotTime = time.Duration(p.load.ServiceTimeMs) * time.Millisecond
 	}
-	wait := time.Duration(share * float64(turn))
+	wait := time.Duration(slots * float64(slotTime))
 	switch {
-	case rank <= admission.UrgentRank:
+	case rank <= admission.MaxUrgentRank:
 		return time.Duration(urgentWaitRatio * float64(wait))
-	case now-at.loadAt < loadFade:
-		return max(wait, time.Duration(at.load.RestMs)*time.Millisecond)
+	case now-p.loadAt < loadDecayAge:
+		return max(wait, time.Duration(p.load.NormalWaitMs)*time.Millisecond)
 	}
 	return wait
 }
 
-// penalizeFailures puts candidates back that fail more often than the best one.
-func penalizeFailures(options []Candidate) {
-	least := 1.0
-	for _, o := range options {
-		least = min(least, o.failureRate)
+// penalizeFailures raises the score of candidates whose failure rate exceeds the lowest one. The rates are
+// relative so that no upstream is ruled out when all of them fail.
+func penalizeFailures(candidates []Candidate) {
+	lowest := 1.0
+	for _, candidate := range candidates {
+		lowest = min(lowest, candidate.failureRate)
 	}
-	for i := range options {
-		options[i].score += failureWeight * (options[i].failureRate - least)
+	for i := range candidates {
+		candidates[i].score += failurePenalty * (candidates[i].failureRate - lowest)
 	}
 }
 
-// AttemptBegun notes an attempt on its way to a peer.
+// AttemptBegun records that an attempt was sent to a peer.
 func (t *Table) AttemptBegun(node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := t.peers[node]; at != nil {
-		at.inFlight++
+	if p := t.peers[node]; p != nil {
+		p.inFlight++
 	}
 }
 
-// AttemptEnded notes how an attempt went. load is what the other node told of its upstream, nil if it told nothing; usual is
-// how long such requests take.
-func (t *Table) AttemptEnded(node string, load *forwarding.LoadReport, took, usual time.Duration, good bool) {
+// AttemptEnded records the result of an attempt. load is the peer's load report, nil if it sent none.
+// expected is how long such requests usually take.
+func (t *Table) AttemptEnded(node string, load *forwarding.LoadReport, took, expected time.Duration, succeeded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.peers[node]
-	if at == nil {
+	p := t.peers[node]
+	if p == nil {
 		return
 	}
-	at.inFlight = max(at.inFlight-1, 0)
+	p.inFlight = max(p.inFlight-1, 0)
 	if load != nil {
-		at.load, at.loadAt, at.inFlightAtLoad = *load, t.clock.Mono(), at.inFlight
-		at.avoidUntil, at.avoidFor, at.reachedAt = 0, 0, t.clock.Mono()
+		p.load, p.loadAt, p.inFlightAtLoad = *load, t.clock.Mono(), p.inFlight
+		p.avoidUntil, p.avoidance, p.reachedAt = 0, 0, t.clock.Mono()
 	}
-	if good && usual > 0 {
-		ratio := min(max(took.Seconds()/usual.Seconds(), fastestRatio), slowestRatio)
-		at.speed += speedMemory * (ratio - at.speed)
-		at.speed = min(max(at.speed, fastest), slowest)
+	if succeeded && expected > 0 {
+		ratio := min(max(took.Seconds()/expected.Seconds(), minLatencySample), maxLatencySample)
+		p.relativeLatency += latencySmoothing * (ratio - p.relativeLatency)
+		p.relativeLatency = min(max(p.relativeLatency, minRelativeLatency), maxRelativeLatency)
 	}
 }
 
-// Avoid steers clear of a peer that could not be reached, for longer each time, up to two seconds.
-func (t *Table) Avoid(node string) {
+// MarkUnreachable makes the balancer avoid a peer that could not be reached. The time doubles with each call,
+// from minAvoidance to maxAvoidance, until an attempt reaches the peer again.
+func (t *Table) MarkUnreachable(node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := t.peers[node]; at != nil {
-		at.avoidFor = min(max(2*at.avoidFor, shortestAvoid), longestAvoid)
-		at.avoidUntil, at.reachedAt = t.clock.Mono()+at.avoidFor, 0
+	if p := t.peers[node]; p != nil {
+		p.avoidance = min(max(2*p.avoidance, minAvoidance), maxAvoidance)
+		p.avoidUntil, p.reachedAt = t.clock.Mono()+p.avoidance, 0
 	}
 }
 
-// InstanceGone notes that an instance is no longer there or is leaving.
+// InstanceGone records that an instance is no longer at a node or is leaving; it gets no further requests.
 func (t *Table) InstanceGone(node, instance string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := t.peers[node]; at != nil && at.status.GetInstance().GetId() == instance {
-		at.goneInstance = instance
+	if p := t.peers[node]; p != nil && p.status.GetInstance().GetId() == instance {
+		p.goneInstance = instance
 	}
 }
 
-// Incarnation is the incarnation that a peer is known to be in; empty if it is not known.
+// Incarnation returns the last known incarnation of a peer; empty if there is none.
 func (t *Table) Incarnation(node string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := t.peers[node]; at != nil {
-		return at.status.GetIncarnation()
+	if p := t.peers[node]; p != nil {
+		return p.status.GetIncarnation()
 	}
 	return ""
 }
 
-// NodeStatuses lists the peers as last heard.
+// NodeStatuses returns the last known status of each peer, sorted by node name.
 func (t *Table) NodeStatuses() []*wire.NodeStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -426,34 +462,35 @@
 	return nodeStatuses
 }
 
-// Candidate finds one peer, however full.
+// Candidate returns the named peer if it may serve requests for a service, even if it is full. The estimates
+// and the score are not set.
 func (t *Table) Candidate(node, service string) (Candidate, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for name, at := range t.serving(service) {
+	for name, p := range t.eligible(service) {
 		if name == node {
-			return Candidate{Node: name, Address: at.status.Inward, Instance: at.status.Instance.Id, zone: at.status.Zone}, true
+			return Candidate{Node: name, Address: p.status.Inward, Instance: p.status.Instance.Id, zone: p.status.Zone}, true
 		}
 	}
 	return Candidate{}, false
 }
 
-// View lists the peers, and how long ago each control machine last spoke in milliseconds, for operators.
+// View returns the peers, and the milliseconds since each controller was last heard, for operators.
 func (t *Table) View() (peers []*wire.PeerView, controllers map[string]uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
 	for _, name := range slices.Sorted(maps.Keys(t.peers)) {
-		at := t.peers[name]
-		instance := at.status.GetInstance()
+		p := t.peers[name]
+		instance := p.status.GetInstance()
 		peers = append(peers, &wire.PeerView{
-			Node: name, Zone: at.status.GetZone(), Service: at.status.GetService(), Instance: instance.GetId(), Absent: t.absent(at), AvoidedMs: base.Milliseconds(at.avoidUntil - now),
-			Barred: at.goneInstance, Leaving: instance.GetLeaving(), Stopping: at.status.GetStopping(), Speed: at.speed, Flying: uint32(max(at.inFlight, 0)), SilenceMs: base.Milliseconds(now - at.heardAt),
+			Node: name, Zone: p.status.GetZone(), Service: p.status.GetService(), Instance: instance.GetId(), Absent: t.absent(p), AvoidedMs: base.Milliseconds(p.avoidUntil - now),
+			Barred: p.goneInstance, Leaving: instance.GetLeaving(), Stopping: p.status.GetStopping(), Speed: p.relativeLatency, Flying: uint32(max(p.inFlight, 0)), SilenceMs: base.Milliseconds(now - p.heardAt),
 		})
 	}
 	controllers = map[string]uint64{}
-	for controller, spoke := range t.controllers {
-		controllers[controller] = base.Milliseconds(now - spoke)
+	for controller, heardAt := range t.controllers {
+		controllers[controller] = base.Milliseconds(now - heardAt)
 	}
 	return peers, controllers
 }
--- a/internal/dataplane/connection/client_connections.go
+++ b/internal/dataplane/connection/client_connections.go
@@ -9,53 +9,58 @@
 	"curlewreach/base"
 )
 
-// ClientConnections closes the idle connections of clients. A client may come back on a connection as long as any
-// limit promises that was in force since the connection fell idle, so a limit that is lowered shortens no promise,
-// and one that is raised prolongs it. A limit that is on its way to this node is allowed for by the slack.
+// ClientConnections closes idle connections of clients. A client may rely on the longest idle limit that was
+// in force since its connection became idle: a lowered limit does not apply to connections already idle, a
+// raised one does. The grace period covers a new limit that has not reached this node yet.
 type ClientConnections struct {
-	clock base.Clock
-	limit func() time.Duration
-	slack time.Duration
-	mu    sync.Mutex
-	idle  map[net.Conn]*idleConnection
+	clock     base.Clock
+	idleLimit func() time.Duration
+	grace     time.Duration
+	mu        sync.Mutex
+	idle      map[net.Conn]*idleConnection
 }
 
+// idleConnection is the state of an idle client connection.
 type idleConnection struct {
-	since    time.Duration
-	promised time.Duration
-	overdue  bool
+	// promisedIdle is the idle time that the client may rely on. overdue is set once the connection was found
+	// idle for longer.
+	since        time.Duration
+	promisedIdle time.Duration
+	overdue      bool
 }
 
-// NewClientConnections asks limit for the idle time that the newest configuration promises.
-func NewClientConnections(clock base.Clock, slack time.Duration, limit func() time.Duration) *ClientConnections {
-	return &ClientConnections{clock: clock, limit: limit, slack: slack, idle: map[net.Conn]*idleConnection{}}
+// NewClientConnections returns a set without connections. limit returns the idle limit of the newest
+// configuration; slack is the grace period.
+func NewClientConnections(clock base.Clock, grace time.Duration, idleLimit func() time.Duration) *ClientConnections {
+	return &ClientConnections{clock: clock, idleLimit: idleLimit, grace: grace, idle: map[net.Conn]*idleConnection{}}
 }
 
-// Changed is the server's hook for the states of connections.
-func (c *ClientConnections) Changed(conn net.Conn, state http.ConnState) {
-	limit := c.limit()
+// StateChanged is called by the HTTP server when a connection changes state (http.Server.ConnState).
+func (c *ClientConnections) StateChanged(conn net.Conn, state http.ConnState) {
+	limit := c.idleLimit()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state != http.StateIdle {
 		delete(c.idle, conn)
 		return
 	}
-	c.idle[conn] = &idleConnection{since: c.clock.Mono(), promised: limit}
+	c.idle[conn] = &idleConnection{since: c.clock.Mono(), promisedIdle: limit}
 }
 
-// Sweep closes the connections that were idle for longer than promised. One on which something has come is left to the
-// server, and none is closed the first time it is found overdue: after a standstill a request may just be being read.
+// Sweep closes connections that were idle for longer than promised. A connection with data to read is left to
+// the server. None is closed the first time it is found overdue, because after a pause of the process the
+// server may just be reading a request from it.
 func (c *ClientConnections) Sweep() {
-	limit, now := c.limit(), c.clock.Mono()
+	limit, now := c.idleLimit(), c.clock.Mono()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, at := range c.idle {
-		at.promised = max(at.promised, limit)
-		if now-at.since <= at.promised+c.slack {
+	for conn, state := range c.idle {
+		state.promisedIdle = max(state.promisedIdle, limit)
+		if now-state.since <= state.promisedIdle+c.grace {
 			continue
 		}
-		if !at.overdue {
-			at.overdue = true
+		if !state.overdue {
+			state.overdue = true
 			continue
 		}
 		if quiet(conn) {
--- a/internal/dataplane/connection/client_connections_test.go
+++ b/internal/dataplane/connection/client_connections_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = ginkgo.Describe("an idle connection of a client", func() {
-	ginkgo.It("given real sockets, when a connection is overdue, then one with a request on it is left alone and a quiet one closed at the second look", func() {
+	ginkgo.It("given real sockets, when a connection is overdue, then one with data to read is left alone and a quiet one is closed by the second sweep", func() {
 		clock := &simulation.ManualClock{Now: time.Hour}
 		connections := NewClientConnections(clock, time.Second, func() time.Duration { return 10 * time.Second })
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,7 +22,7 @@
 		server := &http.Server{
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }),
 			ConnState: func(conn net.Conn, state http.ConnState) {
-				connections.Changed(conn, state)
+				connections.StateChanged(conn, state)
 				served = conn
 				states <- state
 			},
@@ -37,18 +37,18 @@
 		clock.Now += 11500 * time.Millisecond
 		connections.Sweep()
 		Expect(connections.idle).To(HaveKey(served))
-		other, there := net.Pipe()
+		other, remote := net.Pipe()
 		defer func() { _ = other.Close() }()
-		connections.Changed(spoken{there}, http.StateIdle)
+		connections.StateChanged(readableConn{remote}, http.StateIdle)
 		clock.Now += 11500 * time.Millisecond
 		connections.Sweep()
 		Eventually(states).Should(Receive(Equal(http.StateClosed)))
 		connections.Sweep()
-		Expect(connections.idle).To(HaveKey(net.Conn(spoken{there})), "something has come on it")
+		Expect(connections.idle).To(HaveKey(net.Conn(readableConn{remote})), "data is waiting on it")
 	})
 })
 
-// spoken is a connection on which something has come that nobody has read.
-type spoken struct{ net.Conn }
+// readableConn is a connection with data that was not read yet.
+type readableConn struct{ net.Conn }
 
-func (spoken) Quiet() bool { return false }
+func (readableConn) Quiet() bool { return false }
--- a/internal/dataplane/connection/connection.go
+++ b/internal/dataplane/connection/connection.go
@@ -9,57 +9,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// connection is one connection. What it tells of a request is exact: nothing is ever sent twice.
+// connection is a connection to a peer. It records exactly whether any byte of a request was sent, and never
+// sends a request twice.
 type connection struct {
-	conn   net.Conn
-	in     *bufio.Reader
-	idle   time.Duration // for how long it may be idle
-	rested time.Duration // since when it is idle
-	until  time.Duration // until when it may be used again
-	passed int           // responses read on it
-	odd    bool          // something came on it that no request here asked for
-	wrote  bool          // a byte of the present request may have left
+	conn           net.Conn
+	reader         *bufio.Reader
+	idleTimeout    time.Duration // how long it may stay idle
+	idleSince      time.Duration // when it became idle
+	reusableUntil  time.Duration // when it may no longer be reused
+	responses      int           // responses read so far
+	tainted        bool          // must not be reused: something other than the expected response was read
+	requestWritten bool          // a byte of the current request may have been sent
 }
 
-// Write notes whether a byte of the request left this machine.
+// Write writes to the connection and records whether any byte was sent.
 func (c *connection) Write(data []byte) (int, error) {
 	n, err := c.conn.Write(data)
-	c.wrote = c.wrote || n > 0
+	c.requestWritten = c.requestWritten || n > 0
 	return n, err
 }
 
 // send writes a request.
-func (c *connection) send(m *Request) error {
-	c.wrote = false
-	out := requestWriters.Get().(*bufio.Writer)
-	out.Reset(c)
-	m.writeTo(out)
-	err := out.Flush()
-	out.Reset(nil)
-	requestWriters.Put(out)
+func (c *connection) send(request *Request) error {
+	c.requestWritten = false
+	writer := requestWriters.Get().(*bufio.Writer)
+	writer.Reset(c)
+	request.writeTo(writer)
+	err := writer.Flush()
+	writer.Reset(nil)
+	requestWriters.Put(writer)
 	return err
 }
 
-// read reads the head of a final response; interim ones are skipped.
-func (c *connection) read(method string) (*http.Response, error) {
+// readResponse reads the head of the final response and skips interim ones.
+func (c *connection) readResponse(method string) (*http.Response, error) {
 	for {
-		response, err := http.ReadResponse(c.in, &http.Request{Method: method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil || response.StatusCode >= 200 {
 			return response, err
 		}
-		c.odd = true
+		c.tainted = true
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, ErrSwitched
+			return nil, ErrProtocolSwitched
 		}
 	}
 }
 
-func (c *connection) quiet() bool { return c.in.Buffered() == 0 && quiet(c.conn) }
+// quiet reports whether nothing is waiting to be read, neither in the buffer nor on the socket.
+func (c *connection) quiet() bool { return c.reader.Buffered() == 0 && quiet(c.conn) }
 
-// quiet tells that nothing waits to be read on a connection: no byte, no end, no reset.
+// quiet reports whether nothing is waiting to be read on a connection: no data, no end of stream and no
+// reset.
 func quiet(conn net.Conn) bool {
-	if told, ok := conn.(interface{ Quiet() bool }); ok {
-		return told.Quiet()
+	if q, ok := conn.(interface{ Quiet() bool }); ok {
+		return q.Quiet()
 	}
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -69,20 +72,20 @@
 	if err != nil {
 		return false
 	}
-	silent := false
-	var one [1]byte
-	// Control and not Read: another goroutine may be waiting in a read, whose lock Read would wait for.
+	empty := false
+	var buffer [1]byte
+	// Control rather than Read: another goroutine may be blocked in a read and hold the lock that Read needs.
 	err = raw.Control(func(fd uintptr) {
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		empty = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
-// patience bounds how long the other machine may acknowledge nothing.
-func (c *connection) patience(d time.Duration) {
-	if told, ok := c.conn.(interface{ Patience(time.Duration) }); ok {
-		told.Patience(d)
+// setUserTimeout limits how long the other side may leave sent data unacknowledged (TCP_USER_TIMEOUT).
+func (c *connection) setUserTimeout(d time.Duration) {
+	if q, ok := c.conn.(interface{ Patience(time.Duration) }); ok {
+		q.Patience(d)
 		return
 	}
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
--- a/internal/dataplane/connection/doc.go
+++ b/internal/dataplane/connection/doc.go
@@ -1,3 +1,3 @@
-// Package connection keeps HTTP/1.1 connections to upstreams and other nodes, on which a request is never sent twice, and
-// closes the idle connections of clients.
+// Package connection provides pools of HTTP/1.1 connections to upstreams and other nodes. A pool never sends
+// a request twice. The package also closes idle connections of clients.
 package connection
--- a/internal/dataplane/connection/pool.go
+++ b/internal/dataplane/connection/pool.go
@@ -15,149 +15,155 @@
 	"curlewreach/base"
 )
 
-// MostSurplus is how many answers to other requests are skipped on a connection before it is given up.
-const MostSurplus = 4
+// MaxForeignResponses is how many responses to other requests are skipped on a connection before it is
+// closed.
+const MaxForeignResponses = 4
 
 const (
-	bufferBytes = 4 << 10
-	// mostKept is how many idle connections are kept to one address.
-	mostKept = 64
-	// spareKept is how many of them stay where requests need a connection that is certain to be open and none is.
-	spareKept = 4
+	bufferSize = 4 << 10
+	// maxIdlePerAddress is the most idle connections kept for each address.
+	maxIdlePerAddress = 64
+	// maxUnprovenIdle is how many idle connections stay when a request requires a live connection and none of
+	// them is proven to be.
+	maxUnprovenIdle = 4
 )
 
 // Errors of Exchange.
 var (
-	// ErrNotDialled means: there is no connection, and nothing was sent.
-	ErrNotDialled = errors.New("not dialled")
-	// ErrSwitched means: the peer switched to another protocol, which nobody asked for.
-	ErrSwitched = errors.New("the peer switched to another protocol, which nobody asked for")
-	// ErrForeignAnswer means: answers to other requests came, and none to this one.
-	ErrForeignAnswer = errors.New("answers to other requests only")
+	// ErrNotConnected means that there was no connection and nothing was sent.
+	ErrNotConnected = errors.New("not connected")
+	// ErrProtocolSwitched means that the peer switched to another protocol without being asked.
+	ErrProtocolSwitched = errors.New("the peer switched protocols without being asked")
+	// ErrForeignResponse means that only responses to other requests were read.
+	ErrForeignResponse = errors.New("only responses to other requests were read")
 )
 
 // Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
-	net    base.Net
-	clock  base.Clock
-	idle   time.Duration
-	dial   time.Duration
-	silent time.Duration
+	net         base.Net
+	clock       base.Clock
+	idleTimeout time.Duration
+	dialTimeout time.Duration
+	userTimeout time.Duration
 
-	mu     sync.Mutex
-	kept   map[string][]*connection
-	rests  restsKept
-	dialed uint64
+	mu          sync.Mutex
+	idle        map[string][]*connection
+	idleRecords idleRecords
+	dials       uint64
 }
 
-// NewPool returns a pool that keeps connections idle for at most idle, dials for at most dial, and gives a connection up
-// when the other machine acknowledges nothing for silent.
-func NewPool(net base.Net, clock base.Clock, idle, dial, silent time.Duration) *Pool {
-	return &Pool{net: net, clock: clock, idle: idle, dial: dial, silent: silent, kept: map[string][]*connection{}, rests: restsKept{}}
+// NewPool returns an empty pool. A connection is reused within idleTimeout, established within dialTimeout,
+// and given up if the other side leaves data unacknowledged for userTimeout.
+func NewPool(net base.Net, clock base.Clock, idleTimeout, dialTimeout, userTimeout time.Duration) *Pool {
+	return &Pool{net: net, clock: clock, idleTimeout: idleTimeout, dialTimeout: dialTimeout, userTimeout: userTimeout, idle: map[string][]*connection{}, idleRecords: idleRecords{}}
 }
 
-// take gives a connection to write one request on: the one idle for the shortest time, if it is still open, else a new one.
-// With certain, an idle one is taken only within a rest that this peer has been seen to keep.
-func (p *Pool) take(ctx context.Context, address string, certain bool) (*connection, error) {
+// get returns a connection for one request: the most recently used idle one that is still open, or else a new
+// one. With requireLive, an idle connection is used only within the idle time that the peer is proven to
+// allow.
+func (p *Pool) get(ctx context.Context, address string, requireLive bool) (*connection, error) {
 	for {
-		at := p.takeKept(address, certain)
-		if at == nil {
-			return p.fresh(ctx, address)
+		c := p.getIdle(address, requireLive)
+		if c == nil {
+			return p.connect(ctx, address)
 		}
-		if at.quiet() {
-			return at, nil
+		if c.quiet() {
+			return c, nil
 		}
-		p.forgetRest(address)
-		_ = at.conn.Close()
+		p.recordClosed(address)
+		_ = c.conn.Close()
 	}
 }
 
-// takeKept takes an idle connection out of the pool; nil if there is none to use.
-func (p *Pool) takeKept(address string, certain bool) *connection {
+// getIdle takes an idle connection out of the pool; nil if none can be used.
+func (p *Pool) getIdle(address string, requireLive bool) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Mono()
-	var longest time.Duration
-	if certain {
-		longest = p.rests.certain(address, now)
+	var maxIdle time.Duration
+	if requireLive {
+		maxIdle = p.idleRecords.safeIdle(address, now)
 	}
 	for {
-		kept := p.kept[address]
-		if len(kept) == 0 {
+		idle := p.idle[address]
+		if len(idle) == 0 {
 			return nil
 		}
-		youngest := kept[len(kept)-1]
-		if certain && now-youngest.rested > longest {
-			p.makeRoom(address)
+		newest := idle[len(idle)-1]
+		if requireLive && now-newest.idleSince > maxIdle {
+			p.trimUnproven(address)
 			return nil
 		}
-		p.kept[address] = kept[:len(kept)-1]
-		if now < youngest.until {
-			return youngest
+		p.idle[address] = idle[:len(idle)-1]
+		if now < newest.reusableUntil {
+			return newest
 		}
-		_ = youngest.conn.Close()
+		_ = newest.conn.Close()
 	}
 }
 
-// makeRoom bounds what is dialled beside connections that aren't certain. The few left show by resting on for how long
-// their peer keeps a rest.
-func (p *Pool) makeRoom(address string) {
-	if kept := p.kept[address]; len(kept) >= spareKept {
-		_ = kept[0].conn.Close()
-		p.kept[address] = kept[1:]
+// trimUnproven closes the oldest idle connection if there are too many whose liveness is unproven, as new
+// ones are dialed beside them. The few that remain show, as they age, how long the peer keeps idle
+// connections open.
+func (p *Pool) trimUnproven(address string) {
+	if idle := p.idle[address]; len(idle) >= maxUnprovenIdle {
+		_ = idle[0].conn.Close()
+		p.idle[address] = idle[1:]
 	}
 }
 
-// forgetRest forgets what was learned about a peer that broke a rest.
-func (p *Pool) forgetRest(address string) {
+// recordClosed discards what was learned about a peer that closed an idle connection.
+func (p *Pool) recordClosed(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rests.broke(address)
+	p.idleRecords.recordClosed(address)
 }
 
-// fresh dials a connection.
-func (p *Pool) fresh(ctx context.Context, address string) (*connection, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.dial)
+// connect dials a new connection.
+func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	conn, err := p.net.Dial(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(ErrNotDialled, err.Error())
+		return nil, errors.Wrap(ErrNotConnected, err.Error())
 	}
 	p.mu.Lock()
-	p.dialed++
+	p.dials++
 	p.mu.Unlock()
-	at := &connection{conn: conn, in: bufio.NewReaderSize(conn, bufferBytes), idle: p.idle}
-	at.patience(p.silent)
-	return at, nil
+	c := &connection{conn: conn, reader: bufio.NewReaderSize(conn, bufferSize), idleTimeout: p.idleTimeout}
+	c.setUserTimeout(p.userTimeout)
+	return c, nil
 }
 
-// give keeps a connection whose response was read to its end, if it may be used again.
-func (p *Pool) give(address string, at *connection, response *http.Response) {
-	if response.Close || at.odd || at.in.Buffered() > 0 {
-		_ = at.conn.Close()
+// put returns a connection to the pool once its response has been read completely, or closes it if it can't
+// be reused.
+func (p *Pool) put(address string, c *connection, response *http.Response) {
+	if response.Close || c.tainted || c.reader.Buffered() > 0 {
+		_ = c.conn.Close()
 		return
 	}
-	if limit, told := keepAlive(response.Header); told {
-		at.idle = min(p.idle, limit)
+	if limit, announced := keepAlive(response.Header); announced {
+		c.idleTimeout = min(p.idleTimeout, limit)
 	}
-	if at.idle <= 0 {
-		_ = at.conn.Close()
+	if c.idleTimeout <= 0 {
+		_ = c.conn.Close()
 		return
 	}
-	_ = at.conn.SetDeadline(time.Time{})
-	at.passed++
-	at.rested = p.clock.Mono()
-	at.until = at.rested + at.idle
+	_ = c.conn.SetDeadline(time.Time{})
+	c.responses++
+	c.idleSince = p.clock.Mono()
+	c.reusableUntil = c.idleSince + c.idleTimeout
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.kept[address]) >= mostKept {
-		_ = at.conn.Close()
+	if len(p.idle[address]) >= maxIdlePerAddress {
+		_ = c.conn.Close()
 		return
 	}
-	p.kept[address] = append(p.kept[address], at)
+	p.idle[address] = append(p.idle[address], c)
 }
 
-// keepAlive reads for how long the peer promises to keep the connection open, less a margin.
+// keepAlive returns the idle timeout that the peer announces in its Keep-Alive header, less a margin of half
+// a second.
 func keepAlive(header http.Header) (time.Duration, bool) {
 	for _, list := range header["Keep-Alive"] {
 		for item := range strings.SplitSeq(list, ",") {
@@ -172,118 +178,119 @@
 	return 0, false
 }
 
-// Sweep closes what has been idle for too long. Of watched peers it also closes what they have closed, and learns for how
-// long they keep a rest.
+// Sweep closes connections that were idle for too long. For watched peers it also closes those that the peer
+// has closed, and records how long the others have stayed open.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Mono()
-	for address, kept := range p.kept {
-		watched := p.rests.watched(address)
-		var left []*connection
-		for _, at := range kept {
-			if now < at.until && (!watched || p.stillRests(address, at, now)) {
-				left = append(left, at)
+	for address, idle := range p.idle {
+		watched := p.idleRecords.watched(address)
+		var remaining []*connection
+		for _, c := range idle {
+			if now < c.reusableUntil && (!watched || p.stillOpen(address, c, now)) {
+				remaining = append(remaining, c)
 				continue
 			}
-			_ = at.conn.Close()
+			_ = c.conn.Close()
 		}
-		if len(left) == 0 {
-			delete(p.kept, address)
+		if len(remaining) == 0 {
+			delete(p.idle, address)
 			continue
 		}
-		p.kept[address] = left
+		p.idle[address] = remaining
 	}
-	p.rests.sweep(now, p.idle)
+	p.idleRecords.sweep(now, p.idleTimeout)
 }
 
-// stillRests looks whether a watched peer has kept an idle connection open.
-func (p *Pool) stillRests(address string, at *connection, now time.Duration) bool {
-	if !at.quiet() {
-		p.rests.broke(address)
+// stillOpen checks an idle connection to a watched peer and records whether it is still open.
+func (p *Pool) stillOpen(address string, c *connection, now time.Duration) bool {
+	if !c.quiet() {
+		p.idleRecords.recordClosed(address)
 		return false
 	}
-	p.rests.held(address, now-at.rested, now)
+	p.idleRecords.recordOpen(address, now-c.idleSince, now)
 	return true
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes all idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, at := range p.kept[address] {
-		_ = at.conn.Close()
+	for _, c := range p.idle[address] {
+		_ = c.conn.Close()
 	}
-	delete(p.kept, address)
+	delete(p.idle, address)
 }
 
-// Exchange sends a request on one connection and reads the head of its response, the first for which own is true. sent
-// tells whether a byte may have left: if not, the request has not run. A connection that takes no byte of the request is
-// replaced, since nothing was sent on it. The caller ends the response by Finish or Abort.
-func (p *Pool) Exchange(ctx context.Context, address string, m *Request, own func(*http.Response) bool) (r *Response, sent bool, err error) {
+// Exchange sends a request on one connection and reads the head of the first response for which isOwn returns
+// true. sent reports whether any byte of the request may have been sent; if not, the request has not run. If
+// an idle connection breaks before a byte is sent, the request moves to another connection. The caller must
+// end the response with Finish or Abort.
+func (p *Pool) Exchange(ctx context.Context, address string, request *Request, isOwn func(*http.Response) bool) (r *Response, sent bool, err error) {
 	for {
-		at, err := p.take(ctx, address, m.Certain)
+		c, err := p.get(ctx, address, request.RequireLive)
 		if err != nil {
 			return nil, false, err
 		}
-		stop := context.AfterFunc(ctx, func() { _ = at.conn.SetDeadline(time.Unix(1, 0)) })
-		response, err := p.ask(at, m, own)
+		stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Unix(1, 0)) })
+		response, err := p.roundTrip(c, request, isOwn)
 		if err == nil {
-			return &Response{Response: response, pool: p, connection: at, address: address, stop: stop}, true, nil
+			return &Response{Response: response, pool: p, connection: c, address: address, stop: stop}, true, nil
 		}
 		stop()
-		_ = at.conn.Close()
-		if at.passed > 0 && ctx.Err() == nil {
-			p.forgetRest(address)
+		_ = c.conn.Close()
+		if c.responses > 0 && ctx.Err() == nil {
+			p.recordClosed(address)
 		}
-		if at.wrote {
+		if c.requestWritten {
 			return nil, true, err
 		}
-		if at.passed == 0 || ctx.Err() != nil {
-			return nil, false, errors.Wrap(ErrNotDialled, err.Error())
+		if c.responses == 0 || ctx.Err() != nil {
+			return nil, false, errors.Wrap(ErrNotConnected, err.Error())
 		}
 	}
 }
 
-// ask writes a request and reads answers until its own; those to other requests are skipped.
-func (p *Pool) ask(at *connection, m *Request, own func(*http.Response) bool) (*http.Response, error) {
-	if err := at.send(m); err != nil {
+// roundTrip writes a request and reads responses up to its own. It skips responses to other requests.
+func (p *Pool) roundTrip(c *connection, request *Request, isOwn func(*http.Response) bool) (*http.Response, error) {
+	if err := c.send(request); err != nil {
 		return nil, err
 	}
-	for range MostSurplus {
-		response, err := at.read(m.Method)
+	for range MaxForeignResponses {
+		response, err := c.readResponse(request.Method)
 		if err != nil {
 			return nil, err
 		}
-		if own(response) {
+		if isOwn(response) {
 			return response, nil
 		}
-		at.odd = true
+		c.tainted = true
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, ErrForeignAnswer
+			return nil, ErrForeignResponse
 		}
 	}
-	return nil, ErrForeignAnswer
+	return nil, ErrForeignResponse
 }
 
-// Idle counts the idle connections to an address: those on which nothing has come, and those on which something has, be it
-// their end.
-func (p *Pool) Idle(address string) (silent, spoken int) {
+// CountIdle counts the idle connections to an address: those with nothing to read, and those with data, an
+// end of stream or a reset to read.
+func (p *Pool) CountIdle(address string) (quiet, readable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, at := range p.kept[address] {
-		if at.quiet() {
-			silent++
+	for _, c := range p.idle[address] {
+		if c.quiet() {
+			quiet++
 		} else {
-			spoken++
+			readable++
 		}
 	}
-	return silent, spoken
+	return quiet, readable
 }
 
-// AssumeRest takes it as seen that a peer keeps idle connections open for so long.
-func (p *Pool) AssumeRest(address string, rest time.Duration) {
+// AssumeOpenAfter records that the peer keeps connections open that have been idle for the given time.
+func (p *Pool) AssumeOpenAfter(address string, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rests.held(address, rest, p.clock.Mono())
+	p.idleRecords.recordOpen(address, idle, p.clock.Mono())
 }
--- a/internal/dataplane/connection/pool_test.go
+++ b/internal/dataplane/connection/pool_test.go
@@ -18,26 +18,27 @@
 )
 
 const (
-	clientIP   = "10.9.9.9"
-	idleTime   = 8 * time.Second
-	sweepEvery = 500 * time.Millisecond
+	clientIP        = "10.9.9.9"
+	poolIdleTimeout = 8 * time.Second
+	sweepEvery      = 500 * time.Millisecond
 )
 
-// idleUpstream closes each connection after so long a rest, as some upstreams do without a word.
-func idleUpstream(s *simulation.Simulation, address string, rest time.Duration) *http.Server {
+// idleUpstream starts a server that closes connections after idleTimeout without notice, as some upstreams
+// do.
+func idleUpstream(s *simulation.Simulation, address string, idleTimeout time.Duration) *http.Server {
 	listener, err := s.Scope(simulation.Host(address)).Net.Listen(address)
 	Expect(err).NotTo(HaveOccurred())
-	server := &http.Server{IdleTimeout: rest, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })}
+	server := &http.Server{IdleTimeout: idleTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })}
 	s.Go(func() { _ = server.Serve(listener) })
 	s.Cleanup(func() { _ = server.Close() })
 	return server
 }
 
-func anyAnswer(*http.Response) bool { return true }
+func anyResponse(*http.Response) bool { return true }
 
-// exchanged tells whether a request was answered, or its fate is not known.
-func exchanged(pool *Pool, address string, certain bool) (answered, doubtful bool) {
-	r, sent, err := pool.Exchange(context.Background(), address, &Request{Method: http.MethodGet, Target: "/", Host: "books.example", Certain: certain}, anyAnswer)
+// exchange sends a request and reports whether it was answered, and otherwise whether it may have run.
+func exchange(pool *Pool, address string, requireLive bool) (answered, mayHaveRun bool) {
+	r, sent, err := pool.Exchange(context.Background(), address, &Request{Method: http.MethodGet, Target: "/", Host: "books.example", RequireLive: requireLive}, anyResponse)
 	if err != nil {
 		return false, sent
 	}
@@ -46,142 +47,143 @@
 	return true, false
 }
 
-var _ = ginkgo.Describe("kept connections", func() {
+var _ = ginkgo.Describe("idle connections of a pool", func() {
 	const address = "10.9.2.1:8080"
-	const rest = 320 * time.Millisecond
-	simulation.It("given an upstream that closes connections after a short rest, when requests come that may run once, then none is in doubt, and many still use kept connections", func(s *simulation.Simulation) {
-		idleUpstream(s, address, rest)
+	const upstreamIdleTimeout = 320 * time.Millisecond
+	simulation.It("given an upstream that closes idle connections early, when requests are sent that must not run twice, then each is answered, and many still reuse idle connections", func(s *simulation.Simulation) {
+		idleUpstream(s, address, upstreamIdleTimeout)
 		scope := s.Scope(clientIP)
-		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
+		pool := NewPool(scope.Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
 		s.Go(func() { base.Tick(scope, sweepEvery, func(base.Scope) { pool.Sweep() }) })
 		rand := random.Seeded(3)
-		const asked = 4000
-		doubts, fails := 0, 0
-		for range asked {
-			answered, doubtful := exchanged(pool, address, true)
-			if doubtful {
-				doubts++
+		const requests = 4000
+		indeterminate, failures := 0, 0
+		for range requests {
+			answered, mayHaveRun := exchange(pool, address, true)
+			if mayHaveRun {
+				indeterminate++
 			}
 			if !answered {
-				fails++
+				failures++
 			}
-			time.Sleep(time.Duration(rand.Float64() * rand.Float64() * float64(2*rest)))
+			time.Sleep(time.Duration(rand.Float64() * rand.Float64() * float64(2*upstreamIdleTimeout)))
 		}
-		share := float64(pool.dialed) / asked
-		ginkgo.AddReportEntry("new connections a request", share)
-		Expect(doubts).To(BeZero())
-		Expect(fails).To(BeZero())
+		share := float64(pool.dials) / requests
+		ginkgo.AddReportEntry("new connections per request", share)
+		Expect(indeterminate).To(BeZero())
+		Expect(failures).To(BeZero())
 		Expect(share).To(BeNumerically("<", 0.8))
 	})
 
-	simulation.It("given an upstream that keeps connections, when requests that may run once come at a steady pace, then hardly any needs a new connection", func(s *simulation.Simulation) {
+	simulation.It("given an upstream that keeps connections open, when requests that must not run twice are sent at a steady rate, then hardly any needs a new connection", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
 		scope := s.Scope(clientIP)
-		pool := NewPool(scope.Net, s.Clock, idleTime, time.Second, time.Second)
+		pool := NewPool(scope.Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
 		s.Go(func() { base.Tick(scope, sweepEvery, func(base.Scope) { pool.Sweep() }) })
 		rand := random.Seeded(3)
-		const asked = 1000
-		for range asked {
-			exchanged(pool, address, true)
-			time.Sleep(time.Duration(2 * rand.Float64() * float64(rest)))
+		const requests = 1000
+		for range requests {
+			exchange(pool, address, true)
+			time.Sleep(time.Duration(2 * rand.Float64() * float64(upstreamIdleTimeout)))
 		}
-		ginkgo.AddReportEntry("new connections a request", float64(pool.dialed)/asked)
-		Expect(pool.dialed).To(BeNumerically("<", 10))
+		ginkgo.AddReportEntry("new connections per request", float64(pool.dials)/requests)
+		Expect(pool.dials).To(BeNumerically("<", 10))
 	})
 
-	simulation.It("given a peer that broke a rest, when a request that may run once comes, then it takes a new connection, and few are left idle", func(s *simulation.Simulation) {
+	simulation.It("given a peer that closed an idle connection, when a request is sent that must not run twice, then it uses a new connection, and few connections stay idle", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
-		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
-		exchanged(pool, address, false)
-		pool.rests.held(address, time.Minute, s.Clock.Mono())
+		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
+		exchange(pool, address, false)
+		pool.idleRecords.recordOpen(address, time.Minute, s.Clock.Mono())
 		time.Sleep(time.Second)
-		exchanged(pool, address, true)
-		Expect(pool.dialed).To(BeEquivalentTo(1))
-		for range 2 * spareKept {
-			pool.forgetRest(address)
-			time.Sleep(idleTime / 20)
-			exchanged(pool, address, true)
+		exchange(pool, address, true)
+		Expect(pool.dials).To(BeEquivalentTo(1))
+		for range 2 * maxUnprovenIdle {
+			pool.recordClosed(address)
+			time.Sleep(poolIdleTimeout / 20)
+			exchange(pool, address, true)
 		}
-		Expect(pool.dialed).To(BeEquivalentTo(1 + 2*spareKept))
-		Expect(pool.kept[address]).To(HaveLen(spareKept))
+		Expect(pool.dials).To(BeEquivalentTo(1 + 2*maxUnprovenIdle))
+		Expect(pool.idle[address]).To(HaveLen(maxUnprovenIdle))
 	})
 
-	simulation.It("given peers to which no request goes that may run once, when their connections rest, then nobody looks at them", func(s *simulation.Simulation) {
+	simulation.It("given a peer that gets no request that must not run twice, when its connections are idle, then they are not checked", func(s *simulation.Simulation) {
 		idleUpstream(s, address, time.Hour)
-		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
-		exchanged(pool, address, false)
-		kept := pool.kept[address][0]
-		looks := &simulation.Tally{}
-		kept.conn = watchedConn{kept.conn, looks}
+		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
+		exchange(pool, address, false)
+		idle := pool.idle[address][0]
+		checks := &simulation.Tally{}
+		idle.conn = countingConn{idle.conn, checks}
 		pool.Sweep()
-		Expect(looks.Add("looks", 0)).To(BeZero())
-		time.Sleep(idleTime / 4)
-		exchanged(pool, address, true)
+		Expect(checks.Add("checks", 0)).To(BeZero())
+		time.Sleep(poolIdleTimeout / 4)
+		exchange(pool, address, true)
 		pool.Sweep()
-		Expect(looks.Add("looks", 0)).To(Equal(1), "now the peer is watched")
-		time.Sleep(idleTime)
+		Expect(checks.Add("checks", 0)).To(Equal(1), "now the peer is watched")
+		time.Sleep(poolIdleTimeout)
 		pool.Sweep()
-		Expect(pool.kept[address]).To(BeEmpty(), "idle for too long, watched or not")
+		Expect(pool.idle[address]).To(BeEmpty(), "idle for longer than the pool's timeout, watched or not")
 	})
 
-	simulation.It("given a kept connection that takes no byte, when a request is written on it, then it goes once on a new one", func(s *simulation.Simulation) {
-		asked := &simulation.Tally{}
+	simulation.It("given an idle connection that breaks before it takes a byte, when a request is written on it, then the request is sent once on a new connection", func(s *simulation.Simulation) {
+		requests := &simulation.Tally{}
 		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			asked.Add("asked", 1)
+			requests.Add("asked", 1)
 			w.WriteHeader(http.StatusNoContent)
 		}))
-		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
-		exchanged(pool, address, true)
-		kept := pool.kept[address][0]
-		kept.conn = deaf{kept.conn}
-		pool.rests.held(address, time.Minute, s.Clock.Mono())
-		answered, _ := exchanged(pool, address, true)
+		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
+		exchange(pool, address, true)
+		idle := pool.idle[address][0]
+		idle.conn = resetConn{idle.conn}
+		pool.idleRecords.recordOpen(address, time.Minute, s.Clock.Mono())
+		answered, _ := exchange(pool, address, true)
 		Expect(answered).To(BeTrue())
-		Expect(asked.Add("asked", 0)).To(Equal(2))
-		Expect(pool.dialed).To(BeEquivalentTo(2))
+		Expect(requests.Add("asked", 0)).To(Equal(2))
+		Expect(pool.dials).To(BeEquivalentTo(2))
 	})
 
-	simulation.It("given a connection that breaks after a part of the request, when it is written, then it is in doubt and sent no second time", func(s *simulation.Simulation) {
-		asked := &simulation.Tally{}
-		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { asked.Add("asked", 1) }))
-		pool := NewPool(s.Scope(clientIP).Net, s.Clock, idleTime, time.Second, time.Second)
-		exchanged(pool, address, true)
-		kept := pool.kept[address][0]
-		kept.conn = cutShort{kept.conn}
-		pool.rests.held(address, time.Minute, s.Clock.Mono())
-		answered, doubtful := exchanged(pool, address, true)
+	simulation.It("given a connection that breaks after a part of the request, when it is written, then the request may have run and is not sent again", func(s *simulation.Simulation) {
+		requests := &simulation.Tally{}
+		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { requests.Add("asked", 1) }))
+		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
+		exchange(pool, address, true)
+		idle := pool.idle[address][0]
+		idle.conn = partialWriteConn{idle.conn}
+		pool.idleRecords.recordOpen(address, time.Minute, s.Clock.Mono())
+		answered, mayHaveRun := exchange(pool, address, true)
 		Expect(answered).To(BeFalse())
-		Expect(doubtful).To(BeTrue())
-		Expect(asked.Add("asked", 0)).To(Equal(1))
-		Expect(pool.dialed).To(BeEquivalentTo(1))
+		Expect(mayHaveRun).To(BeTrue())
+		Expect(requests.Add("asked", 0)).To(Equal(1))
+		Expect(pool.dials).To(BeEquivalentTo(1))
 	})
 
-	ginkgo.It("given a keep-alive time that an upstream tells, when a connection rests, then it is used up to half a second before that", func() {
-		told, known := keepAlive(http.Header{"Keep-Alive": {"timeout=" + strconv.Itoa(5) + ", max=100"}})
+	ginkgo.It("given a Keep-Alive timeout announced by an upstream, when it is read, then it is shortened by half a second", func() {
+		timeout, known := keepAlive(http.Header{"Keep-Alive": {"timeout=" + strconv.Itoa(5) + ", max=100"}})
 		Expect(known).To(BeTrue())
-		Expect(told).To(Equal(4500 * time.Millisecond))
+		Expect(timeout).To(Equal(4500 * time.Millisecond))
 	})
 })
 
-// deaf looks open and takes no byte: a reset is on its way up from the kernel.
-type deaf struct{ net.Conn }
+// resetConn looks open and fails each write without taking a byte, as a connection does whose reset has not
+// been processed yet.
+type resetConn struct{ net.Conn }
 
-func (deaf) Quiet() bool               { return true }
-func (deaf) Write([]byte) (int, error) { return 0, syscall.ECONNRESET }
+func (resetConn) Quiet() bool               { return true }
+func (resetConn) Write([]byte) (int, error) { return 0, syscall.ECONNRESET }
 
-// watchedConn counts how often it is looked at while it rests.
-type watchedConn struct {
+// countingConn counts how often it is checked while it is idle.
+type countingConn struct {
 	net.Conn
-	looks *simulation.Tally
+	checks *simulation.Tally
 }
 
-func (c watchedConn) Quiet() bool {
-	c.looks.Add("looks", 1)
+func (c countingConn) Quiet() bool {
+	c.checks.Add("checks", 1)
 	return quiet(c.Conn)
 }
 
-// cutShort takes one byte and breaks.
-type cutShort struct{ net.Conn }
+// partialWriteConn takes one byte and then fails.
+type partialWriteConn struct{ net.Conn }
 
-func (cutShort) Quiet() bool               { return true }
-func (cutShort) Write([]byte) (int, error) { return 1, syscall.ECONNRESET }
+func (partialWriteConn) Quiet() bool               { return true }
+func (partialWriteConn) Write([]byte) (int, error) { return 1, syscall.ECONNRESET }
--- a/internal/dataplane/connection/request.go
+++ b/internal/dataplane/connection/request.go
@@ -7,30 +7,31 @@
 	"sync"
 )
 
-// Request is an HTTP/1.1 request with its whole body.
+// Request is an HTTP/1.1 request with its complete body.
 type Request struct {
 	Method string
-	// Target is the path and query as they were asked for.
+	// Target is the path and query in the form in which they were received.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Certain asks for a connection that is certain to be open: the request may run once at most.
-	Certain bool
+	// RequireLive restricts the request to a connection that is proven to be open. It is set for requests
+	// that must not run more than once.
+	RequireLive bool
 }
 
-// requestWriters holds buffers for requests that are being written: one of its own for each would be a tenth of all that
-// a request allocates.
-var requestWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
+// requestWriters pools the buffers for writing requests. A new buffer for each request would be a tenth of
+// all memory that a request allocates.
+var requestWriters = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 
-// writeTo writes the request as HTTP/1.1. An error stays with out until it is flushed.
-func (m *Request) writeTo(out *bufio.Writer) {
-	writeAll(out, m.Method, " ", m.Target, " HTTP/1.1\r\n")
-	writeField(out, "Host", m.Host)
-	if len(m.Body) > 0 || m.Method != http.MethodGet && m.Method != http.MethodHead {
-		writeField(out, "Content-Length", strconv.Itoa(len(m.Body)))
+// writeTo writes the request in HTTP/1.1 format. Write errors are kept by the writer until it is flushed.
+func (r *Request) writeTo(out *bufio.Writer) {
+	writeAll(out, r.Method, " ", r.Target, " HTTP/1.1\r\n")
+	writeField(out, "Host", r.Host)
+	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
+		writeField(out, "Content-Length", strconv.Itoa(len(r.Body)))
 	}
-	for name, values := range m.Header {
+	for name, values := range r.Header {
 		if name == "Content-Length" || name == "Host" {
 			continue
 		}
@@ -39,7 +40,7 @@
 		}
 	}
 	writeAll(out, "\r\n")
-	_, _ = out.Write(m.Body)
+	_, _ = out.Write(r.Body)
 }
 
 func writeField(out *bufio.Writer, name, value string) { writeAll(out, name, ": ", value, "\r\n") }
--- a/internal/dataplane/connection/response.go
+++ b/internal/dataplane/connection/response.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Response is the head of a response, with its body still on the connection.
+// Response is the head of a response whose body is still on the connection.
 type Response struct {
 	*http.Response
 	pool       *Pool
@@ -12,13 +12,14 @@
 	ended      bool
 }
 
-// IsFirst tells that nothing came on the connection before this answer, so that it can only belong to this request.
-func (r *Response) IsFirst() bool { return r.connection.passed == 0 && !r.connection.odd }
+// IsFirst reports whether nothing was read on the connection before this response, so that it can only belong
+// to this request.
+func (r *Response) IsFirst() bool { return r.connection.responses == 0 && !r.connection.tainted }
 
-// Discard lets the connection go after this answer.
-func (r *Response) Discard() { r.connection.odd = true }
+// DisableReuse closes the connection after this response instead of returning it to the pool.
+func (r *Response) DisableReuse() { r.connection.tainted = true }
 
-// Finish ends a response whose body was read to its end.
+// Finish ends a response whose body was read completely.
 func (r *Response) Finish() {
 	if r.ended {
 		return
@@ -28,10 +29,10 @@
 		_ = r.connection.conn.Close()
 		return
 	}
-	r.pool.give(r.address, r.connection, r.Response)
+	r.pool.put(r.address, r.connection, r.Response)
 }
 
-// Abort ends a response whose body was not read to its end: its connection is closed.
+// Abort ends a response whose body was not read completely; its connection is closed.
 func (r *Response) Abort() {
 	if !r.ended {
 		r.ended = true
--- a/internal/dataplane/fencing/fences.go
+++ b/internal/dataplane/fencing/fences.go
@@ -1,5 +1,6 @@
-// Package fencing settles attempts whose connection between two nodes broke: the node that made one asks the other, on a fresh
-// connection, whether the attempt began, and one that had not begun never will (docs/requests-fencing.md).
+// Package fencing resolves attempts whose connection between two nodes broke. The node that made the attempt
+// asks the other one, on a new connection, whether the attempt began. An attempt that had not begun is fenced
+// by the question: it never will (docs/requests-fencing.md).
 package fencing
 
 import (
@@ -19,107 +20,123 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// Bounds of the memory of attempts, as ratios of the bounds in the settings.
+// Bounds of the record of attempts. Ratios of time apply to the in-force bound, ratios of memory to the
+// process's memory.
 const (
-	rememberRatio   = 30.0
-	entryBytes      = 256
-	megabyte        = 1 << 20
-	entriesRatio    = 1.0 / 256
-	DefaultEntries  = 16384
-	fewestEntries   = 512
-	answersRatio    = 1.0 / 64
-	answersUntold   = 4 << 20
-	LargestAnswer   = 256 << 10
-	answerHeldRatio = 1.0
-	LingerRatio     = 0.075
+	// retentionRatio is how long attempts are recorded.
+	retentionRatio = 30.0
+	// entrySizeEstimate is the memory of one recorded attempt in bytes.
+	entrySizeEstimate = 256
+	megabyte          = 1 << 20
+	// entriesMemoryRatio is the fraction of the memory that recorded attempts may take.
+	entriesMemoryRatio = 1.0 / 256
+	// DefaultEntries is the number of recorded attempts if the process's memory is not known, minEntries the
+	// least number otherwise.
+	DefaultEntries = 16384
+	minEntries     = 512
+	// answersMemoryRatio is the fraction of the memory that held responses may take, defaultAnswerBytes their
+	// limit if the process's memory is not known.
+	answersMemoryRatio = 1.0 / 64
+	defaultAnswerBytes = 4 << 20
+	// MaxAnswerBytes is the size of the largest response that is held.
+	MaxAnswerBytes = 256 << 10
+	// answerRetentionRatio is how long a response is held.
+	answerRetentionRatio = 1.0
+	// LingerRatio is how long work that has begun continues after its connection broke, unless its result is
+	// asked for.
+	LingerRatio = 0.075
 )
 
-// Events that are counted of broken connections between nodes, for what may not be repeated.
+// Events that are counted for connections between nodes that break, and for attempts that can be queried.
 const (
-	CountBroken  = "hop-broken"           // connections that broke
-	CountDoubt   = "hop-doubt"            // of these, those after which the attempt may have run
-	CountAsked   = "attempt-asked"        // questions
-	CountNoMark  = "attempt-no-mark"      // attempts that can't be asked about
-	CountSilent  = "attempt-unanswered"   // attempts about which no reply came
-	CountFetched = "attempt-fetched"      // answers fetched after the connection broke
-	CountTooLate = "attempt-fetch-failed" // answers that could not be fetched
-	CountReplied = "attempt-reply-"       // replies, by state
-	CountRefused = "attempt-refused"      // attempts that were rejected as fenced or repeated
+	CountBroken        = "hop-broken"           // connections that broke
+	CountIndeterminate = "hop-doubt"            // broken connections after which the attempt may have run
+	CountAsked         = "attempt-asked"        // queries sent
+	CountNoMark        = "attempt-no-mark"      // attempts that can't be queried because no mark is known
+	CountUnanswered    = "attempt-unanswered"   // attempts about which no reply came
+	CountFetched       = "attempt-fetched"      // responses fetched after the connection broke
+	CountFetchFailed   = "attempt-fetch-failed" // responses that could not be fetched
+	CountReplied       = "attempt-reply-"       // replies; the state follows the prefix
+	CountRefused       = "attempt-refused"      // attempts rejected as fenced or repeated
 )
 
-// Fences is a node's part in settling attempts: the memory of those it accepted, and the marks of its peers' memories. It is
-// safe for concurrent use.
+// Fences resolves attempts for a node. It records the attempts that the node accepted and the current marks
+// of its peers' records. It is safe for concurrent use.
 type Fences struct {
-	// Table remembers the attempts that were accepted here.
+	// Table records the attempts accepted by this node.
 	Table       *attempts.Table
 	incarnation string
-	next        atomic.Uint64
-	scope       base.Scope
-	attemptName string // of the header that bears a request's identity
-	count       func(event string)
-	web         *http.Client
-	questions   http.Handler
-	linger      time.Duration
-	question    time.Duration
-	mu          sync.Mutex
-	marks       map[string]attempts.Mark
+	lastID      atomic.Uint64
+	// lastID is the number of the newest attempt ID.
+	scope           base.Scope
+	requestIDHeader string // the header that carries a request's identity
+	count           func(event string)
+	client          *http.Client
+	// queryHandler answers queries of other nodes.
+	queryHandler http.Handler
+	// linger is how long work outlives its connection, queryTimeout bounds one query.
+	linger       time.Duration
+	queryTimeout time.Duration
+	mu           sync.Mutex
+	// marks holds the mark last received from each node.
+	marks map[string]attempts.Mark
 }
 
-// Settings of Fences.
+// Settings configures Fences.
 type Settings struct {
-	// Incarnation is the node's.
+	// Incarnation is the incarnation of this node.
 	Incarnation string
-	// InForce is the in-force bound, of which the others are ratios.
+	// InForce is the in-force bound, to which the ratios of time apply.
 	InForce time.Duration
-	// MemoryMb is the process's memory in megabytes; 0 if it isn't known.
+	// MemoryMb is the process's memory in megabytes; 0 if it is not known.
 	MemoryMb uint32
-	// AttemptHeader is the name of the header that bears a request's identity.
-	AttemptHeader string
+	// RequestIDHeader is the name of the header that carries a request's identity.
+	RequestIDHeader string
 }
 
-// New returns a node's fences. count counts events.
+// New returns the fences of a node. count is called for each event that is counted.
 func New(s base.Scope, settings Settings, count func(event string)) *Fences {
-	portion := func(ratio float64) time.Duration { return base.Ratio(settings.InForce, ratio) }
-	entries, answers := DefaultEntries, answersUntold
+	scaled := func(ratio float64) time.Duration { return base.Ratio(settings.InForce, ratio) }
+	entries, answers := DefaultEntries, defaultAnswerBytes
 	if settings.MemoryMb > 0 {
 		memory := float64(settings.MemoryMb) * megabyte
-		entries, answers = max(int(memory*entriesRatio/entryBytes), fewestEntries), int(memory*answersRatio)
+		entries, answers = max(int(memory*entriesMemoryRatio/entrySizeEstimate), minEntries), int(memory*answersMemoryRatio)
 	}
-	f := WithTable(settings.Incarnation, attempts.NewTable(settings.Incarnation, s.Clock.Mono, attempts.Bounds{
-		Entries: entries, Age: portion(rememberRatio), AnswerBytes: answers, LargestAnswer: LargestAnswer, AnswerAge: portion(answerHeldRatio),
+	f := NewWithTable(settings.Incarnation, attempts.NewTable(settings.Incarnation, s.Clock.Mono, attempts.Bounds{
+		Entries: entries, Age: scaled(retentionRatio), AnswerBytes: answers, LargestAnswer: MaxAnswerBytes, AnswerAge: scaled(answerRetentionRatio),
 	}))
-	f.scope, f.attemptName, f.count = s, settings.AttemptHeader, count
-	f.linger, f.question = portion(LingerRatio), portion(questionRatio)
-	f.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, DisableKeepAlives: true, DisableCompression: true}}
-	_, f.questions = wireconnect.NewAttemptsHandler(attemptsServer{f}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(questionBytes))
+	f.scope, f.requestIDHeader, f.count = s, settings.RequestIDHeader, count
+	f.linger, f.queryTimeout = scaled(LingerRatio), scaled(queryTimeoutRatio)
+	f.client = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, DisableKeepAlives: true, DisableCompression: true}}
+	_, f.queryHandler = wireconnect.NewAttemptsHandler(attemptsServer{f}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(maxReplyBytes))
 	return f
 }
 
-// WithTable returns fences over a table, which neither ask nor answer questions.
-func WithTable(incarnation string, table *attempts.Table) *Fences {
+// NewWithTable returns fences over an existing table. They can neither send nor answer queries.
+func NewWithTable(incarnation string, table *attempts.Table) *Fences {
 	return &Fences{incarnation: incarnation, Table: table, marks: map[string]attempts.Mark{}}
 }
 
-// Start gives a new attempt its identity and the mark last heard from the node that it goes to. Without one, the first era
-// of the incarnation that is known of the node must do; if that is forgotten by then, the attempt is rejected with the
-// present mark.
-func (f *Fences) Start(node string, incarnation func(node string) string) attempts.Reference {
-	ref := attempts.Reference{ID: attempts.ID(f.incarnation + "-" + strconv.FormatUint(f.next.Add(1), 36)), Mark: f.MarkOf(node)}
+// NewReference returns a reference for a new attempt, with a unique ID and the mark last received from the
+// node that it is sent to. If there is none, it uses the first era of the node's known incarnation. If that
+// era has been forgotten, the node rejects the attempt and returns its current mark.
+func (f *Fences) NewReference(node string, incarnation func(node string) string) attempts.Reference {
+	ref := attempts.Reference{ID: attempts.ID(f.incarnation + "-" + strconv.FormatUint(f.lastID.Add(1), 36)), Mark: f.MarkOf(node)}
 	if !ref.Mark.Known() {
 		ref.Mark = attempts.Mark{Incarnation: incarnation(node), Era: attempts.FirstEra}
 	}
 	return ref
 }
 
-// MarkOf returns the mark last heard from a node.
+// MarkOf returns the mark last received from a node.
 func (f *Fences) MarkOf(node string) attempts.Mark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.marks[node]
 }
 
-// Heard notes the mark that a peer told with an answer.
-func (f *Fences) Heard(node, text string) {
+// LearnFromHeader stores the mark that a peer sent with a response, if there is one.
+func (f *Fences) LearnFromHeader(node, text string) {
 	mark, ok := attempts.ParseMark(text)
 	if !ok {
 		return
@@ -127,11 +144,12 @@
 	f.Learn(node, mark)
 }
 
-// Learn takes a mark heard from a node, unless a newer one is known.
+// Learn stores a mark received from a node, unless a newer one of the same incarnation is known. At maxMarks
+// nodes it discards all marks first.
 func (f *Fences) Learn(node string, mark attempts.Mark) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.marks) >= mostMarksKept {
+	if len(f.marks) >= maxMarks {
 		clear(f.marks)
 	}
 	if known := f.marks[node]; known.Incarnation != mark.Incarnation || known.Era < mark.Era {
@@ -139,14 +157,14 @@
 	}
 }
 
-// SendAttempt puts an attempt's identity into a request's header.
-func SendAttempt(ref attempts.Reference, header http.Header) {
+// SetAttemptHeader adds the reference of an attempt to a request's header.
+func SetAttemptHeader(ref attempts.Reference, header http.Header) {
 	if ref.Known() {
 		header[forwarding.AttemptHeader] = []string{ref.String()}
 	}
 }
 
-// Accept files an attempt that arrived whole, or says why it can't begin.
+// Accept records an attempt that arrived completely, or returns the outcome with which it is refused.
 func (f *Fences) Accept(text string) (ref attempts.Reference, refusal *forwarding.Outcome) {
 	ref, known := attempts.ParseReference(text)
 	if !known {
@@ -157,54 +175,57 @@
 	if verdict == attempts.Accepted {
 		return ref, nil
 	}
-	said := refusalOf(verdict)
-	return ref, &said
+	outcome := refusalFor(verdict)
+	return ref, &outcome
 }
 
-// refusalOf is what an attempt is told that can't begin. Of a copy nothing can be said: the first may have run.
-func refusalOf(verdict attempts.Verdict) forwarding.Outcome {
+// refusalFor returns the outcome of an attempt that must not begin. For a duplicate the outcome is
+// indeterminate, since the original may have run.
+func refusalFor(verdict attempts.Verdict) forwarding.Outcome {
 	if verdict == attempts.Repeated {
-		return forwarding.Doubt(base.Lost, "this attempt has come before")
+		return forwarding.IndeterminateOutcome(base.Lost, "the attempt has already arrived")
 	}
-	return forwarding.NotRunBy(base.NewFault(base.Fenced, "", "this attempt was declared never to begin, or its mark is forgotten"))
+	return forwarding.NotRunOutcome(base.NewFault(base.Fenced, "", "the attempt is fenced, or the era of its mark is forgotten"))
 }
 
-// Finish files how an attempt ended.
+// Finish records the outcome of an attempt.
 func Finish(ref attempts.Reference, o forwarding.Outcome) {
 	if ref.Entry != nil {
-		ref.Entry.Finish(ResultOf(o))
+		ref.Entry.Finish(ReplyFromOutcome(o))
 	}
 }
 
-// Tell adds this node's mark to the answer of a request whose sender keeps it.
-func (f *Fences) Tell(answer, request http.Header) {
+// SetMarkHeader adds this node's current mark to a response, if the request carries the reference of an
+// attempt.
+func (f *Fences) SetMarkHeader(response, request http.Header) {
 	if _, asked := request[forwarding.AttemptHeader]; asked {
-		answer[forwarding.MarkHeader] = []string{f.Table.Mark().String()}
+		response[forwarding.MarkHeader] = []string{f.Table.Mark().String()}
 	}
 }
 
-// Lifetime bounds an attempt's work by its time left and by its connection. Where somebody can ask about the attempt, work
-// that has begun outlives the connection for a moment, and for as long as its end is waited for; what has not begun never
-// will.
-func (f *Fences) Lifetime(s base.Scope, connection context.Context, left time.Duration, ref attempts.Reference) (context.Context, context.CancelFunc) {
+// AttemptContext returns a context that limits the work of an attempt by its time left and by its connection.
+// If the attempt can be queried, work that has begun outlives the connection by the linger time, and for as
+// long as its result is asked for. Work that has not begun when the connection ends never begins.
+func (f *Fences) AttemptContext(s base.Scope, connection context.Context, timeLeft time.Duration, ref attempts.Reference) (context.Context, context.CancelFunc) {
 	if ref.Entry == nil {
-		return context.WithTimeout(connection, left)
+		return context.WithTimeout(connection, timeLeft)
 	}
-	ctx, cancel := context.WithTimeout(s, left)
-	settled := context.AfterFunc(connection, func() {
+	ctx, cancel := context.WithTimeout(s, timeLeft)
+	stop := context.AfterFunc(connection, func() {
 		if !ref.Entry.Withdraw() {
-			f.outlive(s.WithContext(ctx), ref.Entry)
+			f.waitWhileWanted(s.WithContext(ctx), ref.Entry)
 		}
 		cancel()
 	})
 	return ctx, func() {
-		settled()
+		stop()
 		cancel()
 	}
 }
 
-// outlive returns once nobody has asked for an attempt's end for a moment, or the attempt is over.
-func (f *Fences) outlive(s base.Scope, entry *attempts.Entry) {
+// waitWhileWanted returns once nobody has asked for the result of an attempt for the linger time, or the
+// attempt is over.
+func (f *Fences) waitWhileWanted(s base.Scope, entry *attempts.Entry) {
 	for {
 		base.Await(s, f.linger)
 		if s.Err() != nil || !entry.Wanted(f.linger) {
@@ -213,5 +234,5 @@
 	}
 }
 
-// Sweep forgets attempts that are too old.
+// Sweep removes attempts and held responses that are too old.
 func (f *Fences) Sweep() { f.Table.Sweep() }
--- a/internal/dataplane/fencing/questions.go
+++ b/internal/dataplane/fencing/questions.go
@@ -17,78 +17,87 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// Bounds of a question about an attempt.
+// Bounds of queries about attempts.
 const (
-	// QuestionPart, of the time left, is how long asking whether an attempt began may take.
-	QuestionPart  = 0.45
-	questionRatio = 0.15
-	mostQuestions = 6
-	mostFetches   = 4
-	firstAskPause = 10 * time.Millisecond
-	fetchMargin   = 10 * time.Millisecond
-	questionBytes = 1 << 20
-	mostMarksKept = 4096
-	PathPrefix    = "/" + wireconnect.AttemptsName + "/"
+	// QueryTimeRatio is the fraction of the time left within which it must be known whether an attempt began.
+	QueryTimeRatio = 0.45
+	// queryTimeoutRatio is the timeout of one query, as a ratio of the in-force bound.
+	queryTimeoutRatio = 0.15
+	// maxQueries is how often the state of an attempt is queried.
+	maxQueries = 6
+	// maxFetches is how often a response is fetched.
+	maxFetches = 4
+	// initialQueryBackoff is the pause after the first failed query; it doubles with each further one.
+	initialQueryBackoff = 10 * time.Millisecond
+	// fetchMargin is how long before the deadline fetching a response ends.
+	fetchMargin = 10 * time.Millisecond
+	// maxReplyBytes is the size limit of a query and of a reply.
+	maxReplyBytes = 1 << 20
+	// maxMarks is the number of nodes whose marks are kept.
+	maxMarks = 4096
+	// PathPrefix is the path prefix of queries.
+	PathPrefix = "/" + wireconnect.AttemptsName + "/"
 )
 
-// StaleMark tells whether an attempt was turned away by a peer that told its present mark with it.
-func StaleMark(ref attempts.Reference, o forwarding.Outcome) bool {
+// IsStaleMark reports whether a peer rejected an attempt as fenced in a response of its own, which also
+// carried its current mark.
+func IsStaleMark(ref attempts.Reference, o forwarding.Outcome) bool {
 	return ref.Known() && o.State == forwarding.NotRun && o.Kind == base.Fenced && o.Load != nil
 }
 
-// Peer is the node that an attempt went to.
+// Peer is the node to which an attempt was sent.
 type Peer struct {
 	Node string
-	// Address is where it answers questions about attempts.
+	// Address is where the node answers queries about attempts.
 	Address string
 }
 
-// Resolve settles an attempt whose connection to another node broke by asking that node on a fresh connection. The question
-// takes at most a part of the time left; only the answer of an attempt known to be at work is waited for longer. doubted is
-// the outcome if nothing can be learned.
-func (f *Fences) Resolve(ctx context.Context, to Peer, ref attempts.Reference, requestID string, until time.Duration, doubted forwarding.Outcome) forwarding.Outcome {
+// Resolve determines the outcome of an attempt whose connection to another node broke, by querying that node
+// on a new connection. Queries take at most QueryTimeRatio of the time left; only the response of an attempt
+// known to be at work is awaited for longer. fallback is the outcome if nothing can be learned.
+func (f *Fences) Resolve(ctx context.Context, to Peer, ref attempts.Reference, requestID string, deadline time.Duration, fallback forwarding.Outcome) forwarding.Outcome {
 	if !ref.Known() {
-		return doubted
+		return fallback
 	}
 	f.count(CountBroken)
-	o := f.settled(ctx, to, ref, requestID, until, doubted)
-	if o.State == forwarding.Doubtful {
-		f.count(CountDoubt)
+	o := f.queryOutcome(ctx, to, ref, requestID, deadline, fallback)
+	if o.State == forwarding.Indeterminate {
+		f.count(CountIndeterminate)
 	}
 	f.scope.Record("attempt-settled", to.Node, string(o.Kind))
 	return o
 }
 
-// settled is the outcome of an attempt as far as the other node can tell.
-func (f *Fences) settled(ctx context.Context, to Peer, ref attempts.Reference, requestID string, until time.Duration, doubted forwarding.Outcome) forwarding.Outcome {
+// queryOutcome returns the outcome of an attempt as far as the other node knows it.
+func (f *Fences) queryOutcome(ctx context.Context, to Peer, ref attempts.Reference, requestID string, deadline time.Duration, fallback forwarding.Outcome) forwarding.Outcome {
 	if !ref.Mark.Known() {
 		f.count(CountNoMark)
-		return doubted
+		return fallback
 	}
-	reply := f.askAbout(ctx, to, ref, until)
+	reply := f.query(ctx, to, ref, deadline)
 	if reply.GetState() == wire.AttemptState_ATTEMPT_AT_WORK {
-		reply = f.fetch(ctx, to, ref, until)
+		reply = f.fetchResponse(ctx, to, ref, deadline)
 	}
 	if reply == nil {
-		return doubted
+		return fallback
 	}
-	own := func(a *forwarding.Answer) bool { return a.Header.Get(f.attemptName) == requestID }
-	return OutcomeOf(reply, own, doubted)
+	isOwn := func(r *forwarding.Response) bool { return r.Header.Get(f.requestIDHeader) == requestID }
+	return OutcomeFromReply(reply, isOwn, fallback)
 }
 
-// askAbout asks until there is a reply, within the part of the time left that a question may take. Where nobody listens any
-// more, the incarnation that knew is gone.
-func (f *Fences) askAbout(ctx context.Context, to Peer, ref attempts.Reference, until time.Duration) *wire.AttemptReply {
+// query sends queries until there is a reply, within QueryTimeRatio of the time left. It stops if the
+// connection is refused: then the incarnation that knew the attempt is gone.
+func (f *Fences) query(ctx context.Context, to Peer, ref attempts.Reference, deadline time.Duration) *wire.AttemptReply {
 	now := f.scope.Clock.Mono()
-	giveUp := now + time.Duration(QuestionPart*float64(until-now))
-	pause := firstAskPause
-	for range mostQuestions {
-		left := min(giveUp-f.scope.Clock.Mono(), f.question)
+	queryDeadline := now + time.Duration(QueryTimeRatio*float64(deadline-now))
+	pause := initialQueryBackoff
+	for range maxQueries {
+		left := min(queryDeadline-f.scope.Clock.Mono(), f.queryTimeout)
 		if left <= 0 || ctx.Err() != nil {
 			break
 		}
 		f.count(CountAsked)
-		reply, err := f.ask(ctx, to, ref, 0, left)
+		reply, err := f.queryOnce(ctx, to, ref, 0, left)
 		if err == nil {
 			f.count(CountReplied + strings.ToLower(strings.TrimPrefix(reply.State.String(), "ATTEMPT_")))
 			return reply
@@ -96,36 +105,38 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			break
 		}
-		base.Await(f.scope.WithContext(ctx), min(pause, max(giveUp-f.scope.Clock.Mono(), 0)))
+		base.Await(f.scope.WithContext(ctx), min(pause, max(queryDeadline-f.scope.Clock.Mono(), 0)))
 		pause *= 2
 	}
-	f.count(CountSilent)
+	f.count(CountUnanswered)
 	return nil
 }
 
-// fetch waits for the answer of an attempt at work. If that breaks as well, it asks again a few times.
-func (f *Fences) fetch(ctx context.Context, to Peer, ref attempts.Reference, until time.Duration) *wire.AttemptReply {
-	for range mostFetches {
-		left := until - f.scope.Clock.Mono() - fetchMargin
+// fetchResponse waits for the response of an attempt at work. If the connection breaks again, it repeats the
+// query, up to maxFetches times.
+func (f *Fences) fetchResponse(ctx context.Context, to Peer, ref attempts.Reference, deadline time.Duration) *wire.AttemptReply {
+	for range maxFetches {
+		left := deadline - f.scope.Clock.Mono() - fetchMargin
 		if left <= 0 || ctx.Err() != nil {
 			break
 		}
-		if reply, err := f.ask(ctx, to, ref, left, left); err == nil {
+		if reply, err := f.queryOnce(ctx, to, ref, left, left); err == nil {
 			f.count(CountFetched)
 			return reply
 		}
 	}
-	f.count(CountTooLate)
+	f.count(CountFetchFailed)
 	return nil
 }
 
-// ask asks once; wait is how long the other node may wait for the end of the attempt.
-func (f *Fences) ask(ctx context.Context, to Peer, ref attempts.Reference, wait, within time.Duration) (*wire.AttemptReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// queryOnce sends one query. wait is how long the other node may wait for the end of the attempt, within the
+// timeout of the query.
+func (f *Fences) queryOnce(ctx context.Context, to Peer, ref attempts.Reference, wait, timeout time.Duration) (*wire.AttemptReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	client := wireconnect.NewAttemptsClient(f.web, "http://"+to.Address, httpserver.HandlerOptions(), connect.WithReadMaxBytes(questionBytes))
-	question := &wire.AttemptQuestion{Id: string(ref.ID), Mark: ref.Mark.Message(), WaitMs: uint64(max(wait.Milliseconds(), 0))}
-	reply, err := client.Resolve(ctx, connect.NewRequest(question))
+	client := wireconnect.NewAttemptsClient(f.client, "http://"+to.Address, httpserver.HandlerOptions(), connect.WithReadMaxBytes(maxReplyBytes))
+	query := &wire.AttemptQuestion{Id: string(ref.ID), Mark: ref.Mark.Message(), WaitMs: uint64(max(wait.Milliseconds(), 0))}
+	reply, err := client.Resolve(ctx, connect.NewRequest(query))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/fencing/results.go
+++ b/internal/dataplane/fencing/results.go
@@ -9,25 +9,25 @@
 	"curlewreach/proto/wire"
 )
 
-// ResultOf is an outcome as it is remembered.
-func ResultOf(o forwarding.Outcome) *wire.AttemptReply {
+// ReplyFromOutcome returns the reply under which an outcome is recorded.
+func ReplyFromOutcome(outcome forwarding.Outcome) *wire.AttemptReply {
 	switch {
-	case o.State == forwarding.NotRun:
-		refusal := &wire.AttemptRefusal{Kind: string(o.Kind), Arrived: o.Arrived, AfterMs: uint64(max(o.After.Milliseconds(), 0))}
+	case outcome.State == forwarding.NotRun:
+		refusal := &wire.AttemptRefusal{Kind: string(outcome.Kind), Arrived: outcome.ReachedUpstream, AfterMs: uint64(max(outcome.RetryAfter.Milliseconds(), 0))}
 		return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_TURNED_AWAY, Refusal: refusal}
-	case o.Answer == nil:
+	case outcome.Response == nil:
 		return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_LOST}
-	case o.Answer.Rest != nil:
+	case outcome.Response.Remaining != nil:
 		return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_FINISHED}
 	}
-	return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_FINISHED, Answer: answerMessage(o.Answer)}
+	return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_FINISHED, Answer: answerToWire(outcome.Response)}
 }
 
-// answerMessage is an answer as it is sent with a reply.
-func answerMessage(a *forwarding.Answer) *wire.AttemptAnswer {
-	message := &wire.AttemptAnswer{Status: uint32(a.Status), Body: a.Body, Headers: make([]*wire.AttemptHeader, 0, len(a.Header))}
-	headers := make([]wire.AttemptHeader, len(a.Header))
-	for name, values := range a.Header {
+// answerToWire encodes a response for a reply.
+func answerToWire(r *forwarding.Response) *wire.AttemptAnswer {
+	message := &wire.AttemptAnswer{Status: uint32(r.Status), Body: r.Body, Headers: make([]*wire.AttemptHeader, 0, len(r.Header))}
+	headers := make([]wire.AttemptHeader, len(r.Header))
+	for name, values := range r.Header {
 		next := &headers[len(message.Headers)]
 		next.Name, next.Values = name, values
 		message.Headers = append(message.Headers, next)
@@ -35,33 +35,33 @@
 	return message
 }
 
-// answerOf reads an answer that was sent with a reply.
-func answerOf(message *wire.AttemptAnswer) *forwarding.Answer {
-	a := &forwarding.Answer{Status: int(message.Status), Header: http.Header{}, Body: message.Body, Size: int64(len(message.Body))}
+// answerFromWire decodes the response in a reply.
+func answerFromWire(message *wire.AttemptAnswer) *forwarding.Response {
+	r := &forwarding.Response{Status: int(message.Status), Header: http.Header{}, Body: message.Body, Size: int64(len(message.Body))}
 	for _, header := range message.Headers {
-		a.Header[header.Name] = header.Values
+		r.Header[header.Name] = header.Values
 	}
-	return a
+	return r
 }
 
-// OutcomeOf reads a reply about an attempt. own tells whether an answer is this request's; doubted is what holds where the
-// reply settles nothing.
-func OutcomeOf(reply *wire.AttemptReply, own func(*forwarding.Answer) bool, doubted forwarding.Outcome) forwarding.Outcome {
+// OutcomeFromReply returns the outcome that a reply about an attempt describes. isOwn reports whether a
+// response belongs to this request; fallback is the outcome if the reply does not determine it.
+func OutcomeFromReply(reply *wire.AttemptReply, isOwn func(*forwarding.Response) bool, fallback forwarding.Outcome) forwarding.Outcome {
 	switch reply.State {
 	case wire.AttemptState_ATTEMPT_NEVER_BEGAN:
-		return forwarding.NotRunBy(base.NewFault(base.Fenced, "", "the connection broke before it began"))
+		return forwarding.NotRunOutcome(base.NewFault(base.Fenced, "", "the connection broke before the attempt began"))
 	case wire.AttemptState_ATTEMPT_TURNED_AWAY:
 		refusal := reply.GetRefusal()
-		return forwarding.Outcome{State: forwarding.NotRun, Kind: base.Kind(refusal.GetKind()), Arrived: refusal.GetArrived(), After: time.Duration(refusal.GetAfterMs()) * time.Millisecond}
+		return forwarding.Outcome{State: forwarding.NotRun, Kind: base.Kind(refusal.GetKind()), ReachedUpstream: refusal.GetArrived(), RetryAfter: time.Duration(refusal.GetAfterMs()) * time.Millisecond}
 	case wire.AttemptState_ATTEMPT_FINISHED:
 		if reply.Answer == nil {
-			return doubted
+			return fallback
 		}
-		a := answerOf(reply.Answer)
-		if !own(a) {
-			return doubted
+		r := answerFromWire(reply.Answer)
+		if !isOwn(r) {
+			return fallback
 		}
-		return forwarding.Outcome{State: forwarding.StateOf(a.Status), Arrived: true, Answer: a}
+		return forwarding.Outcome{State: forwarding.StateOf(r.Status), ReachedUpstream: true, Response: r}
 	}
-	return doubted
+	return fallback
 }
--- a/internal/dataplane/fencing/server.go
+++ b/internal/dataplane/fencing/server.go
@@ -13,25 +13,28 @@
 	"curlewreach/proto/wire"
 )
 
-// IsQuestion tells questions about attempts from requests; those always say which way they go.
-func IsQuestion(r *http.Request) bool {
+// IsQuery reports whether a request is a query about an attempt. Requests forwarded between nodes always
+// carry MetadataHeader, queries never do.
+func IsQuery(r *http.Request) bool {
 	return strings.HasPrefix(r.URL.Path, PathPrefix) && r.Header.Get(forwarding.MetadataHeader) == ""
 }
 
+// attemptsServer serves queries about attempts.
 type attemptsServer struct{ fences *Fences }
 
-// Resolve tells what is known of an attempt, and waits for the end of one at work if it is asked to.
+// Resolve returns what is known of an attempt. If asked to, it first waits for the end of an attempt at work.
 func (s attemptsServer) Resolve(ctx context.Context, request *connect.Request[wire.AttemptQuestion]) (*connect.Response[wire.AttemptReply], error) {
 	q, table := request.Msg, s.fences.Table
 	reply, entry := table.Ask(attempts.ID(q.Id), attempts.MarkOf(q.Mark))
 	if entry != nil && q.WaitMs > 0 {
-		wait(ctx, entry, time.Duration(q.WaitMs)*time.Millisecond)
+		waitForEnd(ctx, entry, time.Duration(q.WaitMs)*time.Millisecond)
 		reply, _ = table.Ask(attempts.ID(q.Id), attempts.MarkOf(q.Mark))
 	}
 	return connect.NewResponse(&wire.AttemptReply{State: reply.State, Refusal: reply.Refusal, Answer: reply.Answer, Mark: table.Mark().Message()}), nil
 }
 
-func wait(ctx context.Context, entry *attempts.Entry, longest time.Duration) {
+// waitForEnd returns when the attempt ends, after the longest time, or when ctx is done.
+func waitForEnd(ctx context.Context, entry *attempts.Entry, longest time.Duration) {
 	ended, leave := entry.Watch()
 	defer leave()
 	timer := time.NewTimer(longest)
@@ -43,5 +46,5 @@
 	}
 }
 
-// ServeHTTP answers a question about an attempt.
-func (f *Fences) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.questions.ServeHTTP(w, r) }
+// ServeHTTP answers a query about an attempt.
+func (f *Fences) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.queryHandler.ServeHTTP(w, r) }
--- a/internal/dataplane/forwarding/headers.go
+++ b/internal/dataplane/forwarding/headers.go
@@ -8,25 +8,25 @@
 
 // Headers between nodes.
 const (
-	// MetadataHeader bears a request's Metadata.
+	// MetadataHeader carries the Metadata of a request.
 	MetadataHeader = "Mesh-Way"
-	// LoadHeader bears the LoadReport of the node beside the upstream.
+	// LoadHeader carries the LoadReport of the upstream's node.
 	LoadHeader = "Mesh-Weight"
-	// OutcomeHeader bears the Outcome of a request that has no answer.
+	// OutcomeHeader carries the Outcome of a request that has no response from an upstream.
 	OutcomeHeader = "Mesh-Outcome"
-	// AttemptHeader bears the reference of an attempt that can be asked about.
+	// AttemptHeader carries the reference by which the state of an attempt can be queried.
 	AttemptHeader = "Mesh-Attempt"
-	// MarkHeader bears the present mark of the other node's memory of attempts.
+	// MarkHeader carries the current mark of the responding node's record of attempts.
 	MarkHeader = "Mesh-Memory"
 )
 
-// hopByHop are the headers that concern one connection only, and those between nodes.
+// hopByHop lists the headers that apply to a single connection, and those between nodes.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", MetadataHeader, LoadHeader, OutcomeHeader, AttemptHeader, MarkHeader,
 }
 
-// EndToEnd copies a header without the fields that concern one connection only, and without extra ones.
+// EndToEnd copies a header without the fields that apply to a single connection and without the extra ones.
 func EndToEnd(from http.Header, extra ...string) http.Header {
 	to := make(http.Header, len(from)+4)
 	for name, values := range from {
--- a/internal/dataplane/forwarding/load_report.go
+++ b/internal/dataplane/forwarding/load_report.go
@@ -7,50 +7,50 @@
 	"curlewreach/internal/dataplane/admission"
 )
 
-// The form of a load report as text.
+// The text form of a load report.
 const (
-	reportParts = 10
-	reportFlags = 2
+	loadReportFields = 10
+	loadReportFlags  = 2
 )
 
-// LoadReport is what the node beside an upstream tells of the upstream with each answer.
+// LoadReport is what an upstream's node reports about the upstream with each response.
 type LoadReport struct {
 	admission.Load
-	// Waited is how long this request waited in the queue, in milliseconds.
-	Waited int
-	// FailurePercent is the part of the upstream's late answers that were failures.
+	// WaitedMs is how long this request waited in the queue, in milliseconds.
+	WaitedMs int
+	// FailurePercent is the recent failure rate of the upstream, in percent.
 	FailurePercent int
-	// Serial is the version of the configuration in force at that node.
+	// Serial is the version of the configuration in force at the reporting node.
 	Serial uint64
-	// Leaving tells that no further requests should come.
+	// Leaving is set if the upstream takes no further requests.
 	Leaving bool
-	// Further tells that the request is a call of another upstream.
-	Further bool
+	// NestedCall is set if an upstream made this request while it served another one.
+	NestedCall bool
 }
 
-// String is the report as it is sent.
+// String returns the report in the form in which it is sent.
 func (l LoadReport) String() string {
-	words := make([]string, 0, reportParts)
-	for _, n := range []int{l.InFlight, l.Waiting, l.Limit, l.HoldMs, l.TopMs, l.RestMs, l.Waited, l.FailurePercent} {
-		words = append(words, strconv.Itoa(n))
+	fields := make([]string, 0, loadReportFields)
+	for _, n := range []int{l.InFlight, l.Waiting, l.Limit, l.ServiceTimeMs, l.UrgentWaitMs, l.NormalWaitMs, l.WaitedMs, l.FailurePercent} {
+		fields = append(fields, strconv.Itoa(n))
 	}
-	return strings.Join(append(words, strconv.FormatUint(l.Serial, 10), flag(l.Leaving)+flag(l.Further)), ",")
+	return strings.Join(append(fields, strconv.FormatUint(l.Serial, 10), flag(l.Leaving)+flag(l.NestedCall)), ",")
 }
 
-// ParseLoadReport reads a report as String wrote it.
+// ParseLoadReport parses a report formatted by String.
 func ParseLoadReport(text string) (l LoadReport, ok bool) {
-	parts := strings.Split(text, ",")
-	if len(parts) != reportParts || len(parts[9]) != reportFlags {
+	fields := strings.Split(text, ",")
+	if len(fields) != loadReportFields || len(fields[9]) != loadReportFlags {
 		return l, false
 	}
-	for i, at := range []*int{&l.InFlight, &l.Waiting, &l.Limit, &l.HoldMs, &l.TopMs, &l.RestMs, &l.Waited, &l.FailurePercent} {
-		n, err := strconv.Atoi(parts[i])
+	for i, field := range []*int{&l.InFlight, &l.Waiting, &l.Limit, &l.ServiceTimeMs, &l.UrgentWaitMs, &l.NormalWaitMs, &l.WaitedMs, &l.FailurePercent} {
+		n, err := strconv.Atoi(fields[i])
 		if err != nil {
 			return l, false
 		}
-		*at = n
+		*field = n
 	}
-	serial, err := strconv.ParseUint(parts[8], 10, 64)
-	l.Serial, l.Leaving, l.Further = serial, parts[9][0] == '1', parts[9][1] == '1'
+	serial, err := strconv.ParseUint(fields[8], 10, 64)
+	l.Serial, l.Leaving, l.NestedCall = serial, fields[9][0] == '1', fields[9][1] == '1'
 	return l, err == nil
 }
--- a/internal/dataplane/forwarding/metadata.go
+++ b/internal/dataplane/forwarding/metadata.go
@@ -9,71 +9,72 @@
 	"curlewreach/internal/attempts"
 )
 
-// DeadlineMargin is how much earlier than it is a deadline is told to an upstream.
+// DeadlineMargin is how much earlier than the actual deadline the upstream is told that its deadline is.
 const DeadlineMargin = 5 * time.Millisecond
 
-// The form of metadata as text.
+// The text form of metadata.
 const (
-	metadataParts = 10
-	metadataFlags = 3
+	metadataFields = 10
+	metadataFlags  = 3
 )
 
-// Metadata is what the node beside the client tells the node beside the upstream.
+// Metadata is what the client's node tells the upstream's node about a request.
 type Metadata struct {
 	Service string
-	// Instance is the upstream's, empty where any of the service will do.
+	// Instance is the ID of the instance to serve the request; empty if any instance of the service may.
 	Instance string
 	Route    string
-	// Rank is the route's priority; 0 is the most urgent.
+	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
-	// Repeat tells a retry, and Once a request that may run once at most.
-	Repeat, Once bool
-	// Patience is the longest wait in a queue that is accepted; Aim and Stay are the time left to start so that the answer
-	// meets the latency target, and to start at all.
-	Patience, Aim, Stay time.Duration
-	// Serial is the version of the configuration that the request was read by.
+	// Retry is set for a retry, AtMostOnce for a request that must not run more than once.
+	Retry, AtMostOnce bool
+	// MaxWait is the longest acceptable wait in the queue. SoftDeadlineIn is the time within which the
+	// request must start to meet its latency target, HardDeadlineIn the time within which it must start at
+	// all.
+	MaxWait, SoftDeadlineIn, HardDeadlineIn time.Duration
+	// Serial is the version of the configuration by which the request was routed.
 	Serial uint64
-	// Sampled tells that a span may be kept of the request, and Trace is its trace and parent.
+	// Sampled is set if a span of the request may be recorded. Trace holds its trace and parent span.
 	Sampled bool
 	Trace   string
-	// Attempt is not part of the text.
+	// Attempt is sent in a header of its own and is not part of the text form.
 	Attempt attempts.Reference
 }
 
-// String is the metadata as it is sent.
+// String returns the metadata in the form in which they are sent.
 func (m Metadata) String() string {
 	return strings.Join([]string{
-		url.QueryEscape(m.Service), url.QueryEscape(m.Instance), url.QueryEscape(m.Route), strconv.Itoa(m.Rank), flag(m.Repeat) + flag(m.Sampled) + flag(m.Once),
-		FormatMillis(m.Patience), FormatMillis(m.Aim), FormatMillis(m.Stay), strconv.FormatUint(m.Serial, 10), m.Trace,
+		url.QueryEscape(m.Service), url.QueryEscape(m.Instance), url.QueryEscape(m.Route), strconv.Itoa(m.Rank), flag(m.Retry) + flag(m.Sampled) + flag(m.AtMostOnce),
+		FormatMillis(m.MaxWait), FormatMillis(m.SoftDeadlineIn), FormatMillis(m.HardDeadlineIn), strconv.FormatUint(m.Serial, 10), m.Trace,
 	}, ";")
 }
 
-// ParseMetadata reads metadata as String wrote it.
+// ParseMetadata parses metadata formatted by String.
 func ParseMetadata(text string) (m Metadata, ok bool) {
-	parts := strings.Split(text, ";")
-	if len(parts) != metadataParts || len(parts[4]) != metadataFlags {
+	fields := strings.Split(text, ";")
+	if len(fields) != metadataFields || len(fields[4]) != metadataFlags {
 		return m, false
 	}
-	sound := true
-	words := func(i int) string {
-		word, err := url.QueryUnescape(parts[i])
-		sound = sound && err == nil
-		return word
+	valid := true
+	str := func(i int) string {
+		value, err := url.QueryUnescape(fields[i])
+		valid = valid && err == nil
+		return value
 	}
 	number := func(i int) int64 {
-		n, err := strconv.ParseInt(parts[i], 10, 64)
-		sound = sound && err == nil
+		n, err := strconv.ParseInt(fields[i], 10, 64)
+		valid = valid && err == nil
 		return n
 	}
-	spell := func(i int) time.Duration { return time.Duration(number(i)) * time.Millisecond }
+	millis := func(i int) time.Duration { return time.Duration(number(i)) * time.Millisecond }
 	m = Metadata{
-		Service: words(0), Instance: words(1), Route: words(2), Rank: int(number(3)), Repeat: parts[4][0] == '1', Sampled: parts[4][1] == '1', Once: parts[4][2] == '1',
-		Patience: spell(5), Aim: spell(6), Stay: spell(7), Serial: uint64(number(8)), Trace: parts[9],
+		Service: str(0), Instance: str(1), Route: str(2), Rank: int(number(3)), Retry: fields[4][0] == '1', Sampled: fields[4][1] == '1', AtMostOnce: fields[4][2] == '1',
+		MaxWait: millis(5), SoftDeadlineIn: millis(6), HardDeadlineIn: millis(7), Serial: uint64(number(8)), Trace: fields[9],
 	}
-	return m, sound
+	return m, valid
 }
 
-// FormatMillis is a duration as it is sent, in whole milliseconds.
+// FormatMillis formats a duration in whole milliseconds.
 func FormatMillis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
 func flag(on bool) string {
--- a/internal/dataplane/forwarding/outcome.go
+++ b/internal/dataplane/forwarding/outcome.go
@@ -8,75 +8,76 @@
 	"curlewreach/base"
 )
 
-// State is the state of one attempt of a request. The outcome decides whether a retry is safe.
+// State is the state of one attempt of a request. It determines whether a retry is safe.
 type State int
 
 const (
-	// Running means: sent, no outcome yet.
+	// Running is the state of an attempt that was sent and has no outcome yet.
 	Running State = iota
-	// Answered means: the upstream gave a response to pass on to the client.
+	// Answered means that the upstream gave a response to pass on to the client.
 	Answered
-	// Failed means: the upstream answered with a failure status; it may have run the request.
+	// Failed means that the upstream responded with a failure status; it may have run the request.
 	Failed
-	// NotRun means: the attempt certainly never ran, so that a retry is always safe.
+	// NotRun means that the attempt has certainly not run and never will, so that a retry is always safe.
 	NotRun
-	// Doubtful means: no usable response, and the upstream may have run the request.
-	Doubtful
+	// Indeterminate means that there is no usable response and that the upstream may have run the request.
+	Indeterminate
 )
 
-// outcomeParts is how many parts an outcome has as text.
-const outcomeParts = 4
+// outcomeFields is the number of fields in the text form of an outcome.
+const outcomeFields = 4
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	State State
-	// Kind and reason say why there is no answer.
+	// Kind and reason say why there is no response.
 	Kind   base.Kind
 	reason string
-	// Arrived tells that the attempt came as far as the upstream, so that another one is a retry.
-	Arrived bool
-	// After is when to come back.
-	After  time.Duration
-	Answer *Answer
-	// Load is nil if the node beside the upstream told nothing.
+	// ReachedUpstream is set if the attempt got as far as the upstream, so that another attempt counts as a
+	// retry.
+	ReachedUpstream bool
+	// RetryAfter is how long to wait before another attempt.
+	RetryAfter time.Duration
+	Response   *Response
+	// Load is the load report of the upstream's node; nil if it sent none.
 	Load *LoadReport
 	// Waited is how long the request waited in the queue in front of the upstream.
 	Waited time.Duration
-	// Further tells that the request is a call of another upstream.
-	Further bool
+	// NestedCall is set if an upstream made this request while it served another one.
+	NestedCall bool
 }
 
-// NotRunBy is the outcome of a request that is certain not to have run, for the fault given.
-func NotRunBy(fault *base.Fault) Outcome {
-	return Outcome{State: NotRun, Kind: fault.Kind, reason: fault.Reason, After: fault.After}
+// NotRunOutcome returns the outcome of a request that has certainly not run because of the given fault.
+func NotRunOutcome(fault *base.Fault) Outcome {
+	return Outcome{State: NotRun, Kind: fault.Kind, reason: fault.Reason, RetryAfter: fault.After}
 }
 
-// Rejected is the outcome of a request that is turned away before it runs.
-func Rejected(fault *base.Fault) *Outcome {
-	o := NotRunBy(fault)
+// RejectedOutcome returns the outcome of a request that is rejected before it runs.
+func RejectedOutcome(fault *base.Fault) *Outcome {
+	o := NotRunOutcome(fault)
 	return &o
 }
 
-// Doubt is the outcome of a request that may have run.
-func Doubt(kind base.Kind, reason string) Outcome {
-	return Outcome{State: Doubtful, Kind: kind, reason: reason, Arrived: true}
+// IndeterminateOutcome returns the outcome of a request that may have run.
+func IndeterminateOutcome(kind base.Kind, reason string) Outcome {
+	return Outcome{State: Indeterminate, Kind: kind, reason: reason, ReachedUpstream: true}
 }
 
-// String is an outcome without an answer, as it is sent.
+// String returns an outcome without a response in the form in which it is sent. The reason is left out.
 func (o Outcome) String() string {
-	return strings.Join([]string{string(o.Kind), flag(o.Arrived), flag(o.State == Doubtful), strconv.FormatInt(o.After.Milliseconds(), 10)}, ";")
+	return strings.Join([]string{string(o.Kind), flag(o.ReachedUpstream), flag(o.State == Indeterminate), strconv.FormatInt(o.RetryAfter.Milliseconds(), 10)}, ";")
 }
 
-// ParseOutcome reads an outcome as String wrote it.
+// ParseOutcome parses an outcome formatted by String.
 func ParseOutcome(text string) (o Outcome, ok bool) {
-	parts := strings.Split(text, ";")
-	if len(parts) != outcomeParts {
+	fields := strings.Split(text, ";")
+	if len(fields) != outcomeFields {
 		return o, false
 	}
-	after, err := strconv.ParseInt(parts[3], 10, 64)
-	o = Outcome{Kind: base.Kind(parts[0]), Arrived: parts[1] == "1", State: NotRun, After: time.Duration(after) * time.Millisecond}
-	if parts[2] == "1" {
-		o.State, o.Arrived = Doubtful, true
+	after, err := strconv.ParseInt(fields[3], 10, 64)
+	o = Outcome{Kind: base.Kind(fields[0]), ReachedUpstream: fields[1] == "1", State: NotRun, RetryAfter: time.Duration(after) * time.Millisecond}
+	if fields[2] == "1" {
+		o.State, o.ReachedUpstream = Indeterminate, true
 	}
 	return o, err == nil
 }
--- a/internal/dataplane/forwarding/status.go
+++ b/internal/dataplane/forwarding/status.go
@@ -2,18 +2,18 @@
 
 import "net/http"
 
-// StateOf tells what the status of an upstream's own answer makes of an attempt. Answers that turn a request away
-// unrun are told apart before.
+// StateOf returns the state of an attempt by the status of the upstream's response. Responses which say that
+// the request has not run must have been handled before.
 func StateOf(status int) State {
 	switch {
-	case status >= http.StatusInternalServerError, PromisesNotRun(status):
+	case status >= http.StatusInternalServerError, ImpliesNotRun(status):
 		return Failed
 	}
 	return Answered
 }
 
-// PromisesNotRun tells the statuses by which clients know that a request has not run and never will.
-func PromisesNotRun(status int) bool {
+// ImpliesNotRun reports whether clients conclude from the status that a request has not run and never will.
+func ImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -21,6 +21,7 @@
 	return false
 }
 
-// MayPass tells whether an upstream's answer may go back as it is. A failure keeps the upstream's status or loses its
-// seal: a status that promises what the upstream did not promise can't go back for a request that may run once.
-func MayPass(a *Answer, repeatable bool) bool { return repeatable || !PromisesNotRun(a.Status) }
+// MayRelay reports whether a response may be passed on unchanged. A status that implies that the request has
+// not run may not, unless the request is repeatable: the upstream has not guaranteed it. Such a response is
+// replaced by one without the upstream's seal.
+func MayRelay(r *Response, repeatable bool) bool { return repeatable || !ImpliesNotRun(r.Status) }
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// earnedPart, of the ratio, is what each first attempt earns.
-	earnedPart = 0.3
-	// savedPart, of the ratio, is how much of what the last window earned may be saved.
-	savedPart = 0.2
-	// slackPart, of the slack, is what the nodes share.
-	slackPart = 0.4
+	// earnFraction is the fraction of the ratio that each first attempt earns.
+	earnFraction = 0.3
+	// carryOverFraction is the fraction of the previous window's earnings that may be carried over.
+	carryOverFraction = 0.2
+	// slackFraction is the fraction of the slack that is divided among the nodes.
+	slackFraction = 0.4
 )
 
-// serviceBudget is the budget of one service.
+// serviceBudget is the retry budget of one service.
 type serviceBudget struct {
-	held   float64    // retries that could be paid
-	counts [2]float64 // first attempts in this window and in the one before
-	turn   int64      // number of the window
+	tokens        float64    // retries that can be spent now
+	firstAttempts [2]float64 // first attempts in the current window and in the one before
+	window        int64      // number of the current window
 }
 
-// Budget pays for retries, per service: each request earns a part of the fleet's ratio; the slack is divided among the nodes,
-// and a part of what the last window earned may be saved. It is safe for concurrent use.
+// Budget limits retries to a ratio of the first attempts of each service. Each first attempt earns a fraction
+// of the fleet's ratio. Each node may also hold a share of the slack, and carry over a fraction of what the
+// previous window earned. It is safe for concurrent use.
 type Budget struct {
 	clock    base.Clock
 	ratio    float64
@@ -38,75 +39,78 @@
 	services map[string]*serviceBudget
 }
 
-// NewBudget starts each service with half of this node's part of the slack.
+// NewBudget returns a budget in which each service starts with half of this node's share of the slack. ratio
+// and slack apply to the whole fleet; nodes returns its number of nodes. window is at least one second.
 func NewBudget(clock base.Clock, ratio, slack float64, window time.Duration, nodes func() int) *Budget {
 	return &Budget{clock: clock, ratio: ratio, slack: slack, window: max(window, time.Second), nodes: nodes, services: map[string]*serviceBudget{}}
 }
 
-func (b *Budget) at(service string) (c *serviceBudget, most float64) {
-	part := b.slack * slackPart / float64(b.nodes())
-	c = b.services[service]
-	if c == nil {
-		c = &serviceBudget{held: max(part, 1) / 2}
-		b.services[service] = c
+// current returns the budget of a service, moved on to the current window, and the most tokens it may hold.
+// The caller must hold b.mu.
+func (b *Budget) current(service string) (s *serviceBudget, limit float64) {
+	slackShare := b.slack * slackFraction / float64(b.nodes())
+	s = b.services[service]
+	if s == nil {
+		s = &serviceBudget{tokens: max(slackShare, 1) / 2}
+		b.services[service] = s
 	}
-	turn := int64(b.clock.Mono() / b.window)
-	switch turn - c.turn {
+	window := int64(b.clock.Mono() / b.window)
+	switch window - s.window {
 	case 0:
 	case 1:
-		c.counts = [2]float64{0, c.counts[0]}
+		s.firstAttempts = [2]float64{0, s.firstAttempts[0]}
 	default:
-		c.counts = [2]float64{}
+		s.firstAttempts = [2]float64{}
 	}
-	c.turn = turn
-	return c, max(part, 1) + b.ratio*savedPart*c.counts[1]
+	s.window = window
+	return s, max(slackShare, 1) + b.ratio*carryOverFraction*s.firstAttempts[1]
 }
 
-// Earn counts a first request.
+// Earn records a first attempt and adds what it earns.
 func (b *Budget) Earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, most := b.at(service)
-	c.counts[0]++
-	c.held = min(c.held+b.ratio*earnedPart, most)
+	s, limit := b.current(service)
+	s.firstAttempts[0]++
+	s.tokens = min(s.tokens+b.ratio*earnFraction, limit)
 }
 
-// Spend takes one repeat, if there is one.
+// Spend takes one retry out of the budget and reports whether there was one.
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, _ := b.at(service)
-	if c.held < 1 {
+	s, _ := b.current(service)
+	if s.tokens < 1 {
 		return false
 	}
-	c.held--
+	s.tokens--
 	return true
 }
 
-// Pays tells whether a repeat could be paid now.
-func (b *Budget) Pays(service string) bool {
+// CanSpend reports whether the budget allows a retry now.
+func (b *Budget) CanSpend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, _ := b.at(service)
-	return c.held >= 1
+	s, _ := b.current(service)
+	return s.tokens >= 1
 }
 
-// Refund gives a repeat back that never arrived.
+// Refund returns a retry that was taken but did not reach an upstream.
 func (b *Budget) Refund(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c, most := b.at(service)
-	c.held = min(c.held+1, most)
+	s, limit := b.current(service)
+	s.tokens = min(s.tokens+1, limit)
 }
 
-// View lists the budgets by service, for operators.
+// View returns the budgets sorted by service, for operators.
 func (b *Budget) View() (retryBudgets []*wire.RetryBudgetView) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, service := range slices.Sorted(maps.Keys(b.services)) {
-		c, most := b.at(service)
-		lately := c.counts[0] + c.counts[1]
-		retryBudgets = append(retryBudgets, &wire.RetryBudgetView{Service: service, Held: c.held, Most: most, Lately: uint64(lately), Spent: c.held < 1 && lately*b.ratio*earnedPart >= 1})
+		s, limit := b.current(service)
+		recent := s.firstAttempts[0] + s.firstAttempts[1]
+		retryBudgets = append(retryBudgets, &wire.RetryBudgetView{Service: service, Held: s.tokens, Most: limit, Lately: uint64(recent), Spent: s.tokens < 1 && recent*b.ratio*earnFraction >= 1})
 	}
 	return retryBudgets
 }
--- a/internal/dataplane/retry/doc.go
+++ b/internal/dataplane/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry decides when another attempt of a request is made: by the outcomes of those before, by how long requests of the
-// route usually take, and by a budget for the retries of each service.
+// Package retry decides whether a request gets another attempt. The decision depends on the outcomes of the
+// attempts before it, on the usual latency of the route and on a retry budget for each service.
 package retry
--- a/internal/dataplane/retry/latencies.go
+++ b/internal/dataplane/retry/latencies.go
@@ -9,96 +9,102 @@
 	"curlewreach/proto/wire"
 )
 
-// FewestSeen is how many answers of a route are needed to tell a long wait.
-const FewestSeen = 20
+// MinSamples is the number of responses of a route that are needed before SlowThreshold returns a value.
+const MinSamples = 20
 
 const (
-	// usualMemory is the weight of the newest answer in the averages.
-	usualMemory = 0.05
-	// usualSpread, times the mean deviation above the mean, is a latency that few requests reach.
-	usualSpread = 5
+	// latencySmoothing is the weight of the newest response in the averages; it is higher while there are few
+	// samples.
+	latencySmoothing = 0.05
+	// slowDeviations is how many mean deviations above the mean a latency counts as slow; few requests reach
+	// it.
+	slowDeviations = 5
 )
 
-// latency is what is known of a route, in seconds.
-type latency struct {
-	mean float64
-	off  float64 // mean deviation
-	seen int
-	left float64 // the longest time that a client gave
+// routeLatency holds the statistics of a route; times are in seconds.
+type routeLatency struct {
+	mean        float64
+	deviation   float64 // mean deviation
+	samples     int
+	maxTimeLeft float64 // the longest time that a client allowed
 }
 
-// Latencies learns how long requests of a route take and how long their clients give them. It is safe for concurrent use.
+// Latencies keeps statistics of how long requests of each route take and how long their clients allow. It is
+// safe for concurrent use.
 type Latencies struct {
-	mu        sync.Mutex
-	latencies map[string]*latency
+	mu     sync.Mutex
+	routes map[string]*routeLatency
 }
 
-// NewLatencies knows nothing yet.
-func NewLatencies() *Latencies { return &Latencies{latencies: map[string]*latency{}} }
+// NewLatencies returns statistics without samples.
+func NewLatencies() *Latencies { return &Latencies{routes: map[string]*routeLatency{}} }
 
-func (u *Latencies) at(route string) *latency {
-	p := u.latencies[route]
-	if p == nil {
-		p = &latency{}
-		u.latencies[route] = p
+// forRoute returns the statistics of a route and adds them if there are none. The caller must hold l.mu.
+func (l *Latencies) forRoute(route string) *routeLatency {
+	stats := l.routes[route]
+	if stats == nil {
+		stats = &routeLatency{}
+		l.routes[route] = stats
 	}
-	return p
+	return stats
 }
 
-// Took folds in one answered request.
-func (u *Latencies) Took(route string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	p, s := u.at(route), took.Seconds()
-	if p.seen == 0 {
-		p.mean, p.off = s, s/2
+// Record adds the latency of an answered request.
+func (l *Latencies) Record(route string, took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	stats, seconds := l.forRoute(route), took.Seconds()
+	if stats.samples == 0 {
+		stats.mean, stats.deviation = seconds, seconds/2
 	}
-	p.seen++
-	memory := max(usualMemory, 1/float64(p.seen))
-	off := s - p.mean
-	p.mean += memory * off
-	p.off += memory * (max(off, -off) - p.off)
+	stats.samples++
+	weight := max(latencySmoothing, 1/float64(stats.samples))
+	deviation := seconds - stats.mean
+	stats.mean += weight * deviation
+	stats.deviation += weight * (max(deviation, -deviation) - stats.deviation)
 }
 
-// Mean is the usual length, other while too little was seen.
-func (u *Latencies) Mean(route string, other time.Duration) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if p := u.at(route); p.seen > 0 {
-		return time.Duration(p.mean * float64(time.Second))
+// Mean returns the average latency of a route, and fallback if there is no sample.
+func (l *Latencies) Mean(route string, fallback time.Duration) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if stats := l.forRoute(route); stats.samples > 0 {
+		return time.Duration(stats.mean * float64(time.Second))
 	}
-	return other
+	return fallback
 }
 
-// Long is a length that few requests reach; zero while too little was seen.
-func (u *Latencies) Long(route string) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	p := u.at(route)
-	if p.seen < FewestSeen {
+// SlowThreshold returns a latency that few requests of the route reach; 0 if there are fewer than MinSamples
+// samples.
+func (l *Latencies) SlowThreshold(route string) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	stats := l.forRoute(route)
+	if stats.samples < MinSamples {
 		return 0
 	}
-	return time.Duration(max(p.mean+usualSpread*p.off, 2*p.mean) * float64(time.Second))
+	return time.Duration(max(stats.mean+slowDeviations*stats.deviation, 2*stats.mean) * float64(time.Second))
 }
 
-// Part is the share of its usual time that a client still has; a client who asks again has less than all.
-func (u *Latencies) Part(route string, left time.Duration) float64 {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	p := u.at(route)
-	p.left = max(p.left, left.Seconds())
-	return left.Seconds() / p.left
+// TimeLeftRatio returns the time that a client allows, in proportion to the longest one seen on the route. A
+// client that retries has used up part of its time, so its ratio is below 1.
+func (l *Latencies) TimeLeftRatio(route string, timeLeft time.Duration) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	stats := l.forRoute(route)
+	stats.maxTimeLeft = max(stats.maxTimeLeft, timeLeft.Seconds())
+	return timeLeft.Seconds() / stats.maxTimeLeft
 }
 
-// View lists the latencies by route, for operators.
-func (u *Latencies) View() (latencies []*wire.LatencyView) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, route := range slices.Sorted(maps.Keys(u.latencies)) {
-		p := u.latencies[route]
-		view := &wire.LatencyView{Route: route, MeanMs: 1000 * p.mean, Seen: uint64(p.seen)}
-		if p.seen >= FewestSeen {
-			view.LongMs = 1000 * max(p.mean+usualSpread*p.off, 2*p.mean)
+// View returns the statistics sorted by route, for operators.
+func (l *Latencies) View() (latencies []*wire.LatencyView) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, route := range slices.Sorted(maps.Keys(l.routes)) {
+		stats := l.routes[route]
+		view := &wire.LatencyView{Route: route, MeanMs: 1000 * stats.mean, Seen: uint64(stats.samples)}
+		if stats.samples >= MinSamples {
+			view.LongMs = 1000 * max(stats.mean+slowDeviations*stats.deviation, 2*stats.mean)
 		}
 		latencies = append(latencies, view)
 	}
--- a/internal/dataplane/retry/ledger.go
+++ b/internal/dataplane/retry/ledger.go
@@ -8,46 +8,48 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-// Attempt is one attempt of a request. Times are by the steady clock.
+// Attempt is one attempt of a request. Times are readings of the monotonic clock.
 type Attempt struct {
-	Node    string
-	State   forwarding.State
-	Arrived bool // it came as far as an upstream
-	Patient bool // it was ready to wait in a queue
-	Kind    base.Kind
-	Began   time.Duration
-	Answer  *forwarding.Answer
-	After   time.Duration // when to come back
+	Node            string
+	State           forwarding.State
+	ReachedUpstream bool // the attempt got as far as an upstream
+	MayWait         bool // the attempt was allowed to wait in a queue
+	Kind            base.Kind
+	StartedAt       time.Duration
+	Response        *forwarding.Response
+	RetryAfter      time.Duration // how long to wait before another attempt
 }
 
-// Decision is what a ledger asks for next.
+// Decision is the next step of a request.
 type Decision int
 
 const (
-	// Send sends another attempt.
+	// Send starts another attempt.
 	Send Decision = iota
 	// Await waits for an attempt that is still running.
 	Await
-	// Relay passes the best response on to the client.
+	// Relay passes an upstream's response on to the client.
 	Relay
-	// GiveUp answers the client with an error of the node's own.
+	// GiveUp responds to the client with an error of this node's own.
 	GiveUp
 )
 
-// MostAttempts bounds the attempts of a request, those that were rejected included.
-const MostAttempts = 8
+// MaxAttempts bounds the attempts of a request, rejected ones included.
+const MaxAttempts = 8
 
-// Ledger lists a request's attempts and derives the next step from them. It has no lock of its own.
+// Ledger records the attempts of a request and derives the next step from them. It is not safe for concurrent
+// use.
 type Ledger struct {
-	// Repeatable tells whether the request may run more than once.
+	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
-	// Tries is how many attempts may come as far as an upstream.
-	Tries int
-	// Until is the request's deadline.
-	Until    time.Duration
+	// MaxTries is the number of attempts that may reach an upstream.
+	MaxTries int
+	// Deadline is the request's deadline.
+	Deadline time.Duration
 	Attempts []*Attempt
 }
 
+// last returns the newest attempt; nil if there is none.
 func (l *Ledger) last() *Attempt {
 	if len(l.Attempts) == 0 {
 		return nil
@@ -55,50 +57,52 @@
 	return l.Attempts[len(l.Attempts)-1]
 }
 
-// Count counts the attempts that fit.
-func (l *Ledger) Count(fits func(*Attempt) bool) (n int) {
+// Count returns the number of attempts for which matches returns true.
+func (l *Ledger) Count(matches func(*Attempt) bool) (n int) {
 	for _, each := range l.Attempts {
-		if fits(each) {
+		if matches(each) {
 			n++
 		}
 	}
 	return n
 }
 
-// Running counts the attempts without an outcome.
+// Running returns the number of attempts without an outcome.
 func (l *Ledger) Running() int {
 	return l.Count(func(a *Attempt) bool { return a.State == forwarding.Running })
 }
 
-// Arrivals counts the attempts that came as far as an upstream, or may have.
-func (l *Ledger) Arrivals() int {
-	return l.Count(func(a *Attempt) bool { return a.Arrived || a.State == forwarding.Running })
+// UpstreamAttempts returns the number of attempts that reached an upstream or may have.
+func (l *Ledger) UpstreamAttempts() int {
+	return l.Count(func(a *Attempt) bool { return a.ReachedUpstream || a.State == forwarding.Running })
 }
 
-// Doubtful tells whether the request may have run without an answer to pass on.
-func (l *Ledger) Doubtful() bool {
+// MayHaveRun reports whether an attempt is running, failed, or has an indeterminate outcome, so that the
+// request may have run without a response to pass on.
+func (l *Ledger) MayHaveRun() bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool {
-		return a.State == forwarding.Running || a.State == forwarding.Doubtful || a.State == forwarding.Failed
+		return a.State == forwarding.Running || a.State == forwarding.Indeterminate || a.State == forwarding.Failed
 	})
 }
 
-// Tried tells whether a node had its chance; where an Attempt was fenced before it began, it may be asked again.
+// Tried reports whether an attempt was sent to the node. Fenced attempts do not count: they never began, so
+// the node may be tried again.
 func (l *Ledger) Tried(node string) bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Node == node && a.Kind != base.Fenced })
 }
 
-// MayHedge tells whether a second Attempt may run beside a slow one.
+// MayHedge reports whether a second attempt may run in parallel with a slow one.
 func (l *Ledger) MayHedge() bool {
-	return l.Repeatable && l.Running() == 1 && l.Arrivals() < l.Tries
+	return l.Repeatable && l.Running() == 1 && l.UpstreamAttempts() < l.MaxTries
 }
 
-// WaitedAt tells whether an attempt was ready to wait at a node.
-func (l *Ledger) WaitedAt(node string) bool {
-	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Node == node && a.Patient })
+// MayHaveWaitedAt reports whether an attempt at the node was allowed to wait in its queue.
+func (l *Ledger) MayHaveWaitedAt(node string) bool {
+	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Node == node && a.MayWait })
 }
 
-// Best returns an attempt with an answer; nil if there is none.
-func (l *Ledger) Best() *Attempt {
+// Answered returns the first attempt with a response to pass on; nil if there is none.
+func (l *Ledger) Answered() *Attempt {
 	for _, each := range l.Attempts {
 		if each.State == forwarding.Answered {
 			return each
@@ -107,7 +111,7 @@
 	return nil
 }
 
-// Failed returns an attempt that an upstream failed; nil if there is none.
+// Failed returns the first attempt that an upstream answered with a failure status; nil if there is none.
 func (l *Ledger) Failed() *Attempt {
 	for _, each := range l.Attempts {
 		if each.State == forwarding.Failed {
@@ -117,25 +121,26 @@
 	return nil
 }
 
-// Narrow takes a configuration that came midway: what either forbids is forbidden.
+// Narrow applies a configuration that came into force during the request. The stricter limits of both
+// configurations apply; tries is ignored if it is 0.
 func (l *Ledger) Narrow(repeatable bool, tries int) {
 	l.Repeatable = l.Repeatable && repeatable
 	if tries > 0 {
-		l.Tries = min(l.Tries, tries)
+		l.MaxTries = min(l.MaxTries, tries)
 	}
 }
 
-// Next derives the next step.
+// Next returns the next step at the given time.
 func (l *Ledger) Next(now time.Duration) Decision {
 	switch {
-	case l.Best() != nil:
+	case l.Answered() != nil:
 		return Relay
 	case l.Running() > 0:
 		return Await
 	case l.last() == nil:
 		return Send
-	case now >= l.Until, l.Arrivals() >= max(l.Tries, 1), len(l.Attempts) >= MostAttempts:
-	case l.Doubtful() && !l.Repeatable:
+	case now >= l.Deadline, l.UpstreamAttempts() >= max(l.MaxTries, 1), len(l.Attempts) >= MaxAttempts:
+	case l.MayHaveRun() && !l.Repeatable:
 	default:
 		return Send
 	}
