--- a/internal/dataplane/admission/queue.go
+++ b/internal/dataplane/admission/queue.go
@@ -9,8 +9,8 @@
 	"curlewreach/base"
 )
 
-// MaxUrgentRank is the highest rank that counts as urgent. Urgent requests are not set back among themselves
-// when they are past their soft deadline.
+// MaxUrgentRank is the highest rank that counts as urgent. Among urgent requests, a missed soft deadline does
+// not change the order of admission.
 const MaxUrgentRank = 1
 
 const (
@@ -160,7 +160,8 @@
 }
 
 // Acquire takes a slot. If none is free, it waits for one, provided that the expected wait does not exceed
-// the request's MaxWait. release returns the slot. A fault of kind Overloaded carries the time after which to
+// the request's MaxWait or a lower rank is waiting (see outranksWaiter), and that the queue has room or a
+// waiter can be evicted. release returns the slot. A fault of kind Overloaded carries the time after which to
 // retry.
 func (q *Queue) Acquire(ctx context.Context, request Request) (release func(), fault *base.Fault) {
 	q.mu.Lock()
--- a/internal/dataplane/balancer/table.go
+++ b/internal/dataplane/balancer/table.go
@@ -49,7 +49,7 @@
 )
 
 // urgentWaitRatio is the fraction of the estimated wait that requests of urgent ranks are expected to wait,
-// since they overtake the others.
+// since they usually go ahead of the others.
 const urgentWaitRatio = 0.5
 
 // observation is what one controller reports about a peer.
@@ -61,8 +61,9 @@
 // monotonic clock.
 type peer struct {
 	status *wire.NodeStatus
-	// heardAt is when the peer's status was last reported, observations the latest report by controller.
-	heardAt      time.Duration
+	// heardAt is the latest time at which a controller had heard the peer.
+	heardAt time.Duration
+	// observations holds the latest report of each controller.
 	observations map[string]observation
 	// inFlight counts this node's own attempts in flight to the peer.
 	inFlight int
@@ -73,7 +74,7 @@
 	// relativeLatency is the average latency in proportion to the latency that is usual for the request; 1 is
 	// usual.
 	relativeLatency float64
-	// avoidUntil is the end of the present avoidance, avoidance its length, which doubles with each failure.
+	// avoidUntil is the end of the current avoidance, avoidance its length.
 	avoidUntil time.Duration
 	avoidance  time.Duration
 	// goneInstance is the ID of an instance that was found to be gone or leaving.
@@ -379,8 +380,8 @@
 	return wait
 }
 
-// penalizeFailures raises the score of candidates whose failure rate exceeds the lowest one. The rates are
-// relative so that no upstream is ruled out when all of them fail.
+// penalizeFailures raises the score of candidates whose failure rate exceeds the lowest one. Only the excess
+// counts, so failures that all upstreams have in common rule none of them out.
 func penalizeFailures(candidates []Candidate) {
 	lowest := 1.0
 	for _, candidate := range candidates {
--- a/internal/dataplane/connection/client_connections.go
+++ b/internal/dataplane/connection/client_connections.go
@@ -22,15 +22,13 @@
 
 // idleConnection is the state of an idle client connection.
 type idleConnection struct {
-	// promisedIdle is the idle time that the client may rely on. overdue is set once the connection was found
-	// idle for longer.
 	since        time.Duration
-	promisedIdle time.Duration
-	overdue      bool
+	promisedIdle time.Duration // the idle time that the client may rely on
+	overdue      bool          // a sweep has found the connection idle for longer
 }
 
-// NewClientConnections returns a set without connections. limit returns the idle limit of the newest
-// configuration; slack is the grace period.
+// NewClientConnections returns a set without connections. idleLimit returns the idle limit of the newest
+// configuration.
 func NewClientConnections(clock base.Clock, grace time.Duration, idleLimit func() time.Duration) *ClientConnections {
 	return &ClientConnections{clock: clock, idleLimit: idleLimit, grace: grace, idle: map[net.Conn]*idleConnection{}}
 }
--- a/internal/dataplane/connection/connection.go
+++ b/internal/dataplane/connection/connection.go
@@ -18,7 +18,7 @@
 	idleSince      time.Duration // when it became idle
 	reusableUntil  time.Duration // when it may no longer be reused
 	responses      int           // responses read so far
-	tainted        bool          // must not be reused: something other than the expected response was read
+	tainted        bool          // must not be reused: something other than one final response per request was read, or DisableReuse was called
 	requestWritten bool          // a byte of the current request may have been sent
 }
 
--- a/internal/dataplane/connection/idle_records.go
+++ b/internal/dataplane/connection/idle_records.go
@@ -23,37 +23,37 @@
 type idleRecords map[string]idleRecord
 
 // watched reports whether idle connections to a peer are checked.
-func (h idleRecords) watched(address string) bool {
-	_, known := h[address]
+func (r idleRecords) watched(address string) bool {
+	_, known := r[address]
 	return known
 }
 
 // recordOpen records that a connection was found open after an idle time.
-func (h idleRecords) recordOpen(address string, idle, now time.Duration) {
-	h[address] = idleRecord{longestOpen: max(h[address].longestOpen, idle), updatedAt: now}
+func (r idleRecords) recordOpen(address string, idle, now time.Duration) {
+	r[address] = idleRecord{longestOpen: max(r[address].longestOpen, idle), updatedAt: now}
 }
 
 // recordClosed records that a peer closed an idle connection or sent unsolicited data on one.
-func (h idleRecords) recordClosed(address string) {
-	if record, watched := h[address]; watched {
-		h[address] = idleRecord{updatedAt: record.updatedAt}
+func (r idleRecords) recordClosed(address string) {
+	if record, watched := r[address]; watched {
+		r[address] = idleRecord{updatedAt: record.updatedAt}
 	}
 }
 
 // safeIdle returns the idle time within which connections to a peer count as live. The peer is watched from
 // now on.
-func (h idleRecords) safeIdle(address string, now time.Duration) time.Duration {
-	record := h[address]
+func (r idleRecords) safeIdle(address string, now time.Duration) time.Duration {
+	record := r[address]
 	record.updatedAt = now
-	h[address] = record
+	r[address] = record
 	return time.Duration(safeIdleRatio * float64(record.longestOpen))
 }
 
 // sweep removes records that were not updated lately.
-func (h idleRecords) sweep(now, idleTimeout time.Duration) {
-	for address, record := range h {
+func (r idleRecords) sweep(now, idleTimeout time.Duration) {
+	for address, record := range r {
 		if now-record.updatedAt > recordTTLRatio*idleTimeout {
-			delete(h, address)
+			delete(r, address)
 		}
 	}
 }
--- a/internal/dataplane/connection/pool.go
+++ b/internal/dataplane/connection/pool.go
@@ -20,6 +20,7 @@
 const MaxForeignResponses = 4
 
 const (
+	// bufferSize is the size in bytes of a connection's read buffer and of a buffer for writing requests.
 	bufferSize = 4 << 10
 	// maxIdlePerAddress is the most idle connections kept for each address.
 	maxIdlePerAddress = 64
@@ -28,7 +29,7 @@
 	maxUnprovenIdle = 4
 )
 
-// Errors of Exchange.
+// Errors returned by Pool.Exchange.
 var (
 	// ErrNotConnected means that there was no connection and nothing was sent.
 	ErrNotConnected = errors.New("not connected")
--- a/internal/dataplane/fencing/fences.go
+++ b/internal/dataplane/fencing/fences.go
@@ -66,8 +66,8 @@
 	// Table records the attempts accepted by this node.
 	Table       *attempts.Table
 	incarnation string
-	lastID      atomic.Uint64
-	// lastID is the number of the newest attempt ID.
+	// lastID is the number in the newest attempt ID.
+	lastID          atomic.Uint64
 	scope           base.Scope
 	requestIDHeader string // the header that carries a request's identity
 	count           func(event string)
--- a/internal/dataplane/fencing/results.go
+++ b/internal/dataplane/fencing/results.go
@@ -9,7 +9,8 @@
 	"curlewreach/proto/wire"
 )
 
-// ReplyFromOutcome returns the reply under which an outcome is recorded.
+// ReplyFromOutcome returns the reply in which an outcome is recorded. A response that was not read completely
+// is left out.
 func ReplyFromOutcome(outcome forwarding.Outcome) *wire.AttemptReply {
 	switch {
 	case outcome.State == forwarding.NotRun:
--- a/internal/dataplane/forwarding/load_report.go
+++ b/internal/dataplane/forwarding/load_report.go
@@ -7,7 +7,7 @@
 	"curlewreach/internal/dataplane/admission"
 )
 
-// The text form of a load report.
+// Numbers of fields and flags in the text form of a load report.
 const (
 	loadReportFields = 10
 	loadReportFlags  = 2
--- a/internal/dataplane/forwarding/metadata.go
+++ b/internal/dataplane/forwarding/metadata.go
@@ -12,7 +12,7 @@
 // DeadlineMargin is how much earlier than the actual deadline the upstream is told that its deadline is.
 const DeadlineMargin = 5 * time.Millisecond
 
-// The text form of metadata.
+// Numbers of fields and flags in the text form of metadata.
 const (
 	metadataFields = 10
 	metadataFlags  = 3
@@ -77,6 +77,7 @@
 // FormatMillis formats a duration in whole milliseconds.
 func FormatMillis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
+// flag formats a boolean as 1 or 0.
 func flag(on bool) string {
 	if on {
 		return "1"
--- a/internal/dataplane/forwarding/response.go
+++ b/internal/dataplane/forwarding/response.go
@@ -36,7 +36,7 @@
 func hasFraming(r *http.Response) bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
 
 // ReadResponse reads a response into memory up to maxBuffered bytes; the rest of a longer body stays on the
-// connection. end is called when the response has been read completely or given up.
+// connection. onEnd is called when the response has been read completely or given up.
 func ReadResponse(r *connection.Response, maxBuffered int64, onEnd func(whole bool)) (*Response, error) {
 	response := &Response{Status: r.StatusCode, Header: EndToEnd(r.Header), Size: r.ContentLength}
 	delete(response.Header, "Content-Length")
