--- a/internal/attempts/table.go
+++ b/internal/attempts/table.go
@@ -13,7 +13,7 @@
 // ID is the identity of one attempt; two attempts of one request have different ones.
 type ID string
 
-const longestID = 64
+const maxIDBytes = 64
 
 // Mark is an era of one incarnation's memory.
 type Mark struct {
@@ -24,18 +24,18 @@
 // FirstEra is the number of an incarnation's first era.
 const FirstEra = 1
 
-// Known tells whether the mark names an era at all.
-func (m Mark) Known() bool { return m.Incarnation != "" }
+// IsSet tells whether the mark names an era at all.
+func (m Mark) IsSet() bool { return m.Incarnation != "" }
 
-// Message is the mark as it is sent.
-func (m Mark) Message() *wire.AttemptMark {
+// ToWire is the mark as it is sent.
+func (m Mark) ToWire() *wire.AttemptMark {
 	return &wire.AttemptMark{Incarnation: m.Incarnation, Era: m.Era}
 }
 
-// MarkOf reads a mark that was sent.
-func MarkOf(m *wire.AttemptMark) Mark { return Mark{m.GetIncarnation(), m.GetEra()} }
+// MarkFromWire reads a mark that was sent.
+func MarkFromWire(m *wire.AttemptMark) Mark { return Mark{m.GetIncarnation(), m.GetEra()} }
 
-const erasKept = 4
+const maxEras = 4
 
 // Bounds limit what a table remembers.
 type Bounds struct {
@@ -51,18 +51,18 @@
 	AnswerAge time.Duration
 }
 
-// Verdict is what becomes of an attempt that arrives.
-type Verdict int
+// AcceptResult is what becomes of an attempt that arrives.
+type AcceptResult int
 
 const (
 	// Accepted attempts may begin.
-	Accepted Verdict = iota
+	Accepted AcceptResult = iota
 	// Fenced attempts were declared never to begin.
 	Fenced
 	// Forgotten attempts bear a mark that the memory does not reach back to; they do not begin.
 	Forgotten
-	// Repeated attempts have arrived before; the copy does not begin, the first may have.
-	Repeated
+	// Duplicate attempts have arrived before; the copy does not begin, the first may have.
+	Duplicate
 )
 
 type phase int
@@ -70,24 +70,24 @@
 const (
 	waiting phase = iota
 	fenced
-	begun
+	running
 	finished
 )
 
 // Entry is one remembered attempt. Its fields are guarded by the table's mutex.
 type Entry struct {
-	table    *Table
-	phase    phase
-	result   *wire.AttemptReply
-	done     chan struct{}
-	watchers int
-	asked    time.Duration
+	table       *Table
+	phase       phase
+	result      *wire.AttemptReply
+	done        chan struct{}
+	watchers    int
+	lastQueried time.Duration
 }
 
 type heldAnswer struct {
-	entry *Entry
-	size  int
-	until time.Duration
+	entry     *Entry
+	size      int
+	expiresAt time.Duration
 }
 
 // Table is a node's memory of the attempts that it accepted and of those that it fenced.
@@ -96,86 +96,86 @@
 	now         func() time.Duration
 	bounds      Bounds
 
-	mu      sync.Mutex
-	floor   uint64
-	current uint64
-	began   time.Duration
-	added   int
-	count   int
-	eras    map[uint64]map[ID]*Entry
-	held    []heldAnswer
-	bytes   int
+	mu          sync.Mutex
+	oldestEra   uint64
+	currentEra  uint64
+	eraStarted  time.Duration
+	addedInEra  int
+	entryCount  int
+	eras        map[uint64]map[ID]*Entry
+	heldAnswers []heldAnswer
+	heldBytes   int
 }
 
 // NewTable starts the empty memory of one incarnation of a node.
 func NewTable(incarnation string, now func() time.Duration, bounds Bounds) *Table {
-	bounds.Entries = max(bounds.Entries, erasKept)
-	return &Table{incarnation: incarnation, now: now, bounds: bounds, floor: FirstEra, current: FirstEra, began: now(), eras: map[uint64]map[ID]*Entry{}}
+	bounds.Entries = max(bounds.Entries, maxEras)
+	return &Table{incarnation: incarnation, now: now, bounds: bounds, oldestEra: FirstEra, currentEra: FirstEra, eraStarted: now(), eras: map[uint64]map[ID]*Entry{}}
 }
 
-// Mark is the present era.
-func (t *Table) Mark() Mark {
+// CurrentMark is the present era.
+func (t *Table) CurrentMark() Mark {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	return Mark{t.incarnation, t.current}
+	t.advanceEra()
+	return Mark{t.incarnation, t.currentEra}
 }
 
-// reaches tells whether every attempt under this mark is still remembered.
-func (t *Table) reaches(m Mark) bool {
-	return m.Incarnation == t.incarnation && m.Era >= t.floor && m.Era <= t.current
+// covers tells whether every attempt under this mark is still remembered.
+func (t *Table) covers(m Mark) bool {
+	return m.Incarnation == t.incarnation && m.Era >= t.oldestEra && m.Era <= t.currentEra
 }
 
-// turn begins a new era when the present one has taken its part of the entries or of the time, and forgets the oldest. It comes before each filing, so the eras kept hold at most their bound of entries, whatever marks those bear.
-func (t *Table) turn() {
+// advanceEra begins a new era when the present one has taken its part of the entries or of the time, and forgets the oldest. It comes before each filing, so the eras kept hold at most their bound of entries, whatever marks those bear.
+func (t *Table) advanceEra() {
 	now := t.now()
-	if t.count == 0 && t.added == 0 {
-		t.began = now
+	if t.entryCount == 0 && t.addedInEra == 0 {
+		t.eraStarted = now
 		return
 	}
-	if t.added < t.bounds.Entries/erasKept && now-t.began < t.bounds.Age/erasKept {
+	if t.addedInEra < t.bounds.Entries/maxEras && now-t.eraStarted < t.bounds.Age/maxEras {
 		return
 	}
-	t.current++
-	t.added, t.began = 0, now
-	t.forgetBelow(max(t.floor, t.current+1-min(t.current, erasKept)))
+	t.currentEra++
+	t.addedInEra, t.eraStarted = 0, now
+	t.dropErasBelow(max(t.oldestEra, t.currentEra+1-min(t.currentEra, maxEras)))
 }
 
-func (t *Table) forgetBelow(floor uint64) {
-	for era := t.floor; era < floor; era++ {
-		t.count -= len(t.eras[era])
+func (t *Table) dropErasBelow(oldest uint64) {
+	for era := t.oldestEra; era < oldest; era++ {
+		t.entryCount -= len(t.eras[era])
 		delete(t.eras, era)
 	}
-	t.floor = floor
+	t.oldestEra = oldest
 }
 
-// file remembers an attempt under a mark that the memory reaches back to.
-func (t *Table) file(id ID, m Mark, p phase) *Entry {
+// insert remembers an attempt under a mark that the memory reaches back to.
+func (t *Table) insert(id ID, m Mark, p phase) *Entry {
 	entry := &Entry{table: t, phase: p}
-	t.added++
+	t.addedInEra++
 	if t.eras[m.Era] == nil {
 		t.eras[m.Era] = map[ID]*Entry{}
 	}
 	t.eras[m.Era][id] = entry
-	t.count++
+	t.entryCount++
 	return entry
 }
 
 // Accept files an attempt that arrived whole. The entry is given with Accepted only.
-func (t *Table) Accept(id ID, m Mark) (*Entry, Verdict) {
+func (t *Table) Accept(id ID, m Mark) (*Entry, AcceptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	if !t.reaches(m) || len(id) > longestID {
+	t.advanceEra()
+	if !t.covers(m) || len(id) > maxIDBytes {
 		return nil, Forgotten
 	}
 	if entry := t.eras[m.Era][id]; entry != nil {
 		if entry.phase == fenced {
 			return nil, Fenced
 		}
-		return nil, Repeated
+		return nil, Duplicate
 	}
-	return t.file(id, m, waiting), Accepted
+	return t.insert(id, m, waiting), Accepted
 }
 
 // Begin is asked right before the first byte may go to the upstream, and tells whether it may.
@@ -185,7 +185,7 @@
 	if e.phase != waiting {
 		return false
 	}
-	e.phase = begun
+	e.phase = running
 	return true
 }
 
@@ -210,14 +210,14 @@
 	}
 	e.phase, e.result = finished, result
 	if result.Answer != nil {
-		t.hold(e)
+		t.holdAnswer(e)
 	}
 	if e.done != nil {
 		close(e.done)
 	}
 }
 
-func size(a *wire.AttemptAnswer) int {
+func answerSize(a *wire.AttemptAnswer) int {
 	total := len(a.Body)
 	for _, header := range a.Headers {
 		total += len(header.Name)
@@ -228,17 +228,17 @@
 	return total
 }
 
-// hold keeps an answer for a while; the oldest make room.
-func (t *Table) hold(e *Entry) {
-	size := size(e.result.Answer)
+// holdAnswer keeps an answer for a while; the oldest make room.
+func (t *Table) holdAnswer(e *Entry) {
+	size := answerSize(e.result.Answer)
 	if size > min(t.bounds.LargestAnswer, t.bounds.AnswerBytes) {
 		e.dropAnswer()
 		return
 	}
-	t.held = append(t.held, heldAnswer{e, size, t.now() + t.bounds.AnswerAge})
-	t.bytes += size
-	for t.bytes > t.bounds.AnswerBytes {
-		t.dropOldest()
+	t.heldAnswers = append(t.heldAnswers, heldAnswer{e, size, t.now() + t.bounds.AnswerAge})
+	t.heldBytes += size
+	for t.heldBytes > t.bounds.AnswerBytes {
+		t.dropOldestAnswer()
 	}
 }
 
@@ -246,11 +246,11 @@
 	e.result = &wire.AttemptReply{State: e.result.State}
 }
 
-func (t *Table) dropOldest() {
-	oldest := t.held[0]
-	t.held[0] = heldAnswer{}
-	t.held = t.held[1:]
-	t.bytes -= oldest.size
+func (t *Table) dropOldestAnswer() {
+	oldest := t.heldAnswers[0]
+	t.heldAnswers[0] = heldAnswer{}
+	t.heldAnswers = t.heldAnswers[1:]
+	t.heldBytes -= oldest.size
 	oldest.entry.dropAnswer()
 }
 
@@ -258,30 +258,30 @@
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	for len(t.held) > 0 && t.now() >= t.held[0].until {
-		t.dropOldest()
+	t.advanceEra()
+	for len(t.heldAnswers) > 0 && t.now() >= t.heldAnswers[0].expiresAt {
+		t.dropOldestAnswer()
 	}
 }
 
-// Ask answers the question about an attempt. One that has not begun never will after it.
+// Resolve answers the question about an attempt. One that has not begun never will after it.
 // For an attempt at work, the entry can be watched until it ends.
-func (t *Table) Ask(id ID, m Mark) (*wire.AttemptReply, *Entry) {
+func (t *Table) Resolve(id ID, m Mark) (*wire.AttemptReply, *Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	if !t.reaches(m) || len(id) > longestID {
+	t.advanceEra()
+	if !t.covers(m) || len(id) > maxIDBytes {
 		return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_UNKNOWN}, nil
 	}
 	entry := t.eras[m.Era][id]
 	if entry == nil {
-		entry = t.file(id, m, fenced)
+		entry = t.insert(id, m, fenced)
 	}
-	entry.asked = t.now()
+	entry.lastQueried = t.now()
 	switch entry.phase {
 	case waiting:
 		entry.phase = fenced
-	case begun:
+	case running:
 		return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_AT_WORK}, entry
 	case finished:
 		return entry.result, nil
@@ -290,7 +290,7 @@
 }
 
 // Watch counts whoever waits for the end of an attempt at work, until leave.
-func (e *Entry) Watch() (ended <-chan struct{}, leave func()) {
+func (e *Entry) Watch() (done <-chan struct{}, leave func()) {
 	t := e.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -305,21 +305,21 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		e.watchers--
-		e.asked = t.now()
+		e.lastQueried = t.now()
 	}
 }
 
-// Wanted tells whether somebody waits for this attempt's end, or asked after it within a span.
-func (e *Entry) Wanted(within time.Duration) bool {
+// HasRecentInterest tells whether somebody waits for this attempt's end, or asked after it within a span.
+func (e *Entry) HasRecentInterest(within time.Duration) bool {
 	t := e.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return e.watchers > 0 || e.asked > 0 && t.now()-e.asked < within
+	return e.watchers > 0 || e.lastQueried > 0 && t.now()-e.lastQueried < within
 }
 
 // Size counts what is remembered and the bytes of held answers.
 func (t *Table) Size() (entries, answerBytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.count, t.bytes
+	return t.entryCount, t.heldBytes
 }
--- a/internal/bytedelta/bytedelta.go
+++ b/internal/bytedelta/bytedelta.go
@@ -24,7 +24,7 @@
 	prefix := commonPrefix(from, to)
 	suffix := commonSuffix(from[prefix:], to[prefix:])
 	delta := appendCopy(nil, 0, prefix)
-	delta = appendMiddle(delta, from, prefix, len(from)-suffix, to[prefix:len(to)-suffix])
+	delta = appendBlockMatches(delta, from, prefix, len(from)-suffix, to[prefix:len(to)-suffix])
 	return appendCopy(delta, len(from)-suffix, suffix)
 }
 
@@ -32,7 +32,7 @@
 func Apply(from, delta []byte) ([]byte, error) {
 	total := 0
 	for rest := delta; len(rest) > 0; {
-		span, after, err := nextSpan(from, rest)
+		span, after, err := nextOperation(from, rest)
 		if err != nil {
 			return nil, err
 		}
@@ -40,14 +40,14 @@
 	}
 	to := make([]byte, 0, total)
 	for rest := delta; len(rest) > 0; {
-		span, after, _ := nextSpan(from, rest)
+		span, after, _ := nextOperation(from, rest)
 		to, rest = append(to, span...), after
 	}
 	return to, nil
 }
 
-// nextSpan returns the bytes that a delta's first operation stands for, and the operations after it.
-func nextSpan(from, delta []byte) (span, rest []byte, err error) {
+// nextOperation returns the bytes that a delta's first operation stands for, and the operations after it.
+func nextOperation(from, delta []byte) (span, rest []byte, err error) {
 	head, size := binary.Uvarint(delta)
 	if size <= 0 {
 		return nil, nil, ErrMalformed
@@ -66,14 +66,14 @@
 	return from[offset : offset+length], delta[size:], nil
 }
 
-// appendMiddle encodes to against from[start:end] by the hashes of its blocks.
-func appendMiddle(delta, from []byte, start, end int, to []byte) []byte {
+// appendBlockMatches encodes to against from[start:end] by the hashes of its blocks.
+func appendBlockMatches(delta, from []byte, start, end int, to []byte) []byte {
 	if len(to) < blockSize || end-start < blockSize {
 		return appendInsert(delta, to)
 	}
 	index := newBlockIndex(from[start:end])
 	inserted := 0
-	hash := hashOf(to[:blockSize])
+	hash := hashBlock(to[:blockSize])
 	for at := 0; at+blockSize <= len(to); {
 		block := index.find(hash)
 		if block >= 0 && bytes.Equal(from[start+block:start+block+blockSize], to[at:at+blockSize]) {
@@ -84,12 +84,12 @@
 			at += length - back
 			inserted = at
 			if at+blockSize <= len(to) {
-				hash = hashOf(to[at : at+blockSize])
+				hash = hashBlock(to[at : at+blockSize])
 			}
 			continue
 		}
 		if at+blockSize < len(to) {
-			hash = rolled(hash, to[at], to[at+blockSize])
+			hash = rollHash(hash, to[at], to[at+blockSize])
 		}
 		at++
 	}
@@ -123,7 +123,7 @@
 	width := bits.Len(uint(2 * len(from) / blockSize))
 	index := &blockIndex{slots: make([]int32, 1<<width), hashes: make([]uint64, 1<<width), shift: 64 - width}
 	for at := 0; at+blockSize <= len(from); at += blockSize {
-		hash := hashOf(from[at : at+blockSize])
+		hash := hashBlock(from[at : at+blockSize])
 		slot := index.slot(hash)
 		if index.slots[slot] == 0 {
 			index.slots[slot], index.hashes[slot] = int32(at+1), hash
@@ -134,7 +134,7 @@
 
 // slot returns the place that holds the hash, or the free one where it belongs.
 func (b *blockIndex) slot(hash uint64) int {
-	slot := int(hash * mixer >> b.shift)
+	slot := int(hash * slotMultiplier >> b.shift)
 	for b.slots[slot] != 0 && b.hashes[slot] != hash {
 		slot = (slot + 1) % len(b.slots)
 	}
@@ -147,8 +147,8 @@
 const (
 	// radix is the base of the rolling polynomial hash, any odd number with well spread bits.
 	radix = 0x9e3779b97f4a7c15
-	// mixer spreads a hash over the index's slots.
-	mixer = 0xd6e8feb86659fd93
+	// slotMultiplier spreads a hash over the index's slots.
+	slotMultiplier = 0xd6e8feb86659fd93
 )
 
 // radixToBlock is radix to the power of blockSize, which takes a block's first byte out of its hash.
@@ -162,7 +162,7 @@
 	return product
 }
 
-func hashOf(block []byte) uint64 {
+func hashBlock(block []byte) uint64 {
 	hash := uint64(0)
 	for _, each := range block {
 		hash = hash*radix + uint64(each) + 1
@@ -170,31 +170,31 @@
 	return hash
 }
 
-// rolled moves a block's hash on by one byte.
-func rolled(hash uint64, leaving, entering byte) uint64 {
+// rollHash moves a block's hash on by one byte.
+func rollHash(hash uint64, leaving, entering byte) uint64 {
 	return hash*radix + uint64(entering) + 1 - (uint64(leaving)+1)*radixToBlock
 }
 
-// compareStep is the number of bytes that are compared at once while a common part is long.
-const compareStep = 256
+// compareChunk is the number of bytes that are compared at once while a common part is long.
+const compareChunk = 256
 
 func commonPrefix(a, b []byte) int {
-	most, length := min(len(a), len(b)), 0
-	for length+compareStep <= most && bytes.Equal(a[length:length+compareStep], b[length:length+compareStep]) {
-		length += compareStep
+	limit, length := min(len(a), len(b)), 0
+	for length+compareChunk <= limit && bytes.Equal(a[length:length+compareChunk], b[length:length+compareChunk]) {
+		length += compareChunk
 	}
-	for length < most && a[length] == b[length] {
+	for length < limit && a[length] == b[length] {
 		length++
 	}
 	return length
 }
 
 func commonSuffix(a, b []byte) int {
-	most, length := min(len(a), len(b)), 0
-	for length+compareStep <= most && bytes.Equal(a[len(a)-length-compareStep:len(a)-length], b[len(b)-length-compareStep:len(b)-length]) {
-		length += compareStep
+	limit, length := min(len(a), len(b)), 0
+	for length+compareChunk <= limit && bytes.Equal(a[len(a)-length-compareChunk:len(a)-length], b[len(b)-length-compareChunk:len(b)-length]) {
+		length += compareChunk
 	}
-	for length < most && a[len(a)-1-length] == b[len(b)-1-length] {
+	for length < limit && a[len(a)-1-length] == b[len(b)-1-length] {
 		length++
 	}
 	return length
--- a/internal/bytedelta/bytedelta_test.go
+++ b/internal/bytedelta/bytedelta_test.go
@@ -48,7 +48,7 @@
 	return delta
 }
 
-func TestEditedValuesComeBack(t *testing.T) {
+func TestApplyRestoresEditedValues(t *testing.T) {
 	rand := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		from := randomBytes(rand, rand.IntN(2000))
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestDeltaGrowsWithTheChange(t *testing.T) {
+func TestDeltaSizeIsBoundedByTheEdits(t *testing.T) {
 	const edits, span, overhead = 4, 200, 40
 	rand := rand.New(rand.NewPCG(3, 4))
 	from := randomBytes(rand, 250_000)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,14 +9,14 @@
 	"curlewreach/proto/wire"
 )
 
-// faults collects what is wrong with a configuration.
+// faults collects the faults of a configuration.
 type faults []*base.Fault
 
 func (f *faults) add(kind base.Kind, path, format string, args ...any) {
 	*f = append(*f, base.NewFault(kind, path, format, args...))
 }
 
-// Check returns every fault of a configuration, none if it may be served.
+// Check returns every fault of a configuration, none if it is valid.
 func Check(c *wire.Configuration) []*base.Fault {
 	var found faults
 	if c.GetSerial() == 0 {
@@ -24,18 +24,18 @@
 	}
 	services := map[string]bool{}
 	for i, service := range c.GetServices() {
-		path := "services." + called(service.GetName(), i)
-		found.named(path, service.GetName(), services)
+		path := "services." + itemLabel(service.GetName(), i)
+		found.checkName(path, service.GetName(), services)
 	}
 	names := map[string]bool{}
-	places := map[place]string{}
+	keys := map[routeKey]string{}
 	for i, route := range c.GetRoutes() {
-		path := "routes." + called(route.GetName(), i)
-		found.named(path, route.GetName(), names)
-		found.place(path, route, places)
-		found.target(path, route, services)
-		found.positive(path+".cutoff", route.GetCutoffMs())
-		found.positive(path+".aim", route.GetAimMs())
+		path := "routes." + itemLabel(route.GetName(), i)
+		found.checkName(path, route.GetName(), names)
+		found.checkMatch(path, route, keys)
+		found.checkTarget(path, route, services)
+		found.checkPositive(path+".cutoff", route.GetCutoffMs())
+		found.checkPositive(path+".aim", route.GetAimMs())
 		if route.GetTries() == 0 {
 			found.add(base.OutOfRange, path+".tries", "must be 1 or more")
 		}
@@ -48,17 +48,19 @@
 	return found
 }
 
-// place is where a route is found: its host, in lower case and without a port, and its prefix.
-type place struct{ host, prefix string }
+// routeKey identifies the requests that a route matches: the normalized host and the path prefix.
+type routeKey struct{ host, prefix string }
 
-func called(name string, at int) string {
+// itemLabel returns an item's name for use in a fault's path, or "#" and its index if it has no name.
+func itemLabel(name string, index int) string {
 	if name == "" {
-		return fmt.Sprintf("#%d", at)
+		return fmt.Sprintf("#%d", index)
 	}
 	return name
 }
 
-func (f *faults) named(path, name string, taken map[string]bool) {
+// checkName adds a fault if a name is empty or already taken, and marks it as taken.
+func (f *faults) checkName(path, name string, taken map[string]bool) {
 	switch {
 	case name == "":
 		f.add(base.Malformed, path+".name", "is empty")
@@ -68,48 +70,51 @@
 	taken[name] = true
 }
 
-// place is where a route is found: its host, in lower case and without a port, and its prefix.
-func (f *faults) place(path string, route *wire.ConfigurationRoute, taken map[place]string) {
-	host, prefix := hostOf(route.GetHost()), route.GetPrefix()
+// checkMatch checks a route's host and prefix, and that no other route has the same ones.
+func (f *faults) checkMatch(path string, route *wire.ConfigurationRoute, taken map[routeKey]string) {
+	host, prefix := normalizeHost(route.GetHost()), route.GetPrefix()
 	if host == "" {
 		f.add(base.OutOfRange, path+".host", "is empty")
 	}
 	if !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
 		f.add(base.OutOfRange, path+".prefix", "must begin and end with a slash")
 	}
-	at := place{host, prefix}
-	if other, held := taken[at]; held {
+	key := routeKey{host, prefix}
+	if other, exists := taken[key]; exists {
 		f.add(base.Overlapping, path, "shares its host and prefix with %s", other)
 		return
 	}
-	taken[at] = called(route.GetName(), len(taken))
+	taken[key] = itemLabel(route.GetName(), len(taken))
 }
 
-func (f *faults) target(path string, route *wire.ConfigurationRoute, services map[string]bool) {
+// checkTarget checks that a route names a service or destinations, that the named services exist, and that the weights
+// are valid. Fault paths call the destinations "forks".
+func (f *faults) checkTarget(path string, route *wire.ConfigurationRoute, services map[string]bool) {
 	if route.Service == nil && len(route.Destinations) == 0 {
-		f.add(base.Malformed, path, "names neither a service nor forks")
+		f.add(base.Malformed, path, "has neither a service nor destinations")
 	}
 	if route.Service != nil && !services[*route.Service] {
 		f.add(base.DanglingReference, path+".service", "there is no service %q", *route.Service)
 	}
 	total := 0.0
 	for i, destination := range route.Destinations {
-		at := fmt.Sprintf("%s.forks.%d", path, i)
+		destinationPath := fmt.Sprintf("%s.forks.%d", path, i)
 		if !services[destination.GetService()] {
-			f.add(base.DanglingReference, at+".service", "there is no service %q", destination.GetService())
+			f.add(base.DanglingReference, destinationPath+".service", "there is no service %q", destination.GetService())
 		}
 		if !(destination.GetWeight() >= 0) || math.IsInf(destination.GetWeight(), 1) {
-			f.add(base.OutOfRange, at+".weight", "must not be negative")
+			f.add(base.OutOfRange, destinationPath+".weight", "must not be negative")
 			continue
 		}
 		total += destination.GetWeight()
 	}
 	if len(route.Destinations) > 0 && !(total > 0) {
-		f.add(base.OutOfRange, path+".forks", "the weights come to nothing")
+		f.add(base.OutOfRange, path+".forks", "the sum of the weights must be above 0")
 	}
 }
 
-func (f *faults) positive(path string, ms float64) {
+// checkPositive adds a fault unless a duration in milliseconds is positive and finite. NaN is a fault as well.
+func (f *faults) checkPositive(path string, ms float64) {
 	if !(ms > 0) || math.IsInf(ms, 1) {
 		f.add(base.OutOfRange, path, "must be above 0")
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	ginkgo.RunSpecs(t, "config")
 }
 
-func example() *wire.Configuration {
+func exampleConfiguration() *wire.Configuration {
 	return &wire.Configuration{
 		Serial: 7, Base: 5,
 		Routes: []*wire.ConfigurationRoute{
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -10,12 +10,12 @@
 	"curlewreach/proto/wire"
 )
 
-// Diff returns the change that leads from one configuration to another, or nil if no change of named items does. Apply of
-// the change gives a configuration with the same fingerprint; the order of its items may differ.
+// Diff returns the change that turns one configuration into another, or nil if a change of named items cannot express it.
+// Applying the change results in a configuration with the same fingerprint as to; the order of its items may differ.
 func Diff(from, to *wire.Configuration) *wire.ConfigurationChange {
 	change := &wire.ConfigurationChange{Serial: to.GetSerial(), Base: to.GetBase()}
-	change.Routes, change.DropRoutes = diffItems(from.GetRoutes(), to.GetRoutes(), (*wire.ConfigurationRoute).GetName)
-	change.Services, change.DropServices = diffItems(from.GetServices(), to.GetServices(), (*wire.ConfigurationService).GetName)
+	change.Routes, change.DropRoutes = diffByName(from.GetRoutes(), to.GetRoutes(), (*wire.ConfigurationRoute).GetName)
+	change.Services, change.DropServices = diffByName(from.GetServices(), to.GetServices(), (*wire.ConfigurationService).GetName)
 	if !proto.Equal(from.GetLimits(), to.GetLimits()) {
 		change.Limits = to.GetLimits()
 	}
@@ -25,8 +25,8 @@
 	return change
 }
 
-// diffItems returns the items to put and the names to drop that lead from one list to another.
-func diffItems[T proto.Message](from, to []T, name func(T) string) (put []T, dropped []string) {
+// diffByName returns the items to add or replace and the names to remove that turn one list into another.
+func diffByName[T proto.Message](from, to []T, name func(T) string) (upserts []T, removals []string) {
 	before := make(map[string]T, len(from))
 	for _, item := range from {
 		before[name(item)] = item
@@ -35,19 +35,19 @@
 		old, known := before[name(item)]
 		delete(before, name(item))
 		if !known || !proto.Equal(old, item) {
-			put = append(put, item)
+			upserts = append(upserts, item)
 		}
 	}
 	for _, item := range from {
-		if _, gone := before[name(item)]; gone {
-			dropped = append(dropped, name(item))
+		if _, removed := before[name(item)]; removed {
+			removals = append(removals, name(item))
 			delete(before, name(item))
 		}
 	}
-	return put, dropped
+	return upserts, removals
 }
 
-// Fingerprint returns 64 bits that tell configurations apart whatever the order of their items.
+// Fingerprint returns a 64-bit hash of a configuration that does not depend on the order of its items.
 func Fingerprint(c *wire.Configuration) uint64 {
 	sorted := &wire.Configuration{
 		Serial: c.GetSerial(), Base: c.GetBase(), Limits: c.GetLimits(),
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -10,9 +10,9 @@
 	"curlewreach/proto/wire"
 )
 
-// drawValid draws a configuration that may be in force.
+// drawValid draws a configuration with unique, non-empty names.
 func drawValid(t *rapid.T, serial uint64) *wire.Configuration {
-	c := drawWhole(t, serial, serial-1)
+	c := drawConfiguration(t, serial, serial-1)
 	names := map[string]bool{}
 	c.Routes = slices.DeleteFunc(c.Routes, func(r *wire.ConfigurationRoute) bool { return r.Name == "" || seenBefore(names, r.Name) })
 	if rapid.Bool().Draw(t, "limits") {
@@ -23,82 +23,83 @@
 	return c
 }
 
-// seenBefore notes a name and says whether it was noted before.
+// seenBefore adds a name to the set and reports whether it was already there.
 func seenBefore(names map[string]bool, name string) bool {
 	known := names[name]
 	names[name] = true
 	return known
 }
 
-// relate gives a configuration the routes of another, in reverse order, and one of its own.
-func relate(to, from *wire.Configuration) {
+// shareRoutes makes the routes of to those of from, in reverse order, plus at most one route of its own.
+func shareRoutes(to, from *wire.Configuration) {
 	names := map[string]bool{}
 	to.Routes = append(slices.Clone(from.Routes), to.Routes[:min(len(to.Routes), 1)]...)
 	to.Routes = slices.DeleteFunc(to.Routes, func(r *wire.ConfigurationRoute) bool { return seenBefore(names, r.Name) })
 	slices.Reverse(to.Routes)
 }
 
-// sameItems says whether configurations hold the same routes, in any order, under the same numbers.
+// sameItems reports whether two configurations have the same serial, base and routes, in any order.
 func sameItems(a, b *wire.Configuration) bool {
 	if len(a.Routes) != len(b.Routes) || a.Serial != b.Serial || a.Base != b.Base {
 		return false
 	}
 	return !slices.ContainsFunc(a.Routes, func(route *wire.ConfigurationRoute) bool {
-		at := slices.IndexFunc(b.Routes, func(r *wire.ConfigurationRoute) bool { return r.Name == route.Name })
-		return at < 0 || !proto.Equal(b.Routes[at], route)
+		index := slices.IndexFunc(b.Routes, func(r *wire.ConfigurationRoute) bool { return r.Name == route.Name })
+		return index < 0 || !proto.Equal(b.Routes[index], route)
 	})
 }
 
-// TestApplyOfADiffLeadsToTheSameConfiguration draws pairs of configurations, some with their items in another order.
-func TestApplyOfADiffLeadsToTheSameConfiguration(t *testing.T) {
+// TestApplyOfDiffRestoresTheConfiguration draws pairs of configurations, some of which share routes in a different order,
+// and expects that applying their difference to one gives the other.
+func TestApplyOfDiffRestoresTheConfiguration(t *testing.T) {
 	diffs := 0
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawValid(t, 5), drawValid(t, 7)
 		if rapid.Bool().Draw(t, "related") {
-			relate(to, from)
+			shareRoutes(to, from)
 		}
 		change := Diff(from, to)
 		if change == nil {
 			if to.Limits == nil && from.Limits != nil {
-				return // a change can't take limits away
+				return // a change cannot remove limits
 			}
-			t.Fatalf("no change leads from %v to %v", from, to)
+			t.Fatalf("no difference from %v to %v", from, to)
 		}
 		diffs++
-		led := Apply(from, change)
-		if Fingerprint(led) != Fingerprint(to) || !sameItems(led, to) {
-			t.Fatalf("the change %v leads to %v, not %v", change, led, to)
+		result := Apply(from, change)
+		if Fingerprint(result) != Fingerprint(to) || !sameItems(result, to) {
+			t.Fatalf("change %v results in %v, want %v", change, result, to)
 		}
 	})
 	if diffs < 20 {
-		t.Fatalf("only %d changes were drawn", diffs)
+		t.Fatalf("only %d of the drawn pairs had a difference to check", diffs)
 	}
 }
 
-func TestFingerprintsTellConfigurationsApart(t *testing.T) {
-	same, other := example(), example()
+func TestFingerprintIgnoresOrderAndDetectsChanges(t *testing.T) {
+	same, other := exampleConfiguration(), exampleConfiguration()
 	slices.Reverse(same.Routes)
 	other.Routes[0].CutoffMs++
-	if Fingerprint(example()) != Fingerprint(same) {
-		t.Error("the order of routes changes the fingerprint")
+	if Fingerprint(exampleConfiguration()) != Fingerprint(same) {
+		t.Error("the fingerprint depends on the order of routes")
 	}
-	if Fingerprint(example()) == Fingerprint(other) {
-		t.Error("another cutoff leaves the fingerprint as it was")
+	if Fingerprint(exampleConfiguration()) == Fingerprint(other) {
+		t.Error("the fingerprint does not depend on a route's timeout")
 	}
 }
 
-func TestPackedConfigurationsAreReadBack(t *testing.T) {
-	packed, err := Pack(example())
+func TestUnpackRestoresAPackedConfiguration(t *testing.T) {
+	packed, err := Pack(exampleConfiguration())
 	if err != nil {
 		t.Fatal(err)
 	}
 	read := &wire.Configuration{}
-	if err := Unpack(packed, read); err != nil || !proto.Equal(read, example()) {
-		t.Fatalf("read %v, %v", read, err)
+	if err := Unpack(packed, read); err != nil || !proto.Equal(read, exampleConfiguration()) {
+		t.Fatalf("unpacked %v, error %v", read, err)
 	}
-	for _, spoilt := range [][]byte{nil, packed[:len(packed)/2], append([]byte{255}, packed...)} {
-		if err := Unpack(spoilt, &wire.Configuration{}); err == nil {
-			t.Errorf("%d spoilt bytes were read", len(spoilt))
+	for _, corrupted := range [][]byte{nil, packed[:len(packed)/2], append([]byte{255}, packed...)} {
+		if err := Unpack(corrupted, &wire.Configuration{}); err == nil {
+			t.Errorf("%d corrupted bytes were unpacked without an error", len(corrupted))
 		}
 	}
 }
--- a/internal/config/pack.go
+++ b/internal/config/pack.go
@@ -9,10 +9,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// largestUnpacked bounds the encoding of a packed message, in bytes.
-const largestUnpacked = 64 << 20
+// maxUnpackedBytes bounds the size of a message after decompression.
+const maxUnpackedBytes = 64 << 20
 
-// Pack returns a message's encoding, compressed. Links of nodes are thin, and all nodes want a new configuration at once.
+// Pack returns a message's compressed encoding. Compression is used because the links of nodes have little bandwidth and
+// all nodes fetch a new configuration at the same time.
 func Pack(message proto.Message) ([]byte, error) {
 	raw, err := proto.Marshal(message)
 	if err != nil {
@@ -32,16 +33,17 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack reads what Pack wrote into a message.
+// Unpack decodes into a message what Pack encoded. It returns an error if the decompressed size is above
+// maxUnpackedBytes.
 func Unpack(packed []byte, into proto.Message) error {
 	decompressor := flate.NewReader(bytes.NewReader(packed))
 	defer decompressor.Close()
-	raw, err := io.ReadAll(io.LimitReader(decompressor, largestUnpacked+1))
+	raw, err := io.ReadAll(io.LimitReader(decompressor, maxUnpackedBytes+1))
 	if err != nil {
 		return errors.Wrap(err, "decompress")
 	}
-	if len(raw) > largestUnpacked {
-		return errors.New("too large once decompressed")
+	if len(raw) > maxUnpackedBytes {
+		return errors.New("decompressed message is too large")
 	}
 	return errors.Wrap(proto.Unmarshal(raw, into), "decode")
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -7,86 +7,91 @@
 	"curlewreach/proto/wire"
 )
 
-// longest bounds the durations of a route, so that a number of milliseconds
-// from outside can't overflow a time.Duration.
-const longest = 24 * time.Hour
+// maxDuration bounds the durations of a route, so that a received number of
+// milliseconds cannot overflow a time.Duration.
+const maxDuration = 24 * time.Hour
 
-// Route is one route of a table, prepared for requests. It doesn't change.
+// Route is a route prepared for serving requests. It is immutable.
 type Route struct {
-	Raw         *wire.ConfigurationRoute
-	cutoff, aim time.Duration
-	steps       []step
+	// Raw is the route as configured.
+	Raw                    *wire.ConfigurationRoute
+	timeout, latencyTarget time.Duration
+	services               []weightedService
 }
 
-type step struct {
-	upTo    float64
-	service string
+// weightedService is a service and the sum of the relative weights up to and including its own.
+type weightedService struct {
+	cumulativeWeight float64
+	service          string
 }
 
-// NewRoute prepares a route. Services with a weight of 0 are left out.
+// NewRoute prepares a route. Destinations with a weight of 0 are ignored. The
+// route's own service is used if no destination remains.
 func NewRoute(raw *wire.ConfigurationRoute) *Route {
-	r := &Route{Raw: raw, cutoff: span(raw.GetCutoffMs()), aim: span(raw.GetAimMs())}
+	r := &Route{Raw: raw, timeout: durationOf(raw.GetCutoffMs()), latencyTarget: durationOf(raw.GetAimMs())}
 	total := 0.0
 	for _, destination := range raw.GetDestinations() {
 		if destination.GetWeight() > 0 {
 			total += destination.Weight
-			r.steps = append(r.steps, step{total, destination.Service})
+			r.services = append(r.services, weightedService{total, destination.Service})
 		}
 	}
-	for i := range r.steps {
-		r.steps[i].upTo /= total
+	for i := range r.services {
+		r.services[i].cumulativeWeight /= total
 	}
-	if len(r.steps) == 0 && raw.GetService() != "" {
-		r.steps = []step{{1, raw.GetService()}}
+	if len(r.services) == 0 && raw.GetService() != "" {
+		r.services = []weightedService{{1, raw.GetService()}}
 	}
 	return r
 }
 
-func span(ms float64) time.Duration {
+// durationOf converts milliseconds to a duration between 0 and maxDuration. NaN is converted to 0.
+func durationOf(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
 	}
-	return time.Duration(math.Min(ms*float64(time.Millisecond), float64(longest)))
+	return time.Duration(math.Min(ms*float64(time.Millisecond), float64(maxDuration)))
 }
 
 // Name returns the route's name, unique in its configuration.
 func (r *Route) Name() string { return r.Raw.GetName() }
 
-// Repeatable reports whether an attempt may be sent again when it is not known
-// whether it ran.
+// Repeatable reports whether a request may be retried when it is unknown
+// whether the failed attempt was executed.
 func (r *Route) Repeatable() bool { return r.Raw.GetRepeat() == wire.Repeat_REPEATABLE || r.Bulk() }
 
-// Bulk reports whether the route's requests are bulk work: they may be
-// repeated, but a slow one is not hedged.
+// Bulk reports whether the route's requests are bulk work, which may be
+// retried but is not hedged when slow.
 func (r *Route) Bulk() bool { return r.Raw.GetRepeat() == wire.Repeat_BULK }
 
-// Cutoff returns the time after which a request is given up.
-func (r *Route) Cutoff() time.Duration { return r.cutoff }
+// Timeout returns the time after which a request is abandoned.
+func (r *Route) Timeout() time.Duration { return r.timeout }
 
-// Aim returns the latency to serve requests of the route within.
-func (r *Route) Aim() time.Duration { return r.aim }
+// LatencyTarget returns the latency within which the route's requests should be
+// served.
+func (r *Route) LatencyTarget() time.Duration { return r.latencyTarget }
 
-// Tries returns the most attempts for one request.
-func (r *Route) Tries() int { return int(r.Raw.GetTries()) }
+// MaxAttempts returns the maximum number of attempts for one request.
+func (r *Route) MaxAttempts() int { return int(r.Raw.GetTries()) }
 
-// Pick returns a service chosen by the weights, given u drawn evenly from [0,
-// 1), or "" if there is none.
-func (r *Route) Pick(u float64) string {
-	for _, each := range r.steps {
-		if u < each.upTo {
-			return each.service
+// PickService returns a service chosen by weight, or "" if the route has none. u is a uniformly distributed random number
+// in [0, 1).
+func (r *Route) PickService(u float64) string {
+	for _, candidate := range r.services {
+		if u < candidate.cumulativeWeight {
+			return candidate.service
 		}
 	}
-	if len(r.steps) == 0 {
+	if len(r.services) == 0 {
 		return ""
 	}
-	return r.steps[len(r.steps)-1].service
+	return r.services[len(r.services)-1].service
 }
 
-// Names reports whether the route may lead to the service.
-func (r *Route) Names(service string) bool {
-	for _, each := range r.steps {
-		if each.service == service {
+// RoutesTo reports whether PickService may return the service.
+func (r *Route) RoutesTo(service string) bool {
+	for _, candidate := range r.services {
+		if candidate.service == service {
 			return true
 		}
 	}
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -6,59 +6,57 @@
 	"curlewreach/proto/wire"
 )
 
-// Table looks up the routes and services of one configuration. It doesn't
-// change.
-type Table struct {
+// RoutingTable looks up the routes and services of one configuration. It is immutable.
+type RoutingTable struct {
 	configuration *wire.Configuration
-	hosts         map[string]*host
+	hosts         map[string]*hostRoutes
 	services      map[string]*wire.ConfigurationService
 }
 
-type host struct {
-	prefixes map[string]*Route
-	longest  int
+// hostRoutes holds the routes of one host.
+type hostRoutes struct {
+	byPrefix      map[string]*Route
+	longestPrefix int // length in bytes
 }
 
-// NewTable prepares a configuration, which must not be changed afterwards.
-func NewTable(c *wire.Configuration) *Table {
-	t := &Table{configuration: c, hosts: map[string]*host{}, services: make(map[string]*wire.ConfigurationService, len(c.GetServices()))}
+// NewRoutingTable returns the table of a configuration, which must not be modified afterwards.
+func NewRoutingTable(c *wire.Configuration) *RoutingTable {
+	t := &RoutingTable{configuration: c, hosts: map[string]*hostRoutes{}, services: make(map[string]*wire.ConfigurationService, len(c.GetServices()))}
 	for _, service := range c.GetServices() {
 		t.services[service.GetName()] = service
 	}
 	for _, raw := range c.GetRoutes() {
-		name := hostOf(raw.GetHost())
-		at := t.hosts[name]
-		if at == nil {
-			at = &host{prefixes: map[string]*Route{}}
-			t.hosts[name] = at
+		name := normalizeHost(raw.GetHost())
+		routes := t.hosts[name]
+		if routes == nil {
+			routes = &hostRoutes{byPrefix: map[string]*Route{}}
+			t.hosts[name] = routes
 		}
-		at.prefixes[raw.GetPrefix()] = NewRoute(raw)
-		at.longest = max(at.longest, len(raw.GetPrefix()))
+		routes.byPrefix[raw.GetPrefix()] = NewRoute(raw)
+		routes.longestPrefix = max(routes.longestPrefix, len(raw.GetPrefix()))
 	}
 	return t
 }
 
-// Serial returns the number of the configuration.
-func (t *Table) Serial() uint64 { return t.configuration.GetSerial() }
+// Serial returns the serial of the configuration.
+func (t *RoutingTable) Serial() uint64 { return t.configuration.GetSerial() }
 
-// Configuration returns the configuration that the table was made from. It must not be
-// changed.
-func (t *Table) Configuration() *wire.Configuration { return t.configuration }
+// Configuration returns the configuration that the table was built from. It must not be modified.
+func (t *RoutingTable) Configuration() *wire.Configuration { return t.configuration }
 
-// Find returns the route of the host whose prefix is the longest that begins
-// the path.
-func (t *Table) Find(host, path string) (*Route, bool) {
-	at := t.hosts[hostOf(host)]
-	if at == nil {
+// Find returns the host's route with the longest prefix of the path.
+func (t *RoutingTable) Find(host, path string) (*Route, bool) {
+	routes := t.hosts[normalizeHost(host)]
+	if routes == nil {
 		return nil, false
 	}
-	path = path[:min(len(path), at.longest)]
+	path = path[:min(len(path), routes.longestPrefix)]
 	for {
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
 			return nil, false
 		}
-		if route, known := at.prefixes[path[:slash+1]]; known {
+		if route, known := routes.byPrefix[path[:slash+1]]; known {
 			return route, true
 		}
 		path = path[:slash]
@@ -66,12 +64,13 @@
 }
 
 // Service returns a service by its name.
-func (t *Table) Service(name string) (*wire.ConfigurationService, bool) {
+func (t *RoutingTable) Service(name string) (*wire.ConfigurationService, bool) {
 	service, known := t.services[name]
 	return service, known
 }
 
-func hostOf(name string) string {
+// normalizeHost returns the host in lower case and without its port. It leaves the colons of IPv6 addresses.
+func normalizeHost(name string) string {
 	if colon := strings.LastIndexByte(name, ':'); colon >= 0 && strings.Trim(name[colon+1:], "0123456789") == "" {
 		if !strings.Contains(name[:colon], ":") || name[colon-1] == ']' {
 			name = name[:colon]
--- a/internal/dataplane/fencing/fences.go
+++ b/internal/dataplane/fencing/fences.go
@@ -105,7 +105,7 @@
 // present mark.
 func (f *Fences) Start(node string, incarnation func(node string) string) attempts.Reference {
 	ref := attempts.Reference{ID: attempts.ID(f.incarnation + "-" + strconv.FormatUint(f.next.Add(1), 36)), Mark: f.MarkOf(node)}
-	if !ref.Mark.Known() {
+	if !ref.Mark.IsSet() {
 		ref.Mark = attempts.Mark{Incarnation: incarnation(node), Era: attempts.FirstEra}
 	}
 	return ref
@@ -141,7 +141,7 @@
 
 // SendAttempt puts an attempt's identity into a request's header.
 func SendAttempt(ref attempts.Reference, header http.Header) {
-	if ref.Known() {
+	if ref.IsSet() {
 		header[forwarding.AttemptHeader] = []string{ref.String()}
 	}
 }
@@ -162,8 +162,8 @@
 }
 
 // refusalOf is what an attempt is told that can't begin. Of a copy nothing can be said: the first may have run.
-func refusalOf(verdict attempts.Verdict) forwarding.Outcome {
-	if verdict == attempts.Repeated {
+func refusalOf(verdict attempts.AcceptResult) forwarding.Outcome {
+	if verdict == attempts.Duplicate {
 		return forwarding.Doubt(base.Lost, "this attempt has come before")
 	}
 	return forwarding.NotRunBy(base.NewFault(base.Fenced, "", "this attempt was declared never to begin, or its mark is forgotten"))
@@ -179,7 +179,7 @@
 // Tell adds this node's mark to the answer of a request whose sender keeps it.
 func (f *Fences) Tell(answer, request http.Header) {
 	if _, asked := request[forwarding.AttemptHeader]; asked {
-		answer[forwarding.MarkHeader] = []string{f.Table.Mark().String()}
+		answer[forwarding.MarkHeader] = []string{f.Table.CurrentMark().String()}
 	}
 }
 
@@ -207,7 +207,7 @@
 func (f *Fences) outlive(s base.Scope, entry *attempts.Entry) {
 	for {
 		base.Await(s, f.linger)
-		if s.Err() != nil || !entry.Wanted(f.linger) {
+		if s.Err() != nil || !entry.HasRecentInterest(f.linger) {
 			return
 		}
 	}
--- a/internal/dataplane/fencing/questions.go
+++ b/internal/dataplane/fencing/questions.go
@@ -33,7 +33,7 @@
 
 // StaleMark tells whether an attempt was turned away by a peer that told its present mark with it.
 func StaleMark(ref attempts.Reference, o forwarding.Outcome) bool {
-	return ref.Known() && o.State == forwarding.NotRun && o.Kind == base.Fenced && o.Load != nil
+	return ref.IsSet() && o.State == forwarding.NotRun && o.Kind == base.Fenced && o.Load != nil
 }
 
 // Peer is the node that an attempt went to.
@@ -47,7 +47,7 @@
 // takes at most a part of the time left; only the answer of an attempt known to be at work is waited for longer. doubted is
 // the outcome if nothing can be learned.
 func (f *Fences) Resolve(ctx context.Context, to Peer, ref attempts.Reference, requestID string, until time.Duration, doubted forwarding.Outcome) forwarding.Outcome {
-	if !ref.Known() {
+	if !ref.IsSet() {
 		return doubted
 	}
 	f.count(CountBroken)
@@ -61,7 +61,7 @@
 
 // settled is the outcome of an attempt as far as the other node can tell.
 func (f *Fences) settled(ctx context.Context, to Peer, ref attempts.Reference, requestID string, until time.Duration, doubted forwarding.Outcome) forwarding.Outcome {
-	if !ref.Mark.Known() {
+	if !ref.Mark.IsSet() {
 		f.count(CountNoMark)
 		return doubted
 	}
@@ -124,11 +124,11 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	client := wireconnect.NewAttemptsClient(f.web, "http://"+to.Address, httpserver.HandlerOptions(), connect.WithReadMaxBytes(questionBytes))
-	question := &wire.AttemptQuestion{Id: string(ref.ID), Mark: ref.Mark.Message(), WaitMs: uint64(max(wait.Milliseconds(), 0))}
+	question := &wire.AttemptQuestion{Id: string(ref.ID), Mark: ref.Mark.ToWire(), WaitMs: uint64(max(wait.Milliseconds(), 0))}
 	reply, err := client.Resolve(ctx, connect.NewRequest(question))
 	if err != nil {
 		return nil, err
 	}
-	f.Learn(to.Node, attempts.MarkOf(reply.Msg.Mark))
+	f.Learn(to.Node, attempts.MarkFromWire(reply.Msg.Mark))
 	return reply.Msg, nil
 }
--- a/internal/dataplane/peer_client.go
+++ b/internal/dataplane/peer_client.go
@@ -79,7 +79,7 @@
 	}
 	n.peerConnections.Forget(h.to.Address)
 	o := h.resolve(ctx, forwarding.Doubt(base.Lost, err.Error()))
-	if h.metadata.Attempt.Known() && o.State == forwarding.Doubtful {
+	if h.metadata.Attempt.IsSet() && o.State == forwarding.Doubtful {
 		n.peers.Avoid(name)
 	}
 	return o
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -20,25 +20,25 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// watchersEach is the number of machines that each machine sends its heartbeats
+// heartbeatFanOut is the number of machines that each machine sends its heartbeats
 // to, beside the core: two may be down at a time.
-const watchersEach = 3
+const heartbeatFanOut = 3
 
 // Member is this machine's part in the membership: it sends heartbeats and
 // takes those of others.
 type Member struct {
-	scope   base.Scope
-	web     *http.Client
-	seeds   []string
-	beat    time.Duration
-	view    *View
-	mu      sync.Mutex
-	self    *wire.Roster
-	ring    Ring
-	places  map[string]string
-	relays  []string
-	nudge   base.Broadcast
-	callees base.Table[wireconnect.KinClient]
+	scope             base.Scope
+	httpClient        *http.Client
+	seeds             []string
+	heartbeatInterval time.Duration
+	view              *View
+	mu                sync.Mutex
+	self              *wire.Roster
+	ring              Ring
+	addresses         map[string]string
+	relays            []string
+	statusChanged     base.Broadcast
+	clients           base.Table[wireconnect.KinClient]
 	// Enrich, if set, adds to what the machine tells of itself when asked.
 	Enrich func(*wire.TellReply)
 }
@@ -47,10 +47,10 @@
 // fresh incarnation. Seeds are the addresses of core machines, relays those
 // that a core machine passes its view on to, and beat is the interval between
 // heartbeats.
-func NewMember(s base.Scope, web *http.Client, self *wire.Roster, seeds, relays []string, beat time.Duration) *Member {
+func NewMember(s base.Scope, httpClient *http.Client, self *wire.Roster, seeds, relays []string, heartbeatInterval time.Duration) *Member {
 	self.Incarnation = s.Rand.Name(8)
 	self.Serial = 1
-	return &Member{scope: s, web: web, seeds: seeds, relays: relays, beat: beat, view: NewView(s, beat), self: self, places: map[string]string{}}
+	return &Member{scope: s, httpClient: httpClient, seeds: seeds, relays: relays, heartbeatInterval: heartbeatInterval, view: NewView(s, heartbeatInterval), self: self, addresses: map[string]string{}}
 }
 
 // View returns what is known of the others.
@@ -69,30 +69,30 @@
 	return status
 }
 
-// Change alters what this machine tells of itself. If it differs afterwards, it
+// UpdateStatus alters what this machine tells of itself. If it differs afterwards, it
 // gets a new serial number and is sent at once.
-func (m *Member) Change(change func(*wire.Roster)) {
+func (m *Member) UpdateStatus(change func(*wire.Roster)) {
 	m.mu.Lock()
 	before := proto.Clone(m.self).(*wire.Roster)
 	change(m.self)
 	if !proto.Equal(before, m.self) {
 		m.self.Serial++
-		m.nudge.Notify()
+		m.statusChanged.Notify()
 	}
 	m.mu.Unlock()
 }
 
 // SetMachines sets the machines that are on the ring.
 func (m *Member) SetMachines(machines func(yield func(*wire.Machine) bool)) {
-	places := map[string]string{}
+	addresses := map[string]string{}
 	for machine := range machines {
-		places[machine.Name] = machine.Address
+		addresses[machine.Name] = machine.Address
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.places = places
+	m.addresses = addresses
 	m.ring = NewRing(func(yield func(string) bool) {
-		for name := range places {
+		for name := range addresses {
 			if !yield(name) {
 				return
 			}
@@ -100,56 +100,56 @@
 	})
 }
 
-func (m *Member) watchers() []string {
+func (m *Member) heartbeatTargets() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	names := m.ring.Watchers(m.self.Node, watchersEach)
+	names := m.ring.Successors(m.self.Node, heartbeatFanOut)
 	if len(names) == 0 {
 		return m.seeds
 	}
 	addresses := make([]string, len(names))
 	for i, name := range names {
-		addresses[i] = m.places[name]
+		addresses[i] = m.addresses[name]
 	}
 	return addresses
 }
 
 func (m *Member) client(address string) wireconnect.KinClient {
-	if callee, ok := m.callees.Get(address); ok {
-		return callee
+	if client, ok := m.clients.Get(address); ok {
+		return client
 	}
-	callee := wireconnect.NewKinClient(m.web, "http://"+address)
-	m.callees.Put(address, callee)
-	return callee
+	client := wireconnect.NewKinClient(m.httpClient, "http://"+address)
+	m.clients.Put(address, client)
+	return client
 }
 
 // Run sends heartbeats and judges the others until the scope ends.
 func (m *Member) Run(s base.Scope) {
-	var crew base.Group
-	crew.Go(func() {
+	var group base.Group
+	group.Go(func() {
 		for s.Err() == nil {
-			heard := m.nudge.Next()
-			m.heartbeat(s)
-			base.Await(s, m.beat, heard)
+			changed := m.statusChanged.Next()
+			m.sendHeartbeats(s)
+			base.Await(s, m.heartbeatInterval, changed)
 		}
 	})
-	crew.Go(func() { base.Tick(s, m.beat/2, func(base.Scope) { m.view.RefreshStandings() }) })
-	crew.Wait()
+	group.Go(func() { base.Tick(s, m.heartbeatInterval/2, func(base.Scope) { m.view.RefreshStandings() }) })
+	group.Wait()
 }
 
-func (m *Member) heartbeat(s base.Scope) {
-	bounded, cancel := s.WithTimeout(m.beat)
+func (m *Member) sendHeartbeats(s base.Scope) {
+	bounded, cancel := s.WithTimeout(m.heartbeatInterval)
 	defer cancel()
 	self := m.Status()
-	m.view.Heard(self, 0)
-	var crew base.Group
-	for _, address := range m.watchers() {
-		crew.Go(func() {
+	m.view.Observe(self, 0)
+	var group base.Group
+	for _, address := range m.heartbeatTargets() {
+		group.Go(func() {
 			_, _ = m.client(address).Beat(bounded, connect.NewRequest(&wire.BeatRequest{Roster: self}))
 		})
 	}
-	crew.Go(func() { m.reportSightings(bounded) })
-	crew.Wait()
+	group.Go(func() { m.reportSightings(bounded) })
+	group.Wait()
 }
 
 func (m *Member) reportSightings(s base.Scope) {
@@ -161,7 +161,7 @@
 		})
 		return
 	}
-	start := HashTo(m.self.Node, len(m.seeds))
+	start := HashBucket(m.self.Node, len(m.seeds))
 	for i := range m.seeds {
 		if _, err := m.client(m.seeds[(start+i)%len(m.seeds)]).Sight(s, connect.NewRequest(request)); err == nil {
 			return
@@ -169,12 +169,12 @@
 	}
 }
 
-// History returns what this machine has in its journal about the subject asked
+// JournalReport returns what this machine has in its journal about the subject asked
 // for, if any, and its event counts.
-func (m *Member) History(ask *wire.TellRequest) *wire.TellReply {
+func (m *Member) JournalReport(request *wire.TellRequest) *wire.TellReply {
 	reply := &wire.TellReply{Node: m.self.Node, Counts: m.scope.Journal.Counts()}
-	if ask.Subject != "" {
-		for event := range m.scope.Journal.About(ask.Subject) {
+	if request.Subject != "" {
+		for event := range m.scope.Journal.About(request.Subject) {
 			reply.Happenings = append(reply.Happenings, &wire.Happening{Serial: event.Serial, AtUs: event.At.UnixMicro(), Topic: event.Topic, Subject: event.Subject, Detail: event.Detail})
 		}
 	}
@@ -184,36 +184,36 @@
 	return reply
 }
 
-// Ask sends a question to all machines in view and returns their answers, and
+// QueryAll sends a question to all machines in view and returns their answers, and
 // the names of those that gave none.
-func (m *Member) Ask(s base.Scope, ask *wire.TellRequest) *wire.ToldReply {
+func (m *Member) QueryAll(s base.Scope, request *wire.TellRequest) *wire.ToldReply {
 	reply := &wire.ToldReply{}
 	var mu sync.Mutex
 	base.Parallel(slices.Collect(m.view.All()), func(sighting *wire.Sighting) {
-		told, err := m.client(sighting.Roster.Address).Tell(s, connect.NewRequest(ask))
+		response, err := m.client(sighting.Roster.Address).Tell(s, connect.NewRequest(request))
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
 			reply.Silent = append(reply.Silent, sighting.Roster.Node)
 			return
 		}
-		reply.Told = append(reply.Told, told.Msg)
+		reply.Told = append(reply.Told, response.Msg)
 	})
 	slices.Sort(reply.Silent)
 	slices.SortFunc(reply.Told, func(a, b *wire.TellReply) int { return strings.Compare(a.Node, b.Node) })
 	return reply
 }
 
-// Reaches reports whether a member answers at the address.
-func (m *Member) Reaches(s base.Scope, address string) bool {
+// Reachable reports whether a member answers at the address.
+func (m *Member) Reachable(s base.Scope, address string) bool {
 	_, err := m.client(address).Tell(s, connect.NewRequest(&wire.TellRequest{}))
 	return err == nil
 }
 
 type server struct{ member *Member }
 
-func (v server) Tell(_ context.Context, request *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error) {
-	return connect.NewResponse(v.member.History(request.Msg)), nil
+func (s server) Tell(_ context.Context, request *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error) {
+	return connect.NewResponse(s.member.JournalReport(request.Msg)), nil
 }
 
 // Handler returns the path and handler that other members call.
@@ -221,20 +221,20 @@
 	return wireconnect.NewKinHandler(server{m}, httpserver.HandlerOptions())
 }
 
-func (v server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
+func (s server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
 	if request.Msg.GetRoster().GetNode() == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "a roster names its node"))
 	}
-	v.member.view.Heard(request.Msg.Roster, 0)
+	s.member.view.Observe(request.Msg.Roster, 0)
 	return connect.NewResponse(&wire.BeatReply{Watched: true}), nil
 }
 
-func (v server) Sight(_ context.Context, request *connect.Request[wire.SightRequest]) (*connect.Response[wire.SightReply], error) {
+func (s server) Sight(_ context.Context, request *connect.Request[wire.SightRequest]) (*connect.Response[wire.SightReply], error) {
 	for _, sighting := range request.Msg.Sightings {
 		if sighting.GetRoster().GetNode() == "" {
 			continue
 		}
-		v.member.view.Heard(sighting.Roster, time.Duration(sighting.SilenceUs)*time.Microsecond)
+		s.member.view.Observe(sighting.Roster, time.Duration(sighting.SilenceUs)*time.Microsecond)
 	}
 	return connect.NewResponse(&wire.SightReply{}), nil
 }
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -12,11 +12,11 @@
 
 // NewRing returns the ring of the names.
 func NewRing(names iter.Seq[string]) Ring {
-	ordered := slices.SortedFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(hashOf(a), hashOf(b)), cmp.Compare(a, b)) })
+	ordered := slices.SortedFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(hashName(a), hashName(b)), cmp.Compare(a, b)) })
 	return Ring{ordered}
 }
 
-func hashOf(name string) uint64 {
+func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	z := hash.Sum64()
@@ -24,19 +24,19 @@
 	return z ^ (z >> 33)
 }
 
-// HashTo maps a name evenly to a number in [0, among), always the same.
-func HashTo(name string, among int) int { return int(hashOf(name) % uint64(max(among, 1))) }
+// HashBucket maps a name evenly to a number in [0, among), always the same.
+func HashBucket(name string, buckets int) int { return int(hashName(name) % uint64(max(buckets, 1))) }
 
-// Watchers returns the next machines after name, at most count, or none if it
+// Successors returns the next machines after name, at most count, or none if it
 // isn't on the ring.
-func (r Ring) Watchers(name string, count int) []string {
+func (r Ring) Successors(name string, count int) []string {
 	at := slices.Index(r.names, name)
 	if at < 0 {
 		return nil
 	}
-	var watchers []string
-	for i := 1; i < len(r.names) && len(watchers) < count; i++ {
-		watchers = append(watchers, r.names[(at+i)%len(r.names)])
+	var successors []string
+	for i := 1; i < len(r.names) && len(successors) < count; i++ {
+		successors = append(successors, r.names[(at+i)%len(r.names)])
 	}
-	return watchers
+	return successors
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -15,8 +15,8 @@
 
 // The standings of a machine, by how long it was silent.
 const (
-	// Well is a machine that was heard within lateBeats heartbeats.
-	Well = "well"
+	// Alive is a machine that was heard within lateBeats heartbeats.
+	Alive = "well"
 	// Late is a machine silent for more than lateBeats.
 	Late = "late"
 	// Absent is a machine silent for more than absentBeats, or never heard.
@@ -29,109 +29,109 @@
 	// nothing.
 	lateBeats   = 3
 	absentBeats = 5
-	// lastBorn is the number of ended incarnations remembered for each machine,
+	// maxEndedIncarnations is the number of ended incarnations remembered for each machine,
 	// so that messages of theirs that come late are ignored.
-	lastBorn = 16
-	// drift is how much faster or slower one clock may run than another, as a
+	maxEndedIncarnations = 16
+	// maxClockDrift is how much faster or slower one clock may run than another, as a
 	// ratio (200 parts per million).
-	drift = 0.0002
-	// mostPeers bounds the machines in view, against names made up.
-	mostPeers = 4096
-	// forgotten is after how many times the Absent silence a machine is dropped
+	maxClockDrift = 0.0002
+	// maxPeers bounds the machines in view, against names made up.
+	maxPeers = 4096
+	// forgetFactor is after how many times the Absent silence a machine is dropped
 	// from the view.
-	forgotten = 60
+	forgetFactor = 60
 )
 
 type peer struct {
-	status *wire.Roster
-	heard  time.Duration
-	offset time.Duration
-	tuned  time.Duration
-	gone   []string
-	risen  uint64
+	status            *wire.Roster
+	lastHeard         time.Duration
+	clockOffset       time.Duration
+	offsetUpdated     time.Duration
+	endedIncarnations []string
+	changeSerial      uint64
 }
 
 // View is what a machine knows of all, by what it heard of them directly or
 // through others. It is safe for concurrent use.
 type View struct {
-	scope  base.Scope
-	late   time.Duration
-	absent time.Duration
-	mu     sync.Mutex
-	peers  map[string]*peer
-	serial uint64
-	bell   base.Broadcast
-	last   map[string]string
+	scope         base.Scope
+	lateAfter     time.Duration
+	absentAfter   time.Duration
+	mu            sync.Mutex
+	peers         map[string]*peer
+	serial        uint64
+	changed       base.Broadcast
+	lastStandings map[string]string
 }
 
 // NewView returns an empty view, whose standings follow from the interval
 // between heartbeats.
-func NewView(s base.Scope, beat time.Duration) *View {
-	return &View{scope: s, late: lateBeats * beat, absent: absentBeats * beat, peers: map[string]*peer{}, last: map[string]string{}}
+func NewView(s base.Scope, heartbeatInterval time.Duration) *View {
+	return &View{scope: s, lateAfter: lateBeats * heartbeatInterval, absentAfter: absentBeats * heartbeatInterval, peers: map[string]*peer{}, lastStandings: map[string]string{}}
 }
 
 // Changed returns a channel that closes at the next change.
-func (v *View) Changed() <-chan struct{} { return v.bell.Next() }
+func (v *View) Changed() <-chan struct{} { return v.changed.Next() }
 
-// Heard takes in what a machine told of itself so long ago.
-func (v *View) Heard(status *wire.Roster, silence time.Duration) {
+// Observe takes in what a machine told of itself so long ago.
+func (v *View) Observe(status *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.peers[status.Node]
 	if known == nil {
-		if len(v.peers) >= mostPeers {
+		if len(v.peers) >= maxPeers {
 			return
 		}
 		known = &peer{}
 		v.peers[status.Node] = known
 		v.scope.Record("mate", status.Node, "first heard")
 	}
-	if slices.Contains(known.gone, status.Incarnation) {
+	if slices.Contains(known.endedIncarnations, status.Incarnation) {
 		return
 	}
 	if known.status != nil && known.status.Incarnation != status.Incarnation {
-		known.gone = append(known.gone, known.status.Incarnation)
-		if len(known.gone) > lastBorn {
-			known.gone = known.gone[1:]
+		known.endedIncarnations = append(known.endedIncarnations, known.status.Incarnation)
+		if len(known.endedIncarnations) > maxEndedIncarnations {
+			known.endedIncarnations = known.endedIncarnations[1:]
 		}
 		known.status = nil
-		known.heard = 0
+		known.lastHeard = 0
 		v.scope.Record("mate", status.Node, "born again")
 	}
 	now := v.scope.Clock.Mono()
-	known.heard = max(known.heard, now-silence)
+	known.lastHeard = max(known.lastHeard, now-silence)
 	offset := time.Duration(status.ClockUs)*time.Microsecond - now
 	if known.status == nil {
-		known.offset, known.tuned = offset, now
+		known.clockOffset, known.offsetUpdated = offset, now
 	}
-	known.offset = max(offset, known.offset-time.Duration(drift*float64(now-known.tuned)))
-	known.tuned = now
+	known.clockOffset = max(offset, known.clockOffset-time.Duration(maxClockDrift*float64(now-known.offsetUpdated)))
+	known.offsetUpdated = now
 	if known.status == nil || status.Serial > known.status.Serial {
 		known.status = status
 		v.markChanged(known)
 	}
-	if v.last[status.Node] != v.refreshStanding(known) {
-		v.last[status.Node] = v.refreshStanding(known)
-		v.scope.Record("standing", status.Node, v.last[status.Node])
+	if v.lastStandings[status.Node] != v.standingOf(known) {
+		v.lastStandings[status.Node] = v.standingOf(known)
+		v.scope.Record("standing", status.Node, v.lastStandings[status.Node])
 		v.markChanged(known)
 	}
 }
 
 func (v *View) markChanged(known *peer) {
 	v.serial++
-	known.risen = v.serial
-	v.bell.Notify()
+	known.changeSerial = v.serial
+	v.changed.Notify()
 }
 
-func (v *View) refreshStanding(m *peer) string {
-	silence := v.scope.Clock.Mono() - m.heard
+func (v *View) standingOf(p *peer) string {
+	silence := v.scope.Clock.Mono() - p.lastHeard
 	switch {
-	case silence > v.absent:
+	case silence > v.absentAfter:
 		return Absent
-	case silence > v.late:
+	case silence > v.lateAfter:
 		return Late
 	}
-	return Well
+	return Alive
 }
 
 // RefreshStandings renews the standings and forgets machines long silent. It is called
@@ -139,16 +139,16 @@
 func (v *View) RefreshStandings() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for name, each := range v.peers {
-		if v.scope.Clock.Mono()-each.heard > forgotten*v.absent {
+	for name, known := range v.peers {
+		if v.scope.Clock.Mono()-known.lastHeard > forgetFactor*v.absentAfter {
 			delete(v.peers, name)
-			delete(v.last, name)
+			delete(v.lastStandings, name)
 			continue
 		}
-		if standing := v.refreshStanding(each); standing != v.last[name] {
-			v.last[name] = standing
+		if standing := v.standingOf(known); standing != v.lastStandings[name] {
+			v.lastStandings[name] = standing
 			v.scope.Record("standing", name, standing)
-			v.markChanged(each)
+			v.markChanged(known)
 		}
 	}
 }
@@ -177,13 +177,13 @@
 	defer v.mu.Unlock()
 	now := v.scope.Clock.Mono()
 	sightings := make([]*wire.Sighting, 0, len(v.peers))
-	for _, each := range v.peers {
-		if each.status == nil || each.risen <= serial {
+	for _, known := range v.peers {
+		if known.status == nil || known.changeSerial <= serial {
 			continue
 		}
-		status := proto.Clone(each.status).(*wire.Roster)
-		status.ClockUs = (now + each.offset).Microseconds()
-		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.refreshStanding(each), SilenceUs: uint64((now - each.heard).Microseconds())})
+		status := proto.Clone(known.status).(*wire.Roster)
+		status.ClockUs = (now + known.clockOffset).Microseconds()
+		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.standingOf(known), SilenceUs: uint64((now - known.lastHeard).Microseconds())})
 	}
 	slices.SortFunc(sightings, func(a, b *wire.Sighting) int { return strings.Compare(a.Roster.Node, b.Roster.Node) })
 	return slices.Values(sightings)
@@ -194,15 +194,15 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if known := v.peers[node]; known != nil {
-		return v.refreshStanding(known)
+		return v.standingOf(known)
 	}
 	return Absent
 }
 
-// Narrow returns a copy of a sighting that has only the instances of the
+// FilterServices returns a copy of a sighting that has only the instances of the
 // services of concern.
-func Narrow(sighting *wire.Sighting, concerns func(service string) bool) *wire.Sighting {
+func FilterServices(sighting *wire.Sighting, wanted func(service string) bool) *wire.Sighting {
 	narrowed := proto.Clone(sighting).(*wire.Sighting)
-	narrowed.Roster.Seats = slices.DeleteFunc(narrowed.Roster.Seats, func(seat *wire.Seat) bool { return !concerns(seat.Service) })
+	narrowed.Roster.Seats = slices.DeleteFunc(narrowed.Roster.Seats, func(seat *wire.Seat) bool { return !wanted(seat.Service) })
 	return narrowed
 }
--- a/internal/statestore/change.go
+++ b/internal/statestore/change.go
@@ -11,27 +11,28 @@
 	"curlewreach/proto/wire"
 )
 
-// errMisfit is returned for a change that cannot have been made against the state that it is applied to.
-var errMisfit = errors.New("change does not fit its predecessor")
+// errChangeMismatch is returned for a change that was not computed from the state that it is applied to.
+var errChangeMismatch = errors.New("change does not apply to the preceding state")
 
-// same tells whether two messages say the same; unchanged parts of a state are usually shared, so pointers come first.
-func same[M interface {
+// equalMessages reports whether two messages are equal. It compares pointers first, because successive states usually
+// share their unchanged parts.
+func equalMessages[M interface {
 	comparable
 	proto.Message
 }](a, b M) bool {
 	return a == b || proto.Equal(a, b)
 }
 
-// difference returns what turns from into to; without any difference it is nil.
-func difference(from, to *wire.ReplicaState) *wire.StateChange {
-	change := &wire.StateChange{Registers: registerChanges(from.Registers, to.Registers)}
+// diffStates returns the change that turns from into to, or nil if the states are equal.
+func diffStates(from, to *wire.ReplicaState) *wire.StateChange {
+	change := &wire.StateChange{Registers: diffRegisters(from.Registers, to.Registers)}
 	if from.Id != to.Id {
 		change.Id = &to.Id
 	}
-	if !same(from.Membership, to.Membership) {
+	if !equalMessages(from.Membership, to.Membership) {
 		change.Membership = &wire.MembershipChange{To: to.Membership}
 	}
-	if !same(from.Next, to.Next) {
+	if !equalMessages(from.Next, to.Next) {
 		change.Next = &wire.MembershipChange{To: to.Next}
 	}
 	if !slices.Equal(from.Known, to.Known) {
@@ -46,7 +47,8 @@
 	return change
 }
 
-func registerChanges(from, to map[string]*wire.Register) []*wire.RegisterChange {
+// diffRegisters returns the added, removed and modified registers, sorted by key.
+func diffRegisters(from, to map[string]*wire.Register) []*wire.RegisterChange {
 	var changes []*wire.RegisterChange
 	for key := range from {
 		if _, kept := to[key]; !kept {
@@ -55,7 +57,7 @@
 	}
 	for key, next := range to {
 		previous, known := from[key]
-		change := registerChange(key, previous, next)
+		change := diffRegister(key, previous, next)
 		if !known || change.Promised != nil || change.Accepted != nil {
 			changes = append(changes, change)
 		}
@@ -64,19 +66,21 @@
 	return changes
 }
 
-// registerChange has neither a promise nor a version if the register has not changed.
-func registerChange(key string, from, to *wire.Register) *wire.RegisterChange {
+// diffRegister returns the difference between two contents of a register. Its Promised and Accepted are nil if those
+// parts are equal.
+func diffRegister(key string, from, to *wire.Register) *wire.RegisterChange {
 	change := &wire.RegisterChange{Key: key}
-	if !same(from.GetPromised(), to.GetPromised()) {
+	if !equalMessages(from.GetPromised(), to.GetPromised()) {
 		change.Promised = &wire.TermChange{To: to.GetPromised()}
 	}
-	if !same(from.GetAccepted(), to.GetAccepted()) {
-		change.Accepted = versionChange(from.GetAccepted(), to.GetAccepted())
+	if !equalMessages(from.GetAccepted(), to.GetAccepted()) {
+		change.Accepted = diffVersion(from.GetAccepted(), to.GetAccepted())
 	}
 	return change
 }
 
-func versionChange(from, to *wire.Version) *wire.VersionChange {
+// diffVersion encodes the new value as a delta to the old one, or whole if the delta is not smaller.
+func diffVersion(from, to *wire.Version) *wire.VersionChange {
 	if to == nil {
 		return &wire.VersionChange{Removed: true}
 	}
@@ -90,9 +94,10 @@
 	return change
 }
 
-// applied returns the state that change makes of from, which it shares the unchanged parts with.
-func applied(from *wire.ReplicaState, change *wire.StateChange) (*wire.ReplicaState, error) {
-	to := shared(from)
+// applyChange returns the state that results from applying change to from. Unchanged parts are shared with from, which
+// is not modified.
+func applyChange(from *wire.ReplicaState, change *wire.StateChange) (*wire.ReplicaState, error) {
+	to := copyState(from)
 	if change.Id != nil {
 		to.Id = *change.Id
 	}
@@ -108,19 +113,20 @@
 	if change.Founding != nil {
 		to.Founding = change.Founding.To
 	}
-	for _, each := range change.Registers {
-		if err := applyRegister(to.Registers, each); err != nil {
-			return nil, errors.Wrapf(err, "register %q", each.Key)
+	for _, registerChange := range change.Registers {
+		if err := applyRegisterChange(to.Registers, registerChange); err != nil {
+			return nil, errors.Wrapf(err, "register %q", registerChange.Key)
 		}
 	}
 	return to, nil
 }
 
-func applyRegister(registers map[string]*wire.Register, change *wire.RegisterChange) error {
+// applyRegisterChange updates registers in place.
+func applyRegisterChange(registers map[string]*wire.Register, change *wire.RegisterChange) error {
 	register := registers[change.Key]
 	if change.Removed {
 		if register == nil {
-			return errMisfit
+			return errChangeMismatch
 		}
 		delete(registers, change.Key)
 		return nil
@@ -132,7 +138,7 @@
 		register.Promised = change.Promised.To
 	}
 	if change.Accepted != nil {
-		accepted, err := appliedVersion(register.Accepted, change.Accepted)
+		accepted, err := applyVersionChange(register.Accepted, change.Accepted)
 		if err != nil {
 			return err
 		}
@@ -142,7 +148,8 @@
 	return nil
 }
 
-func appliedVersion(from *wire.Version, change *wire.VersionChange) (*wire.Version, error) {
+// applyVersionChange returns the new version, or nil if the change removes it.
+func applyVersionChange(from *wire.Version, change *wire.VersionChange) (*wire.Version, error) {
 	if change.Removed {
 		return nil, nil
 	}
@@ -157,9 +164,9 @@
 	return to, nil
 }
 
-// shared returns a state of its own down to its registers, which shares terms, versions and memberships with the
-// given one, as those are never changed in place.
-func shared(state *wire.ReplicaState) *wire.ReplicaState {
+// copyState copies a state and its registers. Terms, versions and memberships are shared with the original because they
+// are never modified in place.
+func copyState(state *wire.ReplicaState) *wire.ReplicaState {
 	registers := make(map[string]*wire.Register, len(state.Registers))
 	for key, register := range state.Registers {
 		registers[key] = &wire.Register{Promised: register.GetPromised(), Accepted: register.GetAccepted()}
--- a/internal/statestore/crash_test.go
+++ b/internal/statestore/crash_test.go
@@ -17,60 +17,65 @@
 )
 
 const (
-	// scriptSaves is enough for several snapshots, each with its trims, under the small limits.
-	scriptSaves = 15
-	// openTries is the number of Opens that a script makes on a disk that refuses.
-	openTries = 3
-	// allSubsets is enough to try each subset of seven unsynced names; of more names as many are drawn.
-	allSubsets = 1 << 7
-	// someSubsets is the number of subsets drawn where each of many places is combined with each of many others.
-	someSubsets = 1 << 3
+	// savesPerRun is enough for several snapshots and removals of obsolete files under smallLimits.
+	savesPerRun = 15
+	// maxOpenAttempts is how often a process tries to open a disk that returns errors.
+	maxOpenAttempts = 3
+	// maxSubsets is enough for every subset of seven unsynced directory changes. Of more changes, that many subsets are
+	// sampled.
+	maxSubsets = 1 << 7
+	// maxSampledSubsets is the number of subsets tried by tests that combine two failure points, which gives many disks.
+	maxSampledSubsets = 1 << 3
 )
 
-// history is what one process did to a disk until it ended.
-type history struct {
+// diskHistory is a disk and the states that may be found on it after a process has written to it.
+type diskHistory struct {
 	disk *simnet.Disk
-	// possible are the states that a restart may find: the last acknowledged one first, nil for none, and all that
-	// were tried since.
-	possible []*wire.ReplicaState
-	// lost tells that the state was unreadable when the process started, and none has been acknowledged since.
-	lost   bool
-	points int
+	// possibleStates holds the states that a restart may load: first the last acknowledged one, or nil if there is none,
+	// then all whose Save has failed since.
+	possibleStates []*wire.ReplicaState
+	// stateLost is true if the state was unreadable when the process started and no Save has succeeded since.
+	stateLost bool
+	// writePoints is the number of disk writes that the last process made.
+	writePoints int
 }
 
-// blank is the history of a disk that nothing was done to.
-func blank(disk *simnet.Disk) history {
-	return history{disk: disk, possible: []*wire.ReplicaState{nil}}
+// newHistory returns the history of an empty disk.
+func newHistory(disk *simnet.Disk) diskHistory {
+	return diskHistory{disk: disk, possibleStates: []*wire.ReplicaState{nil}}
 }
 
-// damaged is the history of a disk whose state was made unreadable.
-func damaged(disk *simnet.Disk) history {
-	return history{disk: disk, possible: []*wire.ReplicaState{nil}, lost: true}
+// newDamagedHistory returns the history of a disk whose state is unreadable.
+func newDamagedHistory(disk *simnet.Disk) diskHistory {
+	return diskHistory{disk: disk, possibleStates: []*wire.ReplicaState{nil}, stateLost: true}
 }
 
-// play opens the disk of a history and saves the states of the script, as far as no crash comes.
-func play(t *testing.T, past history, first uint64, decide func(point int) simnet.Outcome) history {
+// runProcess opens the disk and saves savesPerRun states, starting with serial first, until a crash. decide returns the
+// outcome of each disk write by its number. The returned history includes this process.
+func runProcess(t *testing.T, history diskHistory, first uint64, decide func(point int) simnet.Outcome) diskHistory {
 	t.Helper()
-	faults := &simnet.Faults{Disk: past.disk, Decide: decide}
-	store := openStubbornly(t, faults, &past)
+	faults := &simnet.Faults{Disk: history.disk, Decide: decide}
+	store := openWithRetries(t, faults, &history)
 	if store != nil {
-		past.save(store, faults, first)
+		history.saveStates(store, faults, first)
 	}
-	past.points = faults.Points()
-	return past
+	history.writePoints = faults.Points()
+	return history
 }
 
-func openStubbornly(t *testing.T, faults *simnet.Faults, past *history) *Store {
+// openWithRetries opens the store, or returns nil if all attempts fail. It checks the state that is loaded and then
+// expects only that one.
+func openWithRetries(t *testing.T, faults *simnet.Faults, history *diskHistory) *Store {
 	t.Helper()
-	for range openTries {
-		store, state, err := open(faults, discard, small)
-		if errors.Is(err, ErrUnreadable) && past.lost {
-			past.possible = []*wire.ReplicaState{nil}
+	for range maxOpenAttempts {
+		store, state, err := open(faults, discardEvents, smallLimits)
+		if errors.Is(err, ErrUnreadable) && history.stateLost {
+			history.possibleStates = []*wire.ReplicaState{nil}
 			return store
 		}
 		if store != nil && err == nil {
-			past.expectPossible(t, state, "at the start")
-			past.possible, past.lost = []*wire.ReplicaState{state}, false
+			history.expectPossible(t, state, "at the start")
+			history.possibleStates, history.stateLost = []*wire.ReplicaState{state}, false
 			return store
 		}
 		if !errors.Is(err, simnet.ErrRefused) && !errors.Is(err, simnet.ErrCrashed) {
@@ -80,36 +85,38 @@
 	return nil
 }
 
-func (h *history) save(store *Store, faults *simnet.Faults, first uint64) {
-	for serial := first; serial < first+scriptSaves && !faults.Crashed(); serial++ {
-		state := stateOf(serial)
+func (h *diskHistory) saveStates(store *Store, faults *simnet.Faults, first uint64) {
+	for serial := first; serial < first+savesPerRun && !faults.Crashed(); serial++ {
+		state := testState(serial)
 		if store.Save(state) == nil {
-			h.possible, h.lost = []*wire.ReplicaState{state}, false
+			h.possibleStates, h.stateLost = []*wire.ReplicaState{state}, false
 		} else {
-			h.possible = append(h.possible, state)
+			h.possibleStates = append(h.possibleStates, state)
 		}
 	}
 }
 
-// check opens a disk and expects one of the possible states, or that the loss is still known.
-func (h *history) check(t *testing.T, disk *simnet.Disk, when string) {
+// checkDisk opens a disk and expects one of the possible states, or ErrUnreadable if the state was lost. It then expects
+// that the loaded state is durable and that further states can be saved.
+func (h *diskHistory) checkDisk(t *testing.T, disk *simnet.Disk, scenario string) {
 	t.Helper()
-	store, state, err := open(disk, discard, small)
-	if errors.Is(err, ErrUnreadable) && h.lost {
+	store, state, err := open(disk, discardEvents, smallLimits)
+	if errors.Is(err, ErrUnreadable) && h.stateLost {
 		return
 	}
 	if err != nil {
-		t.Fatalf("%s: %v; files %v", when, err, disk.Names())
+		t.Fatalf("%s: open: %v; files %v", scenario, err, disk.Names())
 	}
-	h.expectPossible(t, state, when)
-	expectDurable(t, disk, state, when)
-	expectGoesOn(t, disk, store, when)
+	h.expectPossible(t, state, scenario)
+	expectDurable(t, disk, state, scenario)
+	expectSavable(t, disk, store, scenario)
 }
 
-func (h *history) expectPossible(t *testing.T, state *wire.ReplicaState, when string) {
+// expectPossible expects one of the possible states. The first one is not possible after a loss.
+func (h *diskHistory) expectPossible(t *testing.T, state *wire.ReplicaState, scenario string) {
 	t.Helper()
-	possible := h.possible
-	if h.lost {
+	possible := h.possibleStates
+	if h.stateLost {
 		possible = possible[1:]
 	}
 	for _, each := range possible {
@@ -117,72 +124,73 @@
 			return
 		}
 	}
-	t.Fatalf("%s: found neither the acknowledged state nor one tried since: %v", when, state)
+	t.Fatalf("%s: loaded neither the last acknowledged state nor one whose Save failed since: %v", scenario, state)
 }
 
-// expectDurable expects that what was loaded outlasts a loss of power that keeps as little as it may.
-func expectDurable(t *testing.T, disk *simnet.Disk, state *wire.ReplicaState, when string) {
+// expectDurable expects that the loaded state survives a power loss that discards every unsynced change.
+func expectDurable(t *testing.T, disk *simnet.Disk, state *wire.ReplicaState, scenario string) {
 	t.Helper()
-	later := disk.Clone(random.Seeded(1))
-	later.PowerLossKeeping(func(int) bool { return false })
-	_, again, err := open(later, discard, small)
-	if err != nil || !proto.Equal(again, state) {
-		t.Fatalf("%s: loaded %v, and after a loss of power %v, %v", when, state, again, err)
+	clone := disk.Clone(random.Seeded(1))
+	clone.PowerLossKeeping(func(int) bool { return false })
+	_, reloaded, err := open(clone, discardEvents, smallLimits)
+	if err != nil || !proto.Equal(reloaded, state) {
+		t.Fatalf("%s: loaded %v, but after a power loss %v, error %v", scenario, state, reloaded, err)
 	}
 }
 
-// expectGoesOn expects that the store that was loaded can be saved to.
-func expectGoesOn(t *testing.T, disk *simnet.Disk, store *Store, when string) {
+// expectSavable expects that states saved to the store are durable.
+func expectSavable(t *testing.T, disk *simnet.Disk, store *Store, scenario string) {
 	t.Helper()
-	const later = 100
+	const firstSerial = 100
 	for serial := range uint64(2) {
-		if err := store.Save(stateOf(later + serial)); err != nil {
-			t.Fatalf("%s: %v", when, err)
+		if err := store.Save(testState(firstSerial + serial)); err != nil {
+			t.Fatalf("%s: %v", scenario, err)
 		}
-		after := disk.Clone(random.Seeded(1))
-		after.PowerLossKeeping(func(int) bool { return false })
-		_, state, err := open(after, discard, small)
-		if err != nil || !proto.Equal(state, stateOf(later+serial)) {
-			t.Fatalf("%s: saved %d, found %v, %v", when, later+serial, state, err)
+		clone := disk.Clone(random.Seeded(1))
+		clone.PowerLossKeeping(func(int) bool { return false })
+		_, state, err := open(clone, discardEvents, smallLimits)
+		if err != nil || !proto.Equal(state, testState(firstSerial+serial)) {
+			t.Fatalf("%s: saved %d, loaded %v, error %v", scenario, firstSerial+serial, state, err)
 		}
 	}
 }
 
-// checkAfterEnd checks the disk as it is after a mere kill, and after a loss of power in the subsets of what was not
-// synced.
-func (h *history) checkAfterEnd(t *testing.T, seed uint64, most int, when string) (checked int) {
+// checkCrashOutcomes checks the disk as it is after the process was killed, and after power losses that each keep another
+// subset of the unsynced directory changes. It returns the number of disks checked.
+func (h *diskHistory) checkCrashOutcomes(t *testing.T, seed uint64, maxSubsets int, scenario string) (checked int) {
 	t.Helper()
-	h.check(t, h.disk.Clone(random.Seeded(seed)), when+", killed")
+	h.checkDisk(t, h.disk.Clone(random.Seeded(seed)), scenario+", killed")
 	unsynced := h.disk.Unsynced()
-	subsets := subsetsOf(unsynced, most, seed)
+	subsets := subsetsOf(unsynced, maxSubsets, seed)
 	for _, subset := range subsets {
 		disk := h.disk.Clone(random.Seeded(seed ^ subset))
 		disk.PowerLossKeeping(func(i int) bool { return subset>>i&1 == 1 })
-		h.check(t, disk, fmt.Sprintf("%s, power lost, kept %b of %d", when, subset, unsynced))
+		h.checkDisk(t, disk, fmt.Sprintf("%s, power lost, kept %b of %d", scenario, subset, unsynced))
 	}
 	return 1 + len(subsets)
 }
 
-// subsetsOf returns all subsets of count names if there are at most so many, else none, all, and some drawn.
-func subsetsOf(count, most int, seed uint64) []uint64 {
-	if 1<<count <= most {
+// subsetsOf returns bit sets of count elements: all of them if there are at most limit, otherwise the empty one, the full
+// one and random ones.
+func subsetsOf(count, limit int, seed uint64) []uint64 {
+	if 1<<count <= limit {
 		subsets := make([]uint64, 1<<count)
 		for i := range subsets {
 			subsets[i] = uint64(i)
 		}
 		return subsets
 	}
-	random := rand.New(rand.NewPCG(seed, uint64(count)))
+	rng := rand.New(rand.NewPCG(seed, uint64(count)))
 	subsets := []uint64{0, 1<<count - 1}
-	for len(subsets) < most {
-		subsets = append(subsets, random.Uint64()&(1<<count-1))
+	for len(subsets) < limit {
+		subsets = append(subsets, rng.Uint64()&(1<<count-1))
 	}
 	return subsets
 }
 
-// stride is the step between the places of a failure that are combined with each place of a crash. CI's further pass
-// under the race detector, which sets SEEDS to 1, tries fewer: nothing here runs at the same time.
-func stride() int {
+// failureStride is the step between the write points at which tests inject a failure. CI's additional pass under the race
+// detector, which sets SEEDS to 1, uses a larger step: these tests run no concurrent code.
+func failureStride() int {
 	const strideOfOneSeed = 7
 	if os.Getenv("SEEDS") == "1" {
 		return strideOfOneSeed
@@ -190,10 +198,10 @@
 	return 1
 }
 
-func always(int) simnet.Outcome { return simnet.Done }
+func succeedAlways(int) simnet.Outcome { return simnet.Done }
 
-// at gives one outcome at one write and another at a second one.
-func at(point int, outcome simnet.Outcome, point2 int, outcome2 simnet.Outcome) func(int) simnet.Outcome {
+// outcomesAt returns outcome for one write, outcome2 for another, and success for all others.
+func outcomesAt(point int, outcome simnet.Outcome, point2 int, outcome2 simnet.Outcome) func(int) simnet.Outcome {
 	return func(each int) simnet.Outcome {
 		switch each {
 		case point:
@@ -205,15 +213,15 @@
 	}
 }
 
-var crashes = []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter}
+var crashOutcomes = []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter}
 
 func TestCrashAtEachWriteKeepsTheLastSavedState(t *testing.T) {
-	points := play(t, blank(newDisk(1)), 0, always).points
+	points := runProcess(t, newHistory(newDisk(1)), 0, succeedAlways).writePoints
 	checked := 0
 	for point := range points {
-		for _, crash := range crashes {
-			past := play(t, blank(newDisk(uint64(point))), 0, at(point, crash, -1, simnet.Done))
-			checked += past.checkAfterEnd(t, uint64(point), allSubsets, fmt.Sprintf("crash %d at write %d", crash, point))
+		for _, crash := range crashOutcomes {
+			history := runProcess(t, newHistory(newDisk(uint64(point))), 0, outcomesAt(point, crash, -1, simnet.Done))
+			checked += history.checkCrashOutcomes(t, uint64(point), maxSubsets, fmt.Sprintf("crash outcome %d at write %d", crash, point))
 		}
 	}
 	t.Logf("%d write points, %d disks loaded", points, checked)
@@ -221,164 +229,168 @@
 
 func TestCrashAfterAFailedWriteKeepsTheLastSavedState(t *testing.T) {
 	const window = 12
-	points := play(t, blank(newDisk(1)), 0, always).points
+	points := runProcess(t, newHistory(newDisk(1)), 0, succeedAlways).writePoints
 	checked := 0
-	for failed := 0; failed < points; failed += stride() {
+	for failed := 0; failed < points; failed += failureStride() {
 		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
 			for point := failed + 1; point < min(failed+window, points); point++ {
-				past := play(t, blank(newDisk(uint64(point))), 0, at(failed, failure, point, simnet.CrashAfter))
-				checked += past.checkAfterEnd(t, uint64(failed), someSubsets, fmt.Sprintf("failure %d at write %d, crash at write %d", failure, failed, point))
+				history := runProcess(t, newHistory(newDisk(uint64(point))), 0, outcomesAt(failed, failure, point, simnet.CrashAfter))
+				checked += history.checkCrashOutcomes(t, uint64(failed), maxSampledSubsets, fmt.Sprintf("failure %d at write %d, crash at write %d", failure, failed, point))
 			}
 		}
 	}
 	t.Logf("%d write points, %d disks loaded", points, checked)
 }
 
-// TestManyFailuresAndRestartsKeepTheLastSavedState plays lives of several processes on one disk, each with failures at
-// random and a crash, with and without a loss of power.
-func TestManyFailuresAndRestartsKeepTheLastSavedState(t *testing.T) {
-	const lives = 4
-	seeds := 200 / stride()
+// TestRandomFailuresAndRestartsKeepTheLastSavedState runs several processes in sequence on one disk. Each has random write
+// failures and a crash, with or without a power loss.
+func TestRandomFailuresAndRestartsKeepTheLastSavedState(t *testing.T) {
+	const processes = 4
+	seeds := 200 / failureStride()
 	checked := 0
 	for seed := range uint64(seeds) {
-		random := rand.New(rand.NewPCG(seed, 1))
-		past := blank(newDisk(seed))
-		for life := range uint64(lives) {
-			past = play(t, past, life*scriptSaves, randomTrouble(random))
-			checked += past.checkAfterEnd(t, seed, someSubsets, fmt.Sprintf("seed %d, life %d", seed, life))
-			if random.IntN(2) == 0 {
-				past.disk.PowerLoss()
+		rng := rand.New(rand.NewPCG(seed, 1))
+		history := newHistory(newDisk(seed))
+		for process := range uint64(processes) {
+			history = runProcess(t, history, process*savesPerRun, randomFailures(rng))
+			checked += history.checkCrashOutcomes(t, seed, maxSampledSubsets, fmt.Sprintf("seed %d, process %d", seed, process))
+			if rng.IntN(2) == 0 {
+				history.disk.PowerLoss()
 			}
 		}
 	}
 	t.Logf("%d seeds, %d disks loaded", seeds, checked)
 }
 
-// randomTrouble lets a share of the writes fail, single ones or several on end, until a crash.
-func randomTrouble(random *rand.Rand) func(int) simnet.Outcome {
-	share, crash, on := random.Float64()/3, random.IntN(90), 0
+// randomFailures makes a random ratio of the writes fail, singly or several in a row, until a crash.
+func randomFailures(rng *rand.Rand) func(int) simnet.Outcome {
+	failureRatio, crashPoint, moreFailures := rng.Float64()/3, rng.IntN(90), 0
 	failures := []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn}
 	return func(point int) simnet.Outcome {
-		if point == crash {
-			return crashes[random.IntN(len(crashes))]
+		if point == crashPoint {
+			return crashOutcomes[rng.IntN(len(crashOutcomes))]
 		}
-		if on > 0 {
-			on--
-			return failures[random.IntN(len(failures))]
+		if moreFailures > 0 {
+			moreFailures--
+			return failures[rng.IntN(len(failures))]
 		}
-		if random.Float64() < share {
-			on = random.IntN(5)
-			return failures[random.IntN(len(failures))]
+		if rng.Float64() < failureRatio {
+			moreFailures = rng.IntN(5)
+			return failures[rng.IntN(len(failures))]
 		}
 		return simnet.Done
 	}
 }
 
-// damages are ways to spoil the disk of savedFiles.
-func damages(t *testing.T) map[string]func() *simnet.Disk {
+// damagedDisks returns constructors, by name, of disks made by newSavedDisk whose state is then made unreadable.
+func damagedDisks(t *testing.T) map[string]func() *simnet.Disk {
 	t.Helper()
-	ways := map[string]func() *simnet.Disk{}
+	constructors := map[string]func() *simnet.Disk{}
 	for i := range 3 {
-		ways[fmt.Sprintf("bit of file %d", i)] = func() *simnet.Disk {
-			disk, names := savedFiles(t)
+		constructors[fmt.Sprintf("flipped bit in file %d", i)] = func() *simnet.Disk {
+			disk, names := newSavedDisk(t)
 			disk.Flip(names[i])
 			return disk
 		}
 	}
 	for i := range 2 {
-		ways[fmt.Sprintf("loss of file %d", i)] = func() *simnet.Disk {
-			disk, names := savedFiles(t)
+		constructors[fmt.Sprintf("loss of file %d", i)] = func() *simnet.Disk {
+			disk, names := newSavedDisk(t)
 			_ = disk.Remove(names[i])
 			_ = disk.SyncFolder("")
 			return disk
 		}
 	}
-	return ways
+	return constructors
 }
 
-func TestLostStateNeverComesBack(t *testing.T) {
+// TestLostStateIsNeverLoadedAgain guards against files of a lost state being taken for a newer state once the store has
+// been written again, whatever fails in between.
+func TestLostStateIsNeverLoadedAgain(t *testing.T) {
 	const first = 40
 	checked := 0
-	for name, damage := range damages(t) {
-		points := play(t, damaged(damage()), first, always).points
-		for point := 0; point < points; point += stride() {
+	for name, damage := range damagedDisks(t) {
+		points := runProcess(t, newDamagedHistory(damage()), first, succeedAlways).writePoints
+		for point := 0; point < points; point += failureStride() {
 			for _, outcome := range []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter, simnet.Refused, simnet.Unknown, simnet.Torn} {
-				past := play(t, damaged(damage()), first, at(point, outcome, point+3, simnet.CrashAfter))
-				checked += past.checkAfterEnd(t, uint64(point), someSubsets, fmt.Sprintf("%s, outcome %d at write %d", name, outcome, point))
+				history := runProcess(t, newDamagedHistory(damage()), first, outcomesAt(point, outcome, point+3, simnet.CrashAfter))
+				checked += history.checkCrashOutcomes(t, uint64(point), maxSampledSubsets, fmt.Sprintf("%s, outcome %d at write %d", name, outcome, point))
 			}
 		}
 	}
 	t.Logf("%d disks loaded", checked)
 }
 
-func TestLostStateIsKnownUntilTheNextSave(t *testing.T) {
-	for name, damage := range damages(t) {
+func TestLostStateIsReportedUntilTheNextSave(t *testing.T) {
+	for name, damage := range damagedDisks(t) {
 		disk := damage()
 		for range 3 {
 			expectUnreadable(t, disk)
 			disk.PowerLoss()
 		}
 		store := expectUnreadable(t, disk)
-		mustSave(t, store, stateOf(50))
+		mustSave(t, store, testState(50))
 		_, state := mustOpen(t, disk)
-		if !proto.Equal(state, stateOf(50)) {
-			t.Fatalf("%s: found %v", name, state)
+		if !proto.Equal(state, testState(50)) {
+			t.Fatalf("%s: loaded %v", name, state)
 		}
 	}
 }
 
-func TestFullDiskLeavesTheStateAndServesAgain(t *testing.T) {
+func TestFullDiskKeepsTheStateAndRecovers(t *testing.T) {
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
-	mustSave(t, store, stateOf(1))
+	mustSave(t, store, testState(1))
 	disk.Fill(true)
 	for serial := range uint64(5) {
-		if store.Save(stateOf(2+serial)) == nil {
-			t.Fatal("saved on a full disk")
+		if store.Save(testState(2+serial)) == nil {
+			t.Fatal("Save succeeded on a full disk")
 		}
 	}
 	if stats := store.Stats(); stats.Failures != 5 || stats.Saves != 1 {
 		t.Fatalf("%+v", stats)
 	}
 	_, state := mustOpen(t, disk)
-	expectState(t, state, stateOf(1))
+	expectState(t, state, testState(1))
 	disk.Fill(false)
-	mustSave(t, store, stateOf(9))
+	mustSave(t, store, testState(9))
 	_, state = mustOpen(t, disk)
-	expectState(t, state, stateOf(9))
+	expectState(t, state, testState(9))
 }
 
-func TestFullDiskKeepsALossKnown(t *testing.T) {
-	disk, names := savedFiles(t)
+func TestLostStateIsReportedWhileTheDiskIsFull(t *testing.T) {
+	disk, names := newSavedDisk(t)
 	disk.Flip(names[2])
 	disk.Fill(true)
 	store := expectUnreadable(t, disk)
-	if store.Save(stateOf(50)) == nil {
-		t.Fatal("saved on a full disk")
+	if store.Save(testState(50)) == nil {
+		t.Fatal("Save succeeded on a full disk")
 	}
 	expectUnreadable(t, disk)
 	disk.Fill(false)
-	mustSave(t, store, stateOf(50))
+	mustSave(t, store, testState(50))
 	_, state := mustOpen(t, disk)
-	expectState(t, state, stateOf(50))
+	expectState(t, state, testState(50))
 }
 
-// TestSaveAfterAFailedOneIsInForce lets a Save fail at each of its writes. Then another one succeeds, and power is lost.
-func TestSaveAfterAFailedOneIsInForce(t *testing.T) {
-	// The difference to a state that shares nothing outweighs that state, so it is written as a snapshot.
-	unlike := &wire.ReplicaState{Id: "replica-z", Registers: map[string]*wire.Register{
+// TestSaveAfterAFailedSaveIsDurable makes a Save fail at each of its writes, lets the next one succeed, and then cuts the
+// power. The failed Save may have left a file with the same number, which must not take precedence.
+func TestSaveAfterAFailedSaveIsDurable(t *testing.T) {
+	// A state that shares nothing with its predecessor is written as a snapshot, because the change would be larger than
+	// the state.
+	unrelated := &wire.ReplicaState{Id: "replica-z", Registers: map[string]*wire.Register{
 		"other": {Accepted: &wire.Version{Value: []byte(strings.Repeat("z", 100))}},
 	}}
 	for _, each := range []struct {
 		name          string
 		first, second *wire.ReplicaState
-		kind          kind
+		kind          fileKind
 	}{
-		{"the state before the failed change", stateOf(2), stateOf(1), changeKind},
-		{"the state before the failed snapshot", unlike, stateOf(1), snapshotKind},
-		{"a change after a snapshot", unlike, stateOf(2), snapshotKind},
-		{"a snapshot after a change", stateOf(2), unlike, changeKind},
-		{"a change after a change", stateOf(2), stateOf(3), changeKind},
+		{"previous state after a failed change", testState(2), testState(1), changeKind},
+		{"previous state after a failed snapshot", unrelated, testState(1), snapshotKind},
+		{"change after a failed snapshot", unrelated, testState(2), snapshotKind},
+		{"snapshot after a failed change", testState(2), unrelated, changeKind},
+		{"change after a failed change", testState(2), testState(3), changeKind},
 	} {
 		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
 			for point, failed := 0, true; failed; point++ {
@@ -388,65 +400,66 @@
 	}
 }
 
-// saveAfterFailure returns false if the first Save has no write of that number whose failure it reports.
-func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want kind, point int, failure simnet.Outcome) bool {
+// saveAfterFailure makes the write with the given number fail in the first Save. It returns whether that Save returned an
+// error; it does not if it makes fewer writes, or ignores the failure of this one.
+func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want fileKind, point int, failure simnet.Outcome) bool {
 	t.Helper()
 	disk := newDisk(uint64(point))
-	faults := &simnet.Faults{Disk: disk, Decide: always}
-	store, _, err := open(faults, discard, limits{changesPerSnapshot: 100, outweighRatio: 1, trimmedPerSave: 2})
+	faults := &simnet.Faults{Disk: disk, Decide: succeedAlways}
+	store, _, err := open(faults, discardEvents, limits{maxChangesPerSnapshot: 100, maxChangesRatio: 1, maxRemovalsPerSave: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustSave(t, store, stateOf(1))
-	faults.Decide = at(faults.Points()+point, failure, -1, simnet.Done)
+	mustSave(t, store, testState(1))
+	faults.Decide = outcomesAt(faults.Points()+point, failure, -1, simnet.Done)
 	failed := store.Save(first) != nil
 	if written := store.Stats().Snapshots - 1; !failed && (written == 1) != (want == snapshotKind) {
-		t.Fatalf("%s: %d snapshots, the first Save was to be a %s", name, written, want)
+		t.Fatalf("%s: %d snapshots written, want the first Save to write a %s", name, written, want)
 	}
-	faults.Decide = always
+	faults.Decide = succeedAlways
 	mustSave(t, store, second)
 	disk.PowerLoss()
 	_, state := mustOpen(t, disk)
 	if !proto.Equal(state, second) {
-		t.Fatalf("%s, failure %d at write %d: found %v", name, failure, point, state)
+		t.Fatalf("%s, failure %d at write %d: loaded %v", name, failure, point, state)
 	}
 	return failed
 }
 
-func TestKillOnAStalledDiskLeavesTheState(t *testing.T) {
+func TestKillDuringStalledSaveKeepsTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := newDisk(1)
 		mount := simnet.NewMount(disk)
 		store, _ := mustOpen(t, mount)
-		mustSave(t, store, stateOf(1))
+		mustSave(t, store, testState(1))
 		release := disk.Stall()
-		ended := make(chan error)
-		go func() { ended <- store.Save(stateOf(2)) }()
+		saved := make(chan error)
+		go func() { saved <- store.Save(testState(2)) }()
 		synctest.Wait()
 		mount.Unmount()
-		if err := <-ended; err == nil {
-			t.Fatal("saved on a stalled disk")
+		if err := <-saved; err == nil {
+			t.Fatal("Save succeeded on an unmounted disk")
 		}
 		release()
 		_, state := mustOpen(t, simnet.NewMount(disk))
-		expectState(t, state, stateOf(1))
+		expectState(t, state, testState(1))
 	})
 }
 
-func TestSaveOnAStalledDiskEndsWithTheStall(t *testing.T) {
+func TestStalledSaveCompletesWhenTheStallEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := newDisk(1)
 		store, _ := mustOpen(t, simnet.NewMount(disk))
 		release := disk.Stall()
-		ended := make(chan error)
-		go func() { ended <- store.Save(stateOf(1)) }()
+		saved := make(chan error)
+		go func() { saved <- store.Save(testState(1)) }()
 		synctest.Wait()
 		release()
-		if err := <-ended; err != nil {
+		if err := <-saved; err != nil {
 			t.Fatal(err)
 		}
 		disk.PowerLoss()
 		_, state := mustOpen(t, simnet.NewMount(disk))
-		expectState(t, state, stateOf(1))
+		expectState(t, state, testState(1))
 	})
 }
--- a/internal/statestore/file.go
+++ b/internal/statestore/file.go
@@ -12,14 +12,14 @@
 	"curlewreach/proto/wire"
 )
 
-// kind tells what a file of the store holds; it is the last part of the file's name.
-type kind string
+// fileKind says what a file of the store contains. It is the extension of the file's name.
+type fileKind string
 
 const (
-	// changeKind is the difference to the version before.
-	changeKind kind = "change"
-	// snapshotKind is a whole state.
-	snapshotKind kind = "snapshot"
+	// changeKind is a file with the difference to the preceding version.
+	changeKind fileKind = "change"
+	// snapshotKind is a file with a complete state.
+	snapshotKind fileKind = "snapshot"
 )
 
 const (
@@ -27,45 +27,46 @@
 	numberDigits = 16
 )
 
-// digest is the SHA-256 of a file, by which the next file knows its predecessor.
+// digest is the SHA-256 of a file's content. Each change contains the digest of the file that precedes it.
 type digest [sha256.Size]byte
 
-// fileName is the number and kind that a file's name states.
+// fileName is the version number and kind encoded in a file's name.
 type fileName struct {
 	number uint64
-	kind   kind
+	kind   fileKind
 }
 
 func (f fileName) String() string {
 	return fmt.Sprintf("%s%0*x.%s", namePrefix, numberDigits, f.number, f.kind)
 }
 
-// parseName returns false for files that are not of this store, such as those still written aside.
+// parseName parses a file's name. It returns false for files that are not state files, including temporary files.
 func parseName(name string) (fileName, bool) {
-	number, ending, found := strings.Cut(strings.TrimPrefix(name, namePrefix), ".")
+	number, extension, found := strings.Cut(strings.TrimPrefix(name, namePrefix), ".")
 	if !found {
 		return fileName{}, false
 	}
 	parsed, err := strconv.ParseUint(number, 16, 64)
-	file := fileName{parsed, kind(ending)}
+	file := fileName{parsed, fileKind(extension)}
 	return file, err == nil && file.String() == name && (file.kind == changeKind || file.kind == snapshotKind)
 }
 
-// isTemporary tells whether the name is that of a file of this store which was being written.
+// isTemporary reports whether the name is that of a temporary file left by an interrupted write of a state file.
 func isTemporary(name string) bool {
-	written, found := strings.CutSuffix(name, storage.TemporarySuffix)
-	_, ours := parseName(written)
-	return found && ours
+	target, hasSuffix := strings.CutSuffix(name, storage.TemporarySuffix)
+	_, isStateFile := parseName(target)
+	return hasSuffix && isStateFile
 }
 
-// decodeFile returns what a file holds, unless its digest or its number is not the one stated.
+// decodeFile decodes a file. It returns an error if the content's digest does not match, or if the number in the content
+// differs from the one in the name.
 func decodeFile(name fileName, raw []byte) (*wire.StateFile, error) {
 	file := &wire.StateFile{}
 	if err := storage.Unframe(raw, file); err != nil {
 		return nil, errors.Wrap(err, name.String())
 	}
 	if file.Number != name.number {
-		return nil, errors.Errorf("%s states number %d", name, file.Number)
+		return nil, errors.Errorf("%s contains number %d", name, file.Number)
 	}
 	return file, nil
 }
@@ -79,7 +80,7 @@
 	return &wire.StateFile{Number: number, Content: &wire.StateFile_Change{Change: change}}
 }
 
-func kindOf(file *wire.StateFile) kind {
+func kindOf(file *wire.StateFile) fileKind {
 	if _, whole := file.Content.(*wire.StateFile_Snapshot); whole {
 		return snapshotKind
 	}
--- a/internal/statestore/load.go
+++ b/internal/statestore/load.go
@@ -11,118 +11,121 @@
 	"curlewreach/proto/wire"
 )
 
-// inventory is what a disk's folder lists of the store.
-type inventory struct {
-	// current are the newest snapshot, if there is one, and all changes of higher numbers.
+// fileListing holds the store's files found in the disk's root folder.
+type fileListing struct {
+	// current holds the newest snapshot, if there is one, and all changes with higher numbers.
 	current []fileName
-	// leftovers are the names of other files, which no load reads.
-	leftovers []string
-	// highest is the highest number of any file, and snapshot that of the newest snapshot, 0 without one.
-	highest, snapshot uint64
+	// obsolete holds the names of all other files of the store, which load does not read.
+	obsolete []string
+	// highestNumber is the highest number of any file. snapshotNumber is the number of the newest snapshot, 0 if there
+	// is none.
+	highestNumber, snapshotNumber uint64
 }
 
-func takeInventory(disk storage.Disk) (*inventory, error) {
+func listFiles(disk storage.Disk) (*fileListing, error) {
 	names, err := disk.List("")
 	if err != nil {
 		return nil, errors.Wrap(err, "list")
 	}
-	found := &inventory{}
+	listing := &fileListing{}
 	var files []fileName
 	for _, name := range names {
 		if isTemporary(name) {
-			found.leftovers = append(found.leftovers, name)
+			listing.obsolete = append(listing.obsolete, name)
 		}
-		if file, ours := parseName(name); ours {
+		if file, isStateFile := parseName(name); isStateFile {
 			files = append(files, file)
 		}
 	}
-	found.classify(files)
-	return found, nil
+	listing.classify(files)
+	return listing, nil
 }
 
-func (i *inventory) classify(files []fileName) {
+func (l *fileListing) classify(files []fileName) {
 	for _, file := range files {
-		i.highest = max(i.highest, file.number)
+		l.highestNumber = max(l.highestNumber, file.number)
 		if file.kind == snapshotKind {
-			i.snapshot = max(i.snapshot, file.number)
+			l.snapshotNumber = max(l.snapshotNumber, file.number)
 		}
 	}
 	for _, file := range files {
-		if i.isCurrent(file) {
-			i.current = append(i.current, file)
+		if l.isCurrent(file) {
+			l.current = append(l.current, file)
 		} else {
-			i.leftovers = append(i.leftovers, file.String())
+			l.obsolete = append(l.obsolete, file.String())
 		}
 	}
 }
 
-// isCurrent prefers a snapshot to a change of its number: that change was written first, and its Save failed.
-func (i *inventory) isCurrent(file fileName) bool {
-	return file.number > i.snapshot || file == fileName{i.snapshot, snapshotKind}
+// isCurrent reports whether load reads the file. If a change and a snapshot have the same number, the snapshot is
+// current: the change was written first, by a Save that failed, and the next Save reused the number.
+func (l *fileListing) isCurrent(file fileName) bool {
+	return file.number > l.snapshotNumber || file == fileName{l.snapshotNumber, snapshotKind}
 }
 
-// loaded is the newest state on a disk and the files that it was read from.
-type loaded struct {
+// loadedState is the newest version of the state and the size of the files that it consists of.
+type loadedState struct {
 	state         *wire.ReplicaState
 	number        uint64
 	digest        digest
-	changes       int
-	changeBytes   int
+	changeCount   int
+	changeBytes   int // size of all changes since the snapshot
 	snapshotBytes int
 }
 
-// load reads the newest snapshot and all changes after it. An error that is not ErrUnreadable may pass.
-func load(disk storage.Disk, found *inventory) (*loaded, error) {
-	if found.snapshot == 0 {
+// load reads the newest snapshot and all changes after it. It returns ErrUnreadable if the state is lost; any other error
+// may be temporary, so the caller may try again.
+func load(disk storage.Disk, listing *fileListing) (*loadedState, error) {
+	if listing.snapshotNumber == 0 {
 		return nil, errors.Wrap(ErrUnreadable, "no snapshot")
 	}
-	at, err := loadSnapshot(disk, fileName{found.snapshot, snapshotKind})
+	result, err := loadSnapshot(disk, fileName{listing.snapshotNumber, snapshotKind})
 	if err != nil {
 		return nil, err
 	}
-	for range len(found.current) - 1 {
-		if err := at.loadChange(disk, fileName{at.number + 1, changeKind}); err != nil {
+	for range len(listing.current) - 1 {
+		if err := result.loadChange(disk, fileName{result.number + 1, changeKind}); err != nil {
 			return nil, err
 		}
 	}
-	return at, nil
+	return result, nil
 }
 
-func loadSnapshot(disk storage.Disk, name fileName) (*loaded, error) {
+func loadSnapshot(disk storage.Disk, name fileName) (*loadedState, error) {
 	raw, file, err := readFile(disk, name)
 	if err != nil {
 		return nil, err
 	}
 	if file.GetSnapshot() == nil {
-		return nil, errors.Wrapf(ErrUnreadable, "%s holds no snapshot", name)
+		return nil, errors.Wrapf(ErrUnreadable, "%s does not contain a snapshot", name)
 	}
-	state := shared(file.GetSnapshot())
-	return &loaded{state: state, number: name.number, digest: sha256.Sum256(raw), snapshotBytes: len(raw)}, nil
+	state := copyState(file.GetSnapshot())
+	return &loadedState{state: state, number: name.number, digest: sha256.Sum256(raw), snapshotBytes: len(raw)}, nil
 }
 
-func (l *loaded) loadChange(disk storage.Disk, name fileName) error {
+func (l *loadedState) loadChange(disk storage.Disk, name fileName) error {
 	raw, file, err := readFile(disk, name)
 	if err != nil {
 		return err
 	}
 	change := file.GetChange()
 	if change == nil {
-		return errors.Wrapf(ErrUnreadable, "%s holds no change", name)
+		return errors.Wrapf(ErrUnreadable, "%s does not contain a change", name)
 	}
 	if string(change.Predecessor) != string(l.digest[:]) {
-		return errors.Wrapf(ErrUnreadable, "%s follows another file than the one before it", name)
+		return errors.Wrapf(ErrUnreadable, "%s has a predecessor digest that does not match the preceding file", name)
 	}
-	state, err := applied(l.state, change)
+	state, err := applyChange(l.state, change)
 	if err != nil {
 		return errors.Wrapf(ErrUnreadable, "%s: %s", name, err)
 	}
 	l.state, l.number, l.digest = state, name.number, sha256.Sum256(raw)
-	l.changes++
+	l.changeCount++
 	l.changeBytes += len(raw)
 	return nil
 }
 
-// readFile returns ErrUnreadable for a file that is missing, bad or on a bad sector.
+// readFile reads and decodes a file. It returns ErrUnreadable if the file is missing, malformed or on a bad sector (EIO).
 func readFile(disk storage.Disk, name fileName) ([]byte, *wire.StateFile, error) {
 	raw, err := disk.Read(name.String())
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.EIO) {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,13 +1,15 @@
-// Package statestore keeps one replica's state on its disk.
+// Package statestore persists one replica's state on its disk.
 //
-// Each version of the state is one file: a snapshot with all of it, or a change with the difference to the version
-// before. A load takes the newest snapshot and all changes after it; each change names the digest of the file before
-// it, so a gap or a file of another history is noticed and makes the state unreadable.
+// Each version of the state is stored in one numbered file: a snapshot with the complete state, or a change with the
+// difference to the preceding version. Loading reads the newest snapshot and all changes after it. Each change contains
+// the digest of the file that precedes it, so a missing file or a file written by another store is detected and makes
+// the state unreadable.
 //
-// A file is written aside, synced, renamed and its folder synced before the next number is used, so only the newest
-// file can be missing after a loss of power. A failed Save leaves it open whether its file is there: the next one
-// takes the same number, and replaces the file or outdates it by a snapshot, as a snapshot goes before a change of
-// its number. Files that a newer snapshot outdates are removed without a sync; they do no harm if they come back.
+// A file is written under a temporary name, synced and renamed, and its folder is synced, before the next number is used.
+// Only the newest file can therefore be missing after a power loss. After a failed Save it is unknown whether the file is
+// on the disk. The next Save uses the same number: it either replaces the file, or writes a snapshot, which takes
+// precedence over a change with the same number. Files made obsolete by a newer snapshot are removed without a sync,
+// because a load ignores them if a power loss restores them.
 package statestore
 
 import (
@@ -23,113 +25,118 @@
 	"curlewreach/proto/wire"
 )
 
-// ErrUnreadable is the cause of the error that Open returns for a disk whose state was lost.
+// ErrUnreadable is the cause of the error that Open returns if the state on the disk is lost.
 var ErrUnreadable = errors.New("replica state is unreadable")
 
 const (
-	// changesPerSnapshot bounds the files that a load reads and the disk keeps.
-	changesPerSnapshot = 256
-	// outweighRatio is the size of all changes since a snapshot, as a share of the whole state's size, from which
-	// on a new snapshot is written.
-	outweighRatio = 1.0
-	// trimmedPerSave is the most outdated files that one Save removes, so that none takes long.
-	trimmedPerSave = 8
+	// maxChangesPerSnapshot is the number of changes after which a new snapshot is written. It bounds the number of files
+	// that a load reads and that are kept on the disk.
+	maxChangesPerSnapshot = 256
+	// maxChangesRatio is the total size of the changes since the last snapshot, relative to the size of the state, above
+	// which a new snapshot is written.
+	maxChangesRatio = 1.0
+	// maxRemovalsPerSave is the maximum number of obsolete files that one Save removes, which bounds the duration of a Save.
+	maxRemovalsPerSave = 8
 )
 
-// limits are the package's constants, smaller in tests.
+// limits holds the values of the constants above. Tests use smaller ones.
 type limits struct {
-	changesPerSnapshot int
-	outweighRatio      float64
-	trimmedPerSave     int
+	maxChangesPerSnapshot int
+	maxChangesRatio       float64
+	maxRemovalsPerSave    int
 }
 
-// Note takes a line for the journal: what happened, to which file, and why.
-type Note func(what, subject, detail string)
+// RecordFunc appends an event to the process's journal.
+type RecordFunc func(topic, subject, detail string)
 
-// Store writes the versions of one replica's state. Its Save must not be called twice at once; Stats may always be.
+// Store writes the versions of one replica's state. Calls of Save must not overlap; Stats may be called at any time.
 type Store struct {
 	disk   storage.Disk
-	note   Note
+	record RecordFunc
 	limits limits
-	// current is the last version that was saved or loaded; its state is nil before the first.
-	current loaded
-	// attempted is the kind of the file whose writing failed last, if its number is still to be used again.
-	attempted kind
-	// live are the names in use and outdated those to be removed.
-	live     []string
-	outdated []string
-	counters counters
+	// current is the last version that was saved or loaded. Its state is nil before the first one.
+	current loadedState
+	// pendingKind is the kind of the file whose write was started but has not succeeded, empty if there is none. The next
+	// Save reuses that file's number.
+	pendingKind fileKind
+	// liveFiles holds the names of files that a load may read, obsoleteFiles those of files to be removed.
+	liveFiles     []string
+	obsoleteFiles []string
+	counters      counters
 }
 
 type counters struct {
-	saves, failures, snapshots, bytes, files, snapshotBytes atomic.Int64
+	saves, failures, snapshots, bytesWritten, files, snapshotBytes atomic.Int64
 }
 
-// Stats are counts since Open.
+// Stats holds counters since Open and sizes at the time of the call.
 type Stats struct {
-	// Saves is the number of versions written, Snapshots of how many of those were whole.
+	// Saves is the number of versions written, and Snapshots the number of those written as a snapshot.
 	Saves, Snapshots int64
-	// Failures is the number of Saves that returned an error.
+	// Failures is the number of calls of Save that returned an error.
 	Failures int64
 	// BytesWritten is the size of all files written, in bytes.
 	BytesWritten int64
-	// Files is the number of files on the disk now.
+	// Files is the current number of files on the disk.
 	Files int64
 	// SnapshotBytes is the size of the last snapshot, in bytes.
 	SnapshotBytes int64
 }
 
-// Open loads the state. A disk that was never written gives no state and no error. A disk whose state cannot be read
-// whole gives an error caused by ErrUnreadable and a store on which a fresh state can be saved: as a snapshot numbered
-// above all files there, which outdates them in one step. Until then they stay, and Open keeps saying ErrUnreadable.
-// With any other error there is no store, and Open may be called again.
-func Open(disk storage.Disk, note func(what, subject, detail string)) (*Store, *wire.ReplicaState, error) {
-	return open(disk, note, limits{changesPerSnapshot, outweighRatio, trimmedPerSave})
+// Open loads the state from the disk.
+//
+//   - If the disk has never been written, it returns a store, a nil state and no error.
+//   - If the state cannot be read completely, it returns a store and an error whose cause is ErrUnreadable. The first Save
+//     then writes a snapshot with a higher number than all existing files, which makes them obsolete in one atomic step.
+//     Until that Save succeeds the files are kept, and further calls of Open return ErrUnreadable as well.
+//   - On any other error the store is nil, and Open may be called again.
+func Open(disk storage.Disk, record func(topic, subject, detail string)) (*Store, *wire.ReplicaState, error) {
+	return open(disk, record, limits{maxChangesPerSnapshot, maxChangesRatio, maxRemovalsPerSave})
 }
 
-func open(disk storage.Disk, note Note, limits limits) (*Store, *wire.ReplicaState, error) {
-	// What a process before this one renamed may not be durable yet, and is about to be relied upon.
+func open(disk storage.Disk, record RecordFunc, limits limits) (*Store, *wire.ReplicaState, error) {
+	// Renames made by a previous process may not be durable yet. Sync them before the loaded state is relied upon.
 	if err := disk.SyncFolder(""); err != nil {
 		return nil, nil, errors.Wrap(err, "sync folder")
 	}
-	found, err := takeInventory(disk)
+	listing, err := listFiles(disk)
 	if err != nil {
 		return nil, nil, err
 	}
-	store := &Store{disk: disk, note: note, limits: limits, outdated: found.leftovers}
-	store.current.number = found.highest
-	store.live = texts(found.current)
-	defer store.count()
-	if len(found.current) == 0 {
+	store := &Store{disk: disk, record: record, limits: limits, obsoleteFiles: listing.obsolete}
+	store.current.number = listing.highestNumber
+	store.liveFiles = fileNames(listing.current)
+	defer store.updateGauges()
+	if len(listing.current) == 0 {
 		return store, nil, nil
 	}
-	current, err := load(disk, found)
+	current, err := load(disk, listing)
 	if errors.Is(err, ErrUnreadable) {
-		note("state-unreadable", "", err.Error())
+		record("state-unreadable", "", err.Error())
 		return store, nil, err
 	}
 	if err != nil {
 		return nil, nil, err
 	}
 	store.current = *current
-	return store, shared(current.state), nil
+	return store, copyState(current.state), nil
 }
 
-// Save makes next durable as a whole, or returns an error. After an error the last saved state is in force here, but
-// after a restart it may be either. The store keeps parts of next: its terms, versions and memberships must not be
-// changed in place afterwards.
+// Save makes next durable atomically, or returns an error. After an error this store still holds the last saved state,
+// but a restart may load either that state or next. The store retains parts of next: its terms, versions and memberships
+// must not be modified afterwards.
 func (s *Store) Save(next *wire.ReplicaState) error {
 	err := s.save(next)
 	if err != nil {
 		s.counters.failures.Add(1)
-		s.note("disk-trouble", "", err.Error())
+		s.record("disk-trouble", "", err.Error())
 	}
-	s.count()
+	s.updateGauges()
 	return err
 }
 
 func (s *Store) save(next *wire.ReplicaState) error {
-	file := s.plan(next)
+	file := s.nextFile(next)
 	if file == nil {
 		return nil
 	}
@@ -138,105 +145,108 @@
 		return errors.Wrap(err, "encode")
 	}
 	name := fileName{file.Number, kindOf(file)}
-	s.attempted = name.kind
-	s.track(name.String())
+	s.pendingKind = name.kind
+	s.trackFile(name.String())
 	if err := storage.WriteAtomically(s.disk, name.String(), raw); err != nil {
-		s.outdate(name.String() + storage.TemporarySuffix)
+		s.markObsolete(name.String() + storage.TemporarySuffix)
 		return errors.Wrap(err, name.String())
 	}
-	s.attempted = ""
-	s.accept(name, raw, next)
-	s.trim()
+	s.pendingKind = ""
+	s.recordWritten(name, raw, next)
+	s.removeObsolete()
 	return nil
 }
 
-// plan returns the file to be written, or nil if next is on the disk already.
-func (s *Store) plan(next *wire.ReplicaState) *wire.StateFile {
+// nextFile returns the file to write, or nil if next is already on the disk. It writes a snapshot for the first state,
+// after a snapshot whose write failed, and when the changes since the last snapshot are too many or too large.
+func (s *Store) nextFile(next *wire.ReplicaState) *wire.StateFile {
 	number := s.current.number + 1
-	if s.current.state == nil || s.attempted == snapshotKind || s.current.changes >= s.limits.changesPerSnapshot {
+	if s.current.state == nil || s.pendingKind == snapshotKind || s.current.changeCount >= s.limits.maxChangesPerSnapshot {
 		return snapshotFile(number, next)
 	}
-	change := difference(s.current.state, next)
-	if change == nil && s.attempted == "" {
+	change := diffStates(s.current.state, next)
+	if change == nil && s.pendingKind == "" {
 		return nil
 	}
 	if change == nil {
 		change = &wire.StateChange{}
 	}
-	weight := s.current.changeBytes + proto.Size(change)
-	if float64(weight) > s.limits.outweighRatio*float64(proto.Size(next)) {
+	changeBytes := s.current.changeBytes + proto.Size(change)
+	if float64(changeBytes) > s.limits.maxChangesRatio*float64(proto.Size(next)) {
 		return snapshotFile(number, next)
 	}
 	return changeFile(number, s.current.digest, change)
 }
 
-// track remembers that a file may be on the disk from now on.
-func (s *Store) track(name string) {
-	if !slices.Contains(s.live, name) {
-		s.live = append(s.live, name)
+// trackFile records that a file may exist on the disk from now on.
+func (s *Store) trackFile(name string) {
+	if !slices.Contains(s.liveFiles, name) {
+		s.liveFiles = append(s.liveFiles, name)
 	}
 }
 
-// accept takes the written file in as the current version.
-func (s *Store) accept(name fileName, raw []byte, state *wire.ReplicaState) {
+// recordWritten makes the written file the current version. A snapshot makes all other files obsolete.
+func (s *Store) recordWritten(name fileName, raw []byte, state *wire.ReplicaState) {
 	s.counters.saves.Add(1)
-	s.counters.bytes.Add(int64(len(raw)))
-	s.current.state, s.current.number, s.current.digest = shared(state), name.number, sha256.Sum256(raw)
+	s.counters.bytesWritten.Add(int64(len(raw)))
+	s.current.state, s.current.number, s.current.digest = copyState(state), name.number, sha256.Sum256(raw)
 	if name.kind == changeKind {
-		s.current.changes++
+		s.current.changeCount++
 		s.current.changeBytes += len(raw)
 		return
 	}
 	s.counters.snapshots.Add(1)
-	s.current.changes, s.current.changeBytes, s.current.snapshotBytes = 0, 0, len(raw)
-	for _, each := range s.live {
-		if each != name.String() {
-			s.outdate(each)
+	s.current.changeCount, s.current.changeBytes, s.current.snapshotBytes = 0, 0, len(raw)
+	for _, other := range s.liveFiles {
+		if other != name.String() {
+			s.markObsolete(other)
 		}
 	}
-	s.live = []string{name.String()}
+	s.liveFiles = []string{name.String()}
 }
 
-// outdate has a file removed some time after a later Save.
-func (s *Store) outdate(name string) {
-	if !slices.Contains(s.outdated, name) {
-		s.outdated = append(s.outdated, name)
+// markObsolete schedules a file for removal, by this Save or a later one.
+func (s *Store) markObsolete(name string) {
+	if !slices.Contains(s.obsoleteFiles, name) {
+		s.obsoleteFiles = append(s.obsoleteFiles, name)
 	}
 }
 
-// trim removes some of the outdated files. A removal that fails is tried again; one that is lost is found by Open.
-func (s *Store) trim() {
-	count := min(len(s.outdated), s.limits.trimmedPerSave)
-	tried, rest := s.outdated[:count], slices.Clone(s.outdated[count:])
-	for _, name := range tried {
+// removeObsolete removes up to maxRemovalsPerSave obsolete files. A failed removal is retried by a later Save. If a power
+// loss restores a removed file, Open lists it as obsolete again.
+func (s *Store) removeObsolete() {
+	count := min(len(s.obsoleteFiles), s.limits.maxRemovalsPerSave)
+	batch, remaining := s.obsoleteFiles[:count], slices.Clone(s.obsoleteFiles[count:])
+	for _, name := range batch {
 		if err := s.disk.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	s.outdated = rest
+	s.obsoleteFiles = remaining
 }
 
-// Stats returns the store's counts.
+// Stats returns the store's counters. It is safe for concurrent use.
 func (s *Store) Stats() Stats {
 	return Stats{
 		Saves:         s.counters.saves.Load(),
 		Snapshots:     s.counters.snapshots.Load(),
 		Failures:      s.counters.failures.Load(),
-		BytesWritten:  s.counters.bytes.Load(),
+		BytesWritten:  s.counters.bytesWritten.Load(),
 		Files:         s.counters.files.Load(),
 		SnapshotBytes: s.counters.snapshotBytes.Load(),
 	}
 }
 
-func (s *Store) count() {
-	s.counters.files.Store(int64(len(s.live) + len(s.outdated)))
+// updateGauges publishes the number of files and the snapshot's size for Stats.
+func (s *Store) updateGauges() {
+	s.counters.files.Store(int64(len(s.liveFiles) + len(s.obsoleteFiles)))
 	s.counters.snapshotBytes.Store(int64(s.current.snapshotBytes))
 }
 
-func texts(names []fileName) []string {
-	listed := make([]string, len(names))
-	for i, name := range names {
-		listed[i] = name.String()
+func fileNames(files []fileName) []string {
+	names := make([]string, len(files))
+	for i, file := range files {
+		names[i] = file.String()
 	}
-	return listed
+	return names
 }
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -14,15 +14,15 @@
 	"curlewreach/proto/wire"
 )
 
-func discard(string, string, string) {}
+func discardEvents(string, string, string) {}
 
-// small makes snapshots and trims come after few Saves.
-var small = limits{changesPerSnapshot: 3, outweighRatio: 4, trimmedPerSave: 2}
+// smallLimits makes snapshots and removals of obsolete files happen after a few calls of Save.
+var smallLimits = limits{maxChangesPerSnapshot: 3, maxChangesRatio: 4, maxRemovalsPerSave: 2}
 
 func newDisk(seed uint64) *simnet.Disk { return simnet.NewDisk(random.Seeded(seed)) }
 
-// stateOf returns a state that differs in its promise, its value and, now and then, in its other fields.
-func stateOf(serial uint64) *wire.ReplicaState {
+// testState returns a state whose promise and value differ for each serial, and whose other fields differ for some.
+func testState(serial uint64) *wire.ReplicaState {
 	value := bytes.Repeat([]byte("a line that stays\n"), 10)
 	value = append(value, fmt.Sprintf("line %d", serial)...)
 	state := &wire.ReplicaState{
@@ -51,7 +51,7 @@
 
 func mustOpen(t *testing.T, disk storage.Disk) (*Store, *wire.ReplicaState) {
 	t.Helper()
-	store, state, err := open(disk, discard, small)
+	store, state, err := open(disk, discardEvents, smallLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,42 +72,44 @@
 	}
 }
 
-func TestDiskThatWasNeverWrittenHasNoState(t *testing.T) {
+func TestOpenOfEmptyDiskReturnsNoState(t *testing.T) {
 	_, state := mustOpen(t, newDisk(1))
 	if state != nil {
-		t.Fatal("a state on an empty disk")
+		t.Fatal("an empty disk returned a state")
 	}
 }
 
-func TestEachSavedStateIsLoaded(t *testing.T) {
+func TestOpenLoadsLastSavedState(t *testing.T) {
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
 	for serial := range uint64(60) {
-		mustSave(t, store, stateOf(serial))
+		mustSave(t, store, testState(serial))
 		if serial%2 == 0 {
 			var loaded *wire.ReplicaState
 			store, loaded = mustOpen(t, disk)
-			expectState(t, loaded, stateOf(serial))
+			expectState(t, loaded, testState(serial))
 		}
 	}
-	if files := len(disk.Names()); files > 2*(small.changesPerSnapshot+1) {
-		t.Fatalf("%d files are left", files)
+	if files := len(disk.Names()); files > 2*(smallLimits.maxChangesPerSnapshot+1) {
+		t.Fatalf("%d files remain on the disk", files)
 	}
 }
 
 func TestUnchangedStateIsNotWritten(t *testing.T) {
 	store, _ := mustOpen(t, newDisk(1))
-	mustSave(t, store, stateOf(1))
-	mustSave(t, store, stateOf(1))
+	mustSave(t, store, testState(1))
+	mustSave(t, store, testState(1))
 	if saves := store.Stats().Saves; saves != 1 {
 		t.Fatalf("%d files written", saves)
 	}
 }
 
+// TestRegistersMayBeChangedInPlaceAfterSave guards against a store that keeps the caller's registers: it would compare
+// the modified state with itself and write nothing.
 func TestRegistersMayBeChangedInPlaceAfterSave(t *testing.T) {
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
-	state := stateOf(1)
+	state := testState(1)
 	mustSave(t, store, state)
 	state.Registers["configuration"].Promised = &wire.Term{Number: 99}
 	delete(state.Registers, "odds")
@@ -116,13 +118,13 @@
 	expectState(t, loaded, state)
 }
 
-// savedFiles returns a disk whose newest snapshot is followed by two changes, and the names of these three files.
-func savedFiles(t *testing.T) (*simnet.Disk, []string) {
+// newSavedDisk returns a disk with a snapshot followed by two changes, and the names of these three files in order.
+func newSavedDisk(t *testing.T) (*simnet.Disk, []string) {
 	t.Helper()
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
 	for serial := range uint64(3) {
-		mustSave(t, store, stateOf(serial))
+		mustSave(t, store, testState(serial))
 	}
 	names := disk.Names()
 	if len(names) != 3 {
@@ -131,9 +133,10 @@
 	return disk, names
 }
 
+// expectUnreadable expects that Open returns ErrUnreadable, no state, and a store.
 func expectUnreadable(t *testing.T, disk storage.Disk) *Store {
 	t.Helper()
-	store, state, err := open(disk, discard, small)
+	store, state, err := open(disk, discardEvents, smallLimits)
 	if !errors.Is(err, ErrUnreadable) || state != nil || store == nil {
 		t.Fatalf("state %v, error %v", state, err)
 	}
@@ -141,12 +144,12 @@
 }
 
 func TestFlippedBitMakesTheStateUnreadable(t *testing.T) {
-	_, names := savedFiles(t)
+	_, names := newSavedDisk(t)
 	for _, name := range names {
-		disk, _ := savedFiles(t)
+		disk, _ := newSavedDisk(t)
 		raw, _ := disk.Read(name)
 		for bit := range len(raw) * 8 {
-			disk, _ := savedFiles(t)
+			disk, _ := newSavedDisk(t)
 			flipped := bytes.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
 			if err := storage.WriteAtomically(disk, name, flipped); err != nil {
@@ -159,7 +162,7 @@
 
 func TestMissingFileBeforeOthersMakesTheStateUnreadable(t *testing.T) {
 	for missing := range 2 {
-		disk, names := savedFiles(t)
+		disk, names := newSavedDisk(t)
 		if err := disk.Remove(names[missing]); err != nil {
 			t.Fatal(err)
 		}
@@ -167,12 +170,12 @@
 	}
 }
 
-func TestFileOfAnotherHistoryMakesTheStateUnreadable(t *testing.T) {
-	disk, names := savedFiles(t)
+func TestChangeFromAnotherDiskMakesTheStateUnreadable(t *testing.T) {
+	disk, names := newSavedDisk(t)
 	other := newDisk(2)
 	store, _ := mustOpen(t, other)
 	for serial := range uint64(3) {
-		mustSave(t, store, stateOf(serial+7))
+		mustSave(t, store, testState(serial+7))
 	}
 	raw, err := other.Read(names[1])
 	if err != nil {
@@ -184,9 +187,9 @@
 	expectUnreadable(t, disk)
 }
 
-func TestFileUnderAnotherNumberMakesTheStateUnreadable(t *testing.T) {
+func TestFileStoredUnderWrongNumberMakesTheStateUnreadable(t *testing.T) {
 	for i, other := range []fileName{{7, snapshotKind}, {4, changeKind}, {4, changeKind}} {
-		disk, names := savedFiles(t)
+		disk, names := newSavedDisk(t)
 		raw, err := disk.Read(names[i])
 		if err != nil {
 			t.Fatal(err)
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,3 +1,3 @@
-// Package storage is the disk that a process keeps its state on. Simulations give each machine a disk of its own, which may
-// lose what was not synced, lag or fail.
+// Package storage abstracts the disk on which a process persists its state. Simulations give each machine a simulated
+// disk, which may lose unsynced data, be slow or fail.
 package storage
--- a/internal/storage/frame.go
+++ b/internal/storage/frame.go
@@ -9,8 +9,8 @@
 	"curlewreach/proto/wire"
 )
 
-// Frame encodes a message together with its SHA-256 digest, for a file that may
-// be torn or altered.
+// Frame encodes a message together with its SHA-256 digest, so that Unframe
+// detects a truncated or corrupted file.
 func Frame(message proto.Message) ([]byte, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return proto.Marshal(&wire.Record{Body: body, Digest: digest[:]})
 }
 
-// Unframe decodes what Frame encoded. It returns an error if the digest doesn't
-// match.
+// Unframe decodes into message what Frame encoded. It returns an error if the
+// digest does not match.
 func Unframe(raw []byte, message proto.Message) error {
 	record := &wire.Record{}
 	if err := proto.Unmarshal(raw, record); err != nil {
@@ -29,7 +29,7 @@
 	}
 	digest := sha256.Sum256(record.Body)
 	if string(digest[:]) != string(record.Digest) {
-		return errors.New("digest does not fit")
+		return errors.New("digest mismatch")
 	}
 	return proto.Unmarshal(record.Body, message)
 }
--- a/internal/storage/none.go
+++ b/internal/storage/none.go
@@ -12,11 +12,11 @@
 
 type noDisk struct{}
 
-// None returns a disk without a folder: reads find nothing and writes fail
-// with ErrNoFolder.
+// None returns the disk of a process without a data folder: reads find no files and
+// writes fail with ErrNoFolder.
 func None() Disk { return noDisk{} }
 
-// HasFolder reports whether the disk can keep anything.
+// HasFolder reports whether the disk can store files.
 func HasFolder(disk Disk) bool { return disk != None() }
 
 func (noDisk) Create(string) (File, error)   { return nil, ErrNoFolder }
