--- a/internal/attempts/table.go
+++ b/internal/attempts/table.go
@@ -1,6 +1,14 @@
-// Package attempts remembers which attempts of requests a node has accepted for the upstream beside it, so that another node can ask after a broken connection whether an attempt began.
+// Package attempts records which attempts of requests a node has accepted for its local upstream, so that after a broken
+// connection another node can query whether an attempt began. A query fences an attempt that has not begun: it will never
+// begin, so the other node may safely retry the request.
 //
-// The memory is bounded. It is divided into eras, numbered upwards within one incarnation of the node. Whoever starts an attempt names the era that it last heard of, its mark. An attempt and every question about it are filed under that mark. The oldest eras are forgotten as wholes, and an attempt whose mark lies in a forgotten era or in another incarnation is neither accepted nor spoken about. So what was fenced stays fenced after it is forgotten, and nothing is called "never began" that might have been forgotten. No clock of another node takes part in this.
+// The number of recorded attempts is bounded. Entries are grouped into eras, which are numbered upwards from FirstEra
+// within one incarnation of the node. The node that starts an attempt sends a mark with it: the incarnation and era that
+// it last received from the other node. The attempt, and every query about it, is recorded under that mark. Entries are
+// dropped in whole eras, the oldest first. An attempt whose mark is in a dropped era or another incarnation is not
+// accepted, and a query about it is answered with "unknown". This gives two guarantees: a fenced attempt stays fenced
+// after its entry is dropped, and "never began" is never reported for an attempt whose entry may have been dropped. They
+// do not depend on the clocks of other nodes.
 package attempts
 
 import (
@@ -10,12 +18,13 @@
 	"curlewreach/proto/wire"
 )
 
-// ID is the identity of one attempt; two attempts of one request have different ones.
+// ID identifies one attempt. Different attempts of one request have different IDs.
 type ID string
 
+// maxIDBytes is the maximum length of an ID. Attempts and queries with a longer one are not recorded.
 const maxIDBytes = 64
 
-// Mark is an era of one incarnation's memory.
+// Mark identifies an era of one incarnation's table.
 type Mark struct {
 	Incarnation string
 	Era         uint64
@@ -24,73 +33,77 @@
 // FirstEra is the number of an incarnation's first era.
 const FirstEra = 1
 
-// IsSet tells whether the mark names an era at all.
+// IsSet reports whether the mark identifies an era.
 func (m Mark) IsSet() bool { return m.Incarnation != "" }
 
-// ToWire is the mark as it is sent.
+// ToWire returns the mark's wire message.
 func (m Mark) ToWire() *wire.AttemptMark {
 	return &wire.AttemptMark{Incarnation: m.Incarnation, Era: m.Era}
 }
 
-// MarkFromWire reads a mark that was sent.
+// MarkFromWire returns the mark of a wire message, which may be nil.
 func MarkFromWire(m *wire.AttemptMark) Mark { return Mark{m.GetIncarnation(), m.GetEra()} }
 
+// maxEras is the number of eras kept. Each takes an equal part of the bounds on entries and age.
 const maxEras = 4
 
-// Bounds limit what a table remembers.
+// Bounds limits what a table holds.
 type Bounds struct {
-	// Entries is the most attempts remembered.
+	// Entries is the maximum number of recorded attempts.
 	Entries int
-	// Age is the longest that an attempt is remembered.
+	// Age is the time for which an attempt is recorded.
 	Age time.Duration
-	// AnswerBytes is the most bytes of held answers.
+	// AnswerBytes is the maximum total size of the held answers, in bytes.
 	AnswerBytes int
-	// LargestAnswer is the most bytes of one held answer.
+	// LargestAnswer is the maximum size of one held answer, in bytes.
 	LargestAnswer int
-	// AnswerAge is the longest that an answer is held.
+	// AnswerAge is the maximum time for which an answer is held.
 	AnswerAge time.Duration
 }
 
-// AcceptResult is what becomes of an attempt that arrives.
+// AcceptResult says whether an attempt that arrived was accepted, or why not.
 type AcceptResult int
 
 const (
-	// Accepted attempts may begin.
+	// Accepted means that the attempt may begin.
 	Accepted AcceptResult = iota
-	// Fenced attempts were declared never to begin.
+	// Fenced means that the attempt was fenced by a query or withdrawn, so it must not begin.
 	Fenced
-	// Forgotten attempts bear a mark that the memory does not reach back to; they do not begin.
+	// Forgotten means that the attempt's mark is in a dropped era or another incarnation, so it must not begin.
 	Forgotten
-	// Duplicate attempts have arrived before; the copy does not begin, the first may have.
+	// Duplicate means that the attempt has arrived before. The copy must not begin; the first one may have begun.
 	Duplicate
 )
 
+// phase is the phase of an attempt's execution. Phases only change from waiting to fenced, running or finished, and from
+// running to finished.
 type phase int
 
 const (
-	waiting phase = iota
-	fenced
-	running
-	finished
+	waiting  phase = iota // accepted, not yet sent to the upstream
+	fenced                // must never begin
+	running               // sent to the upstream
+	finished              // has a result
 )
 
-// Entry is one remembered attempt. Its fields are guarded by the table's mutex.
+// Entry is one recorded attempt. Its fields are guarded by the table's mutex.
 type Entry struct {
 	table       *Table
 	phase       phase
-	result      *wire.AttemptReply
-	done        chan struct{}
+	result      *wire.AttemptReply // set when the attempt is finished
+	done        chan struct{}      // closed when the attempt is finished; nil until it is first watched
 	watchers    int
-	lastQueried time.Duration
+	lastQueried time.Duration // when it was last queried, or a watcher left; 0 if never
 }
 
+// heldAnswer is an answer that is kept with its entry until it expires.
 type heldAnswer struct {
 	entry     *Entry
-	size      int
+	size      int // in bytes
 	expiresAt time.Duration
 }
 
-// Table is a node's memory of the attempts that it accepted and of those that it fenced.
+// Table records the attempts that a node has accepted and those that it has fenced. It is safe for concurrent use.
 type Table struct {
 	incarnation string
 	now         func() time.Duration
@@ -100,20 +113,20 @@
 	oldestEra   uint64
 	currentEra  uint64
 	eraStarted  time.Duration
-	addedInEra  int
+	addedInEra  int // entries added during the current era, under whatever mark
 	entryCount  int
 	eras        map[uint64]map[ID]*Entry
-	heldAnswers []heldAnswer
+	heldAnswers []heldAnswer // the oldest first
 	heldBytes   int
 }
 
-// NewTable starts the empty memory of one incarnation of a node.
+// NewTable returns an empty table for one incarnation of a node. now returns the time of a monotonic clock.
 func NewTable(incarnation string, now func() time.Duration, bounds Bounds) *Table {
 	bounds.Entries = max(bounds.Entries, maxEras)
 	return &Table{incarnation: incarnation, now: now, bounds: bounds, oldestEra: FirstEra, currentEra: FirstEra, eraStarted: now(), eras: map[uint64]map[ID]*Entry{}}
 }
 
-// CurrentMark is the present era.
+// CurrentMark returns the mark of the current era.
 func (t *Table) CurrentMark() Mark {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,12 +134,14 @@
 	return Mark{t.incarnation, t.currentEra}
 }
 
-// covers tells whether every attempt under this mark is still remembered.
+// covers reports whether every attempt recorded under this mark is still in the table.
 func (t *Table) covers(m Mark) bool {
 	return m.Incarnation == t.incarnation && m.Era >= t.oldestEra && m.Era <= t.currentEra
 }
 
-// advanceEra begins a new era when the present one has taken its part of the entries or of the time, and forgets the oldest. It comes before each filing, so the eras kept hold at most their bound of entries, whatever marks those bear.
+// advanceEra starts a new era if the current one has used up its part of the entries or of the time, and drops the oldest.
+// It is called before each insertion, so the table never has more entries than its bound, whatever their marks are. It
+// does not start a new era while the table is empty.
 func (t *Table) advanceEra() {
 	now := t.now()
 	if t.entryCount == 0 && t.addedInEra == 0 {
@@ -141,6 +156,7 @@
 	t.dropErasBelow(max(t.oldestEra, t.currentEra+1-min(t.currentEra, maxEras)))
 }
 
+// dropErasBelow drops all entries of the eras before oldest.
 func (t *Table) dropErasBelow(oldest uint64) {
 	for era := t.oldestEra; era < oldest; era++ {
 		t.entryCount -= len(t.eras[era])
@@ -149,7 +165,7 @@
 	t.oldestEra = oldest
 }
 
-// insert remembers an attempt under a mark that the memory reaches back to.
+// insert records an attempt under a mark that the table covers.
 func (t *Table) insert(id ID, m Mark, p phase) *Entry {
 	entry := &Entry{table: t, phase: p}
 	t.addedInEra++
@@ -161,7 +177,7 @@
 	return entry
 }
 
-// Accept files an attempt that arrived whole. The entry is given with Accepted only.
+// Accept records an attempt that arrived completely. The entry is nil unless the result is Accepted.
 func (t *Table) Accept(id ID, m Mark) (*Entry, AcceptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,7 +194,8 @@
 	return t.insert(id, m, waiting), Accepted
 }
 
-// Begin is asked right before the first byte may go to the upstream, and tells whether it may.
+// Begin must be called immediately before the first byte is sent to the upstream. It returns false if the attempt is
+// fenced or has already begun; nothing may be sent then.
 func (e *Entry) Begin() bool {
 	e.table.mu.Lock()
 	defer e.table.mu.Unlock()
@@ -189,7 +206,7 @@
 	return true
 }
 
-// Withdraw fences an attempt that has not begun, and tells whether it did.
+// Withdraw fences the attempt if it has not begun, and reports whether it did so.
 func (e *Entry) Withdraw() bool {
 	e.table.mu.Lock()
 	defer e.table.mu.Unlock()
@@ -200,7 +217,7 @@
 	return true
 }
 
-// Finish files how an attempt ended.
+// Finish records the result of the attempt. It does nothing if the attempt is fenced or has already finished.
 func (e *Entry) Finish(result *wire.AttemptReply) {
 	t := e.table
 	t.mu.Lock()
@@ -217,6 +234,7 @@
 	}
 }
 
+// answerSize returns the size of an answer's headers and body, in bytes.
 func answerSize(a *wire.AttemptAnswer) int {
 	total := len(a.Body)
 	for _, header := range a.Headers {
@@ -228,7 +246,8 @@
 	return total
 }
 
-// holdAnswer keeps an answer for a while; the oldest make room.
+// holdAnswer keeps the entry's answer for a limited time, and drops the oldest answers if there are too many bytes. An
+// answer that is too large is dropped immediately.
 func (t *Table) holdAnswer(e *Entry) {
 	size := answerSize(e.result.Answer)
 	if size > min(t.bounds.LargestAnswer, t.bounds.AnswerBytes) {
@@ -242,6 +261,7 @@
 	}
 }
 
+// dropAnswer keeps only the state of the entry's result.
 func (e *Entry) dropAnswer() {
 	e.result = &wire.AttemptReply{State: e.result.State}
 }
@@ -254,7 +274,7 @@
 	oldest.entry.dropAnswer()
 }
 
-// Sweep lets go of answers and eras that have had their time.
+// Sweep drops answers and eras that are too old. It must be called regularly.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -264,8 +284,9 @@
 	}
 }
 
-// Resolve answers the question about an attempt. One that has not begun never will after it.
-// For an attempt at work, the entry can be watched until it ends.
+// Resolve returns the state of an attempt. An attempt that has not begun, or has not arrived, is fenced by the call. If
+// the table does not cover the mark, the state is unknown and nothing is recorded. The entry is nil unless the attempt is
+// running; it can then be watched until the attempt ends.
 func (t *Table) Resolve(id ID, m Mark) (*wire.AttemptReply, *Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -289,7 +310,7 @@
 	return &wire.AttemptReply{State: wire.AttemptState_ATTEMPT_NEVER_BEGAN}, nil
 }
 
-// Watch counts whoever waits for the end of an attempt at work, until leave.
+// Watch returns a channel that is closed when the attempt ends. The caller counts as a watcher until it calls leave.
 func (e *Entry) Watch() (done <-chan struct{}, leave func()) {
 	t := e.table
 	t.mu.Lock()
@@ -309,7 +330,8 @@
 	}
 }
 
-// HasRecentInterest tells whether somebody waits for this attempt's end, or asked after it within a span.
+// HasRecentInterest reports whether the attempt has a watcher, or was last queried or watched less than the given time
+// ago.
 func (e *Entry) HasRecentInterest(within time.Duration) bool {
 	t := e.table
 	t.mu.Lock()
@@ -317,7 +339,7 @@
 	return e.watchers > 0 || e.lastQueried > 0 && t.now()-e.lastQueried < within
 }
 
-// Size counts what is remembered and the bytes of held answers.
+// Size returns the number of recorded attempts and the size of the held answers in bytes.
 func (t *Table) Size() (entries, answerBytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/attempts/table_test.go
+++ b/internal/attempts/table_test.go
@@ -18,6 +18,7 @@
 	stateTurnedAway = wire.AttemptState_ATTEMPT_TURNED_AWAY
 )
 
+// manualClock is a clock that tests advance by hand.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Now() time.Duration { return c.now }
@@ -35,8 +36,8 @@
 }
 
 func (t *Table) mustAccept(id ID, m Mark) *Entry {
-	entry, verdict := t.Accept(id, m)
-	ExpectWithOffset(1, verdict).To(Equal(Accepted))
+	entry, result := t.Accept(id, m)
+	ExpectWithOffset(1, result).To(Equal(Accepted))
 	return entry
 }
 
@@ -44,29 +45,29 @@
 	return &wire.AttemptReply{State: stateFinished, Answer: &wire.AttemptAnswer{Status: 200, Body: make([]byte, bytes)}}
 }
 
-var _ = ginkgo.Describe("the memory of attempts", func() {
-	ginkgo.It("given an attempt that never came, when it is asked about, then it never began, now and later, and is turned away when it comes", func() {
+var _ = ginkgo.Describe("the attempt table", func() {
+	ginkgo.It("given an attempt that has not arrived, when it is queried, then it is reported as never begun from then on, and is not accepted when it arrives", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		Expect(t.resolveState("a", mark)).To(Equal(stateNeverBegan))
-		entry, verdict := t.Accept("a", mark)
-		Expect(verdict).To(Equal(Fenced))
+		entry, result := t.Accept("a", mark)
+		Expect(result).To(Equal(Fenced))
 		Expect(entry).To(BeNil())
 		Expect(t.resolveState("a", mark)).To(Equal(stateNeverBegan))
-		Expect(t.mustAccept("b", mark).Begin()).To(BeTrue(), "another attempt is none of its business")
+		Expect(t.mustAccept("b", mark).Begin()).To(BeTrue(), "a query fences only the queried attempt")
 	})
 
-	ginkgo.It("given an attempt that waits for its turn, when it is asked about, then it never begins", func() {
+	ginkgo.It("given a waiting attempt, when it is queried, then it never begins", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		entry := t.mustAccept("a", mark)
 		Expect(t.resolveState("a", mark)).To(Equal(stateNeverBegan))
 		Expect(entry.Begin()).To(BeFalse())
 		entry.Finish(finishedReply(1))
-		Expect(t.resolveState("a", mark)).To(Equal(stateNeverBegan), "what was said once holds")
+		Expect(t.resolveState("a", mark)).To(Equal(stateNeverBegan), "the reported state is final")
 	})
 
-	ginkgo.It("given an attempt that waits for its turn, when it is withdrawn, then it never begins; one at work can't be withdrawn", func() {
+	ginkgo.It("given a waiting attempt, when it is withdrawn, then it never begins; a running one cannot be withdrawn", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		entry := t.mustAccept("a", mark)
@@ -79,22 +80,22 @@
 		Expect(t.resolveState("b", mark)).To(Equal(stateAtWork))
 	})
 
-	ginkgo.It("given an attempt at work, when it is asked about, then it is never called unbegun", func() {
+	ginkgo.It("given a running attempt, when it is queried, then it is never reported as never begun", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		entry := t.mustAccept("a", mark)
 		Expect(entry.Begin()).To(BeTrue())
-		Expect(entry.Begin()).To(BeFalse(), "it begins once")
+		Expect(entry.Begin()).To(BeFalse(), "an attempt begins only once")
 		Expect(t.resolveState("a", mark)).To(Equal(stateAtWork))
-		_, verdict := t.Accept("a", mark)
-		Expect(verdict).To(Equal(Duplicate))
+		_, result := t.Accept("a", mark)
+		Expect(result).To(Equal(Duplicate))
 		entry.Finish(finishedReply(10))
 		reply, _ := t.Resolve("a", mark)
 		Expect(reply.State).To(Equal(stateFinished))
 		Expect(reply.Answer.Body).To(HaveLen(10))
 	})
 
-	ginkgo.It("given an attempt that was refused before it ran, when it is asked about, then the refusal is told", func() {
+	ginkgo.It("given an attempt that was rejected before it ran, when it is queried, then the rejection is returned", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		t.mustAccept("a", mark).Finish(&wire.AttemptReply{State: stateTurnedAway, Refusal: &wire.AttemptRefusal{Kind: "crowded", AfterMs: 30}})
@@ -102,15 +103,15 @@
 		Expect(reply.Refusal.AfterMs).To(BeEquivalentTo(30))
 	})
 
-	ginkgo.It("given a mark of another incarnation, when it is asked about or comes, then nothing is known and nothing begins", func() {
+	ginkgo.It("given a mark of another incarnation, when an attempt is queried or arrives, then its state is unknown and it is not accepted", func() {
 		t, _ := newTestTable()
 		earlier := Mark{"zero", 1}
 		Expect(t.resolveState("a", earlier)).To(Equal(stateUnknown))
-		_, verdict := t.Accept("a", earlier)
-		Expect(verdict).To(Equal(Forgotten))
+		_, result := t.Accept("a", earlier)
+		Expect(result).To(Equal(Forgotten))
 	})
 
-	ginkgo.It("given a memory that overflows, when a forgotten attempt is asked about or comes, then it is neither called unbegun nor begun", func() {
+	ginkgo.It("given a table that has dropped an era, when an attempt of that era is queried or arrives, then its state is unknown and it is not accepted", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		Expect(t.mustAccept("ran", mark).Begin()).To(BeTrue())
@@ -120,12 +121,12 @@
 		}
 		Expect(t.resolveState("ran", mark)).To(Equal(stateUnknown))
 		Expect(t.resolveState("fenced", mark)).To(Equal(stateUnknown))
-		_, verdict := t.Accept("fenced", mark)
-		Expect(verdict).To(Equal(Forgotten))
+		_, result := t.Accept("fenced", mark)
+		Expect(result).To(Equal(Forgotten))
 		Expect(t.resolveState("never came", mark)).To(Equal(stateUnknown))
 	})
 
-	ginkgo.It("given an attempt that waited while it was forgotten, when it was fenced before, then it still does not begin", func() {
+	ginkgo.It("given a waiting attempt that was fenced, when its era is dropped, then it still does not begin", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		free, fencedBefore := t.mustAccept("free", mark), t.mustAccept("fenced", mark)
@@ -134,10 +135,10 @@
 			t.mustAccept(ID(fmt.Sprint("other-", i)), t.CurrentMark())
 		}
 		Expect(fencedBefore.Begin()).To(BeFalse())
-		Expect(free.Begin()).To(BeTrue(), "nobody was told that it never would")
+		Expect(free.Begin()).To(BeTrue(), "it was never reported as never begun")
 	})
 
-	ginkgo.It("given questions under an old mark, when they alone fill the memory, then the bound of entries holds", func() {
+	ginkgo.It("given queries under an old mark, when they fill the table, then the number of entries stays within its bound", func() {
 		t, _ := newTestTable()
 		mark := t.CurrentMark()
 		for i := range 10 * testBounds.Entries {
@@ -147,7 +148,7 @@
 		}
 	})
 
-	ginkgo.It("given an attempt of long ago, when its age passes the bound, then it is forgotten; a memory without entries keeps its mark", func() {
+	ginkgo.It("given an old attempt, when its age exceeds the bound, then it is dropped; an empty table keeps its mark", func() {
 		t, clock := newTestTable()
 		mark := t.CurrentMark()
 		clock.now += 10 * testBounds.Age
@@ -162,7 +163,7 @@
 		Expect(t.resolveState("a", mark)).To(Equal(stateUnknown))
 	})
 
-	ginkgo.It("given held answers, when they pass the bounds of bytes, size or age, then the attempts stay finished without an answer", func() {
+	ginkgo.It("given held answers, when they exceed a bound on total size, answer size or age, then the attempts stay finished without an answer", func() {
 		t, clock := newTestTable()
 		mark := t.CurrentMark()
 		finish := func(id ID, size int) {
@@ -188,7 +189,7 @@
 		Expect(bytes).To(BeZero())
 	})
 
-	ginkgo.It("given somebody who watches an attempt at work, when it ends, then they are told; until they leave it is wanted", func() {
+	ginkgo.It("given a running attempt with a watcher, when it ends, then the watcher is notified; the attempt is of interest until the watcher has left", func() {
 		t, clock := newTestTable()
 		mark := t.CurrentMark()
 		entry := t.mustAccept("a", mark)
--- a/internal/bytedelta/bytedelta.go
+++ b/internal/bytedelta/bytedelta.go
@@ -1,7 +1,8 @@
-// Package bytedelta describes a byte string as copies from an older one and inserted bytes.
+// Package bytedelta encodes a byte string as a delta: copies from an older byte string, and inserted bytes.
 //
-// A delta is a run of operations. Each starts with an unsigned varint that holds the operation's length times two;
-// the lowest bit is set for an insertion, whose bytes follow. A copy is followed by its offset in the old bytes.
+// A delta is a sequence of operations. Each starts with an unsigned varint that contains the operation's length in bytes
+// times two, plus one if it is an insertion. An insertion is followed by the inserted bytes, a copy by its offset in the
+// old bytes as an unsigned varint.
 package bytedelta
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/pkg/errors"
 )
 
-// blockSize is the length of the old bytes' blocks that are looked for in the new ones, in bytes. Shorter common
-// parts away from both ends are inserted, as a copy takes up to ten bytes itself.
+// blockSize is the length in bytes of the blocks of the old bytes that are searched for in the new ones. Shorter matches,
+// except at the start and the end, are encoded as insertions, because a copy operation takes up to ten bytes itself.
 const blockSize = 32
 
-// ErrMalformed is returned for a delta that was not made against the given old bytes.
+// ErrMalformed is returned by Apply for a delta that cannot be decoded, or that copies beyond the end of the old bytes.
 var ErrMalformed = errors.New("malformed delta")
 
-// Encode returns a delta that turns from into to. Equal arguments give equal deltas.
+// Encode returns a delta that turns from into to. It is deterministic.
 func Encode(from, to []byte) []byte {
 	prefix := commonPrefix(from, to)
 	suffix := commonSuffix(from[prefix:], to[prefix:])
@@ -28,7 +29,7 @@
 	return appendCopy(delta, len(from)-suffix, suffix)
 }
 
-// Apply returns the bytes that delta makes of from.
+// Apply returns the bytes that result from applying delta to from.
 func Apply(from, delta []byte) ([]byte, error) {
 	total := 0
 	for rest := delta; len(rest) > 0; {
@@ -46,7 +47,7 @@
 	return to, nil
 }
 
-// nextOperation returns the bytes that a delta's first operation stands for, and the operations after it.
+// nextOperation returns the bytes that a delta's first operation produces, and the remaining operations.
 func nextOperation(from, delta []byte) (span, rest []byte, err error) {
 	head, size := binary.Uvarint(delta)
 	if size <= 0 {
@@ -66,7 +67,8 @@
 	return from[offset : offset+length], delta[size:], nil
 }
 
-// appendBlockMatches encodes to against from[start:end] by the hashes of its blocks.
+// appendBlockMatches appends the operations that produce to. It finds blocks of from[start:end] in to with a rolling hash,
+// and extends each match as far as possible in both directions.
 func appendBlockMatches(delta, from []byte, start, end int, to []byte) []byte {
 	if len(to) < blockSize || end-start < blockSize {
 		return appendInsert(delta, to)
@@ -96,6 +98,7 @@
 	return appendInsert(delta, to[inserted:])
 }
 
+// appendCopy appends a copy operation unless it is empty.
 func appendCopy(delta []byte, offset, length int) []byte {
 	if length == 0 {
 		return delta
@@ -104,6 +107,7 @@
 	return binary.AppendUvarint(delta, uint64(offset))
 }
 
+// appendInsert appends an insertion unless it is empty.
 func appendInsert(delta, inserted []byte) []byte {
 	if len(inserted) == 0 {
 		return delta
@@ -112,7 +116,8 @@
 	return append(delta, inserted...)
 }
 
-// blockIndex finds the first block of a hash; each slot of its open hash table holds a block's offset plus one.
+// blockIndex maps a hash to the first block with that hash. It is a hash table with linear probing; a slot contains a
+// block's offset plus one, or 0 if it is free.
 type blockIndex struct {
 	slots  []int32
 	hashes []uint64
@@ -132,7 +137,7 @@
 	return index
 }
 
-// slot returns the place that holds the hash, or the free one where it belongs.
+// slot returns the slot that contains the hash, or the free slot where it would be inserted.
 func (b *blockIndex) slot(hash uint64) int {
 	slot := int(hash * slotMultiplier >> b.shift)
 	for b.slots[slot] != 0 && b.hashes[slot] != hash {
@@ -145,15 +150,16 @@
 func (b *blockIndex) find(hash uint64) int { return int(b.slots[b.slot(hash)]) - 1 }
 
 const (
-	// radix is the base of the rolling polynomial hash, any odd number with well spread bits.
+	// radix is the base of the rolling polynomial hash. Any odd number with evenly distributed bits will do.
 	radix = 0x9e3779b97f4a7c15
-	// slotMultiplier spreads a hash over the index's slots.
+	// slotMultiplier distributes hashes over the slots of the index (multiplicative hashing).
 	slotMultiplier = 0xd6e8feb86659fd93
 )
 
-// radixToBlock is radix to the power of blockSize, which takes a block's first byte out of its hash.
+// radixToBlock is radix to the power of blockSize. It is used to remove a block's first byte from the rolling hash.
 var radixToBlock = power(radix, blockSize)
 
+// power returns base to the power of exponent, modulo 2^64.
 func power(base uint64, exponent int) uint64 {
 	product := uint64(1)
 	for range exponent {
@@ -162,6 +168,7 @@
 	return product
 }
 
+// hashBlock returns the polynomial hash of a block, modulo 2^64.
 func hashBlock(block []byte) uint64 {
 	hash := uint64(0)
 	for _, each := range block {
@@ -170,14 +177,15 @@
 	return hash
 }
 
-// rollHash moves a block's hash on by one byte.
+// rollHash returns the hash of the block that starts one byte later.
 func rollHash(hash uint64, leaving, entering byte) uint64 {
 	return hash*radix + uint64(entering) + 1 - (uint64(leaving)+1)*radixToBlock
 }
 
-// compareChunk is the number of bytes that are compared at once while a common part is long.
+// compareChunk is the number of bytes that commonPrefix and commonSuffix compare at once while a match is long.
 const compareChunk = 256
 
+// commonPrefix returns the length of the longest common prefix.
 func commonPrefix(a, b []byte) int {
 	limit, length := min(len(a), len(b)), 0
 	for length+compareChunk <= limit && bytes.Equal(a[length:length+compareChunk], b[length:length+compareChunk]) {
@@ -189,6 +197,7 @@
 	return length
 }
 
+// commonSuffix returns the length of the longest common suffix.
 func commonSuffix(a, b []byte) int {
 	limit, length := min(len(a), len(b)), 0
 	for length+compareChunk <= limit && bytes.Equal(a[len(a)-length-compareChunk:len(a)-length], b[len(b)-length-compareChunk:len(b)-length]) {
--- a/internal/bytedelta/bytedelta_test.go
+++ b/internal/bytedelta/bytedelta_test.go
@@ -35,6 +35,7 @@
 	return value
 }
 
+// checkRoundTrip expects that the delta restores to, and that encoding is deterministic. It returns the delta.
 func checkRoundTrip(t *testing.T, from, to []byte) []byte {
 	t.Helper()
 	delta := Encode(from, to)
@@ -43,7 +44,7 @@
 		t.Fatalf("from %d bytes to %d: got %d bytes, error %v", len(from), len(to), len(got), err)
 	}
 	if !bytes.Equal(delta, Encode(from, to)) {
-		t.Fatal("two encodings differ")
+		t.Fatal("two encodings of the same values differ")
 	}
 	return delta
 }
@@ -67,8 +68,8 @@
 	for range 50 {
 		to := edited(rand, from, edits, span)
 		delta := checkRoundTrip(t, from, to)
-		if most := edits * (span + blockSize*2 + overhead); len(delta) > most {
-			t.Fatalf("%d edits of up to %d bytes took %d bytes, more than %d", edits, span, len(delta), most)
+		if limit := edits * (span + blockSize*2 + overhead); len(delta) > limit {
+			t.Fatalf("%d edits of up to %d bytes took %d bytes, more than %d", edits, span, len(delta), limit)
 		}
 	}
 }
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -11,7 +11,7 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("Check", func() {
+var _ = ginkgo.Describe("checking a configuration", func() {
 	ginkgo.It("given a valid configuration, when it is checked, then there are no faults", func() {
 		Expect(Check(exampleConfiguration())).To(BeEmpty())
 	})
--- a/internal/config/proposal_test.go
+++ b/internal/config/proposal_test.go
@@ -117,11 +117,11 @@
 		return false
 	}
 	total := 0.0
-	for _, part := range route.Destinations {
-		if part.Weight < 0 || !slices.Contains(services, part.Service) {
+	for _, destination := range route.Destinations {
+		if destination.Weight < 0 || !slices.Contains(services, destination.Service) {
 			return false
 		}
-		total += part.Weight
+		total += destination.Weight
 	}
 	return total > 0 || len(route.Destinations) == 0 && route.Service != nil
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
-// Package membership tells which machines of a listed fleet are up. Each
-// machine sends heartbeats to the next machines on a hash ring and to a core
-// machine; what is heard of them is kept in a View.
+// Package membership detects which machines of a listed fleet are alive. Each
+// machine sends heartbeats to its successors on a hash ring, and reports what it
+// knows of all machines to a core machine. A View holds this knowledge.
 package membership
 
 import (
@@ -20,12 +20,12 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// heartbeatFanOut is the number of machines that each machine sends its heartbeats
-// to, beside the core: two may be down at a time.
+// heartbeatFanOut is the number of machines that each machine sends its
+// heartbeats to, in addition to the core: two of them may be down at a time.
 const heartbeatFanOut = 3
 
-// Member is this machine's part in the membership: it sends heartbeats and
-// takes those of others.
+// Member is this machine's participation in the membership protocol: it sends
+// heartbeats and receives those of other machines.
 type Member struct {
 	scope             base.Scope
 	httpClient        *http.Client
@@ -35,32 +35,32 @@
 	mu                sync.Mutex
 	self              *wire.Roster
 	ring              Ring
-	addresses         map[string]string
+	addresses         map[string]string // of the machines on the ring, by name
 	relays            []string
 	statusChanged     base.Broadcast
 	clients           base.Table[wireconnect.KinClient]
-	// Enrich, if set, adds to what the machine tells of itself when asked.
+	// Enrich, if set, adds further data to a JournalReport of this machine.
 	Enrich func(*wire.TellReply)
 }
 
-// NewMember returns a member that describes itself by self, to which it adds a
-// fresh incarnation. Seeds are the addresses of core machines, relays those
-// that a core machine passes its view on to, and beat is the interval between
-// heartbeats.
+// NewMember returns a member with the initial status self, in which it sets a
+// random incarnation. seeds are the addresses of core machines, relays the
+// addresses that a core machine forwards its view to, and heartbeatInterval is the
+// time between heartbeats.
 func NewMember(s base.Scope, httpClient *http.Client, self *wire.Roster, seeds, relays []string, heartbeatInterval time.Duration) *Member {
 	self.Incarnation = s.Rand.Name(8)
 	self.Serial = 1
 	return &Member{scope: s, httpClient: httpClient, seeds: seeds, relays: relays, heartbeatInterval: heartbeatInterval, view: NewView(s, heartbeatInterval), self: self, addresses: map[string]string{}}
 }
 
-// View returns what is known of the others.
+// View returns what is known of all machines.
 func (m *Member) View() *View { return m.view }
 
 // Incarnation returns the random name of this process, new at each start.
 func (m *Member) Incarnation() string { return m.self.Incarnation }
 
-// Status returns a copy of what this machine tells of itself, with its clock's
-// reading.
+// Status returns a copy of this machine's status, with the current reading of
+// its clock.
 func (m *Member) Status() *wire.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,8 +69,8 @@
 	return status
 }
 
-// UpdateStatus alters what this machine tells of itself. If it differs afterwards, it
-// gets a new serial number and is sent at once.
+// UpdateStatus modifies this machine's status. If the status has changed, it
+// gets a new serial and is sent immediately.
 func (m *Member) UpdateStatus(change func(*wire.Roster)) {
 	m.mu.Lock()
 	before := proto.Clone(m.self).(*wire.Roster)
@@ -82,7 +82,7 @@
 	m.mu.Unlock()
 }
 
-// SetMachines sets the machines that are on the ring.
+// SetMachines replaces the machines on the hash ring.
 func (m *Member) SetMachines(machines func(yield func(*wire.Machine) bool)) {
 	addresses := map[string]string{}
 	for machine := range machines {
@@ -100,6 +100,7 @@
 	})
 }
 
+// heartbeatTargets returns the addresses of this machine's successors on the ring, or the seeds if it has none.
 func (m *Member) heartbeatTargets() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,6 +115,7 @@
 	return addresses
 }
 
+// client returns the cached client of an address.
 func (m *Member) client(address string) wireconnect.KinClient {
 	if client, ok := m.clients.Get(address); ok {
 		return client
@@ -123,7 +125,8 @@
 	return client
 }
 
-// Run sends heartbeats and judges the others until the scope ends.
+// Run sends heartbeats and updates the standings of the machines until the
+// scope ends.
 func (m *Member) Run(s base.Scope) {
 	var group base.Group
 	group.Go(func() {
@@ -137,6 +140,7 @@
 	group.Wait()
 }
 
+// sendHeartbeats sends this machine's status to its heartbeat targets and reports its view, within one heartbeat interval.
 func (m *Member) sendHeartbeats(s base.Scope) {
 	bounded, cancel := s.WithTimeout(m.heartbeatInterval)
 	defer cancel()
@@ -152,6 +156,8 @@
 	group.Wait()
 }
 
+// reportSightings sends the whole view to the relays if this is a core machine, and otherwise to the first seed that
+// answers. Each machine starts with the seed given by the hash of its name, to distribute the load.
 func (m *Member) reportSightings(s base.Scope) {
 	request := &wire.SightRequest{Watcher: m.self.Node, Sightings: slices.Collect(m.view.All())}
 	if m.self.Core {
@@ -169,8 +175,8 @@
 	}
 }
 
-// JournalReport returns what this machine has in its journal about the subject asked
-// for, if any, and its event counts.
+// JournalReport returns this machine's event counts, and the events in its
+// journal about the requested subject, if there is one.
 func (m *Member) JournalReport(request *wire.TellRequest) *wire.TellReply {
 	reply := &wire.TellReply{Node: m.self.Node, Counts: m.scope.Journal.Counts()}
 	if request.Subject != "" {
@@ -184,8 +190,8 @@
 	return reply
 }
 
-// QueryAll sends a question to all machines in view and returns their answers, and
-// the names of those that gave none.
+// QueryAll requests the JournalReport of all machines in the view. It returns
+// the replies, and the names of the machines that did not answer.
 func (m *Member) QueryAll(s base.Scope, request *wire.TellRequest) *wire.ToldReply {
 	reply := &wire.ToldReply{}
 	var mu sync.Mutex
@@ -204,26 +210,27 @@
 	return reply
 }
 
-// Reachable reports whether a member answers at the address.
+// Reachable reports whether a member answers requests at the address.
 func (m *Member) Reachable(s base.Scope, address string) bool {
 	_, err := m.client(address).Tell(s, connect.NewRequest(&wire.TellRequest{}))
 	return err == nil
 }
 
+// server handles the requests of other members.
 type server struct{ member *Member }
 
 func (s server) Tell(_ context.Context, request *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error) {
 	return connect.NewResponse(s.member.JournalReport(request.Msg)), nil
 }
 
-// Handler returns the path and handler that other members call.
+// Handler returns the path and the handler of the requests of other members.
 func Handler(m *Member) (string, http.Handler) {
 	return wireconnect.NewKinHandler(server{m}, httpserver.HandlerOptions())
 }
 
 func (s server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
 	if request.Msg.GetRoster().GetNode() == "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "a roster names its node"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "has no node name"))
 	}
 	s.member.view.Observe(request.Msg.Roster, 0)
 	return connect.NewResponse(&wire.BeatReply{Watched: true}), nil
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,46 +13,60 @@
 	"curlewreach/proto/wire"
 )
 
-// The standings of a machine, by how long it was silent.
+// The standings of a machine, by the time since it was last heard from. The
+// values are sent on the wire.
 const (
-	// Alive is a machine that was heard within lateBeats heartbeats.
+	// Alive is the standing of a machine heard from within lateBeats heartbeat
+	// intervals.
 	Alive = "well"
-	// Late is a machine silent for more than lateBeats.
+	// Late is the standing of a machine not heard from for more than lateBeats
+	// intervals.
 	Late = "late"
-	// Absent is a machine silent for more than absentBeats, or never heard.
+	// Absent is the standing of a machine not heard from for more than
+	// absentBeats intervals, or never.
 	Absent = "absent"
 )
 
 const (
-	// lateBeats and absentBeats are the silences, in heartbeats, after which a
-	// machine is Late and Absent. A single heartbeat lost in between changes
-	// nothing.
+	// lateBeats and absentBeats are the numbers of heartbeat intervals after
+	// which a silent machine is Late or Absent. The loss of a single heartbeat
+	// does not change a machine's standing.
 	lateBeats   = 3
 	absentBeats = 5
-	// maxEndedIncarnations is the number of ended incarnations remembered for each machine,
-	// so that messages of theirs that come late are ignored.
+	// maxEndedIncarnations is the number of previous incarnations remembered for
+	// each machine, so that their delayed messages are ignored.
 	maxEndedIncarnations = 16
-	// maxClockDrift is how much faster or slower one clock may run than another, as a
+	// maxClockDrift is the maximum difference in rate between two clocks, as a
 	// ratio (200 parts per million).
 	maxClockDrift = 0.0002
-	// maxPeers bounds the machines in view, against names made up.
+	// maxPeers bounds the number of machines in a view, as protection against
+	// messages with invented names.
 	maxPeers = 4096
-	// forgetFactor is after how many times the Absent silence a machine is dropped
-	// from the view.
+	// forgetFactor is the silence after which a machine is removed from the view,
+	// as a multiple of the silence after which it is Absent.
 	forgetFactor = 60
 )
 
+// peer is what a view holds of one machine. All times are readings of this
+// machine's monotonic clock.
 type peer struct {
-	status            *wire.Roster
-	lastHeard         time.Duration
-	clockOffset       time.Duration
-	offsetUpdated     time.Duration
+	// status is the newest status, nil until one is received.
+	status *wire.Roster
+	// lastHeard is when the newest known message of the machine was received.
+	lastHeard time.Duration
+	// clockOffset estimates the machine's clock minus this machine's. A message's
+	// delay makes an offset computed from it too small, so the largest is kept,
+	// lowered by the possible drift since then.
+	clockOffset   time.Duration
+	offsetUpdated time.Duration
+	// endedIncarnations are previous incarnations, the oldest first.
 	endedIncarnations []string
-	changeSerial      uint64
+	// changeSerial is the view's serial at the machine's last change.
+	changeSerial uint64
 }
 
-// View is what a machine knows of all, by what it heard of them directly or
-// through others. It is safe for concurrent use.
+// View holds what a machine knows of all machines, from their own messages and
+// from those of others about them. It is safe for concurrent use.
 type View struct {
 	scope         base.Scope
 	lateAfter     time.Duration
@@ -61,19 +75,20 @@
 	peers         map[string]*peer
 	serial        uint64
 	changed       base.Broadcast
-	lastStandings map[string]string
+	lastStandings map[string]string // standings last recorded in the journal, by machine
 }
 
-// NewView returns an empty view, whose standings follow from the interval
-// between heartbeats.
+// NewView returns an empty view. The heartbeat interval determines the silences
+// after which a machine is Late or Absent.
 func NewView(s base.Scope, heartbeatInterval time.Duration) *View {
 	return &View{scope: s, lateAfter: lateBeats * heartbeatInterval, absentAfter: absentBeats * heartbeatInterval, peers: map[string]*peer{}, lastStandings: map[string]string{}}
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change of the view.
 func (v *View) Changed() <-chan struct{} { return v.changed.Next() }
 
-// Observe takes in what a machine told of itself so long ago.
+// Observe records a machine's status, which was received from that machine the
+// given time ago. The status of an ended incarnation is ignored.
 func (v *View) Observe(status *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -84,7 +99,7 @@
 		}
 		known = &peer{}
 		v.peers[status.Node] = known
-		v.scope.Record("mate", status.Node, "first heard")
+		v.scope.Record("mate", status.Node, "first heard from")
 	}
 	if slices.Contains(known.endedIncarnations, status.Incarnation) {
 		return
@@ -96,7 +111,7 @@
 		}
 		known.status = nil
 		known.lastHeard = 0
-		v.scope.Record("mate", status.Node, "born again")
+		v.scope.Record("mate", status.Node, "restarted as a new incarnation")
 	}
 	now := v.scope.Clock.Mono()
 	known.lastHeard = max(known.lastHeard, now-silence)
@@ -117,12 +132,14 @@
 	}
 }
 
+// markChanged gives a machine the view's next serial and notifies those who wait for a change.
 func (v *View) markChanged(known *peer) {
 	v.serial++
 	known.changeSerial = v.serial
 	v.changed.Notify()
 }
 
+// standingOf computes a machine's current standing.
 func (v *View) standingOf(p *peer) string {
 	silence := v.scope.Clock.Mono() - p.lastHeard
 	switch {
@@ -134,8 +151,8 @@
 	return Alive
 }
 
-// RefreshStandings renews the standings and forgets machines long silent. It is called
-// regularly.
+// RefreshStandings records changes of standing and removes machines that have
+// been silent for too long. It must be called regularly.
 func (v *View) RefreshStandings() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -153,25 +170,26 @@
 	}
 }
 
-// Len returns the number of machines in view.
+// Len returns the number of machines in the view.
 func (v *View) Len() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.peers)
 }
 
-// Serial returns the number of the newest change.
+// Serial returns the serial of the newest change.
 func (v *View) Serial() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.serial
 }
 
-// All iterates over copies of all that is known, in the order of names.
+// All iterates over copies of the sightings of all machines, ordered by name.
 func (v *View) All() iter.Seq[*wire.Sighting] { return v.Since(0) }
 
-// Since iterates over copies of what changed after the serial number, in the
-// order of names. The clock readings are reckoned on to now.
+// Since iterates over copies of the sightings that changed after the given
+// serial, ordered by name. Their clock readings are extrapolated to the time of
+// the call.
 func (v *View) Since(serial uint64) iter.Seq[*wire.Sighting] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -189,7 +207,7 @@
 	return slices.Values(sightings)
 }
 
-// Standing returns a machine's standing: Well, Late or Absent.
+// Standing returns a machine's standing: Alive, Late or Absent.
 func (v *View) Standing(node string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -199,8 +217,8 @@
 	return Absent
 }
 
-// FilterServices returns a copy of a sighting that has only the instances of the
-// services of concern.
+// FilterServices returns a copy of a sighting with only the instances of the
+// wanted services.
 func FilterServices(sighting *wire.Sighting, wanted func(service string) bool) *wire.Sighting {
 	narrowed := proto.Clone(sighting).(*wire.Sighting)
 	narrowed.Roster.Seats = slices.DeleteFunc(narrowed.Roster.Seats, func(seat *wire.Seat) bool { return !wanted(seat.Service) })
