--- a/internal/dataplane/fencing/server.go
+++ b/internal/dataplane/fencing/server.go
@@ -13,8 +13,8 @@
 	"curlewreach/proto/wire"
 )
 
-// IsQuestion tells questions about attempts from requests; those always say which way they go.
-func IsQuestion(r *http.Request) bool {
+// IsQuery tells questions about attempts from requests; those always say which way they go.
+func IsQuery(r *http.Request) bool {
 	return strings.HasPrefix(r.URL.Path, PathPrefix) && r.Header.Get(forwarding.MetadataHeader) == ""
 }
 
