--- a/internal/bytedelta/bytedelta_test.go
+++ b/internal/bytedelta/bytedelta_test.go
@@ -35,6 +35,7 @@
 	return value
 }
 
+// checkRoundTrip expects that the delta restores to, and that encoding is deterministic. It returns the delta.
 func checkRoundTrip(t *testing.T, from, to []byte) []byte {
 	t.Helper()
 	delta := Encode(from, to)
@@ -43,12 +44,12 @@
 		t.Fatalf("from %d bytes to %d: got %d bytes, error %v", len(from), len(to), len(got), err)
 	}
 	if !bytes.Equal(delta, Encode(from, to)) {
-		t.Fatal("two encodings differ")
+		t.Fatal("two encodings of the same values differ")
 	}
 	return delta
 }
 
-func TestEditedValuesComeBack(t *testing.T) {
+func TestApplyRestoresEditedValues(t *testing.T) {
 	rand := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		from := randomBytes(rand, rand.IntN(2000))
@@ -60,15 +61,15 @@
 	}
 }
 
-func TestDeltaGrowsWithTheChange(t *testing.T) {
+func TestDeltaSizeIsBoundedByTheEdits(t *testing.T) {
 	const edits, span, overhead = 4, 200, 40
 	rand := rand.New(rand.NewPCG(3, 4))
 	from := randomBytes(rand, 250_000)
 	for range 50 {
 		to := edited(rand, from, edits, span)
 		delta := checkRoundTrip(t, from, to)
-		if most := edits * (span + blockSize*2 + overhead); len(delta) > most {
-			t.Fatalf("%d edits of up to %d bytes took %d bytes, more than %d", edits, span, len(delta), most)
+		if limit := edits * (span + blockSize*2 + overhead); len(delta) > limit {
+			t.Fatalf("%d edits of up to %d bytes took %d bytes, more than %d", edits, span, len(delta), limit)
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,196 +13,214 @@
 	"curlewreach/proto/wire"
 )
 
-// The standings of a machine, by how long it was silent.
+// The standings of a machine, by the time since it was last heard from. The
+// values are sent on the wire.
 const (
-	// Well is a machine that was heard within lateBeats heartbeats.
-	Well = "well"
-	// Late is a machine silent for more than lateBeats.
+	// Alive is the standing of a machine heard from within lateBeats heartbeat
+	// intervals.
+	Alive = "well"
+	// Late is the standing of a machine not heard from for more than lateBeats
+	// intervals.
 	Late = "late"
-	// Absent is a machine silent for more than absentBeats, or never heard.
+	// Absent is the standing of a machine not heard from for more than
+	// absentBeats intervals, or never.
 	Absent = "absent"
 )
 
 const (
-	// lateBeats and absentBeats are the silences, in heartbeats, after which a
-	// machine is Late and Absent. A single heartbeat lost in between changes
-	// nothing.
+	// lateBeats and absentBeats are the numbers of heartbeat intervals after
+	// which a silent machine is Late or Absent. The loss of a single heartbeat
+	// does not change a machine's standing.
 	lateBeats   = 3
 	absentBeats = 5
-	// lastBorn is the number of ended incarnations remembered for each machine,
-	// so that messages of theirs that come late are ignored.
-	lastBorn = 16
-	// drift is how much faster or slower one clock may run than another, as a
+	// maxEndedIncarnations is the number of previous incarnations remembered for
+	// each machine, so that their delayed messages are ignored.
+	maxEndedIncarnations = 16
+	// maxClockDrift is the maximum difference in rate between two clocks, as a
 	// ratio (200 parts per million).
-	drift = 0.0002
-	// mostPeers bounds the machines in view, against names made up.
-	mostPeers = 4096
-	// forgotten is after how many times the Absent silence a machine is dropped
-	// from the view.
-	forgotten = 60
+	maxClockDrift = 0.0002
+	// maxPeers bounds the number of machines in a view, as protection against
+	// messages with invented names.
+	maxPeers = 4096
+	// forgetFactor is the silence after which a machine is removed from the view,
+	// as a multiple of the silence after which it is Absent.
+	forgetFactor = 60
 )
 
+// peer is what a view holds of one machine. All times are readings of this
+// machine's monotonic clock.
 type peer struct {
+	// status is the newest status, nil until one is received.
 	status *wire.Roster
-	heard  time.Duration
-	offset time.Duration
-	tuned  time.Duration
-	gone   []string
-	risen  uint64
+	// lastHeard is when the newest known message of the machine was received.
+	lastHeard time.Duration
+	// clockOffset estimates the machine's clock minus this machine's. A message's
+	// delay makes an offset computed from it too small, so the largest is kept,
+	// lowered by the possible drift since then.
+	clockOffset   time.Duration
+	offsetUpdated time.Duration
+	// endedIncarnations are previous incarnations, the oldest first.
+	endedIncarnations []string
+	// changeSerial is the view's serial at the machine's last change.
+	changeSerial uint64
 }
 
-// View is what a machine knows of all, by what it heard of them directly or
-// through others. It is safe for concurrent use.
+// View holds what a machine knows of all machines, from their own messages and
+// from those of others about them. It is safe for concurrent use.
 type View struct {
-	scope  base.Scope
-	late   time.Duration
-	absent time.Duration
-	mu     sync.Mutex
-	peers  map[string]*peer
-	serial uint64
-	bell   base.Broadcast
-	last   map[string]string
+	scope         base.Scope
+	lateAfter     time.Duration
+	absentAfter   time.Duration
+	mu            sync.Mutex
+	peers         map[string]*peer
+	serial        uint64
+	changed       base.Broadcast
+	lastStandings map[string]string // standings last recorded in the journal, by machine
 }
 
-// NewView returns an empty view, whose standings follow from the interval
-// between heartbeats.
-func NewView(s base.Scope, beat time.Duration) *View {
-	return &View{scope: s, late: lateBeats * beat, absent: absentBeats * beat, peers: map[string]*peer{}, last: map[string]string{}}
+// NewView returns an empty view. The heartbeat interval determines the silences
+// after which a machine is Late or Absent.
+func NewView(s base.Scope, heartbeatInterval time.Duration) *View {
+	return &View{scope: s, lateAfter: lateBeats * heartbeatInterval, absentAfter: absentBeats * heartbeatInterval, peers: map[string]*peer{}, lastStandings: map[string]string{}}
 }
 
-// Changed returns a channel that closes at the next change.
-func (v *View) Changed() <-chan struct{} { return v.bell.Next() }
+// Changed returns a channel that is closed at the next change of the view.
+func (v *View) Changed() <-chan struct{} { return v.changed.Next() }
 
-// Heard takes in what a machine told of itself so long ago.
-func (v *View) Heard(status *wire.Roster, silence time.Duration) {
+// Observe records a machine's status, which was received from that machine the
+// given time ago. The status of an ended incarnation is ignored.
+func (v *View) Observe(status *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.peers[status.Node]
 	if known == nil {
-		if len(v.peers) >= mostPeers {
+		if len(v.peers) >= maxPeers {
 			return
 		}
 		known = &peer{}
 		v.peers[status.Node] = known
-		v.scope.Record("mate", status.Node, "first heard")
+		v.scope.Record("mate", status.Node, "first heard from")
 	}
-	if slices.Contains(known.gone, status.Incarnation) {
+	if slices.Contains(known.endedIncarnations, status.Incarnation) {
 		return
 	}
 	if known.status != nil && known.status.Incarnation != status.Incarnation {
-		known.gone = append(known.gone, known.status.Incarnation)
-		if len(known.gone) > lastBorn {
-			known.gone = known.gone[1:]
+		known.endedIncarnations = append(known.endedIncarnations, known.status.Incarnation)
+		if len(known.endedIncarnations) > maxEndedIncarnations {
+			known.endedIncarnations = known.endedIncarnations[1:]
 		}
 		known.status = nil
-		known.heard = 0
-		v.scope.Record("mate", status.Node, "born again")
+		known.lastHeard = 0
+		v.scope.Record("mate", status.Node, "restarted as a new incarnation")
 	}
 	now := v.scope.Clock.Mono()
-	known.heard = max(known.heard, now-silence)
+	known.lastHeard = max(known.lastHeard, now-silence)
 	offset := time.Duration(status.ClockUs)*time.Microsecond - now
 	if known.status == nil {
-		known.offset, known.tuned = offset, now
+		known.clockOffset, known.offsetUpdated = offset, now
 	}
-	known.offset = max(offset, known.offset-time.Duration(drift*float64(now-known.tuned)))
-	known.tuned = now
+	known.clockOffset = max(offset, known.clockOffset-time.Duration(maxClockDrift*float64(now-known.offsetUpdated)))
+	known.offsetUpdated = now
 	if known.status == nil || status.Serial > known.status.Serial {
 		known.status = status
 		v.markChanged(known)
 	}
-	if v.last[status.Node] != v.refreshStanding(known) {
-		v.last[status.Node] = v.refreshStanding(known)
-		v.scope.Record("standing", status.Node, v.last[status.Node])
+	if v.lastStandings[status.Node] != v.standingOf(known) {
+		v.lastStandings[status.Node] = v.standingOf(known)
+		v.scope.Record("standing", status.Node, v.lastStandings[status.Node])
 		v.markChanged(known)
 	}
 }
 
+// markChanged gives a machine the view's next serial and notifies those who wait for a change.
 func (v *View) markChanged(known *peer) {
 	v.serial++
-	known.risen = v.serial
-	v.bell.Notify()
+	known.changeSerial = v.serial
+	v.changed.Notify()
 }
 
-func (v *View) refreshStanding(m *peer) string {
-	silence := v.scope.Clock.Mono() - m.heard
+// standingOf computes a machine's current standing.
+func (v *View) standingOf(p *peer) string {
+	silence := v.scope.Clock.Mono() - p.lastHeard
 	switch {
-	case silence > v.absent:
+	case silence > v.absentAfter:
 		return Absent
-	case silence > v.late:
+	case silence > v.lateAfter:
 		return Late
 	}
-	return Well
+	return Alive
 }
 
-// RefreshStandings renews the standings and forgets machines long silent. It is called
-// regularly.
+// RefreshStandings records changes of standing and removes machines that have
+// been silent for too long. It must be called regularly.
 func (v *View) RefreshStandings() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for name, each := range v.peers {
-		if v.scope.Clock.Mono()-each.heard > forgotten*v.absent {
+	for name, known := range v.peers {
+		if v.scope.Clock.Mono()-known.lastHeard > forgetFactor*v.absentAfter {
 			delete(v.peers, name)
-			delete(v.last, name)
+			delete(v.lastStandings, name)
 			continue
 		}
-		if standing := v.refreshStanding(each); standing != v.last[name] {
-			v.last[name] = standing
+		if standing := v.standingOf(known); standing != v.lastStandings[name] {
+			v.lastStandings[name] = standing
 			v.scope.Record("standing", name, standing)
-			v.markChanged(each)
+			v.markChanged(known)
 		}
 	}
 }
 
-// Len returns the number of machines in view.
+// Len returns the number of machines in the view.
 func (v *View) Len() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.peers)
 }
 
-// Serial returns the number of the newest change.
+// Serial returns the serial of the newest change.
 func (v *View) Serial() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.serial
 }
 
-// All iterates over copies of all that is known, in the order of names.
+// All iterates over copies of the sightings of all machines, ordered by name.
 func (v *View) All() iter.Seq[*wire.Sighting] { return v.Since(0) }
 
-// Since iterates over copies of what changed after the serial number, in the
-// order of names. The clock readings are reckoned on to now.
+// Since iterates over copies of the sightings that changed after the given
+// serial, ordered by name. Their clock readings are extrapolated to the time of
+// the call.
 func (v *View) Since(serial uint64) iter.Seq[*wire.Sighting] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.scope.Clock.Mono()
 	sightings := make([]*wire.Sighting, 0, len(v.peers))
-	for _, each := range v.peers {
-		if each.status == nil || each.risen <= serial {
+	for _, known := range v.peers {
+		if known.status == nil || known.changeSerial <= serial {
 			continue
 		}
-		status := proto.Clone(each.status).(*wire.Roster)
-		status.ClockUs = (now + each.offset).Microseconds()
-		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.refreshStanding(each), SilenceUs: uint64((now - each.heard).Microseconds())})
+		status := proto.Clone(known.status).(*wire.Roster)
+		status.ClockUs = (now + known.clockOffset).Microseconds()
+		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.standingOf(known), SilenceUs: uint64((now - known.lastHeard).Microseconds())})
 	}
 	slices.SortFunc(sightings, func(a, b *wire.Sighting) int { return strings.Compare(a.Roster.Node, b.Roster.Node) })
 	return slices.Values(sightings)
 }
 
-// Standing returns a machine's standing: Well, Late or Absent.
+// Standing returns a machine's standing: Alive, Late or Absent.
 func (v *View) Standing(node string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if known := v.peers[node]; known != nil {
-		return v.refreshStanding(known)
+		return v.standingOf(known)
 	}
 	return Absent
 }
 
-// Narrow returns a copy of a sighting that has only the instances of the
-// services of concern.
-func Narrow(sighting *wire.Sighting, concerns func(service string) bool) *wire.Sighting {
+// FilterServices returns a copy of a sighting with only the instances of the
+// wanted services.
+func FilterServices(sighting *wire.Sighting, wanted func(service string) bool) *wire.Sighting {
 	narrowed := proto.Clone(sighting).(*wire.Sighting)
-	narrowed.Roster.Seats = slices.DeleteFunc(narrowed.Roster.Seats, func(seat *wire.Seat) bool { return !concerns(seat.Service) })
+	narrowed.Roster.Seats = slices.DeleteFunc(narrowed.Roster.Seats, func(seat *wire.Seat) bool { return !wanted(seat.Service) })
 	return narrowed
 }
