--- a/internal/controlplane/confirm.go
+++ b/internal/controlplane/confirm.go
@@ -11,64 +11,70 @@
 	"curlewreach/proto/wire"
 )
 
-// question marks the moment at which a question came, by the majority reads begun until then.
-type question uint64
+// readSequence counts the majority reads started so far. A request takes the count when it arrives, to tell reads
+// started after its arrival from earlier ones.
+type readSequence uint64
 
-// configurationReads shares majority reads of the configuration among all questions that wait for one.
-// Which read serves which question is decided by their numbers alone: no clock, freeze or clock step can blur it.
-type configurationReads struct {
-	latch base.ContextMutex
-	begun atomic.Uint64
-	last  configurationRead // guarded by latch
+// sharedReads shares majority reads of the configuration among concurrent requests. Which read may serve which
+// request follows from their sequence numbers alone, so neither a stalled process nor a clock step can make a read
+// look newer than it is.
+type sharedReads struct {
+	lock    base.ContextMutex
+	started atomic.Uint64
+	last    readResult // guarded by lock
 }
 
-// configurationRead is the outcome of one majority read.
-type configurationRead struct {
-	view      *view
+// readResult is the outcome of one majority read; version is nil unless confirmed.
+type readResult struct {
+	version   *configurationVersion
 	confirmed bool
 }
 
-func newConfigurationReads() *configurationReads {
-	return &configurationReads{latch: base.NewContextMutex()}
+func newSharedReads() *sharedReads {
+	return &sharedReads{lock: base.NewContextMutex()}
 }
 
-// ask marks the present moment.
-func (r *configurationReads) ask() question { return question(r.begun.Load()) }
+// sequence returns the number of majority reads started so far.
+func (r *sharedReads) sequence() readSequence { return readSequence(r.started.Load()) }
 
-// since gives the outcome of a read that began after the question; it begins one unless another question already did.
-func (r *configurationReads) since(s base.Scope, asked question, read func() configurationRead) configurationRead {
-	if !r.latch.Lock(s) {
-		return configurationRead{}
+// readAfter returns the result of a read that started after the arrival of the request. It starts one unless
+// another request has done so since. It returns an unconfirmed result if the scope ends first.
+func (r *sharedReads) readAfter(s base.Scope, arrival readSequence, read func() readResult) readResult {
+	if !r.lock.Lock(s) {
+		return readResult{}
 	}
-	defer r.latch.Unlock()
-	if question(r.begun.Load()) == asked {
-		r.begun.Add(1)
+	defer r.lock.Unlock()
+	if readSequence(r.started.Load()) == arrival {
+		r.started.Add(1)
 		r.last = read()
 	}
 	return r.last
 }
 
-// confirmSince gives the newest acknowledged configuration, as a majority read that began after the question found it.
-func (m *Server) confirmSince(s base.Scope, asked question) configurationRead {
-	return m.reads.since(s, asked, m.readConfiguration)
+// readAfter returns the newest configuration as a majority read found it that started after the arrival of the
+// request.
+func (m *Server) readAfter(s base.Scope, arrival readSequence) readResult {
+	return m.reads.readAfter(s, arrival, m.readFromMajority)
 }
 
-// readConfiguration reads the configuration from a majority now. It never takes the register over: a change under way stays undisturbed.
-func (m *Server) readConfiguration() configurationRead {
+// readFromMajority reads the newest configuration from a majority. It doesn't become the register's owner, so a
+// change in progress isn't disturbed.
+func (m *Server) readFromMajority() readResult {
 	c := m.core.Load()
 	if c == nil {
-		return configurationRead{}
+		return readResult{}
 	}
-	s, cancel := m.scope.WithTimeout(ratioOf(m.params.Load().Ack, callRatio))
+	s, cancel := m.scope.WithTimeout(ratioOf(m.params.Load().Ack, operatorTimeoutRatio))
 	defer cancel()
 	survey := c.replica.Survey(s, ConfigurationKey)
 	if !survey.Agreed || !survey.Settled {
-		return configurationRead{}
+		return readResult{}
 	}
-	return configurationRead{view: m.view.Load().decode(m.scope, survey.Version), confirmed: true}
+	return readResult{version: m.configuration.Load().decode(m.scope, survey.Version), confirmed: true}
 }
 
-// majorityAge is how long ago the last round that heard a majority began, if this control machine ever heard one.
+// majorityAge returns how long ago the last round started in which a majority answered; known is false if there
+// was none.
 func (m *Server) majorityAge() (age time.Duration, known bool) {
 	c := m.core.Load()
 	if c == nil {
@@ -78,53 +84,57 @@
 	return m.scope.Clock.Mono() - began, known
 }
 
-// freshest gives the newest configuration known here to be chosen, and for how long no newer one can have been chosen unseen:
-// the age of the last round of questions after which a majority held nothing newer. The age is nil while there was no
-// such round. The configuration is read with the age, so that it is never older than the age claims.
-func (m *Server) freshest() (seen *view, freshMs *uint64) {
+// newestChosen returns the newest configuration known here to be chosen, and its freshness in milliseconds: the
+// age of the last round in which a majority held nothing newer. freshMs is nil if there was no such round. Both
+// are read together, so the configuration is never older than freshMs claims.
+func (m *Server) newestChosen() (newest *configurationVersion, freshMs *uint64) {
 	c := m.core.Load()
 	if c == nil {
-		return m.view.Load(), nil
+		return m.configuration.Load(), nil
 	}
-	before := m.view.Load() // loaded first: the version can't be older than it
+	previous := m.configuration.Load() // loaded first, so that it can't be newer than the version read below
 	version, asOf, known := c.replica.Fresh(ConfigurationKey)
-	seen = before.decode(m.scope, version)
+	newest = previous.decode(m.scope, version)
 	if known {
 		freshMs = proto.Uint64(base.Milliseconds(m.scope.Clock.Mono()-asOf) + 1)
 	}
-	return seen, freshMs
+	return newest, freshMs
 }
 
-// confirms tells whether a poll asks for a confirmed configuration; nodes of the version before ask so by holding none.
-func confirms(ask *wire.PollRequest) bool { return ask.Confirm || ask.Wants && ask.Serial == 0 }
+// wantsConfirmation reports whether a poll asks for a confirmed configuration. Nodes of the previous version don't
+// set Confirm; they ask for it by holding no configuration.
+func wantsConfirmation(req *wire.PollRequest) bool {
+	return req.Confirm || req.Wants && req.Serial == 0
+}
 
-// answerConfirmed answers once a majority read that began after the question is over. Without a majority it tells what
-// is known here, unconfirmed, as soon as that is news to the node, and else goes on trying for as long as the node waits.
-func (m *Server) answerConfirmed(s base.Scope, ask *wire.PollRequest, hold time.Duration) (*connect.Response[wire.PollReply], error) {
+// answerConfirmed answers with a configuration that a majority read confirmed which started after the poll
+// arrived. Without a majority it answers unconfirmed as soon as the node would learn something new, and otherwise
+// retries for as long as the node waits.
+func (m *Server) answerConfirmed(s base.Scope, req *wire.PollRequest, maxWait time.Duration) (*connect.Response[wire.PollReply], error) {
 	began := s.Clock.Mono()
 	for {
-		news := m.changed.Next()
-		read := m.confirmSince(s, m.reads.ask())
-		seen := read.view
+		changed := m.changed.Next()
+		read := m.readAfter(s, m.reads.sequence())
+		newest := read.version
 		if !read.confirmed {
-			seen = m.view.Load()
+			newest = m.configuration.Load()
 		}
-		reply, fresh := m.buildReply(ask, seen)
+		reply, hasNews := m.buildReply(req, newest)
 		reply.Confirmed, reply.Settled = read.confirmed, read.confirmed
-		held := s.Clock.Mono() - began
+		waited := s.Clock.Mono() - began
 		if read.confirmed {
-			reply.FreshMs, reply.HeldMs = proto.Uint64(base.Milliseconds(held)), base.Milliseconds(held) // the read began after the question came
+			reply.FreshMs, reply.HeldMs = proto.Uint64(base.Milliseconds(waited)), base.Milliseconds(waited) // the read started after the poll arrived
 		}
 		if err := s.Err(); err != nil {
 			return nil, err
 		}
-		if fresh || read.confirmed && reply.Serial > 0 || held >= hold || m.stopping.Load() {
+		if hasNews || read.confirmed && reply.Serial > 0 || waited >= maxWait || m.stopping.Load() {
 			return connect.NewResponse(reply), nil
 		}
-		pause := hold - held
+		pause := maxWait - waited
 		if !read.confirmed {
-			pause = min(pause, ratioOf(m.params.Load().InForce, stepRatio))
+			pause = min(pause, ratioOf(m.params.Load().InForce, retryIntervalRatio))
 		}
-		base.Await(s, pause, news)
+		base.Await(s, pause, changed)
 	}
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package controlplane is the replicated control plane of a fleet whose members no configuration lists.
-// Operators propose configurations unsigned; one is in force once a majority of the core replicas has it on
-// disk.
+// Package controlplane implements the replicated control plane of an open fleet: one whose members aren't listed in the
+// configuration. Operators propose unsigned configurations to any control machine. A configuration is committed once a
+// majority of the voting replicas has it on disk; nodes then receive it by polling a control machine.
 package controlplane
 
 import (
@@ -22,77 +22,87 @@
 const (
 	// ConfigurationKey names the replicated register that holds the current configuration.
 	ConfigurationKey = "chart"
-	// LearningKey names the replicated register that holds the sampling odds and findings of tracing.
+	// LearningKey names the replicated register that holds the sampling odds of tracing and what they were learned
+	// from.
 	LearningKey = "learning"
 
-	roundRatio     = 0.1   // of the ack bound: one round of disks
-	callRatio      = 0.23  // of the ack bound: one call of an operator
-	forwardRatio   = 0.063 // of the ack bound: another control machine's answer
-	watchRatio     = 0.125 // of the in-force bound
-	recentRatio    = 0.75  // of the in-force bound
-	stepRatio      = 0.05  // of the in-force bound
-	handOverRatio  = 0.3   // of the grace
-	stopRatio      = 0.8   // of the grace
-	foundRatio     = 0.25  // of the ack bound
-	absentTicks    = 8
-	largestMessage = 32 << 20
+	// Ratios of the bounds in the settings. Ack bounds the time until a proposal is acknowledged, InForce the time
+	// until a committed configuration is in force at the nodes, and Grace the time that a stop may take.
+
+	roundTimeoutRatio    = 0.1   // of Ack: timeout of one request to another replica, its disk write included
+	operatorTimeoutRatio = 0.23  // of Ack: timeout of one operator call, a proposal or a read of the configuration
+	forwardTimeoutRatio  = 0.063 // of Ack: timeout of a proposal forwarded to the register's owner; also the wait before hedging
+	statusIntervalRatio  = 0.125 // of InForce: interval between two status rounds of the replica
+	recentlyHeardRatio   = 0.75  // of InForce: how long after its last answer a voter counts as reachable
+	retryIntervalRatio   = 0.05  // of InForce: pause before an attempt is repeated
+	handOverTimeoutRatio = 0.3   // of Grace: timeout of handing over the sampling duty, the vote and the registers
+	stopTimeoutRatio     = 0.8   // of Grace: timeout of the orderly part of a stop
+	foundingWaitRatio    = 0.25  // of Ack: how long the founder collects the replicas that become the first members
+
+	// expiryChecks is how often per Absent bound the registry is searched for silent nodes.
+	expiryChecks = 8
+	// maxMessageBytes bounds a request in bytes. Replies below it aren't compressed by the transport; configurations are
+	// packed separately (see attachConfiguration).
+	maxMessageBytes = 32 << 20
 )
 
-// Server is one control machine of an open fleet.
+// Server is the process of one control machine of an open fleet.
 type Server struct {
-	scope       base.Scope
-	params      atomic.Pointer[wire.ControllerParams]
-	address     string
-	incarnation string
-	client      *http.Client
-	cancel      context.CancelFunc
-	servers     []*httpserver.Server
-	tasks       base.Group
-	core        atomic.Pointer[core]
-	registry    *registry
-	changed     base.Broadcast
-	view        atomic.Pointer[view]
-	learning    atomic.Pointer[learning]
-	stopping    atomic.Bool
-	started     time.Duration
-	recent      recentConfigurations
-	reads       *configurationReads
-}
-
-// Start opens the servers of a control machine; it joins its peers in the background.
-func Start(s base.Scope, p *wire.ControllerParams, desk func(*Server) http.Handler) (*Server, error) {
+	scope         base.Scope
+	params        atomic.Pointer[wire.ControllerParams]
+	address       string // where peers and nodes reach this machine
+	incarnation   string
+	client        *http.Client
+	cancel        context.CancelFunc
+	servers       []*httpserver.Server
+	tasks         base.Group
+	core          atomic.Pointer[core]
+	registry      *registry
+	changed       base.Broadcast // a new configuration or new sampling odds, or a stop
+	configuration atomic.Pointer[configurationVersion]
+	learning      atomic.Pointer[learningVersion]
+	stopping      atomic.Bool
+	startedAt     time.Duration
+	recent        recentConfigurations // to compute changes for nodes from
+	reads         *sharedReads
+}
+
+// Start opens the servers for peers and for operators and returns; the data folder is opened and the peers are
+// joined in the background. operatorHandler builds the handler of the operators' server. Start fails if the
+// settings are invalid or an address can't be bound.
+func Start(s base.Scope, p *wire.ControllerParams, operatorHandler func(*Server) http.Handler) (*Server, error) {
 	SetDefaults(p)
 	if err := Check(p); err != nil {
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
-	m.started = s.Clock.Mono()
+	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newSharedReads()}
+	m.startedAt = s.Clock.Mono()
 	m.params.Store(p)
-	m.view.Store(newView(nil, nil))
-	m.learning.Store(&learning{})
+	m.configuration.Store(newConfigurationVersion(nil, nil))
+	m.learning.Store(&learningVersion{})
 	mux := http.NewServeMux()
-	mux.Handle(wireconnect.NewMoorHandler(rpcService{m}, connect.WithCompressMinBytes(largestMessage), connect.WithReadMaxBytes(largestMessage)))
+	mux.Handle(wireconnect.NewMoorHandler(rpcService{m}, connect.WithCompressMinBytes(maxMessageBytes), connect.WithReadMaxBytes(maxMessageBytes)))
 	m.registerViews(mux)
-	mux.HandleFunc("/"+wireconnect.ReplicasName+"/", m.requireCore(func(c *core) http.Handler { return c.votes }))
-	mux.HandleFunc("/"+wireconnect.LensName+"/", m.requireCore(func(c *core) http.Handler { return c.spans }))
+	mux.HandleFunc("/"+wireconnect.ReplicasName+"/", m.requireCore(func(c *core) http.Handler { return c.replicaHandler }))
+	mux.HandleFunc("/"+wireconnect.LensName+"/", m.requireCore(func(c *core) http.Handler { return c.traceHandler }))
 	for _, each := range []struct {
 		address string
 		handler http.Handler
-	}{{p.Peers, mux}, {p.Operators, desk(m)}} {
-		door, err := httpserver.Serve(s, each.address, each.handler)
+	}{{p.Peers, mux}, {p.Operators, operatorHandler(m)}} {
+		server, err := httpserver.Serve(s, each.address, each.handler)
 		if err != nil {
 			m.Kill()
 			return nil, err
 		}
-		m.servers = append(m.servers, door)
+		m.servers = append(m.servers, server)
 	}
 	m.tasks.Go(func() { m.run(s) })
 	s.Log.Info("started", "name", p.Name, "zone", p.Zone, "founding", p.Founding)
 	return m, nil
 }
 
-// requireCore serves by the core once this machine has joined its peers, and answers 503 before.
+// requireCore delegates to a handler of the core, and answers 503 until the core is open.
 func (m *Server) requireCore(pick func(*core) http.Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if c := m.core.Load(); c != nil {
@@ -103,23 +113,23 @@
 	}
 }
 
-// run joins the peers and then does the work of a control machine until the scope ends.
+// run opens the core and then runs the tasks of a control machine until the scope ends.
 func (m *Server) run(s base.Scope) {
-	var crew base.Group
-	crew.Go(func() { m.expireNodes(s) })
+	var group base.Group
+	group.Go(func() { m.expireNodes(s) })
 	if c := m.join(s); c != nil {
 		m.core.Store(c)
-		crew.Go(func() { c.replica.Run(s) })
-		crew.Go(func() { m.watchReplica(s, c) })
-		crew.Go(func() { c.traces.Run(s, ratioOf(m.params.Load().InForce, 4*watchRatio)) })
-		crew.Go(func() { newLearner(m, c).run(s) })
+		group.Go(func() { c.replica.Run(s) })
+		group.Go(func() { m.watchReplica(s, c) })
+		group.Go(func() { c.traces.Run(s, ratioOf(m.params.Load().InForce, 4*statusIntervalRatio)) })
+		group.Go(func() { newSamplingLearner(m, c).run(s) })
 	}
-	crew.Wait()
+	group.Wait()
 }
 
-// expireNodes marks nodes absent that have been silent for the bound in the settings.
+// expireNodes marks nodes absent that have been silent for longer than the Absent bound.
 func (m *Server) expireNodes(s base.Scope) {
-	base.Tick(s, ratioOf(m.params.Load().Absent, 1.0/absentTicks), func(s base.Scope) {
+	base.Tick(s, ratioOf(m.params.Load().Absent, 1.0/expiryChecks), func(s base.Scope) {
 		for _, node := range m.registry.expire(m.params.Load().Absent.AsDuration()) {
 			s.Log.Warn("node absent", "of", node)
 			s.Record("absent", node, "")
@@ -127,43 +137,43 @@
 	})
 }
 
-// watchReplica takes what is newly chosen into view and logs what changes among the members.
+// watchReplica picks up newly chosen versions and logs changes of ownership and membership until the scope ends.
 func (m *Server) watchReplica(s base.Scope, c *core) {
-	var told memberLog
+	var logged membershipLog
 	for s.Err() == nil {
-		heard := c.replica.Changed()
-		m.refreshView(c)
-		told.log(s, c)
-		base.Await(s, ratioOf(m.params.Load().InForce, 1), heard)
+		changed := c.replica.Changed()
+		m.refreshVersions(c)
+		logged.logChanges(s, c)
+		base.Await(s, ratioOf(m.params.Load().InForce, 1), changed)
 	}
 }
 
-// refreshView takes newly chosen versions into view and wakes the polls that wait for them.
-func (m *Server) refreshView(c *core) {
-	before := m.view.Load()
-	if seen := before.decode(m.scope, c.replica.Chosen(ConfigurationKey)); seen != before {
-		m.view.Store(seen)
-		m.recent.add(seen)
+// refreshVersions decodes newly chosen versions of both registers and wakes the polls that wait for them.
+func (m *Server) refreshVersions(c *core) {
+	previous := m.configuration.Load()
+	if newest := previous.decode(m.scope, c.replica.Chosen(ConfigurationKey)); newest != previous {
+		m.configuration.Store(newest)
+		m.recent.add(newest)
 		m.changed.Notify()
 	}
-	was := m.learning.Load()
-	if learned := was.next(m.scope, c.replica.Chosen(LearningKey)); learned != was {
-		m.learning.Store(learned)
-		if learned.said.GetOdds().GetSerial() != was.said.GetOdds().GetSerial() {
+	previousLearning := m.learning.Load()
+	if newestLearning := previousLearning.decode(m.scope, c.replica.Chosen(LearningKey)); newestLearning != previousLearning {
+		m.learning.Store(newestLearning)
+		if newestLearning.state.GetOdds().GetSerial() != previousLearning.state.GetOdds().GetSerial() {
 			m.changed.Notify()
 		}
 	}
 }
 
-// memberLog remembers what was last logged of the members.
-type memberLog struct {
+// membershipLog remembers what was last logged of ownership and membership.
+type membershipLog struct {
 	owns       bool
 	votes      bool
 	generation uint64
 }
 
-// log tells what has changed since it was last called.
-func (l *memberLog) log(s base.Scope, c *core) {
+// logChanges logs what has changed since the last call.
+func (l *membershipLog) logChanges(s base.Scope, c *core) {
 	if owns := c.replica.Owns(ConfigurationKey); owns != l.owns {
 		l.owns = owns
 		s.Log.Info("ownership of the configuration", "mine", owns)
@@ -176,67 +186,72 @@
 	}
 }
 
-// Ready says whether this control machine votes.
+// Ready reports whether this control machine has joined its peers and has a vote.
 func (m *Server) Ready() bool {
 	c := m.core.Load()
 	return c != nil && c.replica.Votes()
 }
 
-// Settled says whether this control machine votes and lately agreed with a majority on the newest configuration.
+// Settled reports whether this control machine has a vote and a recent status round found the newest configuration
+// on a majority of disks.
 func (m *Server) Settled() bool {
 	c := m.core.Load()
 	if c == nil || !c.replica.Votes() {
 		return false
 	}
 	began, ok := c.replica.Settled(ConfigurationKey)
-	return ok && m.isWithin(began, recentRatio)
+	return ok && m.isRecent(began, recentlyHeardRatio)
 }
 
-// heardMajorityLately says whether a majority has answered within the in-force bound. It only saves callers a wait: what is
-// decided is decided by a majority's answers since the question came.
-func (m *Server) heardMajorityLately(c *core) bool {
+// heardMajorityRecently reports whether a majority has answered within the InForce bound, or whether this process
+// is younger than that. Callers use it only to fail early instead of waiting for a timeout. It is never evidence
+// for a decision, which always needs answers of a majority to requests sent after the call.
+func (m *Server) heardMajorityRecently(c *core) bool {
 	began, _ := c.replica.LastMajority()
-	return m.isWithin(max(began, m.started), 1)
+	return m.isRecent(max(began, m.startedAt), 1)
 }
 
-// isWithin tells whether a moment lies back no further than a ratio of the in-force bound.
-func (m *Server) isWithin(since time.Duration, ratio float64) bool {
-	return m.scope.Clock.Mono()-since <= ratioOf(m.params.Load().InForce, ratio)
+// isRecent reports whether a moment of the monotonic clock is no further back than a ratio of the InForce bound.
+func (m *Server) isRecent(moment time.Duration, ratio float64) bool {
+	return m.scope.Clock.Mono()-moment <= ratioOf(m.params.Load().InForce, ratio)
 }
 
-// Stop hands over what this control machine owns, answers what it holds and quits within the grace.
+// Stop shuts down in order within the Grace bound: it hands over the duty of the sampling learner, the vote and
+// the registers that this control machine owns, answers the polls that it holds and closes its servers once they
+// are idle.
 func (m *Server) Stop() {
 	grace := m.params.Load().Grace
-	s, cancel := m.scope.WithContext(context.WithoutCancel(m.scope)).WithTimeout(ratioOf(grace, stopRatio))
+	s, cancel := m.scope.WithContext(context.WithoutCancel(m.scope)).WithTimeout(ratioOf(grace, stopTimeoutRatio))
 	defer cancel()
 	if c := m.core.Load(); c != nil {
-		hand, cancel := s.WithTimeout(ratioOf(grace, handOverRatio))
-		m.handOver(hand, c)
-		if err := c.replica.Leave(hand); err != nil {
+		handOverScope, cancel := s.WithTimeout(ratioOf(grace, handOverTimeoutRatio))
+		m.handOverLearning(handOverScope, c)
+		if err := c.replica.Leave(handOverScope); err != nil {
 			m.scope.Log.Warn("not replaced before the stop", "error", err)
 		}
-		c.replica.HandOver(hand, ConfigurationKey, LearningKey)
+		c.replica.HandOver(handOverScope, ConfigurationKey, LearningKey)
 		cancel()
 	}
 	m.stopping.Store(true)
 	m.changed.Notify()
 	m.cancel()
-	base.Parallel(m.servers, func(door *httpserver.Server) { door.CloseWhenIdle(s) })
+	base.Parallel(m.servers, func(server *httpserver.Server) { server.CloseWhenIdle(s) })
 	m.Kill()
 	m.scope.Log.Info("stopped")
 }
 
-// Kill ends at once.
+// Kill shuts down at once, without handing anything over.
 func (m *Server) Kill() {
 	m.cancel()
-	for _, door := range m.servers {
-		door.Close()
+	for _, server := range m.servers {
+		server.Close()
 	}
 	m.tasks.Wait()
 	m.client.CloseIdleConnections()
 }
 
-// Reload takes changed settings; addresses, the name and the folder change only with a restart.
+// Reload applies changed settings. It fails if the name, an address or the data folder differs: those need a
+// restart.
 func (m *Server) Reload(p *wire.ControllerParams) error {
 	SetDefaults(p)
 	if err := Check(p); err != nil {
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -18,30 +18,34 @@
 )
 
 const (
-	spansEachMb  = 20
-	spansMost    = 50000
-	silenceRatio = 0.3  // of the ack bound: a voter unheard for so long may be replaced
-	settleRatio  = 0.15 // of the in-force bound: a change may be on too few disks for so long
-	// votersPerLoss further voters bear one more loss.
-	votersPerLoss = 2
+	// The trace store holds spansPerMB spans for each megabyte of the memory setting, at most maxSpans.
+	spansPerMB = 20
+	maxSpans   = 50000
+
+	replaceVoterRatio    = 0.3  // of Ack: a voter silent for so long may be replaced by a replica that has caught up
+	underReplicatedRatio = 0.15 // of InForce: how long a version may be on too few disks before it is read again
+
+	// votersPerFailure is how many more voters it takes to tolerate one more failure: a majority must remain.
+	votersPerFailure = 2
 )
 
-// core is what a control machine has once its disk is open.
+// core is what a control machine consists of once its data folder is open: the replica, the trace store, their
+// handlers and the clients of other control machines.
 type core struct {
-	replica *replica.Replica
-	store   *statestore.Store
-	traces  *tracing.Store
-	votes   http.Handler
-	spans   http.Handler
-	web     *http.Client
-	self    string
+	replica        *replica.Replica
+	store          *statestore.Store
+	traces         *tracing.Store
+	replicaHandler http.Handler
+	traceHandler   http.Handler
+	client         *http.Client
+	address        string
 
-	mu          sync.Mutex
-	peers       map[string]wireconnect.MoorClient
-	traceStores map[string]wireconnect.LensClient
+	mu           sync.Mutex
+	peerClients  map[string]wireconnect.MoorClient
+	traceClients map[string]wireconnect.LensClient
 }
 
-// join opens the disk, again and again until it can be read.
+// join opens the core and retries until the data folder can be opened. It returns nil if the scope ends first.
 func (m *Server) join(s base.Scope) *core {
 	for s.Err() == nil {
 		c, err := m.openCore(s)
@@ -50,12 +54,14 @@
 		}
 		s.Record("joining", "", err.Error())
 		s.Log.Warn("data folder not open yet", "error", err)
-		base.Await(s, ratioOf(m.params.Load().InForce, 2*stepRatio))
+		base.Await(s, ratioOf(m.params.Load().InForce, 2*retryIntervalRatio))
 	}
 	return nil
 }
 
-// openCore starts from what the disk holds. A disk whose state can't be read is a newcomer's, never a founder's.
+// openCore builds the core from what the disk holds. A machine whose stored state can't be read joins as a
+// newcomer and never founds a fleet, whatever its settings say: other machines may still hold the old fleet's
+// state.
 func (m *Server) openCore(s base.Scope) (*core, error) {
 	p := m.params.Load()
 	store, state, err := statestore.Open(s.Disk, s.Record)
@@ -66,63 +72,63 @@
 		s.Log.Warn("state on disk is lost; joining as a newcomer", "error", err)
 	}
 	c := &core{
-		store: store, web: m.client, self: m.address,
-		peers: map[string]wireconnect.MoorClient{}, traceStores: map[string]wireconnect.LensClient{},
+		store: store, client: m.client, address: m.address,
+		peerClients: map[string]wireconnect.MoorClient{}, traceClients: map[string]wireconnect.LensClient{},
 	}
 	settings := replica.Settings{
 		Address: m.address, Seeds: replicaSeeds(p), Founding: p.Founding && state == nil && err == nil,
-		Target: votersPerLoss*int(p.Tolerated) + 1, Watch: ratioOf(p.InForce, watchRatio), Silence: ratioOf(p.Ack, silenceRatio),
-		Patience: ratioOf(p.InForce, settleRatio), FoundingWait: ratioOf(p.Ack, foundRatio),
+		Target: votersPerFailure*int(p.Tolerated) + 1, Watch: ratioOf(p.InForce, statusIntervalRatio), Silence: ratioOf(p.Ack, replaceVoterRatio),
+		Patience: ratioOf(p.InForce, underReplicatedRatio), FoundingWait: ratioOf(p.Ack, foundingWaitRatio),
 	}
-	c.replica = replica.New(s, settings, store, state, m.client, ratioOf(p.Ack, roundRatio))
-	c.traces = tracing.OpenStore(s, min(int(p.MemoryMb)*spansEachMb, spansMost))
-	c.traces.FollowPeers(c.otherTraceStores)
-	_, c.votes = c.replica.Handler()
-	_, c.spans = tracing.Handler(c.traces)
+	c.replica = replica.New(s, settings, store, state, m.client, ratioOf(p.Ack, roundTimeoutRatio))
+	c.traces = tracing.OpenStore(s, min(int(p.MemoryMb)*spansPerMB, maxSpans))
+	c.traces.FollowPeers(c.otherTraceClients)
+	_, c.replicaHandler = c.replica.Handler()
+	_, c.traceHandler = tracing.Handler(c.traces)
 	return c, nil
 }
 
-// peer gives the client of another control machine.
-func (c *core) peer(address string) wireconnect.MoorClient {
+// peerClient returns the client of another control machine.
+func (c *core) peerClient(address string) wireconnect.MoorClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	client := c.peers[address]
+	client := c.peerClients[address]
 	if client == nil {
-		client = wireconnect.NewMoorClient(c.web, "http://"+address)
-		c.peers[address] = client
+		client = wireconnect.NewMoorClient(c.client, "http://"+address)
+		c.peerClients[address] = client
 	}
 	return client
 }
 
-// traceStore gives the client of a trace store.
-func (c *core) traceStore(address string) wireconnect.LensClient {
+// traceClient returns the client of the trace store at an address.
+func (c *core) traceClient(address string) wireconnect.LensClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	client := c.traceStores[address]
+	client := c.traceClients[address]
 	if client == nil {
-		client = wireconnect.NewLensClient(c.web, "http://"+address)
-		c.traceStores[address] = client
+		client = wireconnect.NewLensClient(c.client, "http://"+address)
+		c.traceClients[address] = client
 	}
 	return client
 }
 
-// otherTraceStores returns clients of the trace stores of the other voters.
-func (c *core) otherTraceStores() []wireconnect.LensClient {
+// otherTraceClients returns the clients of the trace stores of all other voters.
+func (c *core) otherTraceClients() []wireconnect.LensClient {
 	var clients []wireconnect.LensClient
 	for _, address := range c.replica.Voters() {
-		if address != c.self {
-			clients = append(clients, c.traceStore(address))
+		if address != c.address {
+			clients = append(clients, c.traceClient(address))
 		}
 	}
 	return clients
 }
 
-// heardLately tells whether the voter at an address was heard within a time, as this replica sees it.
-func (c *core) heardLately(address string, lately time.Duration) bool {
-	return c.replica.HeardLately(address, lately)
+// heardWithin reports whether this replica heard the voter at an address within the given time.
+func (c *core) heardWithin(address string, window time.Duration) bool {
+	return c.replica.HeardLately(address, window)
 }
 
-// Control machines lists the voters.
+// Keels returns the addresses of the voters, for nodes and joining control machines.
 func (v rpcService) Keels(_ context.Context, _ *connect.Request[wire.ControllersRequest]) (*connect.Response[wire.ControllersReply], error) {
 	c := v.server.core.Load()
 	if c == nil || len(c.replica.Voters()) == 0 {
--- a/internal/controlplane/join_test.go
+++ b/internal/controlplane/join_test.go
@@ -11,41 +11,42 @@
 	"curlewreach/proto/wire"
 )
 
+// wipe crashes a control machine and erases its disk.
 func (f *fleet) wipe(i int) {
-	f.fell(i, true)
+	f.crash(i, true)
 	f.controllers[i].disk.Wipe()
 }
 
-var _ = ginkgo.Describe("a wiped machine", func() {
-	story("given a wiped machine, when it returns, then it votes only once it has read from both others, and serves the newest", func(f *fleet) {
-		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
+var _ = ginkgo.Describe("a control machine that lost its disk", func() {
+	scenario("given a wiped machine, when it restarts, then it votes only once it has read from both others, and serves the newest configuration", func(f *fleet) {
+		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		gone := f.scope.Rand.IntN(3)
 		f.wipe(gone)
-		Expect(f.insist(gone+1, whole(2, 1, "/b/")).Kind).To(BeEmpty())
-		f.raise(gone, false)
-		begun := time.Now()
-		f.agree(2)
-		Expect(time.Since(begun)).To(BeNumerically("<", 3*time.Second))
+		Expect(f.proposeUntilAnswered(gone+1, fullProposal(2, 1, "/b/")).Kind).To(BeEmpty())
+		f.start(gone, false)
+		began := time.Now()
+		f.expectAgreement(2)
+		Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
 		for i := range f.controllers {
 			if i != gone {
 				f.powerLoss(i)
 			}
 		}
-		f.raise((gone+1)%3, false)
-		f.agree(2)
+		f.start((gone+1)%3, false)
+		f.expectAgreement(2)
 	})
 
-	story("given two wiped machines of three, when they return, then they never make a new fleet of their own", func(f *fleet) {
-		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
+	scenario("given two of three machines wiped, when they restart, then they never found a new fleet", func(f *fleet) {
+		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		f.kill(0)
 		f.wipe(1)
 		f.wipe(2)
-		f.raise(1, false)
-		f.raise(2, false)
+		f.start(1, false)
+		f.start(2, false)
 		time.Sleep(10 * time.Second)
 		for _, i := range []int{1, 2} {
 			Expect(f.controllers[i].server.Ready()).To(BeFalse())
-			_, err := f.propose(i, whole(1, 0, "/other/"))
+			_, err := f.propose(i, fullProposal(1, 0, "/other/"))
 			Expect(err).To(HaveOccurred())
 			_, err = f.controllers[i].server.Configuration(f.scope)
 			Expect(err).To(HaveOccurred())
@@ -55,13 +56,13 @@
 		}
 	})
 
-	story("given all machines wiped, when they return without founding, then nothing is begun anew", func(f *fleet) {
-		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
+	scenario("given all machines wiped, when they restart without the founding setting, then no new fleet is founded", func(f *fleet) {
+		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		for i := range f.controllers {
 			f.wipe(i)
 		}
 		for i := range f.controllers {
-			f.raise(i, false)
+			f.start(i, false)
 		}
 		time.Sleep(10 * time.Second)
 		for _, k := range f.controllers {
@@ -69,65 +70,65 @@
 		}
 	})
 
-	story("given seeds that lag, when control machines restart, then they go by the list that they kept, and a wiped one asks for it", func(f *fleet) {
-		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
-		f.tuning = func(p *wire.ControllerParams) { p.Seeds = []string{"10.9.0.77:7005", ip(1) + ":7005"} }
+	scenario("given outdated seeds, when control machines restart, then they use the stored list of voters, and a wiped one asks a peer for it", func(f *fleet) {
+		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
+		f.adjustParams = func(p *wire.ControllerParams) { p.Seeds = []string{"10.9.0.77:7005", hostAddress(1) + ":7005"} }
 		for _, i := range []int{0, 1, 2} {
 			f.kill(i)
-			f.raise(i, false)
-			f.agree(1)
-			Expect(f.controllers[i].server.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
+			f.start(i, false)
+			f.expectAgreement(1)
+			Expect(f.controllers[i].server.core.Load().replica.Voters()).To(Equal([]string{peerAddress(0), peerAddress(1), peerAddress(2)}))
 		}
 		f.wipe(0)
-		f.raise(0, false)
-		f.agree(1)
-		Expect(f.controllers[0].server.core.Load().replica.Voters()).To(Equal([]string{at(0), at(1), at(2)}))
-		f.tuning = func(p *wire.ControllerParams) { p.Seeds = nil }
+		f.start(0, false)
+		f.expectAgreement(1)
+		Expect(f.controllers[0].server.core.Load().replica.Voters()).To(Equal([]string{peerAddress(0), peerAddress(1), peerAddress(2)}))
+		f.adjustParams = func(p *wire.ControllerParams) { p.Seeds = nil }
 		f.powerLoss(0)
-		f.raise(0, false)
-		f.agree(1)
+		f.start(0, false)
+		f.expectAgreement(1)
 	})
 
-	story("given control machines killed at any moment of the founding, when they return without founding, then the fleet still begins", func(f *fleet) {
+	scenario("given control machines that lose power at a random moment of the founding, when they restart without the founding setting, then the founding is completed", func(f *fleet) {
 		for round := range 6 {
 			for i := range f.controllers {
 				f.wipe(i)
 			}
 			for i := range f.controllers {
-				f.raise(i, true)
+				f.start(i, true)
 			}
 			time.Sleep(time.Duration(f.scope.Rand.IntN(300)+5*round) * time.Millisecond)
 			for i := range f.controllers {
 				f.powerLoss(i)
 			}
 			for i := range f.controllers {
-				f.raise(i, false)
+				f.start(i, false)
 			}
-			Expect(f.until(f.ready)).To(BeTrue())
-			Expect(f.insist(round, whole(1, 0)).Kind).To(BeEmpty())
+			Expect(f.eventually(f.ready)).To(BeTrue())
+			Expect(f.proposeUntilAnswered(round, fullProposal(1, 0)).Kind).To(BeEmpty())
 		}
 	})
 
-	story("given a founder that loses its disk before the first generation, when it returns without founding, then the fleet still begins", func(f *fleet) {
+	scenario("given a founder that loses its disk before the first generation, when it restarts without the founding setting, then the founding is completed", func(f *fleet) {
 		for round := range 6 {
 			for i := range f.controllers {
 				f.wipe(i)
 			}
 			for i := range f.controllers {
-				f.raise(i, true)
+				f.start(i, true)
 			}
 			time.Sleep(time.Duration(100+f.scope.Rand.IntN(800)) * time.Millisecond)
 			Expect(f.ready()).To(BeFalse())
 			f.wipe(0)
 			time.Sleep(time.Duration(f.scope.Rand.IntN(400)) * time.Millisecond)
-			f.raise(0, false)
-			Expect(f.until(f.ready)).To(BeTrue())
-			Expect(f.insist(round, whole(1, 0)).Kind).To(BeEmpty())
+			f.start(0, false)
+			Expect(f.eventually(f.ready)).To(BeTrue())
+			Expect(f.proposeUntilAnswered(round, fullProposal(1, 0)).Kind).To(BeEmpty())
 		}
 	})
 
-	storyOf(5, "given five control machines, when any two are wiped again and again, then what was acked by the barest majority stays", func(f *fleet) {
-		on := uint64(0)
+	scenarioWithMachines(5, "given five control machines, when two at a time are wiped repeatedly, then what the smallest majority acknowledged is kept", func(f *fleet) {
+		newest := uint64(0)
 		for round := range 6 {
 			order := []int{0, 1, 2, 3, 4}
 			for i := range order {
@@ -138,37 +139,37 @@
 			for _, i := range away {
 				f.kill(i)
 			}
-			Expect(f.insist(lost[0], whole(on+1, on, fmt.Sprintf("/p%d/", round))).Kind).To(BeEmpty())
-			on++
+			Expect(f.proposeUntilAnswered(lost[0], fullProposal(newest+1, newest, fmt.Sprintf("/p%d/", round))).Kind).To(BeEmpty())
+			newest++
 			for _, i := range lost {
 				f.wipe(i)
 			}
 			for _, i := range away {
-				f.raise(i, false)
+				f.start(i, false)
 			}
 			for _, i := range lost {
-				f.raise(i, false)
+				f.start(i, false)
 			}
-			f.agree(on)
-			Expect(f.insist(lost[0], whole(on+1, on-1, "/rival/")).Kind).To(Equal(string(base.StaleBase)))
+			f.expectAgreement(newest)
+			Expect(f.proposeUntilAnswered(lost[0], fullProposal(newest+1, newest-1, "/rival/")).Kind).To(Equal(string(base.StaleBase)))
 		}
 	})
 
-	storyOf(5, "given five control machines with two wiped and one away, when the wiped return, then they wait for a third that is whole", func(f *fleet) {
-		Expect(f.taken(0, whole(1, 0))).To(BeTrue())
+	scenarioWithMachines(5, "given five control machines, two wiped and one down, when the wiped ones restart, then they get no vote until a third one with its disk is up", func(f *fleet) {
+		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		f.kill(4)
 		f.wipe(0)
 		f.wipe(1)
-		f.raise(0, false)
-		f.raise(1, false)
+		f.start(0, false)
+		f.start(1, false)
 		time.Sleep(5 * time.Second)
 		Expect(f.controllers[0].server.Ready()).To(BeFalse())
 		Expect(f.controllers[1].server.Ready()).To(BeFalse())
-		_, err := f.propose(0, whole(2, 1))
+		_, err := f.propose(0, fullProposal(2, 1))
 		Expect(err).To(HaveOccurred())
-		f.raise(4, false)
-		Expect(f.until(f.ready)).To(BeTrue())
-		Expect(f.insist(0, whole(2, 1)).Kind).To(BeEmpty())
-		f.agree(2)
+		f.start(4, false)
+		Expect(f.eventually(f.ready)).To(BeTrue())
+		Expect(f.proposeUntilAnswered(0, fullProposal(2, 1)).Kind).To(BeEmpty())
+		f.expectAgreement(2)
 	})
 })
--- a/internal/controlplane/params.go
+++ b/internal/controlplane/params.go
@@ -13,17 +13,17 @@
 	"curlewreach/proto/wire"
 )
 
-// SetDefaults fills in what was left out.
+// SetDefaults fills in the settings that were left out.
 func SetDefaults(p *wire.ControllerParams) {
-	usual := func(at **durationpb.Duration, d time.Duration) {
-		if (*at).AsDuration() == 0 {
-			*at = durationpb.New(d)
+	setDefault := func(field **durationpb.Duration, d time.Duration) {
+		if (*field).AsDuration() == 0 {
+			*field = durationpb.New(d)
 		}
 	}
-	usual(&p.Ack, 4*time.Second)
-	usual(&p.InForce, 2*time.Second)
-	usual(&p.Grace, 6*time.Second)
-	usual(&p.Absent, 1500*time.Millisecond)
+	setDefault(&p.Ack, 4*time.Second)
+	setDefault(&p.InForce, 2*time.Second)
+	setDefault(&p.Grace, 6*time.Second)
+	setDefault(&p.Absent, 1500*time.Millisecond)
 	if p.MemoryMb == 0 {
 		p.MemoryMb = 256
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-// Check tells what is wrong with the settings.
+// Check validates the settings and returns all that is invalid in one error.
 func Check(p *wire.ControllerParams) error {
 	within := func(low, high time.Duration) validation.Rule {
 		return validation.By(func(value any) error {
@@ -53,21 +53,22 @@
 	)
 }
 
-// replicaSeeds lists the addresses of the seeds' replicas, this machine's own among them if it is a seed: a founder that
-// has lost its disk recognises by that list that it is the one to found again.
+// replicaSeeds returns the addresses of the seeds' replicas, sorted, with the port of this machine's peer address.
+// If this machine is a seed it is listed as well: a founder that has lost its disk recognises by this list that it
+// is the one to found the fleet again.
 func replicaSeeds(p *wire.ControllerParams) []string {
 	_, port, _ := net.SplitHostPort(p.Peers)
-	var found []string
+	var addresses []string
 	for _, seed := range p.Seeds {
-		if at, err := netip.ParseAddrPort(seed); err == nil {
-			found = append(found, net.JoinHostPort(at.Addr().String(), port))
+		if parsed, err := netip.ParseAddrPort(seed); err == nil {
+			addresses = append(addresses, net.JoinHostPort(parsed.Addr().String(), port))
 		}
 	}
-	slices.Sort(found)
-	return slices.Compact(found)
+	slices.Sort(addresses)
+	return slices.Compact(addresses)
 }
 
-// ratioOf returns a ratio of a bound in the settings.
+// ratioOf returns a ratio of a duration in the settings.
 func ratioOf(d *durationpb.Duration, ratio float64) time.Duration {
 	return time.Duration(float64(d.AsDuration()) * ratio)
 }
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -11,61 +11,63 @@
 	"curlewreach/proto/wire"
 )
 
-const longestHold = 2 * time.Second
+// maxPollWait bounds how long a poll is held, whatever the node asks for.
+const maxPollWait = 2 * time.Second
 
-// rpcService serves the RPCs of nodes and of other control machines.
+// rpcService implements the RPCs for nodes and for other control machines.
 type rpcService struct{ server *Server }
 
-// Hail answers a node's poll: at once if there is something new for it, and else when there is, or when its wait is
-// over.
+// Hail answers a node's poll, which also carries the node's status. It answers at once if there is something new
+// for the node, and otherwise as soon as there is, or when the node's wait is over.
 func (v rpcService) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
-	m, ask := v.server, request.Msg
-	if m.registry.update(ask.NodeStatus) {
-		m.scope.Log.Info("node back", "of", ask.NodeStatus.Node)
-		m.scope.Record("back", ask.NodeStatus.Node, "")
+	m, req := v.server, request.Msg
+	if m.registry.update(req.NodeStatus) {
+		m.scope.Log.Info("node back", "of", req.NodeStatus.Node)
+		m.scope.Record("back", req.NodeStatus.Node, "")
 	}
 	s := m.scope.WithContext(ctx)
-	hold := min(time.Duration(min(ask.WaitMs, 1<<20))*time.Millisecond, longestHold)
-	if confirms(ask) {
-		return m.answerConfirmed(s, ask, hold)
+	maxWait := min(time.Duration(min(req.WaitMs, 1<<20))*time.Millisecond, maxPollWait)
+	if wantsConfirmation(req) {
+		return m.answerConfirmed(s, req, maxWait)
 	}
 	began := s.Clock.Mono()
 	for {
-		news, moved := m.changed.Next(), m.registry.changed.Next()
-		held := s.Clock.Mono() - began
-		seen, freshMs := m.freshest()
-		reply, fresh := m.buildReply(ask, seen)
-		reply.FreshMs, reply.HeldMs = freshMs, base.Milliseconds(held)
-		if fresh || held >= hold || m.stopping.Load() {
+		versionChanged, registryChanged := m.changed.Next(), m.registry.changed.Next()
+		waited := s.Clock.Mono() - began
+		newest, freshMs := m.newestChosen()
+		reply, hasNews := m.buildReply(req, newest)
+		reply.FreshMs, reply.HeldMs = freshMs, base.Milliseconds(waited)
+		if hasNews || waited >= maxWait || m.stopping.Load() {
 			return connect.NewResponse(reply), nil
 		}
-		base.Await(s, hold-held, news, moved)
+		base.Await(s, maxWait-waited, versionChanged, registryChanged)
 		if err := s.Err(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// buildReply answers a poll with the configuration seen and all else that is news to the node; fresh says whether anything is.
-func (m *Server) buildReply(ask *wire.PollRequest, seen *view) (reply *wire.PollReply, fresh bool) {
-	reply = &wire.PollReply{Controller: m.incarnation, Serial: seen.serial(), Whole: ask.Controller != m.incarnation}
+// buildReply builds the reply to a poll from the newest configuration and everything else that the node doesn't
+// know yet. hasNews reports whether the reply tells the node anything new.
+func (m *Server) buildReply(req *wire.PollRequest, newest *configurationVersion) (reply *wire.PollReply, hasNews bool) {
+	reply = &wire.PollReply{Controller: m.incarnation, Serial: newest.serial(), Whole: req.Controller != m.incarnation}
 	if age, known := m.majorityAge(); known {
 		reply.MajorityMs = proto.Uint64(base.Milliseconds(age))
 	}
 	if c := m.core.Load(); c != nil {
 		reply.Controllers = c.replica.Voters()
 	}
-	fresh = reply.Serial > ask.Serial
-	if ask.Wants && (fresh || confirms(ask) && reply.Serial != ask.Serial) {
-		m.attach(reply, ask, seen)
+	hasNews = reply.Serial > req.Serial
+	if req.Wants && (hasNews || wantsConfirmation(req) && reply.Serial != req.Serial) {
+		m.attachConfiguration(reply, req, newest)
 	}
-	if ask.ConfigOnly {
-		reply.Whole, reply.Registry = false, ask.Registry
-		return reply, fresh
+	if req.ConfigOnly {
+		reply.Whole, reply.Registry = false, req.Registry
+		return reply, hasNews
 	}
-	if odds := m.learning.Load().said.GetOdds(); odds.GetSerial() > ask.Odds {
-		reply.Odds, fresh = odds, true
+	if odds := m.learning.Load().state.GetOdds(); odds.GetSerial() > req.Odds {
+		reply.Odds, hasNews = odds, true
 	}
-	reply.Observations, reply.Registry = m.registry.since(ask.Registry, reply.Whole, ask.NodeStatus.GetNode())
-	return reply, fresh || reply.Whole || len(reply.Observations) > 0
+	reply.Observations, reply.Registry = m.registry.changedSince(req.Registry, reply.Whole, req.NodeStatus.GetNode())
+	return reply, hasNews || reply.Whole || len(reply.Observations) > 0
 }
--- a/internal/controlplane/propose.go
+++ b/internal/controlplane/propose.go
@@ -13,14 +13,19 @@
 )
 
 const (
-	backOffLeast  = 4 * time.Millisecond
-	backOffSpread = 24 * time.Millisecond
-	backOffStuck  = 40 * time.Millisecond
+	// A failed change is retried after minBackoff plus a random part of backoffJitter.
+	minBackoff    = 4 * time.Millisecond
+	backoffJitter = 24 * time.Millisecond
+	// faultBackoff is added after every fault but being superseded by a higher term: a missing majority or a failing disk
+	// lasts longer than a race between two owners.
+	faultBackoff = 40 * time.Millisecond
 )
 
-// Propose answers once a majority of disks has taken the configuration or it can never be taken; else with a fault.
+// Propose decides on a proposed configuration or change. Its outcome is final: either a majority of disks has the
+// configuration, or it is rejected and can never be committed. An error of kind Uncertain means that the outcome
+// isn't known. It is safe to repeat the proposal at any control machine.
 func (m *Server) Propose(ctx context.Context, p *wire.ConfigurationProposal) (*wire.ConfigurationOutcome, error) {
-	if outcome := preCheck(p); outcome != nil {
+	if outcome := checkProposal(p); outcome != nil {
 		m.logOutcome(p, outcome)
 		return outcome, nil
 	}
@@ -28,10 +33,10 @@
 	if c == nil {
 		return nil, base.NewFault(base.Uncertain, "", "this control machine has not joined its peers")
 	}
-	if !m.heardMajorityLately(c) {
+	if !m.heardMajorityRecently(c) {
 		return nil, base.NewFault(base.Uncertain, "", "this control machine is cut off from the majority")
 	}
-	s, cancel := m.scope.WithContext(ctx).WithTimeout(ratioOf(m.params.Load().Ack, callRatio))
+	s, cancel := m.scope.WithContext(ctx).WithTimeout(ratioOf(m.params.Load().Ack, operatorTimeoutRatio))
 	defer cancel()
 	outcome := m.routeProposal(s, c, p)
 	if outcome == nil {
@@ -42,48 +47,52 @@
 	return outcome, nil
 }
 
-// routeProposal has the owner of the configuration decide, where it was heard lately, and decides here otherwise.
+// routeProposal forwards a proposal to the owner of the configuration's register if that was heard recently.
+// Without an answer from there, and for proposals that were already forwarded, it decides here. It returns nil if
+// the outcome isn't known.
 func (m *Server) routeProposal(s base.Scope, c *core, p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
 	if p.Relayed {
 		return m.proposeLocally(s, c, p)
 	}
-	wait := ratioOf(m.params.Load().Ack, forwardRatio)
-	asked := ""
-	if owner, _ := c.replica.Owner(ConfigurationKey); owner != "" && owner != m.address && c.heardLately(owner, m.recentWindow()) {
-		asked = owner
-		if outcome := m.forward(s, c, asked, p, wait); outcome != nil {
+	wait := ratioOf(m.params.Load().Ack, forwardTimeoutRatio)
+	forwardedTo := ""
+	if owner, _ := c.replica.Owner(ConfigurationKey); owner != "" && owner != m.address && c.heardWithin(owner, m.recentlyHeardWindow()) {
+		forwardedTo = owner
+		if outcome := m.forwardProposal(s, c, forwardedTo, p, wait); outcome != nil {
 			return outcome
 		}
 	}
-	return m.proposeLocallyAndForward(s, c, p, asked, wait)
+	return m.proposeHedged(s, c, p, forwardedTo, wait)
 }
 
-// The disk here may stand still; then another control machine is asked as well. Either may answer: marks keep them of one mind.
-func (m *Server) proposeLocallyAndForward(s base.Scope, c *core, p *wire.ConfigurationProposal, asked string, wait time.Duration) *wire.ConfigurationOutcome {
-	own := make(chan *wire.ConfigurationOutcome, 1)
-	other := make(chan *wire.ConfigurationOutcome, 1)
-	moved := make(chan struct{})
+// proposeHedged decides here and, if that takes longer than wait or this replica has no vote, also asks another
+// control machine, for up to eight times as long, since the local disk may have stalled. It returns the first
+// outcome. The two can't contradict each other: the configuration's head records which proposals were committed.
+func (m *Server) proposeHedged(s base.Scope, c *core, p *wire.ConfigurationProposal, except string, wait time.Duration) *wire.ConfigurationOutcome {
+	localOutcome := make(chan *wire.ConfigurationOutcome, 1)
+	peerOutcome := make(chan *wire.ConfigurationOutcome, 1)
+	localDone := make(chan struct{})
 	go func() {
-		own <- m.proposeLocally(s, c, p)
-		close(moved)
+		localOutcome <- m.proposeLocally(s, c, p)
+		close(localDone)
 	}()
 	if c.replica.Votes() {
-		base.Await(s, wait, moved)
+		base.Await(s, wait, localDone)
 	}
-	waiting := 1
-	if len(own) == 0 {
-		if peer := m.pickPeer(c, asked); peer != "" {
-			waiting = 2
-			go func() { other <- m.forward(s, c, peer, p, wait*8) }()
+	pending := 1
+	if len(localOutcome) == 0 {
+		if peer := m.pickPeer(c, except); peer != "" {
+			pending = 2
+			go func() { peerOutcome <- m.forwardProposal(s, c, peer, p, wait*8) }()
 		}
 	}
-	for range waiting {
+	for range pending {
 		select {
-		case outcome := <-own:
+		case outcome := <-localOutcome:
 			if outcome != nil {
 				return outcome
 			}
-		case outcome := <-other:
+		case outcome := <-peerOutcome:
 			if outcome != nil {
 				return outcome
 			}
@@ -94,8 +103,8 @@
 	return nil
 }
 
-// pickPeer draws a voter that was heard lately, or returns "".
-func (m *Server) pickPeer(c *core, but string) string {
+// pickPeer returns a random voter that was heard recently, other than this machine and except, or "".
+func (m *Server) pickPeer(c *core, except string) string {
 	voters := c.replica.Voters()
 	if len(voters) == 0 {
 		return ""
@@ -103,18 +112,18 @@
 	start := m.scope.Rand.IntN(len(voters))
 	for i := range voters {
 		peer := voters[(start+i)%len(voters)]
-		if peer != m.address && peer != but && c.heardLately(peer, m.recentWindow()) {
+		if peer != m.address && peer != except && c.heardWithin(peer, m.recentlyHeardWindow()) {
 			return peer
 		}
 	}
 	return ""
 }
 
-// forward lets another control machine decide; nil if it gave no clear answer in time.
-func (m *Server) forward(s base.Scope, c *core, peer string, p *wire.ConfigurationProposal, wait time.Duration) *wire.ConfigurationOutcome {
-	bounded, cancel := s.WithTimeout(wait)
+// forwardProposal lets another control machine decide. It returns nil if there was no final outcome in time.
+func (m *Server) forwardProposal(s base.Scope, c *core, peer string, p *wire.ConfigurationProposal, timeout time.Duration) *wire.ConfigurationOutcome {
+	callScope, cancel := s.WithTimeout(timeout)
 	defer cancel()
-	reply, err := c.peer(peer).Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change, Relayed: true}))
+	reply, err := c.peerClient(peer).Propose(callScope, connect.NewRequest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change, Relayed: true}))
 	if err != nil {
 		m.scope.Record("forward-failed", peer, err.Error())
 		return nil
@@ -122,7 +131,8 @@
 	return reply.Msg
 }
 
-// proposeLocally decides here, again and again until there is a clear answer or the time is over.
+// proposeLocally decides here and retries until there is a final outcome. It returns nil when the scope ends
+// first.
 func (m *Server) proposeLocally(s base.Scope, c *core, p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
 	for s.Err() == nil {
 		outcome, err := m.proposeOnce(s, c, p)
@@ -132,20 +142,21 @@
 		fault := base.FaultOf(err)
 		m.scope.Record("change-failed", ConfigurationKey, fault.Error())
 		if fault.Kind != base.Superseded {
-			base.Await(s, backOffStuck)
+			base.Await(s, faultBackoff)
 		}
 		m.backOff(s)
 	}
 	return nil
 }
 
-// backOff waits a moment, drawn so that control machines which compete don't do so in step.
+// backOff waits a random time, so that control machines competing for the register don't retry in step.
 func (m *Server) backOff(s base.Scope) {
-	base.Await(s, backOffLeast+time.Duration(s.Rand.Float64()*float64(backOffSpread)))
+	base.Await(s, minBackoff+time.Duration(s.Rand.Float64()*float64(backoffJitter)))
 }
 
-// proposeOnce judges the order by the newest configuration. The replica answers without an error only once a majority of disks
-// has the change, or, where there is none, has confirmed that no newer configuration was there: so every answer is final.
+// proposeOnce decides on a proposal against the newest configuration. The replica returns no error only once a
+// majority of disks has the changed value or, if nothing changes, has confirmed that the value seen was the
+// newest. So every outcome without an error is final.
 func (m *Server) proposeOnce(s base.Scope, c *core, p *wire.ConfigurationProposal) (outcome *wire.ConfigurationOutcome, err error) {
 	err = c.replica.Change(s, ConfigurationKey, func(old []byte) ([]byte, error) {
 		head := &wire.ConfigurationHead{}
@@ -153,7 +164,7 @@
 			return nil, err
 		}
 		var next *wire.ConfigurationHead
-		if next, outcome = decideOrder(head, p); next == nil {
+		if next, outcome = decideProposal(head, p); next == nil {
 			return nil, nil
 		}
 		return proto.Marshal(next)
@@ -161,32 +172,35 @@
 	return outcome, err
 }
 
-// decideOrder gives the head that an order leads to, or what to answer without one; neither where that can't be known.
-func decideOrder(head *wire.ConfigurationHead, p *wire.ConfigurationProposal) (*wire.ConfigurationHead, *wire.ConfigurationOutcome) {
-	serial, asked := config.SerialOf(p), orderOf(p)
-	switch lookUp(head, asked) {
-	case taken:
+// decideProposal returns the head that results from committing a proposal, together with the outcome. The head is
+// nil if nothing is to be changed: the proposal is already committed, or rejected. Both are nil if it may have
+// been committed too long ago to tell.
+func decideProposal(head *wire.ConfigurationHead, p *wire.ConfigurationProposal) (*wire.ConfigurationHead, *wire.ConfigurationOutcome) {
+	serial, id := config.SerialOf(p), proposalIDOf(p)
+	switch lookUpProposal(head, id) {
+	case committed:
 		return nil, &wire.ConfigurationOutcome{Serial: serial}
 	case forgotten:
 		return nil, nil
 	}
 	next, faults := config.Next(head.GetConfiguration(), p)
 	if len(faults) > 0 {
-		return nil, rejected(serial, faults...)
+		return nil, rejection(serial, faults...)
 	}
-	return &wire.ConfigurationHead{Configuration: next, Orders: remember(head, asked)}, &wire.ConfigurationOutcome{Serial: serial}
+	return &wire.ConfigurationHead{Configuration: next, Orders: rememberProposal(head, id)}, &wire.ConfigurationOutcome{Serial: serial}
 }
 
-// preCheck refuses what can be refused without knowing the newest configuration.
-func preCheck(p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
+// checkProposal rejects what is invalid whatever the current configuration is. It returns nil for everything else.
+func checkProposal(p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
 	if faults := config.CheckOrder(p); len(faults) > 0 {
-		return rejected(config.SerialOf(p), faults...)
+		return rejection(config.SerialOf(p), faults...)
 	}
 	return nil
 }
 
-// rejected is the outcome of an order that can never be taken, with all its faults.
-func rejected(serial uint64, faults ...*base.Fault) *wire.ConfigurationOutcome {
+// rejection is the outcome of a proposal that can never be committed: the kind of the first fault and the text of
+// all.
+func rejection(serial uint64, faults ...*base.Fault) *wire.ConfigurationOutcome {
 	outcome := &wire.ConfigurationOutcome{Serial: serial, Kind: string(faults[0].Kind)}
 	for _, each := range faults {
 		outcome.Reasons = append(outcome.Reasons, each.Error())
@@ -194,7 +208,7 @@
 	return outcome
 }
 
-// logOutcome tells operators how an order ended.
+// logOutcome logs and records how a proposal ended.
 func (m *Server) logOutcome(p *wire.ConfigurationProposal, outcome *wire.ConfigurationOutcome) {
 	if outcome.Kind == "" {
 		m.scope.Log.Info("configuration taken", "serial", outcome.Serial, "relayed", p.GetRelayed())
@@ -205,9 +219,12 @@
 	m.scope.Record("configuration-rejected", ConfigurationKey, outcome.Kind)
 }
 
-// recentWindow is how long ago a voter may have been heard to be asked.
-func (m *Server) recentWindow() time.Duration { return ratioOf(m.params.Load().InForce, recentRatio) }
+// recentlyHeardWindow is how long after its last answer a voter still counts as reachable.
+func (m *Server) recentlyHeardWindow() time.Duration {
+	return ratioOf(m.params.Load().InForce, recentlyHeardRatio)
+}
 
+// Propose handles a proposal that another control machine forwards. It is never forwarded again.
 func (v rpcService) Propose(ctx context.Context, request *connect.Request[wire.ConfigurationProposal]) (*connect.Response[wire.ConfigurationOutcome], error) {
 	p := request.Msg
 	p.Relayed = true
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -13,76 +13,85 @@
 )
 
 const (
-	entriesMost          = 4096
-	nodeStatusMost       = 4 << 10
-	pastIncarnationsMost = 4
-	forgetAfter          = time.Minute
-	notifyDelayLeast     = 10 * time.Millisecond
-	notifyDelayEach      = 400 * time.Microsecond
-	notifyDelayMost      = 60 * time.Millisecond
-	missedTicks          = 3
+	// maxEntries and maxNodeStatusBytes bound the memory of the registry. A larger status is ignored, and so is a new
+	// node while the registry is full and no node in it is absent.
+	maxEntries         = 4096
+	maxNodeStatusBytes = 4 << 10
+	// maxPastIncarnations is how many earlier incarnations of a node are remembered, to ignore late messages of theirs.
+	maxPastIncarnations = 4
+	// forgetAfter is the silence after which an absent node is dropped.
+	forgetAfter = time.Minute
+	// A notification of changes is delayed by minNotifyDelay and notifyDelayPerNode for each node, at most by
+	// maxNotifyDelay: the more nodes poll, the more a notification costs and the more changes it should cover.
+	minNotifyDelay     = 10 * time.Millisecond
+	notifyDelayPerNode = 400 * time.Microsecond
+	maxNotifyDelay     = 60 * time.Millisecond
+	// maxMissedChecks is by how many check intervals two checks may be apart before this machine takes itself to have
+	// stalled.
+	maxMissedChecks = 3
 )
 
 // nodeEntry is what the registry holds of one node.
 type nodeEntry struct {
-	nodeStatus       *wire.NodeStatus
+	status           *wire.NodeStatus
 	pastIncarnations []string
 	heardAt          time.Duration
 	absent           bool
 	revision         uint64
 }
 
-// registry knows the nodes that poll this control machine. It is safe for concurrent use.
+// registry tracks the nodes that poll this control machine. It is safe for concurrent use.
 type registry struct {
 	clock         base.Clock
 	mu            sync.Mutex
 	entries       map[string]*nodeEntry
 	revision      uint64
-	steadySince   time.Duration
-	sweptAt       time.Duration
+	resumedAt     time.Duration
+	checkedAt     time.Duration
 	notifyPending bool
 	changed       base.Broadcast
 }
 
 func newRegistry(clock base.Clock) *registry {
-	return &registry{clock: clock, entries: map[string]*nodeEntry{}, steadySince: clock.Mono(), sweptAt: clock.Mono()}
+	return &registry{clock: clock, entries: map[string]*nodeEntry{}, resumedAt: clock.Mono(), checkedAt: clock.Mono()}
 }
 
-// update takes what a node tells of itself; back says that it had been absent. Late messages change nothing.
-func (r *registry) update(nodeStatus *wire.NodeStatus) (back bool) {
-	if nodeStatus.GetNode() == "" || proto.Size(nodeStatus) > nodeStatusMost {
+// update stores the status that a node reports; returned says that the node had been absent. Statuses that are
+// late, of an earlier incarnation or too large are ignored.
+func (r *registry) update(status *wire.NodeStatus) (returned bool) {
+	if status.GetNode() == "" || proto.Size(status) > maxNodeStatusBytes {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, changed := r.entries[nodeStatus.Node], false
+	entry, changed := r.entries[status.Node], false
 	switch {
-	case at == nil:
-		if !r.makeRoom() {
+	case entry == nil:
+		if !r.evictIfFull() {
 			return false
 		}
-		at, changed = &nodeEntry{}, true
-		r.entries[nodeStatus.Node] = at
-	case at.nodeStatus.Incarnation == nodeStatus.Incarnation:
-		if nodeStatus.Number < at.nodeStatus.Number {
+		entry, changed = &nodeEntry{}, true
+		r.entries[status.Node] = entry
+	case entry.status.Incarnation == status.Incarnation:
+		if status.Number < entry.status.Number {
 			return false
 		}
-	case slices.Contains(at.pastIncarnations, nodeStatus.Incarnation):
+	case slices.Contains(entry.pastIncarnations, status.Incarnation):
 		return false
 	default:
-		at.pastIncarnations = append(at.pastIncarnations, at.nodeStatus.Incarnation)
-		at.pastIncarnations = at.pastIncarnations[max(0, len(at.pastIncarnations)-pastIncarnationsMost):]
+		entry.pastIncarnations = append(entry.pastIncarnations, entry.status.Incarnation)
+		entry.pastIncarnations = entry.pastIncarnations[max(0, len(entry.pastIncarnations)-maxPastIncarnations):]
 	}
-	back = at.absent
-	changed = changed || back || !sameStatus(at.nodeStatus, nodeStatus)
-	at.nodeStatus, at.heardAt, at.absent = nodeStatus, r.clock.Mono(), false
+	returned = entry.absent
+	changed = changed || returned || !sameStatus(entry.status, status)
+	entry.status, entry.heardAt, entry.absent = status, r.clock.Mono(), false
 	if changed {
-		r.markChanged(at)
+		r.markChanged(entry)
 	}
-	return back
+	return returned
 }
 
-// sameStatus tells whether nothing has changed that other nodes want to know.
+// sameStatus reports whether two statuses agree in everything that matters to other nodes.
 func sameStatus(a, b *wire.NodeStatus) bool {
 	return a.Incarnation == b.Incarnation && a.Inward == b.Inward && a.Zone == b.Zone && a.Service == b.Service && a.Stopping == b.Stopping &&
 		(a.Instance == nil) == (b.Instance == nil) && a.Instance.GetId() == b.Instance.GetId() && a.Instance.GetService() == b.Instance.GetService() &&
@@ -90,9 +99,10 @@
 		a.Instance.GetCapacity() == b.Instance.GetCapacity() && a.Instance.GetLeaving() == b.Instance.GetLeaving()
 }
 
-// makeRoom forgets the node absent for the longest time if the registry is full; false if none is absent.
-func (r *registry) makeRoom() bool {
-	if len(r.entries) < entriesMost {
+// evictIfFull makes room for one more node. If the registry is full it drops the node that has been silent longest
+// among the absent ones, and returns false if none is absent.
+func (r *registry) evictIfFull() bool {
+	if len(r.entries) < maxEntries {
 		return true
 	}
 	oldest := ""
@@ -105,16 +115,16 @@
 	return oldest != ""
 }
 
-// markChanged gives an entry the next revision and wakes the polls after a short delay, so that changes go out
-// together.
-func (r *registry) markChanged(at *nodeEntry) {
+// markChanged gives an entry the next revision and wakes the polls after a short delay, so that one notification
+// covers several changes.
+func (r *registry) markChanged(entry *nodeEntry) {
 	r.revision++
-	at.revision = r.revision
+	entry.revision = r.revision
 	if r.notifyPending {
 		return
 	}
 	r.notifyPending = true
-	time.AfterFunc(min(notifyDelayLeast+time.Duration(len(r.entries))*notifyDelayEach, notifyDelayMost), func() {
+	time.AfterFunc(min(minNotifyDelay+time.Duration(len(r.entries))*notifyDelayPerNode, maxNotifyDelay), func() {
 		r.mu.Lock()
 		r.notifyPending = false
 		r.mu.Unlock()
@@ -122,41 +132,43 @@
 	})
 }
 
-// expire marks nodes absent that have been silent for too long and forgets those absent for minutes. A standstill of
-// this machine counts for nothing.
-func (r *registry) expire(absent time.Duration) (gone []string) {
+// expire marks nodes absent that have been silent for longer than the given time, drops absent nodes after
+// forgetAfter, and returns the nodes newly absent, sorted. If this machine itself was stalled, silence counts only
+// from the end of the stall.
+func (r *registry) expire(absent time.Duration) (expired []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Mono()
-	if now-r.sweptAt > missedTicks*absent/absentTicks {
-		r.steadySince = now
+	if now-r.checkedAt > maxMissedChecks*absent/expiryChecks {
+		r.resumedAt = now
 	}
-	r.sweptAt = now
+	r.checkedAt = now
 	for node, each := range r.entries {
-		switch silence := now - max(each.heardAt, r.steadySince); {
+		switch silence := now - max(each.heardAt, r.resumedAt); {
 		case !each.absent && silence > absent:
 			each.absent = true
 			r.markChanged(each)
-			gone = append(gone, node)
+			expired = append(expired, node)
 		case each.absent && now-each.heardAt > forgetAfter:
 			delete(r.entries, node)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(expired)
+	return expired
 }
 
-// since returns what has changed after a revision, or everything, but for one node, with the newest revision.
-func (r *registry) since(serial uint64, whole bool, but string) (observations []*wire.Observation, newest uint64) {
+// changedSince returns the nodes that have changed after a revision, or all of them, without the node except; with
+// it comes the newest revision.
+func (r *registry) changedSince(revision uint64, all bool, except string) (observations []*wire.Observation, newest uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !whole && serial == r.revision {
-		return nil, serial
+	if !all && revision == r.revision {
+		return nil, revision
 	}
 	now := r.clock.Mono()
 	for node, each := range r.entries {
-		if node != but && (whole || each.revision > serial) {
-			observations = append(observations, &wire.Observation{NodeStatus: each.nodeStatus, SilenceMs: uint64((now - each.heardAt).Milliseconds()), Absent: each.absent})
+		if node != except && (all || each.revision > revision) {
+			observations = append(observations, &wire.Observation{NodeStatus: each.status, SilenceMs: uint64((now - each.heardAt).Milliseconds()), Absent: each.absent})
 		}
 	}
 	slices.SortFunc(observations, func(a, b *wire.Observation) int { return cmp.Compare(a.NodeStatus.Node, b.NodeStatus.Node) })
--- a/internal/controlplane/replace_test.go
+++ b/internal/controlplane/replace_test.go
@@ -13,127 +13,128 @@
 	"curlewreach/proto/wire"
 )
 
-// converge is the bound within which a new control machine must have taken its place.
-const converge = 4 * time.Second
+// joinBound is the time within which a new control machine must have a vote.
+const joinBound = 4 * time.Second
 
-// add starts a control machine at an address of its own, with an empty disk.
-func (f *fleet) add() int {
+// addMachine starts one more control machine, with an address of its own and an empty disk.
+func (f *fleet) addMachine() int {
 	i := len(f.controllers)
-	f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(random.Seeded(f.seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
-	f.raise(i, false)
+	f.controllers = append(f.controllers, &controller{index: i, disk: simnet.NewDisk(random.Seeded(f.seed*31 + uint64(i))), clock: simnet.NewClock(f.startTime)})
+	f.start(i, false)
 	return i
 }
 
-// lose ends a control machine for good.
-func (f *fleet) lose(i int) {
-	f.fell(i, true)
+// loseForever crashes a control machine that never returns and erases its disk.
+func (f *fleet) loseForever(i int) {
+	f.crash(i, true)
 	f.controllers[i].disk.Wipe()
 }
 
 func (f *fleet) voters(i int) []string { return f.controllers[i].server.core.Load().replica.Voters() }
 
-func (f *fleet) joins(i int) {
-	Expect(f.within(converge, func() bool { return f.controllers[i].server.Ready() })).To(BeTrue(), "control machine %d has no vote within the bound", i)
+// expectVote waits until a control machine has a vote, for joinBound at most.
+func (f *fleet) expectVote(i int) {
+	Expect(f.eventuallyWithin(joinBound, func() bool { return f.controllers[i].server.Ready() })).To(BeTrue(), "control machine %d got no vote within the bound", i)
 }
 
-// order has a change taken within the ack bound by a living control machine.
-func (f *fleet) order(living int, on *uint64) {
-	begun := time.Now()
-	p := whole(*on+1, *on, fmt.Sprintf("/order%d/", *on))
-	if *on > 0 && *on%2 == 0 {
-		p = partial(*on+1, *on, fmt.Sprintf("/order%d/", *on))
+// commitNext commits the next configuration or change at a running control machine, within the Ack bound of 4 s.
+func (f *fleet) commitNext(running int, newest *uint64) {
+	began := time.Now()
+	p := fullProposal(*newest+1, *newest, fmt.Sprintf("/order%d/", *newest))
+	if *newest > 0 && *newest%2 == 0 {
+		p = changeProposal(*newest+1, *newest, fmt.Sprintf("/order%d/", *newest))
 	}
-	Expect(f.until(func() bool { return f.taken(living, p) })).To(BeTrue())
-	Expect(time.Since(begun)).To(BeNumerically("<", 4*time.Second))
-	*on++
+	Expect(f.eventually(func() bool { return f.commits(running, p) })).To(BeTrue())
+	Expect(time.Since(began)).To(BeNumerically("<", 4*time.Second))
+	*newest++
 }
 
-var _ = ginkgo.Describe("replaced control machines", func() {
-	story("given two machines replaced one after the other, when the next disk is lost, then what was acknowledged is there and changes go on", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+var _ = ginkgo.Describe("replacing control machines", func() {
+	scenario("given two machines replaced one after the other, when a third one is lost, then acknowledged changes are kept and new ones are committed", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		for gone := range 2 {
-			f.lose(gone)
-			f.order(2, &on)
-			f.joins(f.add())
+			f.loseForever(gone)
+			f.commitNext(2, &newest)
+			f.expectVote(f.addMachine())
 		}
-		Expect(f.voters(2)).To(Equal([]string{at(2), at(3), at(4)}))
-		f.order(3, &on)
-		f.lose(2)
-		f.order(3, &on)
-		f.order(4, &on)
-		Expect(f.newest(4)).To(Equal(on))
+		Expect(f.voters(2)).To(Equal([]string{peerAddress(2), peerAddress(3), peerAddress(4)}))
+		f.commitNext(3, &newest)
+		f.loseForever(2)
+		f.commitNext(3, &newest)
+		f.commitNext(4, &newest)
+		Expect(f.newestSerial(4)).To(Equal(newest))
 	})
 
-	story("given machines replaced by plan, when all have been, then nothing is lost and the gap of acks stays within the in-force bound", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
-		for old := range 3 {
-			fresh := f.add()
+	scenario("given a planned replacement of each machine in turn, when a machine shuts down, then its successor gets the vote, nothing is lost and acknowledgements pause for less than two seconds", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
+		for retired := range 3 {
+			fresh := f.addMachine()
 			time.Sleep(time.Second)
-			begun, stopped := time.Now(), make(chan struct{})
+			began, stopped := time.Now(), make(chan struct{})
 			go func() {
-				f.controllers[old].server.Stop()
+				f.controllers[retired].server.Stop()
 				close(stopped)
 			}()
 			time.Sleep(20 * time.Millisecond)
-			f.order(fresh, &on)
-			Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
+			f.commitNext(fresh, &newest)
+			Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 			<-stopped
-			f.lose(old)
-			Expect(f.within(200*time.Millisecond, f.controllers[fresh].server.Ready)).To(BeTrue(), "the one that left has handed its vote over")
-			Expect(f.voters(fresh)).NotTo(ContainElement(at(old)))
+			f.loseForever(retired)
+			Expect(f.eventuallyWithin(200*time.Millisecond, f.controllers[fresh].server.Ready)).To(BeTrue(), "the machine that shut down hands its vote over")
+			Expect(f.voters(fresh)).NotTo(ContainElement(peerAddress(retired)))
 			Expect(f.voters(fresh)).To(HaveLen(3))
 		}
-		f.order(4, &on)
-		f.lose(3)
-		f.order(5, &on)
-		Expect(f.newest(5)).To(Equal(on))
+		f.commitNext(4, &newest)
+		f.loseForever(3)
+		f.commitNext(5, &newest)
+		Expect(f.newestSerial(5)).To(Equal(newest))
 	})
 
-	storyOf(5, "given five machines and two lost at once, when two newcomers come at once, then both vote, and two more may be lost", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
-		f.lose(0)
-		f.lose(1)
-		f.order(2, &on)
-		first, second := f.add(), f.add()
-		f.joins(first)
-		f.joins(second)
+	scenarioWithMachines(5, "given five machines of which two are lost at once, when two newcomers join at once, then both get a vote, and two more machines may be lost", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
+		f.loseForever(0)
+		f.loseForever(1)
+		f.commitNext(2, &newest)
+		first, second := f.addMachine(), f.addMachine()
+		f.expectVote(first)
+		f.expectVote(second)
 		Expect(f.voters(first)).To(HaveLen(5))
-		f.order(first, &on)
-		f.lose(2)
-		f.lose(3)
-		f.order(second, &on)
-		Expect(f.newest(second)).To(Equal(on))
+		f.commitNext(first, &newest)
+		f.loseForever(2)
+		f.loseForever(3)
+		f.commitNext(second, &newest)
+		Expect(f.newestSerial(second)).To(Equal(newest))
 	})
 
-	storyOf(4, "given an even set, when one after the other is replaced, then four vote all along", func(f *fleet) {
-		on := uint64(0)
+	scenarioWithMachines(4, "given four machines, when each is replaced in turn, then there are four voters after every replacement", func(f *fleet) {
+		newest := uint64(0)
 		for gone := range 4 {
-			f.order(gone, &on)
-			f.lose(gone)
-			fresh := f.add()
-			f.joins(fresh)
+			f.commitNext(gone, &newest)
+			f.loseForever(gone)
+			fresh := f.addMachine()
+			f.expectVote(fresh)
 			Expect(f.voters(fresh)).To(HaveLen(4))
-			f.order(fresh, &on)
+			f.commitNext(fresh, &newest)
 		}
 	})
 
-	story("given a machine replaced while it was cut off, when it is back, then it neither confirms nor refuses by its old vote, and serves as a newcomer", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+	scenario("given a machine that was replaced while partitioned, when the partition heals, then it has neither committed nor rejected anything with its old vote, and may join again as a newcomer", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		for other := range 2 {
 			f.cut(2, other)
 		}
-		fresh := f.add()
+		fresh := f.addMachine()
 		f.cut(2, fresh)
-		f.joins(fresh)
-		f.order(fresh, &on)
+		f.expectVote(fresh)
+		f.commitNext(fresh, &newest)
 		for range 20 {
-			_, err := f.propose(2, whole(on+1, on, "/cut-off/"))
-			Expect(err).To(HaveOccurred(), "a machine without a majority gives no clear answer")
-			_, err = f.propose(2, whole(on, on-1, "/stale/"))
+			_, err := f.propose(2, fullProposal(newest+1, newest, "/cut-off/"))
+			Expect(err).To(HaveOccurred(), "a machine without a majority must not decide")
+			_, err = f.propose(2, fullProposal(newest, newest-1, "/stale/"))
 			Expect(err).To(HaveOccurred())
 			_, err = f.controllers[2].server.Configuration(f.scope)
 			Expect(err).To(HaveOccurred())
@@ -143,146 +144,147 @@
 			}
 			time.Sleep(time.Second)
 		}
-		f.world.HealAll()
-		Expect(f.until(func() bool { return f.newest(2) == on })).To(BeTrue())
+		f.network.HealAll()
+		Expect(f.eventually(func() bool { return f.newestSerial(2) == newest })).To(BeTrue())
 		Expect(f.controllers[2].server.Ready()).To(BeFalse())
-		Expect(f.voters(2)).To(Equal([]string{at(0), at(1), at(fresh)}))
-		f.lose(0)
-		f.joins(2)
-		f.order(2, &on)
+		Expect(f.voters(2)).To(Equal([]string{peerAddress(0), peerAddress(1), peerAddress(fresh)}))
+		f.loseForever(0)
+		f.expectVote(2)
+		f.commitNext(2, &newest)
 	})
 
-	story("given changes that never end, when all machines are replaced in turn for minutes, then each takes its place in time and nothing is lost", func(f *fleet) {
-		on, living := uint64(0), []int{0, 1, 2}
-		f.order(0, &on)
+	scenario("given continuous changes, when machines are replaced in turn for minutes, then each newcomer gets its vote in time and nothing is lost", func(f *fleet) {
+		newest, running := uint64(0), []int{0, 1, 2}
+		f.commitNext(0, &newest)
 		for round := range 20 {
-			gone := living[0]
+			gone := running[0]
 			if round%3 == 2 {
-				fresh := f.add()
+				fresh := f.addMachine()
 				time.Sleep(time.Second)
 				f.controllers[gone].server.Stop()
-				f.lose(gone)
-				living = append(living[1:], fresh)
+				f.loseForever(gone)
+				running = append(running[1:], fresh)
 			} else {
-				f.lose(gone)
+				f.loseForever(gone)
 				time.Sleep(time.Duration(f.scope.Rand.IntN(1500)) * time.Millisecond)
-				living = append(living[1:], f.add())
+				running = append(running[1:], f.addMachine())
 			}
-			f.joins(living[2])
+			f.expectVote(running[2])
 			for range 4 {
-				f.order(living[f.scope.Rand.IntN(3)], &on)
+				f.commitNext(running[f.scope.Rand.IntN(3)], &newest)
 			}
 		}
-		for _, i := range living {
-			Expect(f.until(func() bool { return f.newest(i) == on })).To(BeTrue())
-			Expect(f.insist(i, whole(1, 0, "/order0/")).Kind).To(BeEmpty(), "the first order is still known")
+		for _, i := range running {
+			Expect(f.eventually(func() bool { return f.newestSerial(i) == newest })).To(BeTrue())
+			Expect(f.proposeUntilAnswered(i, fullProposal(1, 0, "/order0/")).Kind).To(BeEmpty(), "the first proposal is still known")
 		}
 	})
 
-	story("given every member's disk unreadable at once, when they return, then none founds anew", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+	scenario("given unreadable disks on all machines at once, when they restart, then none founds a new fleet", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		for i := range f.controllers {
 			f.powerLoss(i)
 			Expect(f.controllers[i].disk.Flip("state-")).NotTo(BeEmpty())
-			f.raise(i, true)
+			f.start(i, true)
 		}
 		time.Sleep(10 * time.Second)
 		for i := range f.controllers {
 			Expect(f.controllers[i].server.Ready()).To(BeFalse())
-			_, err := f.propose(i, whole(1, 0, "/other/"))
+			_, err := f.propose(i, fullProposal(1, 0, "/other/"))
 			Expect(err).To(HaveOccurred())
 		}
 	})
 
-	story("given one unreadable disk, when its machine returns, then it votes only as a newcomer that holds the newest", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+	scenario("given one unreadable disk, when its machine restarts, then it gets a vote as a newcomer that holds the newest configuration", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		f.powerLoss(1)
 		f.controllers[1].disk.Flip("state-")
-		f.order(0, &on)
-		f.raise(1, true)
-		f.joins(1)
-		Expect(f.newest(1)).To(Equal(on))
-		f.lose(0)
-		f.order(1, &on)
+		f.commitNext(0, &newest)
+		f.start(1, true)
+		f.expectVote(1)
+		Expect(f.newestSerial(1)).To(Equal(newest))
+		f.loseForever(0)
+		f.commitNext(1, &newest)
 	})
 })
 
-// nextAck is how long an operator that asks one living machine waits for its next acknowledgement.
-func (f *fleet) nextAck(living int, on *uint64) time.Duration {
-	begun := time.Now()
-	p := partial(*on+1, *on, fmt.Sprintf("/after%d/", *on))
-	Expect(f.until(func() bool { return f.taken(living, p) })).To(BeTrue())
-	*on++
-	return time.Since(begun)
+// timeNextCommit commits the next change at a running control machine and returns how long an operator waits for
+// it.
+func (f *fleet) timeNextCommit(running int, newest *uint64) time.Duration {
+	began := time.Now()
+	p := changeProposal(*newest+1, *newest, fmt.Sprintf("/after%d/", *newest))
+	Expect(f.eventually(func() bool { return f.commits(running, p) })).To(BeTrue())
+	*newest++
+	return time.Since(began)
 }
 
-var _ = ginkgo.Describe("a machine that was away", func() {
-	story("given hundreds of changes without it, when it is back and changes go on, then it catches up within the bound and never leads on the old before", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+var _ = ginkgo.Describe("a machine that was down", func() {
+	scenario("given hundreds of changes while it was down, when it restarts and changes go on, then it catches up within the bound and never decides on outdated state before that", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		f.powerLoss(1)
 		for range 300 {
-			f.order(0, &on)
+			f.commitNext(0, &newest)
 		}
-		f.raise(1, false)
-		begun := time.Now()
-		for time.Since(begun) < converge {
-			f.order(2, &on)
+		f.start(1, false)
+		began := time.Now()
+		for time.Since(began) < joinBound {
+			f.commitNext(2, &newest)
 			if _, err := f.controllers[1].server.Configuration(f.scope); err == nil {
-				Expect(f.newest(1)).To(BeNumerically(">=", on))
+				Expect(f.newestSerial(1)).To(BeNumerically(">=", newest))
 			}
-			_, err := f.propose(1, whole(2, 1, "/old/"))
+			_, err := f.propose(1, fullProposal(2, 1, "/old/"))
 			if err == nil {
-				Expect(f.insist(1, whole(2, 1, "/old/")).Kind).NotTo(BeEmpty())
+				Expect(f.proposeUntilAnswered(1, fullProposal(2, 1, "/old/")).Kind).NotTo(BeEmpty())
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		Expect(f.controllers[1].server.view.Load().serial()).To(Equal(on))
+		Expect(f.controllers[1].server.configuration.Load().serial()).To(Equal(newest))
 		Expect(f.controllers[1].server.Settled()).To(BeTrue())
 		f.kill(0)
-		f.order(1, &on)
+		f.commitNext(1, &newest)
 	})
 })
 
 var _ = ginkgo.Describe("the next acknowledgement", func() {
 	const bound = 500 * time.Millisecond
 
-	gone := map[string]func(f *fleet, i int){
-		"killed": func(f *fleet, i int) { f.kill(i) },
-		"dark":   func(f *fleet, i int) { f.powerLoss(i) },
+	faults := map[string]func(f *fleet, i int){
+		"killed":        func(f *fleet, i int) { f.kill(i) },
+		"without power": func(f *fleet, i int) { f.powerLoss(i) },
 		"cut off": func(f *fleet, i int) {
 			f.cut(i, (i+1)%3)
 			f.cut(i, (i+2)%3)
 		},
 	}
-	for _, how := range []string{"killed", "dark", "cut off"} {
-		story("given a machine that is "+how+", owner of the key or not, when a living one is asked, then it comes within half a second", func(f *fleet) {
-			on := uint64(0)
-			f.order(0, &on)
+	for _, fault := range []string{"killed", "without power", "cut off"} {
+		scenario("given a machine that is "+fault+", owner of the configuration or not, when a live one gets a proposal, then it is acknowledged within half a second", func(f *fleet) {
+			newest := uint64(0)
+			f.commitNext(0, &newest)
 			for _, isOwner := range []bool{true, false} {
-				owner := f.owner()
+				owner := f.ownerIndex()
 				lost := owner
 				if !isOwner {
 					lost = (owner + 1) % 3
 				}
-				gone[how](f, lost)
+				faults[fault](f, lost)
 				for _, living := range []int{(lost + 1) % 3, (lost + 2) % 3} {
-					Expect(f.nextAck(living, &on)).To(BeNumerically("<", bound))
+					Expect(f.timeNextCommit(living, &newest)).To(BeNumerically("<", bound))
 				}
-				f.world.HealAll()
+				f.network.HealAll()
 				if f.controllers[lost].server == nil {
-					f.raise(lost, false)
+					f.start(lost, false)
 				}
-				f.agree(on)
+				f.expectAgreement(newest)
 			}
 		})
 	}
 
-	story("given eight operators that send one order after the other, when all is calm, then 99 in 100 are acknowledged within a quarter of the ack bound", func(f *fleet) {
-		on := uint64(0)
-		f.order(0, &on)
+	scenario("given eight concurrent operators and slow disks but no failures, when they propose on the same base, then 99 of 100 proposals are answered within a quarter of the ack bound", func(f *fleet) {
+		newest := uint64(0)
+		f.commitNext(0, &newest)
 		for i := range f.controllers {
 			f.controllers[i].disk.Slow(5 * time.Millisecond)
 		}
@@ -290,20 +292,20 @@
 		for range 25 {
 			waits := make(chan time.Duration, 8)
 			for each := range 8 {
-				p := partial(on+1, on, fmt.Sprintf("/eight%d/%d/", on, each))
+				p := changeProposal(newest+1, newest, fmt.Sprintf("/eight%d/%d/", newest, each))
 				go func() {
-					begun := time.Now()
-					f.insist(each%3, p)
-					waits <- time.Since(begun)
+					began := time.Now()
+					f.proposeUntilAnswered(each%3, p)
+					waits <- time.Since(began)
 				}()
 			}
 			for range 8 {
 				all = append(all, <-waits)
 			}
-			on++
+			newest++
 		}
 		slices.Sort(all)
-		ginkgo.AddReportEntry("clear answers under eight at once", fmt.Sprintf("p50 %s, p99 %s", all[len(all)/2], all[len(all)*99/100]))
+		ginkgo.AddReportEntry("final answers to eight concurrent proposals", fmt.Sprintf("p50 %s, p99 %s", all[len(all)/2], all[len(all)*99/100]))
 		Expect(all[len(all)*99/100]).To(BeNumerically("<", time.Second))
 		Expect(all[len(all)-1]).To(BeNumerically("<", 4*time.Second))
 	})
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -18,49 +18,52 @@
 	"curlewreach/proto/wire"
 )
 
-type verdict struct {
-	p     *wire.ConfigurationProposal
-	taken bool
-	clear bool
+// answer is what an operator was finally told about a proposal; final is false if the outcome stayed unknown.
+type answer struct {
+	p         *wire.ConfigurationProposal
+	committed bool
+	final     bool
 }
 
-type ledger struct {
-	mu       sync.Mutex
-	verdicts []verdict
-	acked    uint64
-	served   map[uint64]string
-	faults   []string
+// history records all answers and served configurations of a run, to be checked against the final state.
+type history struct {
+	mu              sync.Mutex
+	answers         []answer
+	newestCommitted uint64
+	served          map[uint64]string
+	faults          []string
 }
 
-func (l *ledger) fault(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, args...))
+func (h *history) addFault(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.faults = append(h.faults, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) newest() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.acked
+func (h *history) newestSerial() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.newestCommitted
 }
 
-func (l *ledger) say(each verdict) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.verdicts = append(l.verdicts, each)
-	if each.taken {
-		l.acked = max(l.acked, config.SerialOf(each.p))
+func (h *history) addAnswer(each answer) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.answers = append(h.answers, each)
+	if each.committed {
+		h.newestCommitted = max(h.newestCommitted, config.SerialOf(each.p))
 	}
 }
 
-func (l *ledger) serve(c *wire.Configuration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// addServed records a served configuration. Two different ones under one serial are a fault.
+func (h *history) addServed(c *wire.Configuration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	digest := string(config.Digest(c))
-	if was, known := l.served[c.Serial]; known && was != digest {
-		l.faults = append(l.faults, fmt.Sprintf("two configurations were served as serial %d", c.Serial))
+	if was, known := h.served[c.Serial]; known && was != digest {
+		h.faults = append(h.faults, fmt.Sprintf("two configurations were served as serial %d", c.Serial))
 	}
-	l.served[c.Serial] = digest
+	h.served[c.Serial] = digest
 }
 
 func (f *fleet) controller(i int) *Server {
@@ -69,31 +72,35 @@
 	return f.controllers[i].server
 }
 
-func (f *fleet) operate(s base.Scope, l *ledger, name int) {
+// runOperator keeps proposing on top of the newest configuration that it reads, in competition with other
+// operators.
+func (f *fleet) runOperator(s base.Scope, h *history, name int) {
 	for round := 0; s.Err() == nil; round++ {
 		base.Await(s, time.Duration(f.scope.Rand.IntN(1500))*time.Millisecond)
 		m := f.controller(f.scope.Rand.IntN(len(f.controllers)))
 		if m == nil {
 			continue
 		}
-		least := l.newest()
+		atLeast := h.newestSerial()
 		current, err := m.Configuration(s)
 		if err != nil {
 			continue
 		}
-		on := current.GetSerial()
-		if on < least {
-			l.fault("serial %d was read after %d was acked", on, least)
+		baseSerial := current.GetSerial()
+		if baseSerial < atLeast {
+			h.addFault("serial %d was read after %d was acknowledged", baseSerial, atLeast)
 		}
-		p := whole(on+1+uint64(f.scope.Rand.IntN(3)), on, fmt.Sprintf("/o%d/%d/", name, round))
-		if on > 0 && f.scope.Rand.IntN(2) == 0 {
-			p = &wire.ConfigurationProposal{Change: &wire.ConfigurationChange{Serial: p.Configuration.Serial, Base: on, Routes: p.Configuration.Routes[1:]}}
+		p := fullProposal(baseSerial+1+uint64(f.scope.Rand.IntN(3)), baseSerial, fmt.Sprintf("/o%d/%d/", name, round))
+		if baseSerial > 0 && f.scope.Rand.IntN(2) == 0 {
+			p = &wire.ConfigurationProposal{Change: &wire.ConfigurationChange{Serial: p.Configuration.Serial, Base: baseSerial, Routes: p.Configuration.Routes[1:]}}
 		}
-		l.say(f.push(s, p))
+		h.addAnswer(f.proposeWithRetries(s, p))
 	}
 }
 
-func (f *fleet) push(s base.Scope, p *wire.ConfigurationProposal) verdict {
+// proposeWithRetries sends a proposal to random control machines until there is a final answer, with eight
+// attempts at most.
+func (f *fleet) proposeWithRetries(s base.Scope, p *wire.ConfigurationProposal) answer {
 	for range 8 {
 		if s.Err() != nil {
 			break
@@ -107,14 +114,16 @@
 		outcome, err := m.Propose(ctx, p)
 		cancel()
 		if err == nil {
-			return verdict{p, outcome.Kind == "", true}
+			return answer{p, outcome.Kind == "", true}
 		}
 		base.Await(s, 100*time.Millisecond)
 	}
-	return verdict{p, false, false}
+	return answer{p, false, false}
 }
 
-func (f *fleet) watch(s base.Scope, l *ledger, i int) {
+// pollContinuously polls one control machine as a node does, and checks that its serials never decrease within an
+// incarnation.
+func (f *fleet) pollContinuously(s base.Scope, h *history, i int) {
 	controller, last := "", uint64(0)
 	for s.Err() == nil {
 		reply, err := f.poll(i, &wire.PollRequest{Wants: true, Controller: controller, Serial: last, WaitMs: 100})
@@ -126,149 +135,151 @@
 			controller, last = reply.Controller, 0
 		}
 		if reply.Serial < last {
-			l.fault("control machine %d went back from %d to %d", i, last, reply.Serial)
+			h.addFault("control machine %d went back from %d to %d", i, last, reply.Serial)
 		}
 		last = max(last, reply.Serial)
 		if reply.Configuration != nil {
-			l.serve(reply.Configuration)
+			h.addServed(reply.Configuration)
 		}
 	}
 }
 
-// harm brings about one trouble after the other until the scope ends.
-func (f *fleet) harm(s base.Scope) {
+// injectFaults injects one random fault after the other until the scope ends.
+func (f *fleet) injectFaults(s base.Scope) {
 	rand := f.scope.Rand
-	pass := func(ms int) { base.Await(s, time.Duration(rand.IntN(ms))*time.Millisecond) }
-	troubles := []func(i int, pass func(ms int)){f.harmKill, f.harmPower, f.harmAllPower, f.harmWipe, f.harmIsolate, f.harmCut, f.harmStall, f.harmFull, f.harmSlow}
+	wait := func(ms int) { base.Await(s, time.Duration(rand.IntN(ms))*time.Millisecond) }
+	faults := []func(i int, wait func(ms int)){f.injectKill, f.injectPowerLoss, f.injectPowerLossOfAll, f.injectWipe, f.injectIsolation, f.injectCut, f.injectStalledDisk, f.injectFullDisk, f.injectSlowDisks}
 	for s.Err() == nil {
-		pass(1500)
+		wait(1500)
 		i := rand.IntN(len(f.controllers))
-		troubles[rand.IntN(len(troubles))](i, pass)
+		faults[rand.IntN(len(faults))](i, wait)
 	}
 }
 
-func (f *fleet) harmKill(i int, pass func(ms int)) {
+func (f *fleet) injectKill(i int, wait func(ms int)) {
 	f.kill(i)
-	pass(2000)
-	f.raise(i, false)
+	wait(2000)
+	f.start(i, false)
 }
 
-func (f *fleet) harmPower(i int, pass func(ms int)) {
+func (f *fleet) injectPowerLoss(i int, wait func(ms int)) {
 	f.powerLoss(i)
-	pass(2000)
-	f.raise(i, false)
+	wait(2000)
+	f.start(i, false)
 }
 
-func (f *fleet) harmAllPower(_ int, pass func(ms int)) {
+func (f *fleet) injectPowerLossOfAll(_ int, wait func(ms int)) {
 	for k := range f.controllers {
 		f.powerLoss(k)
 	}
-	pass(500)
+	wait(500)
 	for k := range f.controllers {
-		f.raise(k, false)
+		f.start(k, false)
 	}
 }
 
-func (f *fleet) harmWipe(i int, pass func(ms int)) {
-	if !f.until(f.ready) {
+func (f *fleet) injectWipe(i int, wait func(ms int)) {
+	if !f.eventually(f.ready) {
 		ginkgo.Fail("the fleet didn't recover")
 	}
 	f.wipe(i)
-	pass(1500)
-	f.raise(i, false)
+	wait(1500)
+	f.start(i, false)
 }
 
-func (f *fleet) harmIsolate(i int, pass func(ms int)) {
+func (f *fleet) injectIsolation(i int, wait func(ms int)) {
 	f.cut(i, (i+1)%len(f.controllers))
 	f.cut(i, (i+2)%len(f.controllers))
-	pass(3000)
-	f.world.HealAll()
+	wait(3000)
+	f.network.HealAll()
 }
 
-func (f *fleet) harmCut(i int, pass func(ms int)) {
+func (f *fleet) injectCut(i int, wait func(ms int)) {
 	f.cut(i, (i+1)%len(f.controllers))
-	pass(3000)
-	f.world.HealAll()
+	wait(3000)
+	f.network.HealAll()
 }
 
-func (f *fleet) harmStall(i int, pass func(ms int)) {
+func (f *fleet) injectStalledDisk(i int, wait func(ms int)) {
 	release := f.controllers[i].disk.Stall()
-	pass(3000)
+	wait(3000)
 	release()
 }
 
-func (f *fleet) harmFull(i int, pass func(ms int)) {
+func (f *fleet) injectFullDisk(i int, wait func(ms int)) {
 	f.controllers[i].disk.Fill(true)
-	pass(3000)
+	wait(3000)
 	f.controllers[i].disk.Fill(false)
 }
 
-func (f *fleet) harmSlow(_ int, pass func(ms int)) {
+func (f *fleet) injectSlowDisks(_ int, wait func(ms int)) {
 	for k := range f.controllers {
 		f.controllers[k].disk.Slow(time.Duration(f.scope.Rand.IntN(30)) * time.Millisecond)
 	}
-	pass(3000)
+	wait(3000)
 	for k := range f.controllers {
 		f.controllers[k].disk.Slow(0)
 	}
 }
 
-func (f *fleet) check(l *ledger) {
-	f.world.HealAll()
-	Expect(f.until(func() bool { return f.ready() && f.newest(0) > 0 })).To(BeTrue())
-	f.agree(f.newest(0))
-	head := f.controllers[0].server.view.Load().head
-	Expect(head.Orders.Forgotten).To(BeZero(), "every order of the story is remembered")
-	remembered, serials := map[order]bool{}, map[uint64]bool{}
+// checkHistory waits until all control machines agree and checks the history: no two proposals were committed on
+// one base, every final answer matches the committed proposals, and only committed configurations were served.
+func (f *fleet) checkHistory(h *history) {
+	f.network.HealAll()
+	Expect(f.eventually(func() bool { return f.ready() && f.newestSerial(0) > 0 })).To(BeTrue())
+	f.expectAgreement(f.newestSerial(0))
+	head := f.controllers[0].server.configuration.Load().head
+	Expect(head.Orders.Forgotten).To(BeZero(), "every committed proposal is remembered")
+	remembered, serials := map[proposalID]bool{}, map[uint64]bool{}
 	for i, serial := range head.Orders.Serials {
-		remembered[order{serial, head.Orders.Digests[i]}] = true
+		remembered[proposalID{serial, head.Orders.Digests[i]}] = true
 		serials[serial] = true
 	}
-	whose, acks := map[uint64]*order{}, 0
-	for _, each := range l.verdicts {
-		asked := orderOf(each.p)
-		if each.taken {
-			acks++
-			Expect(whose[config.BaseOf(each.p)]).To(BeNil(), "two were taken on %d", config.BaseOf(each.p))
-			whose[config.BaseOf(each.p)] = &asked
+	committedOn, commits := map[uint64]*proposalID{}, 0
+	for _, each := range h.answers {
+		id := proposalIDOf(each.p)
+		if each.committed {
+			commits++
+			Expect(committedOn[config.BaseOf(each.p)]).To(BeNil(), "two proposals were committed on base %d", config.BaseOf(each.p))
+			committedOn[config.BaseOf(each.p)] = &id
 		}
-		if each.clear {
-			Expect(remembered[asked]).To(Equal(each.taken), "serial %d on %d, answered taken=%t", config.SerialOf(each.p), config.BaseOf(each.p), each.taken)
+		if each.final {
+			Expect(remembered[id]).To(Equal(each.committed), "serial %d on base %d, answered committed=%t", config.SerialOf(each.p), config.BaseOf(each.p), each.committed)
 		}
 	}
-	for serial := range l.served {
-		Expect(serials[serial]).To(BeTrue(), "serial %d was served and never taken", serial)
+	for serial := range h.served {
+		Expect(serials[serial]).To(BeTrue(), "serial %d was served but never committed", serial)
 	}
-	Expect(l.faults).To(BeEmpty())
-	Expect(acks).To(BeNumerically(">=", 3))
+	Expect(h.faults).To(BeEmpty())
+	Expect(commits).To(BeNumerically(">=", 3))
 }
 
-var _ = ginkgo.Describe("a long day", func() {
+var _ = ginkgo.Describe("random faults", func() {
 	seeds := 6
-	if most, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
-		seeds = most
+	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
+		seeds = n
 	}
 	for seed := range uint64(seeds) {
 		count := 3 + 2*int(seed%2)
-		ginkgo.It(fmt.Sprintf("given operators that race and every trouble in turn, when all is well again, then answers fit the chain of configurations (%d control machines, seed %d)", count, seed), func() {
+		ginkgo.It(fmt.Sprintf("given competing operators and random faults, when all faults are over, then all answers agree with the sequence of committed configurations (%d control machines, seed %d)", count, seed), func() {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
 				f := newFleet(1000*seed+7, count)
 				defer f.end()
-				Expect(f.until(f.ready)).To(BeTrue())
-				l := &ledger{served: map[uint64]string{}}
+				Expect(f.eventually(f.ready)).To(BeTrue())
+				h := &history{served: map[uint64]string{}}
 				s, cancel := f.scope.WithTimeout(45 * time.Second)
 				defer cancel()
-				var crew base.Group
+				var group base.Group
 				for name := range 3 {
-					crew.Go(func() { f.operate(s, l, name) })
+					group.Go(func() { f.runOperator(s, h, name) })
 				}
 				for i := range f.controllers {
-					crew.Go(func() { f.watch(s, l, i) })
+					group.Go(func() { f.pollContinuously(s, h, i) })
 				}
-				f.harm(s)
-				crew.Wait()
-				f.check(l)
+				f.injectFaults(s)
+				group.Wait()
+				f.checkHistory(h)
 			})
 		})
 	}
--- a/internal/controlplane/stored_test.go
+++ b/internal/controlplane/stored_test.go
@@ -14,23 +14,24 @@
 	"curlewreach/proto/wire"
 )
 
-// landedFolder holds the files of a control machine as the version that landed on 2026-12-02 (38ade5a) wrote them: 301
-// orders, the last 300 of them changes of route r-0 by two serials each, and a control machine replaced after 100.
+// storedFolder holds the files of a control machine as the version of 2026-12-02 (38ade5a) wrote them: after 301
+// proposals, of which the last 300 each change route r-0 and raise the serial by two, and after a control machine
+// was replaced following the 100th.
 const (
-	landedFolder = "testdata/landed-2026-12-02"
-	landedSerial = 605
+	storedFolder = "testdata/landed-2026-12-02"
+	storedSerial = 605
 )
 
-// landedDisk returns a disk with those files.
-func landedDisk(t *testing.T) *simnet.Disk {
+// storedDisk returns a disk with the files of storedFolder.
+func storedDisk(t *testing.T) *simnet.Disk {
 	t.Helper()
 	disk := simnet.NewDisk(random.Seeded(1))
-	entries, err := os.ReadDir(landedFolder)
+	entries, err := os.ReadDir(storedFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, entry := range entries {
-		content, err := os.ReadFile(filepath.Join(landedFolder, entry.Name()))
+		content, err := os.ReadFile(filepath.Join(storedFolder, entry.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,16 +49,16 @@
 	return disk
 }
 
-// landedChange is the change that led to a serial on that machine.
-func landedChange(serial uint64) *wire.ConfigurationProposal {
+// storedChange returns the change that led to a serial on that control machine.
+func storedChange(serial uint64) *wire.ConfigurationProposal {
 	route := &wire.ConfigurationRoute{
-		Name: "r-0", Host: "a.example", Prefix: "/", CutoffMs: 2000 + float64(serial-7)/2, AimMs: 500, Tries: 2, Service: service("loans"),
+		Name: "r-0", Host: "a.example", Prefix: "/", CutoffMs: 2000 + float64(serial-7)/2, AimMs: 500, Tries: 2, Service: serviceName("loans"),
 	}
 	return &wire.ConfigurationProposal{Change: &wire.ConfigurationChange{Serial: serial, Base: serial - 2, Routes: []*wire.ConfigurationRoute{route}}}
 }
 
-func TestStateWrittenByTheVersionBeforeIsRead(t *testing.T) {
-	_, state, err := statestore.Open(landedDisk(t), func(string, string, string) {})
+func TestStateWrittenByPreviousVersionIsRead(t *testing.T) {
+	_, state, err := statestore.Open(storedDisk(t), func(string, string, string) {})
 	if err != nil || state == nil {
 		t.Fatalf("state %v, %v", state, err)
 	}
@@ -69,17 +70,17 @@
 		t.Fatal(err)
 	}
 	c := head.GetConfiguration()
-	if c.GetSerial() != landedSerial || len(config.Check(c)) > 0 || len(c.Routes) != 1 || c.Routes[0].CutoffMs != 2299 {
+	if c.GetSerial() != storedSerial || len(config.Check(c)) > 0 || len(c.Routes) != 1 || c.Routes[0].CutoffMs != 2299 {
 		t.Errorf("the configuration is %v", c)
 	}
-	for _, serial := range []uint64{7, 205, landedSerial} {
-		if lookUp(head, orderOf(landedChange(serial))) != taken {
-			t.Errorf("the order of serial %d is not known to have been taken", serial)
+	for _, serial := range []uint64{7, 205, storedSerial} {
+		if lookUpProposal(head, proposalIDOf(storedChange(serial))) != committed {
+			t.Errorf("the proposal of serial %d is not known to be committed", serial)
 		}
 	}
-	other := landedChange(landedSerial)
+	other := storedChange(storedSerial)
 	other.Change.Routes[0].Tries = 1
-	if lookUp(head, orderOf(other)) != unseen {
-		t.Error("another order under the same serial passes for one that was taken")
+	if lookUpProposal(head, proposalIDOf(other)) != notCommitted {
+		t.Error("another proposal with the same serial is taken for the committed one")
 	}
 }
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -28,70 +28,73 @@
 func TestControlPlane(t *testing.T) {
 	suite = t
 	gomega.RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "moor")
+	ginkgo.RunSpecs(t, "control plane")
 }
 
+// controller is a control machine of the simulated fleet; server is nil while it is down.
 type controller struct {
-	at     int
-	disk   *simnet.Disk
-	mount  *simnet.Mount
-	clock  *simnet.Clock
-	server *Server
-	life   string
-	lives  int
-	cancel context.CancelFunc
+	index       int
+	disk        *simnet.Disk
+	mount       *simnet.Mount
+	clock       *simnet.Clock
+	server      *Server
+	incarnation string
+	starts      int
+	cancel      context.CancelFunc
 }
 
+// fleet is a simulated fleet of control machines on one network, in the time of a synctest bubble.
 type fleet struct {
-	mu          sync.Mutex
-	seed        uint64
-	born        time.Time
-	world       *simnet.World
-	controllers []*controller
-	scope       base.Scope
-	web         *http.Client
-	tuning      func(*wire.ControllerParams)
+	mu           sync.Mutex
+	seed         uint64
+	startTime    time.Time
+	network      *simnet.World
+	controllers  []*controller
+	scope        base.Scope
+	client       *http.Client
+	adjustParams func(*wire.ControllerParams)
 }
 
-func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
+func hostAddress(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
-func at(i int) string { return ip(i) + ":7001" }
+func peerAddress(i int) string { return hostAddress(i) + ":7001" }
 
 func newFleet(seed uint64, count int) *fleet {
-	f := &fleet{seed: seed, born: time.Now()}
-	f.world = simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
-	f.scope = f.scoped("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.born))
-	f.web = httpserver.NewClient(f.scope)
+	f := &fleet{seed: seed, startTime: time.Now()}
+	f.network = simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
+	f.scope = f.newScope("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.startTime))
+	f.client = httpserver.NewClient(f.scope)
 	for i := range count {
-		f.controllers = append(f.controllers, &controller{at: i, disk: simnet.NewDisk(random.Seeded(seed*31 + uint64(i))), clock: simnet.NewClock(f.born)})
+		f.controllers = append(f.controllers, &controller{index: i, disk: simnet.NewDisk(random.Seeded(seed*31 + uint64(i))), clock: simnet.NewClock(f.startTime)})
 	}
 	for i := range f.controllers {
-		f.raise(i, true)
+		f.start(i, true)
 	}
 	return f
 }
 
-func (f *fleet) scoped(ip, life string, disk storage.Disk, clock base.Clock) base.Scope {
+func (f *fleet) newScope(ip, incarnation string, disk storage.Disk, clock base.Clock) base.Scope {
 	f.seed++
 	return base.Scope{
-		Context: context.Background(), Node: ip, Clock: clock, Net: f.world.At(ip, life), Disk: disk,
+		Context: context.Background(), Node: ip, Clock: clock, Net: f.network.At(ip, incarnation), Disk: disk,
 		Rand: random.Seeded(f.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(2000),
 	}
 }
 
-func (f *fleet) raise(i int, founding bool) {
+// start starts a control machine on its disk.
+func (f *fleet) start(i int, founding bool) {
 	k := f.controllers[i]
-	k.lives++
-	k.life = fmt.Sprintf("control machine %d life %d", i, k.lives)
+	k.starts++
+	k.incarnation = fmt.Sprintf("control machine %d life %d", i, k.starts)
 	k.mount = simnet.NewMount(k.disk)
-	s := f.scoped(ip(i), k.life, k.mount, k.clock)
+	s := f.newScope(hostAddress(i), k.incarnation, k.mount, k.clock)
 	s, k.cancel = s.WithCancel()
-	p := &wire.ControllerParams{Name: fmt.Sprint("core-", i+1), Zone: "z", Peers: at(i), Operators: ip(i) + ":7005", Founding: founding, Folder: "data"}
+	p := &wire.ControllerParams{Name: fmt.Sprint("core-", i+1), Zone: "z", Peers: peerAddress(i), Operators: hostAddress(i) + ":7005", Founding: founding, Folder: "data"}
 	for j := range f.controllers {
-		p.Seeds = append(p.Seeds, ip(j)+":7005")
+		p.Seeds = append(p.Seeds, hostAddress(j)+":7005")
 	}
-	if f.tuning != nil {
-		f.tuning(p)
+	if f.adjustParams != nil {
+		f.adjustParams(p)
 	}
 	m, err := Start(s, p, func(*Server) http.Handler { return http.NotFoundHandler() })
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -100,9 +103,11 @@
 	f.mu.Unlock()
 }
 
-func (f *fleet) kill(i int) { f.fell(i, false) }
+// kill ends the process of a control machine; its disk keeps what was written.
+func (f *fleet) kill(i int) { f.crash(i, false) }
 
-func (f *fleet) fell(i int, silent bool) {
+// crash ends a control machine; silent leaves its connections open instead of resetting them.
+func (f *fleet) crash(i int, silent bool) {
 	k := f.controllers[i]
 	if k.server == nil {
 		return
@@ -113,12 +118,13 @@
 	f.mu.Unlock()
 	k.cancel()
 	k.mount.Unmount()
-	f.world.Crash(ip(i), k.life, silent)
+	f.network.Crash(hostAddress(i), k.incarnation, silent)
 	m.Kill()
 }
 
+// powerLoss crashes a control machine silently; its disk loses what was not synced.
 func (f *fleet) powerLoss(i int) {
-	f.fell(i, true)
+	f.crash(i, true)
 	f.controllers[i].disk.PowerLoss()
 }
 
@@ -127,20 +133,22 @@
 		f.controllers[i].disk.Release()
 		f.kill(i)
 	}
-	f.web.CloseIdleConnections()
-	f.world.Close()
+	f.client.CloseIdleConnections()
+	f.network.Close()
 	time.Sleep(time.Minute)
 }
 
-func (f *fleet) until(reached func() bool) bool { return f.within(20*time.Second, reached) }
+func (f *fleet) eventually(condition func() bool) bool {
+	return f.eventuallyWithin(20*time.Second, condition)
+}
 
-func (f *fleet) within(longest time.Duration, reached func() bool) bool {
-	for begun := time.Now(); time.Since(begun) < longest; time.Sleep(5 * time.Millisecond) {
-		if reached() {
+func (f *fleet) eventuallyWithin(limit time.Duration, condition func() bool) bool {
+	for began := time.Now(); time.Since(began) < limit; time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
-	return reached()
+	return condition()
 }
 
 func (f *fleet) ready() bool {
@@ -153,8 +161,8 @@
 }
 
 func (f *fleet) cut(a, b int) {
-	f.world.Cut(ip(a), ip(b))
-	f.world.Cut(ip(b), ip(a))
+	f.network.Cut(hostAddress(a), hostAddress(b))
+	f.network.Cut(hostAddress(b), hostAddress(a))
 }
 
 func (f *fleet) propose(i int, p *wire.ConfigurationProposal) (*wire.ConfigurationOutcome, error) {
@@ -165,24 +173,26 @@
 	return m.Propose(f.scope, p)
 }
 
-func (f *fleet) taken(i int, p *wire.ConfigurationProposal) bool {
+// commits proposes at one control machine and reports whether the proposal was acknowledged as committed.
+func (f *fleet) commits(i int, p *wire.ConfigurationProposal) bool {
 	outcome, err := f.propose(i, p)
 	return err == nil && outcome.Kind == ""
 }
 
-// insist goes from control machine to control machine until one gives a clear answer.
-func (f *fleet) insist(from int, p *wire.ConfigurationProposal) (outcome *wire.ConfigurationOutcome) {
-	turn := from
-	gomega.Expect(f.until(func() bool {
-		said, err := f.propose(turn%len(f.controllers), p)
-		turn++
-		outcome = said
+// proposeUntilAnswered sends a proposal to one control machine after the other until one returns a final outcome.
+func (f *fleet) proposeUntilAnswered(from int, p *wire.ConfigurationProposal) (outcome *wire.ConfigurationOutcome) {
+	next := from
+	gomega.Expect(f.eventually(func() bool {
+		answered, err := f.propose(next%len(f.controllers), p)
+		next++
+		outcome = answered
 		return err == nil
-	})).To(gomega.BeTrue(), "no clear answer")
+	})).To(gomega.BeTrue(), "no final outcome")
 	return outcome
 }
 
-func (f *fleet) newest(i int) uint64 {
+// newestSerial returns the serial of the configuration that a control machine reads from a majority, or 0.
+func (f *fleet) newestSerial(i int) uint64 {
 	m := f.controllers[i].server
 	if m == nil {
 		return 0
@@ -194,25 +204,26 @@
 	return configuration.GetSerial()
 }
 
-func (f *fleet) poll(i int, ask *wire.PollRequest) (*wire.PollReply, error) {
+func (f *fleet) poll(i int, req *wire.PollRequest) (*wire.PollReply, error) {
 	s, cancel := f.scope.WithTimeout(3 * time.Second)
 	defer cancel()
-	reply, err := wireconnect.NewMoorClient(f.web, "http://"+at(i)).Hail(s, connect.NewRequest(ask))
+	reply, err := wireconnect.NewMoorClient(f.client, "http://"+peerAddress(i)).Hail(s, connect.NewRequest(req))
 	if err != nil {
 		return nil, err
 	}
 	return reply.Msg, nil
 }
 
-func service(name string) *string { return &name }
+func serviceName(name string) *string { return &name }
 
-func whole(serial, on uint64, prefixes ...string) *wire.ConfigurationProposal {
+// fullProposal proposes a whole configuration with a route for / and one for each prefix.
+func fullProposal(serial, baseSerial uint64, prefixes ...string) *wire.ConfigurationProposal {
 	c := &wire.Configuration{
-		Serial: serial, Base: on, Services: []*wire.ConfigurationService{{Name: "loans", Probe: "/health", ConnLimit: 9, Protocol: "h1"}},
+		Serial: serial, Base: baseSerial, Services: []*wire.ConfigurationService{{Name: "loans", Probe: "/health", ConnLimit: 9, Protocol: "h1"}},
 		Limits: &wire.ConfigurationLimits{HeaderBytes: 1 << 14, BodyBytes: 1 << 20, HeaderMs: 3000, IdleMs: 9000},
 	}
 	for i, prefix := range append([]string{"/"}, prefixes...) {
-		c.Routes = append(c.Routes, &wire.ConfigurationRoute{Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: prefix, CutoffMs: 2000, AimMs: 500, Tries: 2, Service: service("loans")})
+		c.Routes = append(c.Routes, &wire.ConfigurationRoute{Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: prefix, CutoffMs: 2000, AimMs: 500, Tries: 2, Service: serviceName("loans")})
 	}
 	return &wire.ConfigurationProposal{Configuration: c}
 }
@@ -221,17 +232,19 @@
 	return &wire.NodeStatus{Node: node, Incarnation: "one", Number: number, Inward: "10.9.1.1:7002", Zone: "z", Service: "loans"}
 }
 
-func story(text string, tell func(f *fleet)) { storyOf(3, text, tell) }
+// scenario declares a spec on three control machines, once for each of three seeds.
+func scenario(text string, run func(f *fleet)) { scenarioWithMachines(3, text, run) }
 
-func storyOf(count int, text string, tell func(f *fleet)) {
+// scenarioWithMachines declares a spec on count control machines, once for each of three seeds.
+func scenarioWithMachines(count int, text string, run func(f *fleet)) {
 	for seed := range uint64(3) {
 		ginkgo.It(fmt.Sprintf("%s (seed %d)", text, seed+1), func() {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
 				f := newFleet(100*seed+1, count)
 				defer f.end()
-				gomega.Expect(f.until(f.ready)).To(gomega.BeTrue(), "blank disks make a new fleet")
-				tell(f)
+				gomega.Expect(f.eventually(f.ready)).To(gomega.BeTrue(), "machines with empty disks didn't found a fleet")
+				run(f)
 			})
 		})
 	}
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -11,16 +11,17 @@
 	"curlewreach/proto/wire"
 )
 
-// Phases of a control machine, as operators see them.
+// Phases of a control machine as operators see them in its view.
 const (
-	joining    = "joining"     // the disk isn't open, or no voter was found
-	catchingUp = "catching-up" // it has no vote yet
-	founded    = "founded"     // it votes
+	joining    = "joining"     // the data folder isn't open, or the voters aren't known yet
+	catchingUp = "catching-up" // the voters are known; this machine has no vote yet
+	voting     = "founded"     // this machine has a vote
 )
 
-// registerViews lets operators look, on the door for peers: GET /view, /configuration, /odds, /journal, /metrics.
+// registerViews registers the read-only pages for operators on the peers' server: GET /view, /configuration,
+// /odds, /journal and /metrics.
 func (m *Server) registerViews(mux *http.ServeMux) {
-	httpserver.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collect)
+	httpserver.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collectMetrics)
 	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		if err != nil {
@@ -34,23 +35,23 @@
 		httpserver.ReplyProto(w, configuration)
 	})
 	mux.HandleFunc("GET /odds", func(w http.ResponseWriter, _ *http.Request) {
-		said := m.learning.Load().said
-		if said == nil {
-			said = &wire.Learning{}
+		state := m.learning.Load().state
+		if state == nil {
+			state = &wire.Learning{}
 		}
-		httpserver.ReplyProto(w, said)
+		httpserver.ReplyProto(w, state)
 	})
 }
 
-// View tells how this control machine stands and what it knows.
+// View returns the state of this control machine and what it knows of its peers and nodes.
 func (m *Server) View() *wire.ControllerView {
-	p, now, learned := m.params.Load(), m.scope.Clock.Mono(), m.learning.Load().said
+	p, now, state := m.params.Load(), m.scope.Clock.Mono(), m.learning.Load().state
 	view := &wire.ControllerView{
 		Controller: p.Name, Address: m.address, Zone: p.Zone, Incarnation: m.incarnation, Phase: joining, Settled: m.Settled(), Stopping: m.stopping.Load(),
-		ReachedMs: base.Milliseconds(now), Serial: m.view.Load().serial(),
-		Learner: learned.GetHolder(), Odds: learned.GetOdds().GetSerial(), Cycle: learned.GetCycle(),
+		ReachedMs: base.Milliseconds(now), Serial: m.configuration.Load().serial(),
+		Learner: state.GetHolder(), Odds: state.GetOdds().GetSerial(), Cycle: state.GetCycle(),
 	}
-	view.Nodes, _ = m.registry.since(0, true, "")
+	view.Nodes, _ = m.registry.changedSince(0, true, "")
 	c := m.core.Load()
 	if c == nil {
 		return view
@@ -63,24 +64,24 @@
 		view.AgreedMs = proto.Uint64(base.Milliseconds(now - began))
 	}
 	view.Owner, _ = c.replica.Owner(ConfigurationKey)
-	m.showMembers(c, view)
+	m.addMembers(c, view)
 	return view
 }
 
-// showMembers tells who votes, who is catching up and what a further loss would cost.
-func (m *Server) showMembers(c *core, view *wire.ControllerView) {
-	seen := c.replica.View()
-	view.Generation, view.Sealed, view.Spare = seen.Members.GetGeneration(), seen.Sealed, int32(seen.Spare)
+// addMembers adds the voters, the learners that are catching up and the registers' state to a view.
+func (m *Server) addMembers(c *core, view *wire.ControllerView) {
+	replicaView := c.replica.View()
+	view.Generation, view.Sealed, view.Spare = replicaView.Members.GetGeneration(), replicaView.Sealed, int32(replicaView.Spare)
 	switch {
-	case seen.Generation > 0:
-		view.Phase = founded
-	case seen.Members != nil:
+	case replicaView.Generation > 0:
+		view.Phase = voting
+	case replicaView.Members != nil:
 		view.Phase = catchingUp
 	}
 	for _, voter := range c.replica.Voters() {
-		view.Peers = append(view.Peers, &wire.ControllerPeer{Address: voter, Heard: voter == m.address || c.heardLately(voter, m.recentWindow())})
+		view.Peers = append(view.Peers, &wire.ControllerPeer{Address: voter, Heard: voter == m.address || c.heardWithin(voter, m.recentlyHeardWindow())})
 	}
-	for _, each := range seen.Learners {
+	for _, each := range replicaView.Learners {
 		view.Learners = append(view.Learners, &wire.ControllerLearner{Address: each.Replica.Address, CaughtUp: each.CaughtUp})
 	}
 	for _, key := range []string{ConfigurationKey, LearningKey} {
@@ -91,8 +92,8 @@
 	}
 }
 
-// collect adds the figures of this control machine.
-func (m *Server) collect(samples *metrics.Samples) {
+// collectMetrics adds the metrics of this control machine.
+func (m *Server) collectMetrics(samples *metrics.Samples) {
 	view := m.View()
 	states := map[string]int{"there": 0, "absent": 0}
 	for _, each := range view.Nodes {
