--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -48,7 +48,7 @@
 		last.Instance = &wire.Instance{Id: "i", Service: "loans", Address: "10.9.1.1:80", Zone: "z", Capacity: 4, Sequence: 1, WarmMs: 900}
 		r.update(last)
 		number := uint64(1)
-		isNews := func(change func(p *wire.NodeStatus)) bool {
+		reportsChange := func(change func(p *wire.NodeStatus)) bool {
 			before := r.revision
 			number++
 			next := proto.Clone(last).(*wire.NodeStatus)
@@ -58,8 +58,8 @@
 			last = next
 			return r.revision > before
 		}
-		Expect(isNews(func(p *wire.NodeStatus) {})).To(BeFalse())
-		Expect(isNews(func(p *wire.NodeStatus) { p.Serial, p.Instance.Sequence, p.Instance.WarmMs = 9, 2, 0 })).To(BeFalse())
+		Expect(reportsChange(func(p *wire.NodeStatus) {})).To(BeFalse())
+		Expect(reportsChange(func(p *wire.NodeStatus) { p.Serial, p.Instance.Sequence, p.Instance.WarmMs = 9, 2, 0 })).To(BeFalse())
 		for _, change := range []func(p *wire.NodeStatus){
 			func(p *wire.NodeStatus) { p.Incarnation = "two" },
 			func(p *wire.NodeStatus) { p.Inward = "10.9.1.1:7009" },
@@ -71,8 +71,8 @@
 			func(p *wire.NodeStatus) { p.Instance.Capacity = 5 },
 			func(p *wire.NodeStatus) { p.Instance = nil },
 		} {
-			Expect(isNews(change)).To(BeTrue())
-			Expect(isNews(func(p *wire.NodeStatus) {})).To(BeFalse())
+			Expect(reportsChange(change)).To(BeTrue())
+			Expect(reportsChange(func(p *wire.NodeStatus) {})).To(BeFalse())
 		}
 	})
 
@@ -116,17 +116,17 @@
 	})
 
 	spec("given a burst of statuses, when they arrive at once, then polls are notified once", func(r *registry) {
-		heard := r.changed.Next()
+		notified := r.changed.Next()
 		began := time.Now()
 		for i := range 12 {
 			r.update(nodeStatus(fmt.Sprint("n", i), 1))
 		}
-		<-heard
+		<-notified
 		Expect(time.Since(began)).To(BeNumerically("<=", 15*time.Millisecond))
 		Expect(nodes(r, 0)).To(HaveLen(12))
-		again := r.changed.Next()
+		notifiedAgain := r.changed.Next()
 		time.Sleep(time.Second)
-		Expect(again).NotTo(BeClosed())
+		Expect(notifiedAgain).NotTo(BeClosed())
 	})
 
 	spec("given more nodes than the registry has room for, when they report, then memory stays bounded", func(r *registry) {
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -18,7 +18,7 @@
 	"curlewreach/proto/wire"
 )
 
-// answer is what an operator was finally told about a proposal; final is false if the outcome stayed unknown.
+// answer is the last answer that an operator got to a proposal; final is false if the outcome stayed unknown.
 type answer struct {
 	p         *wire.ConfigurationProposal
 	committed bool
