--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -31,7 +31,7 @@
 // proposalIDOf returns the identity of a proposal. Whether it was forwarded makes no difference.
 func proposalIDOf(p *wire.ConfigurationProposal) proposalID {
 	sum := config.Digest(&wire.ConfigurationProposal{Configuration: p.Configuration, Change: p.Change})
-	return proposalID{config.SerialOf(p), binary.BigEndian.Uint64(sum)}
+	return proposalID{config.ProposedSerial(p), binary.BigEndian.Uint64(sum)}
 }
 
 // lookUpProposal returns what the head knows of a proposal.
--- a/internal/controlplane/propose.go
+++ b/internal/controlplane/propose.go
@@ -40,8 +40,8 @@
 	defer cancel()
 	outcome := m.routeProposal(s, c, p)
 	if outcome == nil {
-		m.scope.Log.Warn("configuration undecided", "serial", config.SerialOf(p))
-		return nil, base.NewFault(base.Uncertain, "", "whether serial %d is taken is not known yet", config.SerialOf(p))
+		m.scope.Log.Warn("configuration undecided", "serial", config.ProposedSerial(p))
+		return nil, base.NewFault(base.Uncertain, "", "whether serial %d is taken is not known yet", config.ProposedSerial(p))
 	}
 	m.logOutcome(p, outcome)
 	return outcome, nil
@@ -176,14 +176,14 @@
 // nil if nothing is to be changed: the proposal is already committed, or rejected. Both are nil if it may have
 // been committed too long ago to tell.
 func decideProposal(head *wire.ConfigurationHead, p *wire.ConfigurationProposal) (*wire.ConfigurationHead, *wire.ConfigurationOutcome) {
-	serial, id := config.SerialOf(p), proposalIDOf(p)
+	serial, id := config.ProposedSerial(p), proposalIDOf(p)
 	switch lookUpProposal(head, id) {
 	case committed:
 		return nil, &wire.ConfigurationOutcome{Serial: serial}
 	case forgotten:
 		return nil, nil
 	}
-	next, faults := config.Next(head.GetConfiguration(), p)
+	next, faults := config.ApplyProposal(head.GetConfiguration(), p)
 	if len(faults) > 0 {
 		return nil, rejection(serial, faults...)
 	}
@@ -192,8 +192,8 @@
 
 // checkProposal rejects what is invalid whatever the current configuration is. It returns nil for everything else.
 func checkProposal(p *wire.ConfigurationProposal) *wire.ConfigurationOutcome {
-	if faults := config.CheckOrder(p); len(faults) > 0 {
-		return rejection(config.SerialOf(p), faults...)
+	if faults := config.CheckProposal(p); len(faults) > 0 {
+		return rejection(config.ProposedSerial(p), faults...)
 	}
 	return nil
 }
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -51,7 +51,7 @@
 	defer h.mu.Unlock()
 	h.answers = append(h.answers, each)
 	if each.committed {
-		h.newestCommitted = max(h.newestCommitted, config.SerialOf(each.p))
+		h.newestCommitted = max(h.newestCommitted, config.ProposedSerial(each.p))
 	}
 }
 
@@ -240,11 +240,11 @@
 		id := proposalIDOf(each.p)
 		if each.committed {
 			commits++
-			Expect(committedOn[config.BaseOf(each.p)]).To(BeNil(), "two proposals were committed on base %d", config.BaseOf(each.p))
-			committedOn[config.BaseOf(each.p)] = &id
+			Expect(committedOn[config.ProposedBase(each.p)]).To(BeNil(), "two proposals were committed on base %d", config.ProposedBase(each.p))
+			committedOn[config.ProposedBase(each.p)] = &id
 		}
 		if each.final {
-			Expect(remembered[id]).To(Equal(each.committed), "serial %d on base %d, answered committed=%t", config.SerialOf(each.p), config.BaseOf(each.p), each.committed)
+			Expect(remembered[id]).To(Equal(each.committed), "serial %d on base %d, answered committed=%t", config.ProposedSerial(each.p), config.ProposedBase(each.p), each.committed)
 		}
 	}
 	for serial := range h.served {
