--- /dev/null
+++ b/internal/dataplane/stub_server_test.go
@@ -0,0 +1,412 @@
+package dataplane
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	. "github.com/onsi/gomega"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"curlewreach/base"
+	"curlewreach/internal/dataplane/admission"
+	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/random"
+	"curlewreach/internal/storage"
+	"curlewreach/proto/wire"
+)
+
+const (
+	sealValue       = "whole"
+	routeTimeout    = 600 * time.Millisecond
+	clientTimeout   = 5 * time.Second
+	firstPort       = 20000
+	portsPerFixture = 20
+	largeBody       = 1 << 20
+)
+
+// behavior is what a stand-in does with one request; it tells whether the connection stays open for another.
+type behavior func(t *transaction) (keep bool)
+
+// transaction is one request on one connection of a stand-in. The head has been read, the body has not.
+type transaction struct {
+	server  *stubServer
+	conn    *net.TCPConn
+	reader  *bufio.Reader
+	request *http.Request
+	id      string
+}
+
+// stubServer is an upstream, or the node beside one, that does exactly what a row of the table says. It serves on a real socket.
+type stubServer struct {
+	name              string
+	address           string
+	asPeer            bool
+	listener          net.Listener
+	mu                sync.Mutex
+	connectionCount   int
+	openConnections   map[net.Conn]bool
+	behaviors         map[string]behavior
+	executions        map[string]int
+	rejections        map[string]int
+	connectionNumbers map[string]int
+	headers           map[string]http.Header
+	idleTimeout       time.Duration
+	closed            chan struct{}
+	tasks             sync.WaitGroup
+}
+
+func newStubServer(name, address string, asPeer bool) *stubServer {
+	s := &stubServer{
+		name: name, address: address, asPeer: asPeer, openConnections: map[net.Conn]bool{}, behaviors: map[string]behavior{}, executions: map[string]int{}, rejections: map[string]int{},
+		connectionNumbers: map[string]int{}, headers: map[string]http.Header{}, closed: make(chan struct{}),
+	}
+	s.listen()
+	return s
+}
+
+func (s *stubServer) listen() {
+	listener, err := net.Listen("tcp", s.address)
+	Expect(err).NotTo(HaveOccurred())
+	s.listener = listener
+	s.tasks.Add(1)
+	go func() {
+		defer s.tasks.Done()
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			s.connectionCount++
+			number := s.connectionCount
+			s.openConnections[conn] = true
+			s.mu.Unlock()
+			s.tasks.Add(1)
+			go func() {
+				defer s.tasks.Done()
+				s.serve(conn.(*net.TCPConn), number)
+			}()
+		}
+	}()
+}
+
+func (s *stubServer) close() {
+	close(s.closed)
+	_ = s.listener.Close()
+	s.mu.Lock()
+	for conn := range s.openConnections {
+		_ = conn.Close()
+	}
+	s.mu.Unlock()
+	s.tasks.Wait()
+}
+
+// setBehavior sets what happens with the request of an id.
+func (s *stubServer) setBehavior(id string, behave behavior) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.behaviors[id] = behave
+}
+
+func (s *stubServer) serve(conn *net.TCPConn, number int) {
+	defer func() {
+		_ = conn.Close()
+		s.mu.Lock()
+		delete(s.openConnections, conn)
+		s.mu.Unlock()
+	}()
+	reader := bufio.NewReader(conn)
+	for {
+		if s.idleTimeout > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(s.idleTimeout))
+		}
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		_ = conn.SetReadDeadline(time.Time{})
+		id := request.Header.Get(forwarding.Plain.Attempt)
+		s.mu.Lock()
+		s.connectionNumbers[id] = number
+		s.headers[id] = request.Header
+		behave := s.behaviors[id]
+		s.mu.Unlock()
+		if behave == nil {
+			behave = succeed
+		}
+		if !behave(&transaction{s, conn, reader, request, id}) {
+			return
+		}
+	}
+}
+
+// execute takes the request whole and begins to work on it.
+func (t *transaction) execute() {
+	_, _ = io.Copy(io.Discard, t.request.Body)
+	t.server.mu.Lock()
+	defer t.server.mu.Unlock()
+	t.server.executions[t.id]++
+}
+
+func (t *transaction) reject() {
+	_, _ = io.Copy(io.Discard, t.request.Body)
+	t.server.mu.Lock()
+	defer t.server.mu.Unlock()
+	t.server.rejections[t.id]++
+}
+
+func (t *transaction) send(text string) {
+	_, _ = io.WriteString(t.conn, text)
+}
+
+func (t *transaction) reset() bool {
+	_ = t.conn.SetLinger(0)
+	_ = t.conn.Close()
+	return false
+}
+
+// hang stands still until the other side is gone or the row is over.
+func (t *transaction) hang() bool {
+	gone := make(chan struct{})
+	go func() {
+		defer close(gone)
+		_, _ = t.reader.ReadByte()
+	}()
+	select {
+	case <-gone:
+	case <-t.server.closed:
+	}
+	return false
+}
+
+func bodyOf(id, server string) string { return "the answer to " + id + " by " + server }
+
+func (t *transaction) body() string { return bodyOf(t.id, t.server.name) }
+
+// responseHead makes an answer's head. lines are added to it.
+func (t *transaction) responseHead(status int, id string, size int, lines ...string) string {
+	head := []string{fmt.Sprintf("HTTP/1.1 %d %s", status, http.StatusText(status))}
+	if id != "" {
+		head = append(head, forwarding.Plain.Attempt+": "+id)
+	}
+	if size >= 0 {
+		head = append(head, "Content-Length: "+strconv.Itoa(size))
+	}
+	if t.server.asPeer {
+		head = append(head, forwarding.LoadHeader+": "+forwarding.LoadReport{Load: admission.Load{Limit: 4}}.String())
+	}
+	return strings.Join(append(head, lines...), "\r\n") + "\r\n\r\n"
+}
+
+func sealHeader() string { return forwarding.Plain.Seal + ": " + sealValue }
+
+func (t *transaction) response(status int) string {
+	return t.responseHead(status, t.id, len(t.body()), sealHeader()) + t.body()
+}
+
+func succeed(t *transaction) bool {
+	t.execute()
+	t.send(t.response(http.StatusOK))
+	return true
+}
+
+// answerWith runs the request and answers with a status of the upstream's own, sealed.
+func answerWith(status int, lines ...string) behavior {
+	return func(t *transaction) bool {
+		t.execute()
+		t.send(t.responseHead(status, t.id, len(t.body()), append(lines, sealHeader())...) + t.body())
+		return true
+	}
+}
+
+// rejectWith answers without running the request.
+func rejectWith(status int, lines ...string) behavior {
+	return func(t *transaction) bool {
+		t.reject()
+		t.send(t.responseHead(status, t.id, 0, lines...))
+		return true
+	}
+}
+
+// executeAndSend runs the request and sends just this.
+func executeAndSend(text func(t *transaction) string, keep bool) behavior {
+	return func(t *transaction) bool {
+		t.execute()
+		t.send(text(t))
+		return keep
+	}
+}
+
+var fixtureCount atomic.Int64
+
+// requestFixture is a node that a client talks to, with a stand-in that does what a row says, and a second node whose upstream is sound.
+type requestFixture struct {
+	clientNode *Node
+	peerNode   *Node
+	first      *stubServer
+	second     *stubServer
+	cleanups   []func()
+}
+
+func realScope(name string) (base.Scope, func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	s := base.Scope{
+		Context: ctx, Node: name, Clock: base.RealClock(), Net: base.RealNet(), Disk: storage.None(),
+		Rand: random.Seeded(1), Log: hclog.NewNullLogger(), Journal: base.NewJournal(400),
+	}
+	return s, cancel
+}
+
+func (p *requestFixture) startNode(name, zone string, address func() string) *Node {
+	scope, cancel := realScope(name)
+	params := &wire.NodeParams{
+		Name: name, Zone: zone, Service: books, Outward: address(), Inward: address(), Ready: address(), Control: address(), Seeds: []string{address()},
+		Beat: durationpb.New(time.Hour), Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(600 * time.Millisecond), Grace: durationpb.New(time.Second),
+		RepeatRatio: 0.2, RepeatWindow: durationpb.New(10 * time.Second), RepeatSlack: 64,
+	}
+	n, err := Start(scope, params, forwarding.Plain, func(*Node) http.Handler { return http.NotFoundHandler() })
+	Expect(err).NotTo(HaveOccurred())
+	p.cleanups = append(p.cleanups, n.Kill, cancel)
+	return n
+}
+
+func routeClassConfiguration(serial uint64) *wire.Configuration {
+	c := &wire.Configuration{Serial: serial, Services: []*wire.ConfigurationService{{Name: books, Probe: "/health", ConnLimit: 130, Protocol: "h1"}}}
+	for name, repeat := range map[string]wire.Repeat{once: wire.Repeat_ONCE, repeatable: wire.Repeat_REPEATABLE, bulk: wire.Repeat_BULK} {
+		c.Routes = append(c.Routes, &wire.ConfigurationRoute{
+			Name: name, Host: "books.example", Prefix: "/" + name + "/", Repeat: repeat, CutoffMs: float64(routeTimeout.Milliseconds()), AimMs: 200, Rank: 1, Tries: 2,
+			Service: proto.String(books),
+		})
+	}
+	return c
+}
+
+const (
+	once       = "once"
+	repeatable = "repeatable"
+	bulk       = "bulk"
+)
+
+// newRequestFixture puts the first stand-in beside the near node, or, with asPeer, in the place of a node in the near node's zone.
+func newRequestFixture(asPeer bool) *requestFixture {
+	number := int(fixtureCount.Add(1))
+	pid := os.Getpid()
+	ip, port := fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, 1+pid&127), firstPort+number*portsPerFixture
+	address := func() string {
+		port++
+		return fmt.Sprintf("%s:%d", ip, port)
+	}
+	p := &requestFixture{}
+	p.first, p.second = newStubServer("first", address(), asPeer), newStubServer("second", address(), false)
+	p.clientNode, p.peerNode = p.startNode("near", "a", address), p.startNode("far", "b", address)
+	for _, n := range []*Node{p.clientNode, p.peerNode} {
+		n.controlClient.Adopt(routeClassConfiguration(1), true)
+	}
+	// The second counts as slow, so that requests go to the first however busy the machine is.
+	warmup := map[string]uint64{"second": uint64(time.Hour.Milliseconds())}
+	instance := func(server *stubServer, zone string) *wire.Instance {
+		return &wire.Instance{Id: "i-" + server.name, Service: books, Address: server.address, Zone: zone, Capacity: 4, WarmMs: warmup[server.name]}
+	}
+	Expect(p.peerNode.Heartbeat(instance(p.second, "b"))).To(BeNil())
+	observations := []*wire.Observation{{NodeStatus: p.peerNode.nodeStatus()}}
+	if asPeer {
+		observations = append(observations, &wire.Observation{NodeStatus: &wire.NodeStatus{
+			Node: "mate", Incarnation: "one", Number: 1, Inward: p.first.address, Zone: "a", Service: books, Instance: instance(p.first, "a"),
+		}})
+	} else {
+		Expect(p.clientNode.Heartbeat(instance(p.first, "a"))).To(BeNil())
+	}
+	p.clientNode.peers.Heard("keel", true, observations)
+	return p
+}
+
+func (p *requestFixture) close() {
+	p.first.close()
+	p.second.close()
+	for _, end := range p.cleanups {
+		end()
+	}
+}
+
+// client is one connection of a client.
+type client struct {
+	conn   *net.TCPConn
+	reader *bufio.Reader
+}
+
+func (p *requestFixture) connect() *client {
+	conn, err := net.Dial("tcp", p.clientNode.params.Outward)
+	Expect(err).NotTo(HaveOccurred())
+	p.cleanups = append(p.cleanups, func() { _ = conn.Close() })
+	return &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
+}
+
+// clientResponse is what a client gets.
+type clientResponse struct {
+	status     int
+	sealed     bool
+	id         string
+	body       string
+	retryAfter time.Duration
+	closes     bool
+	err        error
+}
+
+func rawRequest(id, route string, body []byte) string {
+	method := http.MethodGet
+	length := ""
+	if body != nil {
+		method, length = http.MethodPost, fmt.Sprintf("Content-Length: %d\r\n", len(body))
+	}
+	return fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: books.example\r\n%s: %s\r\n%s: %s\r\n%s\r\n%s", method, route, forwarding.Plain.Attempt, id, forwarding.Plain.Left, forwarding.FormatMillis(clientTimeout), length, body)
+}
+
+func (c *client) send(id, route string, body []byte) {
+	_, err := io.Copy(c.conn, strings.NewReader(rawRequest(id, route, body)))
+	Expect(err).NotTo(HaveOccurred())
+}
+
+func (c *client) receive() clientResponse {
+	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return clientResponse{err: err}
+	}
+	var body bytes.Buffer
+	_, err = body.ReadFrom(response.Body)
+	retryAfter, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	return clientResponse{
+		status: response.StatusCode, sealed: response.Header.Get(forwarding.Plain.Seal) != "", id: response.Header.Get(forwarding.Plain.Attempt), body: body.String(),
+		retryAfter: time.Duration(retryAfter * float64(time.Second)), closes: response.Close, err: err,
+	}
+}
+
+func (c *client) roundTrip(id, route string, body []byte) clientResponse {
+	c.send(id, route, body)
+	return c.receive()
+}
+
+// sendAsPeer sends a request as the node beside a client does.
+func (p *requestFixture) sendAsPeer(id, route string, metadata forwarding.Metadata) clientResponse {
+	conn, err := net.Dial("tcp", p.peerNode.params.Inward)
+	Expect(err).NotTo(HaveOccurred())
+	defer func() { _ = conn.Close() }()
+	c := &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
+	text := strings.Replace(rawRequest(id, route, nil), "\r\n\r\n", "\r\n"+forwarding.MetadataHeader+": "+metadata.String()+"\r\n\r\n", 1)
+	_, err = io.WriteString(conn, text)
+	Expect(err).NotTo(HaveOccurred())
+	return c.receive()
+}
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -23,22 +23,24 @@
 
 const (
 	books    = "books"
-	otherBox = "10.9.9.9"
+	clientIP = "10.9.9.9"
 )
 
-var noControllers = []string{"10.9.0.1:7005"}
+var unreachableControllers = []string{"10.9.0.1:7005"}
 
-// stand is a simulation on which single nodes, control machines and peers are set up.
-type stand struct{ *simulation.Simulation }
+// testbed is a simulation on which single nodes, control machines and peers are set up.
+type testbed struct{ *simulation.Simulation }
 
-func story(text string, tell func(s *stand)) { distant(text, simulation.UsualDelay, tell) }
+func itSimulated(text string, spec func(s *testbed)) {
+	itSimulatedWithDelay(text, simulation.UsualDelay, spec)
+}
 
-// distant is a story whose machines are further apart than usual, one way.
-func distant(text string, delay time.Duration, tell func(s *stand)) {
-	simulation.ItAt(text, delay, func(s *simulation.Simulation) { tell(&stand{s}) })
+// itSimulatedWithDelay is a story whose machines are further apart than usual, one way.
+func itSimulatedWithDelay(text string, delay time.Duration, spec func(s *testbed)) {
+	simulation.ItAt(text, delay, func(s *simulation.Simulation) { spec(&testbed{s}) })
 }
 
-func (s *stand) node(i int, seeds []string) *Node {
+func (s *testbed) startNode(i int, seeds []string) *Node {
 	ip := fmt.Sprintf("10.9.1.%d", i)
 	p := &wire.NodeParams{
 		Name: fmt.Sprint("app-", i), Zone: "a", Service: books, Outward: ip + ":7001", Inward: ip + ":7002", Ready: ip + ":7003", Control: ip + ":7004", Seeds: seeds,
@@ -51,47 +53,47 @@
 	return n
 }
 
-// seat puts an upstream beside a node.
-func (s *stand) seat(n *Node, capacity uint32, handler http.HandlerFunc) {
-	ip := simulation.Host(n.params.Inward)
+// addUpstream puts an upstream beside a node.
+func (s *testbed) addUpstream(node *Node, capacity uint32, handler http.HandlerFunc) {
+	ip := simulation.Host(node.params.Inward)
 	s.Serve(ip+":8080", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forwarding.Plain.Seal, "whole")
 		w.Header()[forwarding.Plain.Attempt] = r.Header[forwarding.Plain.Attempt]
 		handler(w, r)
 	}))
-	Expect(n.Heartbeat(&wire.Instance{Id: "i-" + n.params.Name, Service: books, Address: ip + ":8080", Zone: "a", Capacity: capacity})).To(BeNil())
+	Expect(node.Heartbeat(&wire.Instance{Id: "i-" + node.params.Name, Service: books, Address: ip + ":8080", Zone: "a", Capacity: capacity})).To(BeNil())
 }
 
-func aConfiguration(serial uint64) *wire.Configuration {
+func testConfiguration(serial uint64) *wire.Configuration {
 	return simulation.Configuration(serial, books)
 }
 
-type said struct {
-	status int
-	bytes  int
-	again  time.Duration
-	way    string
-	took   time.Duration
+type httpReply struct {
+	status     int
+	size       int
+	retryAfter time.Duration
+	outcome    string
+	elapsed    time.Duration
 }
 
-// ask sends one request and reads its answer to the end.
-func (s *stand) ask(to, path string, header http.Header) (t said) {
-	scope := s.Scope(otherBox)
-	web := httpserver.NewClient(scope)
-	defer web.CloseIdleConnections()
+// get sends one request and reads its answer to the end.
+func (s *testbed) get(to, path string, header http.Header) (t httpReply) {
+	scope := s.Scope(clientIP)
+	client := httpserver.NewClient(scope)
+	defer client.CloseIdleConnections()
 	r, err := http.NewRequestWithContext(scope, http.MethodGet, "http://"+to+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	r.Host, r.Header = "books.example", header
-	began := s.Clock.Mono()
-	reply, err := web.Do(r)
+	startedAt := s.Clock.Mono()
+	response, err := client.Do(r)
 	Expect(err).NotTo(HaveOccurred())
-	defer func() { _ = reply.Body.Close() }()
-	body, err := io.ReadAll(reply.Body)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	again, _ := strconv.ParseFloat(reply.Header.Get("Retry-After"), 64)
-	return said{reply.StatusCode, len(body), time.Duration(again * float64(time.Second)), reply.Header.Get(forwarding.OutcomeHeader), s.Clock.Mono() - began}
+	retryAfter, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	return httpReply{response.StatusCode, len(body), time.Duration(retryAfter * float64(time.Second)), response.Header.Get(forwarding.OutcomeHeader), s.Clock.Mono() - startedAt}
 }
 
-func asking(id string, left time.Duration) http.Header {
+func requestHeader(id string, left time.Duration) http.Header {
 	return http.Header{forwarding.Plain.Canonical().Attempt: {id}, forwarding.Plain.Canonical().Left: {forwarding.FormatMillis(left)}}
 }
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -11,58 +11,61 @@
 	"curlewreach/proto/wire"
 )
 
-var classes = [...]string{"once", "repeatable", "bulk"}
+// repeatClasses names the values of wire.Repeat, in order, for the "kind" label of metrics.
+var repeatClasses = [...]string{"once", "repeatable", "bulk"}
 
-// openViews lets operators look; a node whose port is taken serves without.
-func (n *Node) openViews(s base.Scope) {
+// openOperatorServer serves the node's view and metrics to operators, if an address is set. The node runs without it
+// if the address can't be opened.
+func (n *Node) openOperatorServer(s base.Scope) {
 	if n.params.Peers == "" {
 		return
 	}
 	mux := http.NewServeMux()
 	httpserver.Views(mux, s, func() proto.Message { return n.View() }, n.collect)
-	door, err := httpserver.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
-		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = headerBytes, headerTime, idleTime, idleTime
+	server, err := httpserver.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
+		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = maxHeaderBytes, headerTimeout, defaultIdleTimeout, defaultIdleTimeout
 	})
 	if err != nil {
 		s.Log.Warn("no views", "error", err)
 		return
 	}
-	n.servers = append(n.servers, door)
+	n.servers = append(n.servers, server)
 }
 
-func (n *Node) recordDuration(v *clientCall) {
-	if at := int(v.route.Raw.Repeat); v.ledger.Best() != nil && at >= 0 && at < len(classes) {
-		n.durations[at].Add(v.now() - v.began)
+// recordDuration adds a successful call to the latency histogram of its route's repeat class.
+func (n *Node) recordDuration(call *clientCall) {
+	if class := int(call.route.Raw.Repeat); call.ledger.Best() != nil && class >= 0 && class < len(repeatClasses) {
+		n.durations[class].Add(call.now() - call.startedAt)
 	}
 }
 
-// View tells how this node stands and what it knows.
+// View returns the node's state for operators.
 func (n *Node) View() *wire.NodeView {
-	instance, gate, _ := n.instance.Now()
-	p, w := n.params, gate.Load()
+	instance, queue, _ := n.instance.Current()
+	p, load := n.params, queue.Load()
 	view := &wire.NodeView{
-		Node: p.Name, Zone: p.Zone, Service: p.Service, Incarnation: n.incarnation, Serial: n.control.Serial(), Ready: n.Ready(), Stopping: n.stopping.Load(),
-		Instance: instance, InstanceSilenceMs: base.Milliseconds(n.instance.Silence()), BacklogMs: base.Milliseconds(n.link.Backlog()), Odds: n.keeper.Serial(), Inside: n.inFlight.Load(),
+		Node: p.Name, Zone: p.Zone, Service: p.Service, Incarnation: n.incarnation, Serial: n.controlClient.Serial(), Ready: n.Ready(), Stopping: n.stopping.Load(),
+		Instance: instance, InstanceSilenceMs: base.Milliseconds(n.instance.SinceHeartbeat()), BacklogMs: base.Milliseconds(n.linkPacer.Backlog()), Odds: n.sampler.Serial(), Inside: n.inFlight.Load(),
 		UpMs:      base.Milliseconds(n.scope.Clock.Mono() - n.startedAt),
-		Gate:      &wire.GateView{Flying: uint32(w.InFlight), Waiting: uint32(w.Waiting), Limit: uint32(w.Limit), HoldMs: uint64(w.HoldMs), TopMs: uint64(w.TopMs), RestMs: uint64(w.RestMs)},
-		Latencies: n.latencies.View(), RetryBudgets: n.retries.View(), Counts: map[string]uint64{},
+		Gate:      &wire.GateView{Flying: uint32(load.InFlight), Waiting: uint32(load.Waiting), Limit: uint32(load.Limit), HoldMs: uint64(load.HoldMs), TopMs: uint64(load.TopMs), RestMs: uint64(load.RestMs)},
+		Latencies: n.latencies.View(), RetryBudgets: n.retryBudget.View(), Counts: map[string]uint64{},
 	}
 	view.Peers, view.Controllers = n.peers.View()
-	view.Confirmed, view.Polled = n.control.Confirmed(), n.control.Polled()
-	age := n.control.Age()
-	view.ConfigAgeMs, view.ConfigStale = base.Milliseconds(age), n.control.IsStale(age)
-	for what, count := range n.counts.All() {
-		view.Counts[what] = count.Load()
+	view.Confirmed, view.Polled = n.controlClient.Confirmed(), n.controlClient.Polled()
+	age := n.controlClient.Age()
+	view.ConfigAgeMs, view.ConfigStale = base.Milliseconds(age), n.controlClient.IsStale(age)
+	for outcome, count := range n.outcomeCounts.All() {
+		view.Counts[outcome] = count.Load()
 	}
-	for route, is := range n.further.All() {
-		if is {
+	for route, nested := range n.nestedRoutes.All() {
+		if nested {
 			view.Further = append(view.Further, route)
 		}
 	}
 	return view
 }
 
-// collect adds the node's samples.
+// collect adds the node's metric samples.
 func (n *Node) collect(samples *metrics.Samples) {
 	view := n.View()
 	n.collectRequests(samples, view)
@@ -81,27 +84,27 @@
 	gauge("curlew_link_backlog_seconds", "how long a large answer begun now would wait", float64(view.BacklogMs)/1000)
 }
 
-// collectRequests adds what became of requests and how long they took.
+// collectRequests adds the counts of request outcomes, the latency histograms and the retry budgets.
 func (n *Node) collectRequests(samples *metrics.Samples, view *wire.NodeView) {
-	for what, count := range view.Counts {
-		samples.Add("curlew_outcomes_total", metrics.Counter, "what clients were told, by kind; and retries", float64(count), metrics.Labels{"what": what})
+	for outcome, count := range view.Counts {
+		samples.Add("curlew_outcomes_total", metrics.Counter, "what clients were told, by kind; and retries", float64(count), metrics.Labels{"what": outcome})
 	}
-	for i, class := range classes {
+	for i, class := range repeatClasses {
 		samples.AddHistogram("curlew_request_seconds", "answered requests of clients here, by kind of route", &n.durations[i], metrics.Labels{"kind": class})
 	}
-	for _, each := range view.RetryBudgets {
-		samples.Add("curlew_repeats_held", metrics.Gauge, "retries that could be paid now, by service", each.Held, metrics.Labels{"service": each.Service})
+	for _, budget := range view.RetryBudgets {
+		samples.Add("curlew_repeats_held", metrics.Gauge, "retries that could be paid now, by service", budget.Held, metrics.Labels{"service": budget.Service})
 	}
 }
 
-// collectPeers adds how many nodes are there.
+// collectPeers adds the number of peers by state.
 func collectPeers(samples *metrics.Samples, view *wire.NodeView) {
 	states := map[string]int{"there": 0, "absent": 0, "avoided": 0}
-	for _, each := range view.Peers {
+	for _, peer := range view.Peers {
 		switch {
-		case each.Absent:
+		case peer.Absent:
 			states["absent"]++
-		case each.AvoidedMs > 0:
+		case peer.AvoidedMs > 0:
 			states["avoided"]++
 		default:
 			states["there"]++
