--- a/internal/dataplane/absent_peer_test.go
+++ b/internal/dataplane/absent_peer_test.go
@@ -13,6 +13,7 @@
 
 var controllerNames = []string{"core-1", "core-2", "core-3"}
 
+// peerObservation returns what a controller reports about node app-2.
 func peerObservation(absent bool) []*wire.Observation {
 	return []*wire.Observation{{Absent: absent, NodeStatus: &wire.NodeStatus{
 		Node: "app-2", Incarnation: "one", Number: 1, Inward: "10.9.1.2:7002", Zone: "a", Service: books,
@@ -20,22 +21,22 @@
 	}}}
 }
 
-var _ = ginkgo.Describe("a peer that the control machines lost observation of", func() {
-	itSimulated("given a peer that answers and is called absent by all, when visitors come, then all are served by it", func(s *testbed) {
-		near, far := s.startNode(1, unreachableControllers), s.startNode(2, unreachableControllers)
-		for _, n := range []*Node{near, far} {
+var _ = ginkgo.Describe("a reachable peer that the controllers report absent", func() {
+	itSimulated("given a peer that answers and that all controllers report absent, when clients send requests, then it serves all of them", func(s *testbed) {
+		node, peer := s.startNode(1, unreachableControllers), s.startNode(2, unreachableControllers)
+		for _, n := range []*Node{node, peer} {
 			n.controlClient.Adopt(testConfiguration(1), true)
 		}
-		s.addUpstream(far, 4, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("found")) })
-		observation := &wire.Observation{NodeStatus: far.nodeStatus()}
+		s.addUpstream(peer, 4, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("found")) })
+		observation := &wire.Observation{NodeStatus: peer.nodeStatus()}
 		for _, controller := range controllerNames {
-			near.peers.Heard(controller, true, []*wire.Observation{observation})
+			node.peers.Heard(controller, true, []*wire.Observation{observation})
 		}
 		for i := range 30 {
-			t := s.get(near.params.Outward, "/search/1", requestHeader(forwarding.FormatMillis(time.Duration(i)*time.Millisecond), 4*time.Second))
-			Expect(t.status).To(Equal(http.StatusOK))
+			reply := s.get(node.params.Outward, "/search/1", requestHeader(forwarding.FormatMillis(time.Duration(i)*time.Millisecond), 4*time.Second))
+			Expect(reply.status).To(Equal(http.StatusOK))
 			for _, controller := range controllerNames {
-				near.peers.Heard(controller, false, []*wire.Observation{{NodeStatus: far.nodeStatus(), Absent: true}})
+				node.peers.Heard(controller, false, []*wire.Observation{{NodeStatus: peer.nodeStatus(), Absent: true}})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/internal/dataplane/client_connections_test.go
+++ b/internal/dataplane/client_connections_test.go
@@ -14,16 +14,17 @@
 	"curlewreach/proto/wire"
 )
 
-// reuseRatio is the part of the idle limit after which clients still come back.
+// reuseRatio is the part of the idle limit after which a client reuses its connection.
 const reuseRatio = 0.8
 
+// setIdleLimit puts a configuration with the given idle limit in force at a node.
 func setIdleLimit(n *Node, serial uint64, idle time.Duration) {
 	configuration := testConfiguration(serial)
 	configuration.Limits = &wire.ConfigurationLimits{IdleMs: float64(idle.Milliseconds())}
 	n.controlClient.Adopt(configuration, true)
 }
 
-// idleClient is a client's connection in a bubble.
+// idleClient is a client with one connection in a simulation.
 type idleClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -47,11 +48,11 @@
 }
 
 var _ = ginkgo.Describe("an idle connection of a client", func() {
-	const long, short = 60 * time.Second, 5 * time.Second
-	rest := time.Duration(reuseRatio * float64(long))
+	const longLimit, shortLimit = 60 * time.Second, 5 * time.Second
+	idleTime := time.Duration(reuseRatio * float64(longLimit))
 	var n *Node
 	var client *idleClient
-	begin := func(s *testbed, idle time.Duration) {
+	setUp := func(s *testbed, idle time.Duration) {
 		seeds, _, _ := s.startControllers(1, 0)
 		n = s.startNode(1, seeds)
 		setIdleLimit(n, 1, idle)
@@ -61,43 +62,43 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 	}
-	comesBack := func() {
+	expectServed := func() {
 		response, err := client.get("two")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 	}
-	itSimulated("given a limit of a minute, when the client comes back after four fifths of it, then it is answered", func(s *testbed) {
-		begin(s, long)
-		time.Sleep(rest)
-		comesBack()
+	itSimulated("given a limit of a minute, when the client sends a request after four fifths of it, then it is answered", func(s *testbed) {
+		setUp(s, longLimit)
+		time.Sleep(idleTime)
+		expectServed()
 	})
-	itSimulated("given a limit that is lowered while the connection rests, when the client comes back after four fifths of the old one, then it is answered", func(s *testbed) {
-		begin(s, long)
-		time.Sleep(rest / 2)
-		setIdleLimit(n, 2, short)
-		time.Sleep(rest / 2)
-		comesBack()
+	itSimulated("given a limit that is lowered while the connection is idle, when the client sends a request after four fifths of the old limit, then it is answered", func(s *testbed) {
+		setUp(s, longLimit)
+		time.Sleep(idleTime / 2)
+		setIdleLimit(n, 2, shortLimit)
+		time.Sleep(idleTime / 2)
+		expectServed()
 	})
-	itSimulated("given a limit that is raised while the connection rests, when the client comes back after four fifths of the new one, then it is answered", func(s *testbed) {
-		begin(s, short)
-		time.Sleep(short / 2)
-		setIdleLimit(n, 2, long)
-		time.Sleep(rest - short/2)
-		comesBack()
+	itSimulated("given a limit that is raised while the connection is idle, when the client sends a request after four fifths of the new limit, then it is answered", func(s *testbed) {
+		setUp(s, shortLimit)
+		time.Sleep(shortLimit / 2)
+		setIdleLimit(n, 2, longLimit)
+		time.Sleep(idleTime - shortLimit/2)
+		expectServed()
 	})
-	itSimulated("given a raised limit that reaches this node late, when it comes within the bound of being in force, then the connection is still open", func(s *testbed) {
-		begin(s, short)
-		time.Sleep(short + n.params.InForce.AsDuration())
-		setIdleLimit(n, 2, long)
-		time.Sleep(rest - short - n.params.InForce.AsDuration())
-		comesBack()
+	itSimulated("given a raised limit that reaches the node late, when it arrives within the in-force bound, then the connection is still open", func(s *testbed) {
+		setUp(s, shortLimit)
+		time.Sleep(shortLimit + n.params.InForce.AsDuration())
+		setIdleLimit(n, 2, longLimit)
+		time.Sleep(idleTime - shortLimit - n.params.InForce.AsDuration())
+		expectServed()
 	})
-	itSimulated("given a node that is told to stop, when the client comes back after four fifths of the limit while it stops, then it is answered and told to go elsewhere", func(s *testbed) {
-		begin(s, long)
+	itSimulated("given a stopping node, when the client sends a request after four fifths of the limit, then it is answered with Connection: close", func(s *testbed) {
+		setUp(s, longLimit)
 		other := s.startNode(2, unreachableControllers)
-		setIdleLimit(other, 1, long)
+		setIdleLimit(other, 1, longLimit)
 		s.addUpstream(other, 4, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("pages")) })
-		time.Sleep(rest - time.Second)
+		time.Sleep(idleTime - time.Second)
 		n.peers.Heard("keel", true, []*wire.Observation{{NodeStatus: other.nodeStatus()}})
 		s.Go(n.Stop)
 		time.Sleep(time.Second)
@@ -106,9 +107,9 @@
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 		Expect(response.Close).To(BeTrue())
 	})
-	itSimulated("given a client that never comes back, when the limit is over, then the connection is closed within the slack and two looks", func(s *testbed) {
-		begin(s, short)
-		time.Sleep(short + n.params.InForce.AsDuration() + 3*sweepInterval)
+	itSimulated("given a client that sends no further request, when the limit is over, then the connection is closed within the in-force bound and a few sweeps", func(s *testbed) {
+		setUp(s, shortLimit)
+		time.Sleep(shortLimit + n.params.InForce.AsDuration() + 3*sweepInterval)
 		_, err := client.get("two")
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/dataplane/config_change_test.go
+++ b/internal/dataplane/config_change_test.go
@@ -12,7 +12,8 @@
 	"curlewreach/proto/wire"
 )
 
-// changeRoute puts a configuration in force at a node in which one route is other than before; nil drops it.
+// changeRoute puts a new configuration in force at a node in which one route is changed, or dropped if change is
+// nil.
 func changeRoute(n *Node, name string, change func(r *wire.ConfigurationRoute)) {
 	configuration := routeClassConfiguration(n.controlClient.Serial() + 1)
 	var routes []*wire.ConfigurationRoute
@@ -34,19 +35,19 @@
 func keepUnchanged(*wire.ConfigurationRoute)    {}
 func makeRepeatable(r *wire.ConfigurationRoute) { r.Repeat = wire.Repeat_REPEATABLE }
 
-// primeLatencies lets a node know how long requests of a route take, so that it hedges one that takes longer.
+// primeLatencies records enough short latencies for a route that the node hedges slower requests.
 func primeLatencies(n *Node, route string) {
 	for range retry.FewestSeen {
 		n.latencies.Took(route, 10*time.Millisecond)
 	}
 }
 
-var _ = ginkgo.Describe("a configuration that comes while a request runs", func() {
+var _ = ginkgo.Describe("a configuration change while a request runs", func() {
 	var p *requestFixture
 	ginkgo.BeforeEach(func() { p = newRequestFixture(false) })
 	ginkgo.AfterEach(func() { p.close() })
 
-	lostUnder := func(route string, change func(*wire.ConfigurationRoute)) clientResponse {
+	loseAnswerDuring := func(route string, change func(*wire.ConfigurationRoute)) clientResponse {
 		p.first.setBehavior("row", func(t *transaction) bool {
 			t.execute()
 			changeRoute(p.clientNode, route, change)
@@ -55,26 +56,26 @@
 		return p.connect().roundTrip("row", route, nil)
 	}
 	ginkgo.It("given a route that stays repeatable, when the answer is lost, then a second upstream runs the request", func() {
-		Expect(lostUnder(repeatable, keepUnchanged).status).To(Equal(http.StatusOK))
+		Expect(loseAnswerDuring(repeatable, keepUnchanged).status).To(Equal(http.StatusOK))
 		Expect(p.second.executionsOf("row")).To(Equal(1))
 	})
-	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one upstream": allowOneTry, "is gone": nil} {
+	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one attempt": allowOneTry, "is gone": nil} {
 		ginkgo.It("given a route that now "+name+", when the answer is lost, then no second upstream runs the request", func() {
-			Expect(lostUnder(repeatable, change).status).To(Equal(http.StatusBadGateway))
+			Expect(loseAnswerDuring(repeatable, change).status).To(Equal(http.StatusBadGateway))
 			Expect(p.second.executionsOf("row")).To(BeZero())
 		})
 	}
-	ginkgo.It("given a route that is repeatable only now, when the answer is lost, then no second upstream runs the request", func() {
-		Expect(lostUnder(once, makeRepeatable).status).To(Equal(http.StatusBadGateway))
+	ginkgo.It("given a route that becomes repeatable, when the answer is lost, then no second upstream runs the request", func() {
+		Expect(loseAnswerDuring(once, makeRepeatable).status).To(Equal(http.StatusBadGateway))
 		Expect(p.second.executionsOf("row")).To(BeZero())
 	})
-	ginkgo.It("given a route that now allows more upstreams, when two failed, then no third is asked", func() {
+	ginkgo.It("given a route that now allows more attempts, when two failed, then there is no third", func() {
 		ledger := &retry.Ledger{Repeatable: true, Tries: 2, Until: time.Hour, Attempts: []*retry.Attempt{{State: forwarding.Doubtful, Arrived: true}, {State: forwarding.Doubtful, Arrived: true}}}
 		ledger.Narrow(true, 3)
 		Expect(ledger.Next(0)).To(Equal(retry.GiveUp))
 	})
 
-	silentUnder := func(change func(*wire.ConfigurationRoute)) clientResponse {
+	hangDuring := func(change func(*wire.ConfigurationRoute)) clientResponse {
 		primeLatencies(p.clientNode, repeatable)
 		p.first.setBehavior("row", func(t *transaction) bool {
 			t.execute()
@@ -83,18 +84,18 @@
 		})
 		return p.connect().roundTrip("row", repeatable, nil)
 	}
-	ginkgo.It("given a route that stays repeatable, when its upstream is silent for long, then a second is asked", func() {
-		Expect(silentUnder(keepUnchanged).status).To(Equal(http.StatusOK))
+	ginkgo.It("given a route that stays repeatable, when its upstream is slow, then a second one is asked", func() {
+		Expect(hangDuring(keepUnchanged).status).To(Equal(http.StatusOK))
 		Expect(p.second.executionsOf("row")).To(Equal(1))
 	})
-	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one upstream": allowOneTry, "is gone": nil} {
-		ginkgo.It("given a route that now "+name+", when its upstream is silent for long, then no second is asked", func() {
-			Expect(silentUnder(change).status).To(Equal(http.StatusGatewayTimeout))
+	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one attempt": allowOneTry, "is gone": nil} {
+		ginkgo.It("given a route that now "+name+", when its upstream is slow, then no second one is asked", func() {
+			Expect(hangDuring(change).status).To(Equal(http.StatusGatewayTimeout))
 			Expect(p.second.executionsOf("row")).To(BeZero())
 		})
 	}
 
-	ginkgo.It("given a node that knows the newer configuration, when a peer that doesn't sends it a repeat, then it isn't run", func() {
+	ginkgo.It("given a node that knows the newer configuration, when a peer that doesn't know it sends a retry, then it isn't run", func() {
 		changeRoute(p.peerNode, repeatable, makeOnce)
 		repeat := func(serial uint64) clientResponse {
 			way := forwarding.Metadata{Service: books, Route: repeatable, Serial: serial, Repeat: true, Aim: time.Second, Stay: time.Second}
@@ -107,7 +108,7 @@
 		Expect(p.second.executionsOf("row")).To(Equal(1))
 	})
 
-	ginkgo.It("given a route that allows one upstream, when that is silent or its answer is lost, then no second is asked", func() {
+	ginkgo.It("given a route that allows one attempt, when the upstream is slow or its answer is lost, then no second one is asked", func() {
 		changeRoute(p.clientNode, repeatable, allowOneTry)
 		primeLatencies(p.clientNode, repeatable)
 		p.first.setBehavior("silent", func(t *transaction) bool { t.execute(); return t.hang() })
--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -18,7 +18,7 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// stubController tells of a newer configuration at once and takes its time to hand it out.
+// stubController announces a newer configuration at once, but takes handoutDelay to send it.
 type stubController struct {
 	wireconnect.UnimplementedMoorHandler
 	name         string
@@ -42,6 +42,8 @@
 	return connect.NewResponse(reply), s.Err()
 }
 
+// startControllers starts stub controllers and returns their addresses, the serial of the newest configuration, and
+// a tally of the requests for configurations.
 func (s *testbed) startControllers(count int, handoutDelay time.Duration) (seeds []string, newestSerial *atomic.Uint64, requests *simulation.Tally) {
 	newestSerial, requests = &atomic.Uint64{}, &simulation.Tally{}
 	for i := range count {
@@ -54,7 +56,7 @@
 	return seeds, newestSerial, requests
 }
 
-// callFromPeersAhead has peers call a node, one every so often, that serve by configuration 2.
+// callFromPeersAhead sends count requests, one per interval, as peers on which configuration 2 is in force.
 func (s *testbed) callFromPeersAhead(n *Node, count int, interval time.Duration) {
 	ahead := forwarding.Metadata{Service: books, Route: "index", Serial: 2}
 	for i := range count {
@@ -67,8 +69,8 @@
 	}
 }
 
-var _ = ginkgo.Describe("a node that hears of a newer configuration", func() {
-	itSimulated("given control machines that take 400 ms to hand a configuration out, when peers that are ahead keep calling, then the fetch is let finish", func(s *testbed) {
+var _ = ginkgo.Describe("a node that learns of a newer configuration", func() {
+	itSimulated("given controllers that take 400 ms to send a configuration, when peers with the newer one keep calling, then the fetch isn't interrupted", func(s *testbed) {
 		seeds, newest, _ := s.startControllers(3, 400*time.Millisecond)
 		n := s.startNode(1, seeds)
 		n.controlClient.Adopt(testConfiguration(1), true)
@@ -78,10 +80,10 @@
 		s.callFromPeersAhead(n, 60, 40*time.Millisecond)
 		took := s.Until(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
 		s.Wait()
-		Expect(took).To(BeNumerically("<", time.Second), "the older configuration was served for so long")
+		Expect(took).To(BeNumerically("<", time.Second), "time until the newer configuration was in force")
 	})
 
-	itSimulatedWithDelay("given control machines 12 ms away, when peers that are ahead keep calling, then polls are let finish and the newer configuration is in force at once", 12*time.Millisecond, func(s *testbed) {
+	itSimulatedWithDelay("given controllers 12 ms away, when peers with the newer configuration keep calling, then polls aren't interrupted and the node has it soon", 12*time.Millisecond, func(s *testbed) {
 		seeds, newest, _ := s.startControllers(3, 0)
 		n := s.startNode(1, seeds)
 		n.controlClient.Adopt(testConfiguration(1), true)
@@ -92,10 +94,10 @@
 		newest.Store(2)
 		took := s.Until(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
 		s.Wait()
-		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "the older configuration was served for so long")
+		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "time until the newer configuration was in force")
 	})
 
-	itSimulated("given three control machines, when all tell of a newer configuration, then it is fetched from one", func(s *testbed) {
+	itSimulated("given three controllers, when all announce a newer configuration, then it is fetched from one", func(s *testbed) {
 		seeds, newest, asked := s.startControllers(3, 30*time.Millisecond)
 		n := s.startNode(1, seeds)
 		n.controlClient.Adopt(testConfiguration(1), true)
--- a/internal/dataplane/fencing_test.go
+++ b/internal/dataplane/fencing_test.go
@@ -23,24 +23,26 @@
 	"curlewreach/proto/wire"
 )
 
-// connectionFault is what happens to a connection between nodes once a request that may not be repeated is written to it.
+// connectionFault is what happens to a connection between nodes once a request with an attempt identity is written
+// to it.
 type connectionFault int
 
 const (
 	noFault connectionFault = iota
-	// lostRequest loses what was written and resets the connection.
+	// lostRequest discards what was written and resets the connection.
 	lostRequest
-	// delayedRequest resets it for the sender, and what was written arrives all the same after a while.
+	// delayedRequest resets the connection for the sender, but delivers what was written after requestDelay.
 	delayedRequest
-	// resetAfterRequest delivers the request and resets at once.
+	// resetAfterRequest delivers the request and resets the connection at once.
 	resetAfterRequest
-	// lostAnswer delivers the request and resets once the answer is on its way.
+	// lostAnswer delivers the request and resets the connection when the answer arrives.
 	lostAnswer
 )
 
 const requestDelay = 120 * time.Millisecond
 
-// faultyNet breaks the connections of one node as a script says, one entry for each request that bears an attempt's identity.
+// faultyNet breaks connections of one node according to a script, with one entry for each request that carries an
+// attempt identity. After the script's end connections stay intact.
 type faultyNet struct {
 	base.Net
 	mu         sync.Mutex
@@ -112,7 +114,8 @@
 	return c.Conn.Close()
 }
 
-// fencingFixture is a node beside a client, another beside the only upstream, and what that upstream ran.
+// fencingFixture is a node beside a client, another beside the only upstream, and the requests that the upstream
+// ran.
 type fencingFixture struct {
 	*testbed
 	clientNode, peerNode *Node
@@ -122,6 +125,7 @@
 	answerSize           int
 }
 
+// fencingConfiguration adds a route to the test configuration whose requests must not be repeated.
 func fencingConfiguration() *wire.Configuration {
 	c := testConfiguration(1)
 	service := books
@@ -155,11 +159,12 @@
 
 func (p *fencingFixture) executionsOf(id string) int { return p.executions.Add(id, 0) }
 
+// requestOnce sends a request that must not be repeated.
 func (p *fencingFixture) requestOnce(id string) httpReply {
 	return p.get(p.clientNode.params.Outward, "/lend/1", requestHeader(id, 2*time.Second))
 }
 
-// learnMark lets the near node learn the far one's mark.
+// learnMark sends a request, so that clientNode learns the mark of peerNode, and then sets the script of faults.
 func (p *fencingFixture) learnMark(script ...connectionFault) {
 	ExpectWithOffset(1, p.requestOnce("warm").status).To(Equal(http.StatusOK))
 	p.net.mu.Lock()
@@ -175,8 +180,8 @@
 	return int(count.Load())
 }
 
-var _ = ginkgo.Describe("a connection between nodes that breaks", func() {
-	itSimulated("given a request that never left, when the other node is asked, then it is tried again there and runs once", func(s *testbed) {
+var _ = ginkgo.Describe("a broken connection between nodes", func() {
+	itSimulated("given a request that was lost, when the peer is asked about it, then it is sent again and runs once", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(lostRequest)
 		Expect(p.requestOnce("a").status).To(Equal(http.StatusOK))
@@ -186,53 +191,53 @@
 		Expect(p.clientNode.outcomeCount(fencing.CountReplied + "never_began")).To(Equal(1))
 	})
 
-	itSimulated("given connections that break before every request, when the rejects are used up, then the promise not to have run is given and kept", func(s *testbed) {
+	itSimulated("given connections that break before every request, when all attempts are used up, then the answer says that the request has not run, and it never does", func(s *testbed) {
 		p := s.newFencingFixture()
 		script := make([]connectionFault, 2*retry.MostAttempts)
 		for i := range script {
 			script[i] = lostRequest
 		}
 		p.learnMark(script...)
-		t := p.requestOnce("a")
-		Expect(t.status).To(Equal(http.StatusServiceUnavailable))
-		Expect(t.retryAfter).To(BeNumerically(">", 0))
+		reply := p.requestOnce("a")
+		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
+		Expect(reply.retryAfter).To(BeNumerically(">", 0))
 		time.Sleep(time.Second)
 		Expect(p.executionsOf("a")).To(BeZero())
 	})
 
-	itSimulated("given a request that arrives after its fence, when it comes, then it is turned away and runs once in all", func(s *testbed) {
+	itSimulated("given a request that arrives after it was fenced, when it comes, then it is rejected and the request runs once in all", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(delayedRequest)
 		Expect(p.requestOnce("a").status).To(Equal(http.StatusOK))
 		time.Sleep(time.Second)
 		Expect(p.executionsOf("a")).To(Equal(1))
-		Expect(p.peerNode.outcomeCount(fencing.CountRefused)).To(Equal(1), "the late one came")
+		Expect(p.peerNode.outcomeCount(fencing.CountRefused)).To(Equal(1), "the late attempt arrived")
 	})
 
-	itSimulated("given a request at work, when the connection breaks, then its answer is fetched whole and it runs once", func(s *testbed) {
+	itSimulated("given a running request, when the connection breaks, then its answer is fetched whole and it runs once", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.workTime, p.answerSize = 600*time.Millisecond, 40_000
 		p.learnMark(resetAfterRequest)
-		t := p.requestOnce("a")
-		Expect(t.status).To(Equal(http.StatusOK))
-		Expect(t.size).To(Equal(40_000))
-		Expect(t.elapsed).To(BeNumerically("<", p.workTime+100*time.Millisecond))
+		reply := p.requestOnce("a")
+		Expect(reply.status).To(Equal(http.StatusOK))
+		Expect(reply.size).To(Equal(40_000))
+		Expect(reply.elapsed).To(BeNumerically("<", p.workTime+100*time.Millisecond))
 		Expect(p.executionsOf("a")).To(Equal(1))
 		Expect(p.executionsOf("dropped")).To(BeZero())
 		Expect(p.clientNode.outcomeCount(fencing.CountFetched)).To(Equal(1))
 	})
 
-	itSimulated("given a request that finished, when its answer is lost between the nodes, then it is fetched whole and runs once", func(s *testbed) {
+	itSimulated("given a finished request, when its answer is lost between the nodes, then the answer is fetched whole and the request runs once", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(lostAnswer)
-		t := p.requestOnce("a")
-		Expect(t.status).To(Equal(http.StatusOK))
-		Expect(t.size).To(Equal(p.answerSize))
+		reply := p.requestOnce("a")
+		Expect(reply.status).To(Equal(http.StatusOK))
+		Expect(reply.size).To(Equal(p.answerSize))
 		Expect(p.executionsOf("a")).To(Equal(1))
 		Expect(p.clientNode.outcomeCount(fencing.CountReplied + "finished")).To(Equal(1))
 	})
 
-	itSimulated("given an answer larger than what is held, when it is lost, then doubt stays and it runs once", func(s *testbed) {
+	itSimulated("given an answer that is too large to be kept, when it is lost, then the outcome stays unknown and the request runs once", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.answerSize = fencing.LargestAnswer + 1
 		p.learnMark(lostAnswer)
@@ -241,22 +246,22 @@
 		Expect(p.clientNode.outcomeCount(fencing.CountDoubt)).To(Equal(1))
 	})
 
-	itSimulated("given a request turned away by a full gate, when that word is lost, then it is told when to come back", func(s *testbed) {
+	itSimulated("given a request that a full queue rejects, when the rejection is lost, then the client still gets a retry time", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.workTime = 1500 * time.Millisecond
 		p.net.script = []connectionFault{noFault, lostAnswer}
 		s.Go(func() { p.requestOnce("first") })
 		time.Sleep(50 * time.Millisecond)
 		p.clientNode.fences.Learn(p.peerNode.params.Name, p.peerNode.fences.Table.Mark())
-		t := p.get(p.clientNode.params.Outward, "/lend/1", requestHeader("a", 300*time.Millisecond))
-		Expect(t.status).To(Equal(http.StatusServiceUnavailable))
-		Expect(t.retryAfter).To(BeNumerically(">", 0))
+		reply := p.get(p.clientNode.params.Outward, "/lend/1", requestHeader("a", 300*time.Millisecond))
+		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
+		Expect(reply.retryAfter).To(BeNumerically(">", 0))
 		Expect(p.clientNode.outcomeCount(fencing.CountReplied + "turned_away")).To(Equal(1))
 		s.Wait()
 		Expect(p.executionsOf("a")).To(BeZero())
 	})
 
-	itSimulated("given a node that was another incarnation when the request began, when it is asked, then doubt stays", func(s *testbed) {
+	itSimulated("given a peer that was another incarnation when the request began, when it is asked, then the outcome stays unknown", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(lostRequest)
 		p.clientNode.fences.Learn(p.peerNode.params.Name, attempts.Mark{Incarnation: "earlier", Era: 1})
@@ -265,7 +270,7 @@
 		Expect(p.clientNode.outcomeCount(fencing.CountDoubt)).To(Equal(1))
 	})
 
-	itSimulated("given a peer that was never spoken to, when the first connection breaks, then the incarnation known of it will do", func(s *testbed) {
+	itSimulated("given a peer that never answered a request, when the first connection breaks, then its known incarnation is enough to ask it", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.net.script = []connectionFault{lostRequest}
 		Expect(p.requestOnce("a").status).To(Equal(http.StatusOK))
@@ -273,7 +278,7 @@
 		Expect(p.executionsOf("a")).To(Equal(1))
 	})
 
-	itSimulated("given a peer of which no incarnation is known, when the connection breaks, then nobody is asked and doubt stays", func(s *testbed) {
+	itSimulated("given a peer with an unknown incarnation, when the connection breaks, then it isn't asked and the outcome stays unknown", func(s *testbed) {
 		p := s.newFencingFixture()
 		nodeStatus := p.peerNode.nodeStatus()
 		nodeStatus.Incarnation, nodeStatus.Number = "", nodeStatus.Number+1
@@ -285,7 +290,7 @@
 		Expect(p.clientNode.outcomeCount(fencing.CountNoMark)).To(Equal(1))
 	})
 
-	itSimulated("given a repeatable request whose repeat could not be paid, when its connection breaks at work, then its answer is fetched", func(s *testbed) {
+	itSimulated("given a repeatable request and an exhausted retry budget, when its connection breaks while it runs, then its answer is fetched", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(resetAfterRequest)
 		for p.clientNode.retryBudget.Spend(books) {
@@ -296,7 +301,7 @@
 		Expect(p.clientNode.outcomeCount(fencing.CountFetched)).To(Equal(1))
 	})
 
-	itSimulated("given a mark that the peer has forgotten, when a request bears it, then it is turned away and tried again at once with the new one", func(s *testbed) {
+	itSimulated("given a mark that the peer has forgotten, when a request carries it, then it is rejected and sent again at once with the current mark", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark()
 		old := p.clientNode.fences.MarkOf(p.peerNode.params.Name)
@@ -309,7 +314,7 @@
 		Expect(p.executionsOf("a")).To(Equal(1))
 	})
 
-	itSimulated("given a peer that can't be reached any more, when the connection breaks, then the question takes no more than its part of the time left", func(s *testbed) {
+	itSimulated("given a peer that became unreachable, when the connection breaks, then the question takes no more than its part of the time left", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.learnMark(resetAfterRequest)
 		p.net.afterFault = func() {
@@ -317,24 +322,24 @@
 				s.World.Cut(way[0], way[1])
 			}
 		}
-		t := p.requestOnce("a")
-		Expect(t.status).To(Equal(http.StatusBadGateway))
-		Expect(t.elapsed).To(BeNumerically("<", 950*time.Millisecond))
+		reply := p.requestOnce("a")
+		Expect(reply.status).To(Equal(http.StatusBadGateway))
+		Expect(reply.elapsed).To(BeNumerically("<", 950*time.Millisecond))
 		Expect(p.clientNode.outcomeCount(fencing.CountSilent)).To(Equal(1))
 	})
 
-	itSimulated("given a peer that was killed, when nobody listens there any more, then it is asked once and doubt is told at once", func(s *testbed) {
+	itSimulated("given a peer that was killed, when nothing listens on its address, then it is asked once and the outcome is reported as unknown at once", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.workTime = time.Second
 		p.learnMark(resetAfterRequest)
 		p.net.afterFault = func() { s.World.Crash("10.9.1.2", "10.9.1.2", false) }
-		t := p.requestOnce("a")
-		Expect(t.status).To(Equal(http.StatusBadGateway))
-		Expect(t.elapsed).To(BeNumerically("<", 50*time.Millisecond))
+		reply := p.requestOnce("a")
+		Expect(reply.status).To(Equal(http.StatusBadGateway))
+		Expect(reply.elapsed).To(BeNumerically("<", 50*time.Millisecond))
 		Expect(p.clientNode.outcomeCount(fencing.CountAsked)).To(Equal(1))
 	})
 
-	itSimulated("given hundreds of peers that have forgotten their first eras, when a node that never spoke to them sends a request, then it is served", func(s *testbed) {
+	itSimulated("given hundreds of peers that have forgotten their first eras, when a node without their marks sends a request, then it is served", func(s *testbed) {
 		p := s.newFencingFixture()
 		for i := range 2 * fencing.DefaultEntries {
 			p.peerNode.fences.Table.Ask(attempts.ID(fmt.Sprint(i)), p.peerNode.fences.Table.Mark())
@@ -350,7 +355,7 @@
 		Expect(p.peerNode.outcomeCount(fencing.CountRefused)).To(Equal(1))
 	})
 
-	ginkgo.It("given an answer that bears another request's id, when it is read from a reply, then doubt stays", func() {
+	ginkgo.It("given an answer with another request's ID, when it is read from a reply, then the outcome stays unknown", func() {
 		reply := fencing.ResultOf(forwarding.Outcome{State: forwarding.Answered, Answer: &forwarding.Answer{Status: http.StatusOK, Header: http.Header{"Curlew-Attempt": {"other"}}, Body: []byte("x")}})
 		doubted := forwarding.Doubt(base.Lost, "broken")
 		ownedBy := func(id string) func(*forwarding.Answer) bool {
@@ -360,26 +365,26 @@
 		Expect(fencing.OutcomeOf(reply, ownedBy("other"), doubted).State).To(Equal(forwarding.Answered))
 	})
 
-	itSimulated("given a visitor who left, when nobody asks for the end of the request, then the upstream is let go of", func(s *testbed) {
+	itSimulated("given a client that disconnected, when nobody asks for the result of its request, then the connection to the upstream is closed", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.workTime = 1200 * time.Millisecond
 		p.learnMark()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		web := httpserver.NewClient(s.Scope(clientIP))
+		client := httpserver.NewClient(s.Scope(clientIP))
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.clientNode.params.Outward+"/lend/1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		r.Host, r.Header = "books.example", requestHeader("a", 2*time.Second)
-		_, err = web.Do(r)
+		_, err = client.Do(r)
 		Expect(err).To(HaveOccurred())
 		time.Sleep(3 * base.Ratio(p.peerNode.params.InForce.AsDuration(), fencing.LingerRatio))
-		_, gate, _ := p.peerNode.instance.Current()
-		Expect(gate.Load().InFlight).To(BeZero())
+		_, queue, _ := p.peerNode.instance.Current()
+		Expect(queue.Load().InFlight).To(BeZero())
 		time.Sleep(2 * time.Second)
 		Expect(p.executionsOf("dropped")).To(Equal(1))
 	})
 
-	itSimulated("given a request that waits for its turn, when its visitor leaves, then it never begins and holds no place in the queue", func(s *testbed) {
+	itSimulated("given a request that waits in the queue, when its client disconnects, then it never begins and leaves the queue", func(s *testbed) {
 		p := s.newFencingFixture()
 		p.workTime = 400 * time.Millisecond
 		p.learnMark()
@@ -394,24 +399,24 @@
 			_, err = httpserver.NewClient(s.Scope(clientIP)).Do(r)
 			Expect(err).To(HaveOccurred())
 		})
-		_, gate, _ := p.peerNode.instance.Current()
+		_, queue, _ := p.peerNode.instance.Current()
 		time.Sleep(100 * time.Millisecond)
-		Expect(gate.Load().Waiting).To(Equal(1))
+		Expect(queue.Load().Waiting).To(Equal(1))
 		time.Sleep(120 * time.Millisecond)
-		Expect(gate.Load().Waiting).To(BeZero())
+		Expect(queue.Load().Waiting).To(BeZero())
 		s.Wait()
 		time.Sleep(2 * time.Second)
 		Expect(p.executionsOf("a")).To(BeZero())
 	})
 
-	itSimulated("given a repeatable request, when it is carried, then it has no identity and nothing is remembered", func(s *testbed) {
+	itSimulated("given a repeatable request, when it is forwarded, then it has no identity and nothing is remembered", func(s *testbed) {
 		p := s.newFencingFixture()
 		Expect(p.get(p.clientNode.params.Outward, "/index/1", requestHeader("a", 2*time.Second)).status).To(Equal(http.StatusOK))
 		entries, _ := p.peerNode.fences.Table.Size()
 		Expect(entries).To(BeZero())
 	})
 
-	itSimulated("given a visitor's request whose path looks like a question, when it comes, then it is a request like any other", func(s *testbed) {
+	itSimulated("given a client request whose path looks like a question, when it arrives, then it is handled like any other request", func(s *testbed) {
 		p := s.newFencingFixture()
 		configuration := fencingConfiguration()
 		configuration.Serial = 2
--- a/internal/dataplane/full_peer_test.go
+++ b/internal/dataplane/full_peer_test.go
@@ -15,11 +15,11 @@
 )
 
 var _ = ginkgo.Describe("a full queue", func() {
-	fullPeer := func(s *testbed) (near *Node, asked *simulation.Tally) {
-		near, asked = s.startNode(1, unreachableControllers), &simulation.Tally{}
-		near.controlClient.Adopt(testConfiguration(1), true)
+	fullPeer := func(s *testbed) (node *Node, requests *simulation.Tally) {
+		node, requests = s.startNode(1, unreachableControllers), &simulation.Tally{}
+		node.controlClient.Adopt(testConfiguration(1), true)
 		s.Serve("10.9.1.2:7002", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked.Add("asked", 1)
+			requests.Add("asked", 1)
 			o := forwarding.NotRunBy(base.NewFault(base.Overloaded, "", "every slot is taken").WithRetryAfter(10 * time.Millisecond))
 			w.Header()[forwarding.Plain.Canonical().Attempt] = r.Header[forwarding.Plain.Canonical().Attempt]
 			w.Header()[forwarding.LoadHeader] = []string{forwarding.LoadReport{Load: admission.Load{InFlight: 4, Waiting: 4, Limit: 4, HoldMs: 100}}.String()}
@@ -27,31 +27,32 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
 		for _, controller := range controllerNames {
-			near.peers.Heard(controller, true, peerObservation(false))
+			node.peers.Heard(controller, true, peerObservation(false))
 		}
 		time.Sleep(time.Second)
-		return near, asked
+		return node, requests
 	}
 
-	itSimulated("given a peer known to be full, when a visitor comes with time to spare, then that peer is asked once and the visitor told", func(s *testbed) {
-		near, asked := fullPeer(s)
+	itSimulated("given a peer known to be full, when a client sends a request with a long timeout, then the peer is asked once and the request is rejected", func(s *testbed) {
+		node, requests := fullPeer(s)
 		for i := range 3 {
-			near.peers.AttemptBegun("app-2")
-			near.peers.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{InFlight: 4, Waiting: 4, Limit: 4, HoldMs: 100}}, 0, 0, false)
-			before := asked.Add("asked", 0)
-			t := s.get(near.params.Outward, "/search/1", requestHeader(fmt.Sprint("visitor-", i), 4*time.Second))
-			Expect(t.status).To(Equal(http.StatusServiceUnavailable))
-			Expect(t.retryAfter).To(BeNumerically(">", 0))
-			Expect(t.elapsed).To(BeNumerically("<", 100*time.Millisecond))
-			Expect(asked.Add("asked", 0) - before).To(Equal(1))
+			node.peers.AttemptBegun("app-2")
+			node.peers.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{InFlight: 4, Waiting: 4, Limit: 4, HoldMs: 100}}, 0, 0, false)
+			before := requests.Add("asked", 0)
+			reply := s.get(node.params.Outward, "/search/1", requestHeader(fmt.Sprint("visitor-", i), 4*time.Second))
+			Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
+			Expect(reply.retryAfter).To(BeNumerically(">", 0))
+			Expect(reply.elapsed).To(BeNumerically("<", 100*time.Millisecond))
+			Expect(requests.Add("asked", 0) - before).To(Equal(1))
 		}
 	})
 
-	// Not so yet: a first try without patience stays in the ledger as a place that may be asked with patience, however often it was.
-	itSimulated("given a full peer that looks free, when a visitor comes with time to spare, then that peer is asked twice at most", func(s *testbed) {
-		near, asked := fullPeer(s)
-		t := s.get(near.params.Outward, "/search/1", requestHeader("visitor", 4*time.Second))
-		Expect(t.status).To(Equal(http.StatusServiceUnavailable))
-		Expect(asked.Add("asked", 0)).To(BeNumerically("<=", 2))
+	// An attempt that accepts no wait leaves the peer open to another that does, so that without a limit a full peer
+	// could be asked again and again.
+	itSimulated("given a full peer that seems to have free slots, when a client sends a request with a long timeout, then the peer is asked at most twice", func(s *testbed) {
+		node, requests := fullPeer(s)
+		reply := s.get(node.params.Outward, "/search/1", requestHeader("visitor", 4*time.Second))
+		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
+		Expect(requests.Add("asked", 0)).To(BeNumerically("<=", 2))
 	})
 })
--- a/internal/dataplane/link_pacing_test.go
+++ b/internal/dataplane/link_pacing_test.go
@@ -21,16 +21,18 @@
 	largeAnswerSize = 300_000
 )
 
-// largeTransferTime is what one large answer takes of the thin link's part that is used.
+// largeTransferTime is how long one large answer occupies the paced part of the slow link.
 var largeTransferTime = backlogAfter(largeAnswerSize)
 
-// backlogAfter is the backlog of a thin link that so many bytes were just put on.
+// backlogAfter returns the backlog of an empty slow link after so many bytes.
 func backlogAfter(bytes int64) time.Duration {
 	pacer := admission.NewLinkPacer(&simulation.ManualClock{}, slowLinkMbps)
 	pacer.Pass(context.Background(), bytes)
 	return pacer.Backlog()
 }
 
+// startSlowLinkNode starts a node with a slow network link, whose upstream answers /archive/ with large bodies and
+// other paths with small ones.
 func (s *testbed) startSlowLinkNode() *Node {
 	n := s.startNode(1, unreachableControllers)
 	n.linkPacer = admission.NewLinkPacer(s.Clock, slowLinkMbps)
@@ -45,21 +47,22 @@
 	return n
 }
 
+// peerRequestHeader returns the header of a request that a peer forwards.
 func peerRequestHeader(id string, route string, patience time.Duration) http.Header {
 	header := requestHeader(id, 5*time.Second)
 	header[forwarding.MetadataHeader] = []string{forwarding.Metadata{Service: books, Route: route, Serial: 1, Patience: patience, Aim: patience, Stay: 4 * time.Second}.String()}
 	return header
 }
 
-var _ = ginkgo.Describe("a thin link", func() {
-	itSimulated("given six large answers at once, when an index lookup comes, then they leave one after the other and the lookup at once", func(s *testbed) {
+var _ = ginkgo.Describe("a slow link", func() {
+	itSimulated("given six large answers at once, when a small one follows, then the large ones are sent one after the other and the small one at once", func(s *testbed) {
 		n := s.startSlowLinkNode()
 		took := make([]time.Duration, 6)
 		for i := range took {
 			s.Go(func() {
-				t := s.get(n.params.Inward, fmt.Sprint("/archive/", i), peerRequestHeader(fmt.Sprint("large-", i), "archive", 4*time.Second))
-				Expect(t.size).To(Equal(largeAnswerSize))
-				took[i] = t.elapsed
+				reply := s.get(n.params.Inward, fmt.Sprint("/archive/", i), peerRequestHeader(fmt.Sprint("large-", i), "archive", 4*time.Second))
+				Expect(reply.size).To(Equal(largeAnswerSize))
+				took[i] = reply.elapsed
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -71,11 +74,11 @@
 		for _, each := range took {
 			longest = max(longest, each)
 		}
-		Expect(longest).To(BeNumerically(">", 5*largeTransferTime-2*admission.PacerBurst), "the link would have been full")
+		Expect(longest).To(BeNumerically(">", 5*largeTransferTime-2*admission.PacerBurst), "large answers were not paced")
 		Expect(longest).To(BeNumerically("<", 6*largeTransferTime))
 	})
 
-	itSimulated("given a link with more to send than a large request's aim has room for, when another comes, then it is told at once when to come back, and a lookup still passes", func(s *testbed) {
+	itSimulated("given a backlog that exceeds the latency target of a large request, when it arrives, then it is rejected at once with a retry time, and a small one is still served", func(s *testbed) {
 		n := s.startSlowLinkNode()
 		s.get(n.params.Inward, "/archive/first", peerRequestHeader("first", "archive", 4*time.Second))
 		for i := range 4 {
@@ -84,20 +87,20 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		t := s.get(n.params.Inward, "/archive/late", peerRequestHeader("late", "archive", 300*time.Millisecond))
-		o, known := forwarding.ParseOutcome(t.outcome)
-		Expect(known).To(BeTrue(), "it was carried")
+		reply := s.get(n.params.Inward, "/archive/late", peerRequestHeader("late", "archive", 300*time.Millisecond))
+		o, known := forwarding.ParseOutcome(reply.outcome)
+		Expect(known).To(BeTrue(), "the request was not rejected")
 		Expect(o.Kind).To(Equal(base.Overloaded))
 		Expect(o.State).To(Equal(forwarding.NotRun))
 		Expect(o.Arrived).To(BeFalse())
 		Expect(o.After).To(BeNumerically(">", 3*largeTransferTime))
-		Expect(t.elapsed).To(BeNumerically("<", 20*time.Millisecond))
+		Expect(reply.elapsed).To(BeNumerically("<", 20*time.Millisecond))
 		Expect(s.get(n.params.Inward, "/index/1", peerRequestHeader("small", "index", 300*time.Millisecond)).status).To(Equal(http.StatusOK))
 		s.Wait()
 	})
 
-	// Not so yet: an answer that waits for its turn is counted among what is owed as well.
-	itSimulated("given large answers that wait for their turn, when the backlog is asked for, then each counts once", func(s *testbed) {
+	// Guards against counting an answer that waits to be sent among the expected answers as well.
+	itSimulated("given large answers that wait to be sent, when the backlog is read, then each counts once", func(s *testbed) {
 		n := s.startSlowLinkNode()
 		s.get(n.params.Inward, "/archive/first", peerRequestHeader("first", "archive", 4*time.Second))
 		for i := range 4 {
--- a/internal/dataplane/model_cluster_test.go
+++ b/internal/dataplane/model_cluster_test.go
@@ -13,24 +13,25 @@
 	"curlewreach/proto/wire"
 )
 
-// The model runs the product's ledger, retry budget, fences and memory of attempts over a network, upstreams and troubles of its own. Time is virtual, everything runs in one goroutine, and every choice is drawn.
+// The model runs the real retry ledger, retry budget, fences and attempt table on a simulated network with simulated
+// upstreams and faults. Time is virtual, everything runs in one goroutine, and every choice comes from a draw function.
 
-// modelDefects lists what a spoilt version of the request path leaves out or does wrong.
+// modelDefects selects defects to plant in the request path. The checks must detect each of them.
 type modelDefects struct {
-	fenceLostOnRestart      bool
-	neverBeganAfterEviction bool
-	markIgnoredOnArrival    bool
-	waitingNotFenced        bool
-	identityShared          bool
-	idNotCompared           bool
-	writeRepeated           bool
-	idleCheckSkipped        bool
-	lateAnswerAccepted      bool
-	notRunAfterDoubt        bool
-	hedgeOfOnce             bool
-	sealKeptOnOtherStatus   bool
-	retriesUnpaid           bool
-	deadlineIgnored         bool
+	fenceLostOnRestart           bool
+	neverBeganAfterEviction      bool
+	markIgnoredOnArrival         bool
+	waitingNotFenced             bool
+	identityShared               bool
+	idNotCompared                bool
+	requestResent                bool
+	idleCheckSkipped             bool
+	connectionReusedAfterTimeout bool
+	notRunAfterDoubt             bool
+	hedgeOfOnce                  bool
+	sealKeptOnOtherStatus        bool
+	retriesUnpaid                bool
+	deadlineIgnored              bool
 }
 
 const (
@@ -50,6 +51,7 @@
 	do       func()
 }
 
+// modelCluster is one run of the model. It records what upstreams and clients saw, and the rules that were violated.
 type modelCluster struct {
 	draw        func(n int) int
 	defects     modelDefects
@@ -66,82 +68,85 @@
 	replyStates map[string]int
 }
 
-func (w *modelCluster) Mono() time.Duration { return w.now }
+func (m *modelCluster) Mono() time.Duration { return m.now }
 
-func (w *modelCluster) Wall() time.Time { return time.Unix(0, int64(w.now)) }
+func (m *modelCluster) Wall() time.Time { return time.Unix(0, int64(m.now)) }
 
-func (w *modelCluster) addViolation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (m *modelCluster) addViolation(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// chance draws an event of so many in a hundred.
-func (w *modelCluster) chance(percent int) bool { return w.draw(100) >= 100-percent }
+// chance draws whether an event of the given probability, in percent, happens.
+func (m *modelCluster) chance(percent int) bool { return m.draw(100) >= 100-percent }
 
 var modelDelays = []time.Duration{1, 1, 1, 2, 3, 5, 10, 40, 150, 400}
 
-// delay draws how long a message travels; later ones may overtake it.
-func (w *modelCluster) delay() time.Duration {
-	return modelDelays[w.draw(len(modelDelays))] * time.Millisecond
+// delay draws the travel time of a message. Messages can overtake each other.
+func (m *modelCluster) delay() time.Duration {
+	return modelDelays[m.draw(len(modelDelays))] * time.Millisecond
 }
 
-func (w *modelCluster) after(d time.Duration, do func()) {
-	w.eventCount++
-	event := modelEvent{w.now + d, w.eventCount, do}
-	at, _ := slices.BinarySearchFunc(w.events, event, func(a, b modelEvent) int {
+// after schedules do for a later time. Events at the same time run in the order in which they were scheduled.
+func (m *modelCluster) after(d time.Duration, do func()) {
+	m.eventCount++
+	event := modelEvent{m.now + d, m.eventCount, do}
+	at, _ := slices.BinarySearchFunc(m.events, event, func(a, b modelEvent) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 	})
-	w.events = slices.Insert(w.events, at, event)
+	m.events = slices.Insert(m.events, at, event)
 }
 
-func (w *modelCluster) run() {
-	for steps := 0; len(w.events) > 0; steps++ {
+// run executes events until none is left.
+func (m *modelCluster) run() {
+	for steps := 0; len(m.events) > 0; steps++ {
 		if steps > maxModelSteps {
-			w.addViolation("the schedule doesn't come to an end")
+			m.addViolation("the schedule doesn't come to an end")
 			return
 		}
-		next := w.events[0]
-		w.events = w.events[1:]
-		w.now = next.at
+		next := m.events[0]
+		m.events = m.events[1:]
+		m.now = next.at
 		next.do()
 	}
 }
 
 func newModelCluster(draw func(n int) int, defects modelDefects) *modelCluster {
-	w := &modelCluster{draw: draw, defects: defects, now: time.Second, runs: map[string]int{}, arrivals: map[string]int{}, answers: map[string]bool{}, replyStates: map[string]int{}}
+	m := &modelCluster{draw: draw, defects: defects, now: time.Second, runs: map[string]int{}, arrivals: map[string]int{}, answers: map[string]bool{}, replyStates: map[string]int{}}
 	for i := range modelUpstreams + draw(3) {
-		n := &modelNode{cluster: w, name: fmt.Sprint("node-", i)}
+		n := &modelNode{cluster: m, name: fmt.Sprint("node-", i)}
 		if i < modelUpstreams {
-			n.upstream = &modelUpstream{cluster: w, generation: 1}
+			n.upstream = &modelUpstream{cluster: m, generation: 1}
 		}
-		w.nodes = append(w.nodes, n)
+		m.nodes = append(m.nodes, n)
 		n.start()
 	}
-	return w
+	return m
 }
 
-// runModel plays one schedule and lists the rules that it broke.
+// runModel runs one schedule and checks the rules at its end.
 func runModel(draw func(n int) int, defects modelDefects) *modelCluster {
-	w := newModelCluster(draw, defects)
+	m := newModelCluster(draw, defects)
 	for range 6 + draw(20) {
-		w.after(time.Duration(draw(int(modelDuration/time.Millisecond)))*time.Millisecond, w.sendRequest)
+		m.after(time.Duration(draw(int(modelDuration/time.Millisecond)))*time.Millisecond, m.sendRequest)
 	}
 	for range draw(5) {
-		w.after(time.Duration(draw(int(modelDuration/time.Millisecond)))*time.Millisecond, w.injectFault)
+		m.after(time.Duration(draw(int(modelDuration/time.Millisecond)))*time.Millisecond, m.injectFault)
 	}
-	w.run()
-	w.checkRules()
-	return w
+	m.run()
+	m.checkRules()
+	return m
 }
 
-func (w *modelCluster) injectFault() {
-	n := w.nodes[w.draw(len(w.nodes))]
-	switch w.draw(3) {
+// injectFault kills or pauses a node, or restarts an upstream.
+func (m *modelCluster) injectFault() {
+	n := m.nodes[m.draw(len(m.nodes))]
+	switch m.draw(3) {
 	case 0:
 		n.kill()
-		w.after(w.delay(), n.start)
+		m.after(m.delay(), n.start)
 	case 1:
 		n.pause()
-		w.after(w.delay()+w.delay(), n.resume)
+		m.after(m.delay()+m.delay(), n.resume)
 	default:
 		if n.upstream != nil {
 			n.upstream.restart()
@@ -149,7 +154,8 @@
 	}
 }
 
-// modelRequest is one try of a client and what it was told.
+// modelRequest is a client request and the answer that it got. An exempt request needs no answer, because its node
+// was killed or paused.
 type modelRequest struct {
 	id         string
 	once       bool
@@ -163,62 +169,65 @@
 	exempt     bool
 }
 
-func (w *modelCluster) sendRequest() {
-	n := w.nodes[w.draw(len(w.nodes))]
+// sendRequest starts a client request at a drawn node.
+func (m *modelCluster) sendRequest() {
+	n := m.nodes[m.draw(len(m.nodes))]
 	if !n.running {
 		return
 	}
-	until := w.now + time.Duration(50+w.draw(900))*time.Millisecond
-	once := w.draw(2) == 0
-	r := &modelRequest{id: fmt.Sprint("r", len(w.requests)), once: once, origin: n, generation: n.generation, until: until}
+	until := m.now + time.Duration(50+m.draw(900))*time.Millisecond
+	once := m.draw(2) == 0
+	r := &modelRequest{id: fmt.Sprint("r", len(m.requests)), once: once, origin: n, generation: n.generation, until: until}
 	r.ledger = &retry.Ledger{Repeatable: !once, Tries: modelTries, Until: until}
-	w.requests = append(w.requests, r)
+	m.requests = append(m.requests, r)
 	n.retryBudget.Earn(modelService)
 	n.schedule(0, func() { n.advance(r) })
-	if !w.defects.deadlineIgnored {
-		n.schedule(until-w.now, func() { n.giveUp(r) })
+	if !m.defects.deadlineIgnored {
+		n.schedule(until-m.now, func() { n.giveUp(r) })
 	}
-	if w.chance(30) {
-		n.schedule(w.delay(), func() { n.hedge(r) })
+	if m.chance(30) {
+		n.schedule(m.delay(), func() { n.hedge(r) })
 	}
 }
 
-// checkRules holds what clients and upstreams saw against the rules.
-func (w *modelCluster) checkRules() {
+// checkRules checks what clients and upstreams saw: requests that may run once do so, a 503 means that the request
+// has not run, answers come from an upstream and in time, and retries stay within the budget.
+func (m *modelCluster) checkRules() {
 	retries, total := 0, 0
-	for _, r := range w.requests {
+	for _, r := range m.requests {
 		total++
-		retries += max(w.arrivals[r.id]-1, 0)
-		if r.once && w.runs[r.id] > 1 {
-			w.addViolation("%s may not be repeated and ran %d times", r.id, w.runs[r.id])
+		retries += max(m.arrivals[r.id]-1, 0)
+		if r.once && m.runs[r.id] > 1 {
+			m.addViolation("%s may not be repeated and ran %d times", r.id, m.runs[r.id])
 		}
-		if r.once && r.status == http.StatusServiceUnavailable && w.runs[r.id] > 0 {
-			w.addViolation("%s was promised not to run and ran", r.id)
+		if r.once && r.status == http.StatusServiceUnavailable && m.runs[r.id] > 0 {
+			m.addViolation("%s was promised not to run and ran", r.id)
 		}
-		if w.arrivals[r.id] > modelTries {
-			w.addViolation("%s came to upstreams %d times", r.id, w.arrivals[r.id])
+		if m.arrivals[r.id] > modelTries {
+			m.addViolation("%s came to upstreams %d times", r.id, m.arrivals[r.id])
 		}
-		w.checkAnswer(r)
+		m.checkAnswer(r)
 		if r.status == 0 && !r.exempt || r.answered > r.until {
-			w.addViolation("%s was held past its time", r.id)
+			m.addViolation("%s was held past its time", r.id)
 		}
 	}
 	if float64(retries) > modelRetryRatio*float64(total)+modelRetrySlack {
-		w.addViolation("%d further arrivals of %d requests", retries, total)
+		m.addViolation("%d further arrivals of %d requests", retries, total)
 	}
 }
 
-func (w *modelCluster) checkAnswer(r *modelRequest) {
+// checkAnswer checks that an upstream gave the answer if its status is 200 or it is sealed.
+func (m *modelCluster) checkAnswer(r *modelRequest) {
 	if r.answer == nil {
 		return
 	}
 	key := modelAnswerKey(r.id, r.answer.Status, string(r.answer.Body))
 	sealed := r.answer.Header.Get(forwarding.Plain.Seal) != ""
 	switch {
-	case r.answer.Status == http.StatusOK && !w.answers[key]:
-		w.addViolation("%s got %q, which no upstream answered to it", r.id, r.answer.Body)
-	case r.answer.Status != http.StatusOK && sealed && !w.answers[key]:
-		w.addViolation("%s got a sealed %d that no upstream gave", r.id, r.answer.Status)
+	case r.answer.Status == http.StatusOK && !m.answers[key]:
+		m.addViolation("%s got %q, which no upstream answered to it", r.id, r.answer.Body)
+	case r.answer.Status != http.StatusOK && sealed && !m.answers[key]:
+		m.addViolation("%s got a sealed %d that no upstream gave", r.id, r.answer.Status)
 	}
 }
 
@@ -226,16 +235,17 @@
 	return fmt.Sprint(id, " ", status, " ", body)
 }
 
-// countReply counts the replies to questions.
-func (w *modelCluster) countReply(reply *wire.AttemptReply) { w.replyStates[reply.State.String()]++ }
+// countReply counts the replies to questions by state.
+func (m *modelCluster) countReply(reply *wire.AttemptReply) { m.replyStates[reply.State.String()]++ }
 
-// questionMark is a question as a spoilt node would understand it.
-func (w *modelCluster) questionMark(n *modelNode, mark attempts.Mark) attempts.Mark {
+// questionMark returns the mark of a question as the node takes it: the current mark where a planted defect makes it
+// ignore a restart or an eviction.
+func (m *modelCluster) questionMark(n *modelNode, mark attempts.Mark) attempts.Mark {
 	current := n.fences.Table.Mark()
-	if w.defects.fenceLostOnRestart && mark.Incarnation != current.Incarnation {
+	if m.defects.fenceLostOnRestart && mark.Incarnation != current.Incarnation {
 		return current
 	}
-	if w.defects.neverBeganAfterEviction && mark.Incarnation == current.Incarnation {
+	if m.defects.neverBeganAfterEviction && mark.Incarnation == current.Incarnation {
 		return current
 	}
 	return mark
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -15,7 +15,7 @@
 
 const modelService = "books"
 
-// modelNode is a node of the model: the product's decisions, and a process that can be killed and frozen.
+// modelNode is a node of the model. It makes the real decisions, and can be killed and paused.
 type modelNode struct {
 	cluster     *modelCluster
 	name        string
@@ -23,34 +23,36 @@
 	generation  int
 	running     bool
 	paused      bool
-	deferred    []func()
+	deferred    []func() // events that came due while the node was paused
 	retryBudget *retry.Budget
 	fences      *fencing.Fences
 }
 
+// start starts a new incarnation of the node, with an empty attempt table.
 func (n *modelNode) start() {
 	if n.running {
 		return
 	}
-	w := n.cluster
+	m := n.cluster
 	n.generation++
 	n.running = true
-	n.retryBudget = retry.NewBudget(w, modelRetryRatio, modelRetrySlack, time.Hour, func() int { return len(w.nodes) })
-	n.fences = fencing.WithTable(n.incarnation(), attempts.NewTable(n.incarnation(), w.Mono, attempts.Bounds{
+	n.retryBudget = retry.NewBudget(m, modelRetryRatio, modelRetrySlack, time.Hour, func() int { return len(m.nodes) })
+	n.fences = fencing.WithTable(n.incarnation(), attempts.NewTable(n.incarnation(), m.Mono, attempts.Bounds{
 		Entries: modelEntries, Age: time.Minute, AnswerBytes: 1 << 10, LargestAnswer: 1 << 10, AnswerAge: 300 * time.Millisecond,
 	}))
 }
 
 func (n *modelNode) incarnation() string { return fmt.Sprint(n.name, "/", n.generation) }
 
+// kill ends the incarnation: connections to the node break, and its requests are exempt from the rules.
 func (n *modelNode) kill() {
 	if !n.running {
 		return
 	}
 	n.running, n.paused, n.deferred = false, false, nil
-	for _, h := range n.cluster.attempts {
-		if h.to == n && h.generation == n.generation {
-			h.from.schedule(n.cluster.delay(), h.connectionFails)
+	for _, a := range n.cluster.attempts {
+		if a.to == n && a.generation == n.generation {
+			a.from.schedule(n.cluster.delay(), a.connectionFails)
 		}
 	}
 	for _, r := range n.cluster.requests {
@@ -76,13 +78,14 @@
 	}
 }
 
-// schedule does something later in this life of the node, after a thaw if it is frozen by then.
+// schedule runs do later, if this incarnation of the node is still running. While the node is paused, do is deferred
+// until it resumes.
 func (n *modelNode) schedule(d time.Duration, do func()) {
-	life := n.generation
+	generation := n.generation
 	var run func()
 	run = func() {
 		switch {
-		case !n.running || n.generation != life:
+		case !n.running || n.generation != generation:
 		case n.paused:
 			for _, r := range n.cluster.requests {
 				r.exempt = r.exempt || r.origin == n
@@ -95,7 +98,7 @@
 	n.cluster.after(d, run)
 }
 
-// advance takes the next move that the ledger asks for.
+// advance takes the steps that the ledger decides on until it has to wait or the request is answered.
 func (n *modelNode) advance(r *modelRequest) {
 	for r.status == 0 {
 		switch r.ledger.Next(n.cluster.now) {
@@ -163,7 +166,8 @@
 	n.answerClient(r, http.StatusServiceUnavailable, nil)
 }
 
-// relay sends an upstream's answer back as it is, or where its status would promise too much one of the node's own.
+// relay sends an upstream's answer unchanged, or an error of the node if the answer's status would wrongly claim
+// that the request did not run.
 func (n *modelNode) relay(r *modelRequest, a *forwarding.Answer) {
 	switch {
 	case forwarding.MayPass(a, r.ledger.Repeatable):
@@ -175,6 +179,7 @@
 	}
 }
 
+// answerClient records the first answer to a request.
 func (n *modelNode) answerClient(r *modelRequest, status int, a *forwarding.Answer) {
 	if r.status == 0 {
 		r.status, r.answered, r.answer = status, n.cluster.now, a
@@ -184,15 +189,15 @@
 	}
 }
 
-// startAttempt sends one attempt on its way and moves on once it is settled.
+// startAttempt starts an attempt and advances the request when it has an outcome.
 func (n *modelNode) startAttempt(r *modelRequest, to *modelNode) {
-	attempt := &retry.Attempt{Node: to.name, Began: n.cluster.now}
-	r.ledger.Attempts = append(r.ledger.Attempts, attempt)
+	entry := &retry.Attempt{Node: to.name, Began: n.cluster.now}
+	r.ledger.Attempts = append(r.ledger.Attempts, entry)
 	settle := func(o forwarding.Outcome) {
-		if attempt.State != forwarding.Running {
+		if entry.State != forwarding.Running {
 			return
 		}
-		attempt.State, attempt.Kind, attempt.Arrived, attempt.After, attempt.Answer = o.State, o.Kind, o.Arrived, o.After, o.Answer
+		entry.State, entry.Kind, entry.Arrived, entry.After, entry.Answer = o.State, o.Kind, o.Arrived, o.After, o.Answer
 		n.advance(r)
 	}
 	if to == n {
@@ -203,18 +208,18 @@
 		settle(forwarding.NotRunBy(base.NewFault(base.Unreachable, "", "nobody listens")))
 		return
 	}
-	hop := &modelAttempt{from: n, to: to, generation: to.generation, request: r, settle: settle}
+	attempt := &modelAttempt{from: n, to: to, generation: to.generation, request: r, settle: settle}
 	if r.once || !n.retryBudget.Pays(modelService) {
-		hop.ref = n.fences.Start(to.name, func(string) string { return to.incarnation() })
+		attempt.ref = n.fences.Start(to.name, func(string) string { return to.incarnation() })
 		if n.cluster.defects.identityShared {
-			hop.ref.ID = "shared"
+			attempt.ref.ID = "shared"
 		}
 	}
-	n.cluster.attempts = append(n.cluster.attempts, hop)
-	hop.send()
+	n.cluster.attempts = append(n.cluster.attempts, attempt)
+	attempt.send()
 }
 
-// deliver passes a request to the upstream beside this node.
+// deliver passes a request to the upstream beside this node. stop abandons it.
 func (n *modelNode) deliver(id string, ref attempts.Reference, until time.Duration, done func(forwarding.Outcome)) (stop func()) {
 	stopped, stopExchange := false, func() {}
 	n.schedule(n.cluster.delay(), func() {
@@ -225,9 +230,9 @@
 		case !ref.Begin() && !n.cluster.defects.waitingNotFenced:
 			done(forwarding.NotRunBy(base.NewFault(base.Fenced, "", "declared never to begin")))
 		default:
-			life := n.generation
+			generation := n.generation
 			stopExchange = n.upstream.exchange(id, left, func(o forwarding.Outcome) {
-				if n.running && n.generation == life {
+				if n.running && n.generation == generation {
 					n.schedule(0, func() { done(o) })
 				}
 			})
@@ -239,7 +244,7 @@
 	}
 }
 
-// modelAttempt is one attempt on a connection between two nodes.
+// modelAttempt is an attempt on a connection between two nodes.
 type modelAttempt struct {
 	from, to   *modelNode
 	generation int
@@ -251,196 +256,201 @@
 	done       bool
 }
 
-func (h *modelAttempt) send() {
-	w := h.from.cluster
+// send sends the request. The connection may fail before or after the request arrives.
+func (a *modelAttempt) send() {
+	m := a.from.cluster
 	header := http.Header{}
-	fencing.SendAttempt(h.ref, header)
-	if w.chance(25) {
-		h.from.schedule(w.delay(), h.connectionFails)
+	fencing.SendAttempt(a.ref, header)
+	if m.chance(25) {
+		a.from.schedule(m.delay(), a.connectionFails)
 	}
-	if w.chance(15) {
-		h.from.schedule(w.delay(), h.connectionFails)
+	if m.chance(15) {
+		a.from.schedule(m.delay(), a.connectionFails)
 		return
 	}
-	w.after(w.delay(), func() {
-		if !h.to.running || h.to.generation != h.generation {
-			h.from.schedule(w.delay(), h.connectionFails)
+	m.after(m.delay(), func() {
+		if !a.to.running || a.to.generation != a.generation {
+			a.from.schedule(m.delay(), a.connectionFails)
 			return
 		}
-		h.to.schedule(0, func() { h.arrive(header.Get(forwarding.AttemptHeader)) })
+		a.to.schedule(0, func() { a.arrive(header.Get(forwarding.AttemptHeader)) })
 	})
 }
 
-// arrive is the request read whole by the node beside the upstream.
-func (h *modelAttempt) arrive(text string) {
-	n, w := h.to, h.to.cluster
-	if w.defects.markIgnoredOnArrival && text != "" {
-		text = string(h.ref.ID) + ";" + n.fences.Table.Mark().String()
+// arrive handles the complete request at the peer. text is its attempt header.
+func (a *modelAttempt) arrive(text string) {
+	n, m := a.to, a.to.cluster
+	if m.defects.markIgnoredOnArrival && text != "" {
+		text = string(a.ref.ID) + ";" + n.fences.Table.Mark().String()
 	}
 	ref, refusal := n.fences.Accept(text)
 	if refusal != nil {
-		h.reply(*refusal)
+		a.reply(*refusal)
 		return
 	}
-	h.stop = n.deliver(h.request.id, ref, h.request.until, func(o forwarding.Outcome) {
+	a.stop = n.deliver(a.request.id, ref, a.request.until, func(o forwarding.Outcome) {
 		fencing.Finish(ref, o)
-		h.done = true
-		h.reply(o)
+		a.done = true
+		a.reply(o)
 	})
-	if h.broken {
-		h.finishUnlessWanted(ref)
+	if a.broken {
+		a.finishUnlessWanted(ref)
 		return
 	}
-	h.ref.Entry = ref.Entry
+	a.ref.Entry = ref.Entry
 }
 
-func (h *modelAttempt) reply(o forwarding.Outcome) {
-	w := h.to.cluster
-	mark := h.to.fences.Table.Mark()
-	if w.chance(15) {
-		h.from.schedule(w.delay(), h.connectionFails)
+// reply sends the outcome back, unless the connection fails.
+func (a *modelAttempt) reply(o forwarding.Outcome) {
+	m := a.to.cluster
+	mark := a.to.fences.Table.Mark()
+	if m.chance(15) {
+		a.from.schedule(m.delay(), a.connectionFails)
 		return
 	}
-	h.from.schedule(w.delay(), func() {
-		if h.broken {
+	a.from.schedule(m.delay(), func() {
+		if a.broken {
 			return
 		}
-		h.from.fences.Learn(h.to.name, mark)
-		h.broken = true
-		h.settle(o)
+		a.from.fences.Learn(a.to.name, mark)
+		a.broken = true
+		a.settle(o)
 	})
 }
 
-// connectionFails is the connection seen broken by the sender; the other side may see it later.
-func (h *modelAttempt) connectionFails() {
-	if h.broken {
+// connectionFails is called when the sender sees the connection break. The peer may see it later.
+func (a *modelAttempt) connectionFails() {
+	if a.broken {
 		return
 	}
-	h.broken = true
-	h.to.schedule(h.from.cluster.delay(), func() { h.finishUnlessWanted(h.ref) })
-	h.resolve(3)
+	a.broken = true
+	a.to.schedule(a.from.cluster.delay(), func() { a.finishUnlessWanted(a.ref) })
+	a.resolve(3)
 }
 
-// finishUnlessWanted breaks the attempt's work off unless somebody asks for it.
-func (h *modelAttempt) finishUnlessWanted(ref attempts.Reference) {
-	if h.stop == nil || h.done {
+// finishUnlessWanted abandons the attempt at the peer unless the sender has asked for its result.
+func (a *modelAttempt) finishUnlessWanted(ref attempts.Reference) {
+	if a.stop == nil || a.done {
 		return
 	}
 	if ref.Entry != nil && ref.Entry.Withdraw() {
-		h.stop()
+		a.stop()
 		return
 	}
-	h.to.schedule(modelLinger, func() {
+	a.to.schedule(modelLinger, func() {
 		if ref.Entry != nil && ref.Entry.Wanted(modelLinger) {
-			h.finishUnlessWanted(ref)
+			a.finishUnlessWanted(ref)
 			return
 		}
-		h.stop()
+		a.stop()
 	})
 }
 
-// resolve asks about the attempt on a fresh connection.
-func (h *modelAttempt) resolve(rounds int) {
+// resolve asks the peer about the attempt on a new connection, in at most the given number of rounds.
+func (a *modelAttempt) resolve(rounds int) {
 	doubtful := forwarding.Doubt(base.Lost, "the connection broke")
-	w, n := h.from.cluster, h.from
-	if h.ref.ID == "" || !h.ref.Mark.Known() || rounds == 0 || !h.to.running {
-		h.settle(doubtful)
+	m, n := a.from.cluster, a.from
+	if a.ref.ID == "" || !a.ref.Mark.Known() || rounds == 0 || !a.to.running {
+		a.settle(doubtful)
 		return
 	}
-	giveUp := time.Duration(fencing.QuestionPart * float64(h.request.until-w.now))
+	giveUp := time.Duration(fencing.QuestionPart * float64(a.request.until-m.now))
 	replied := false
 	n.schedule(giveUp, func() {
 		if !replied {
 			replied = true
-			h.settle(doubtful)
+			a.settle(doubtful)
 		}
 	})
-	h.sendQuestion(0, func(reply *wire.AttemptReply) {
+	a.sendQuestion(0, func(reply *wire.AttemptReply) {
 		if replied {
 			return
 		}
 		replied = true
 		switch {
 		case reply == nil:
-			h.resolve(rounds - 1)
+			a.resolve(rounds - 1)
 		case reply.State == wire.AttemptState_ATTEMPT_AT_WORK:
-			h.fetch()
+			a.fetch()
 		default:
-			h.settle(h.outcomeOf(reply))
+			a.settle(a.outcomeOf(reply))
 		}
 	})
 }
 
-func (h *modelAttempt) fetch() {
-	h.sendQuestion(h.request.until-h.from.cluster.now, func(reply *wire.AttemptReply) {
+// fetch waits for the answer of an attempt that is still running at the peer.
+func (a *modelAttempt) fetch() {
+	a.sendQuestion(a.request.until-a.from.cluster.now, func(reply *wire.AttemptReply) {
 		if reply == nil {
-			h.settle(forwarding.Doubt(base.Lost, "the answer could not be fetched"))
+			a.settle(forwarding.Doubt(base.Lost, "the answer could not be fetched"))
 			return
 		}
-		h.settle(h.outcomeOf(reply))
+		a.settle(a.outcomeOf(reply))
 	})
 }
 
-func (h *modelAttempt) outcomeOf(reply *wire.AttemptReply) forwarding.Outcome {
-	own := func(a *forwarding.Answer) bool {
-		return h.from.cluster.defects.identityShared || a.Header.Get(forwarding.Plain.Attempt) == h.request.id
+func (a *modelAttempt) outcomeOf(reply *wire.AttemptReply) forwarding.Outcome {
+	own := func(answer *forwarding.Answer) bool {
+		return a.from.cluster.defects.identityShared || answer.Header.Get(forwarding.Plain.Attempt) == a.request.id
 	}
 	return fencing.OutcomeOf(reply, own, forwarding.Doubt(base.Lost, "the connection broke"))
 }
 
-// sendQuestion carries one question to whichever life of the node listens, and its reply back; nil where either is lost.
-func (h *modelAttempt) sendQuestion(wait time.Duration, done func(*wire.AttemptReply)) {
-	w, to := h.from.cluster, h.to
-	lost := func() { h.from.schedule(w.delay(), func() { done(nil) }) }
-	if w.chance(15) {
+// sendQuestion sends a question to whichever incarnation of the peer is running and calls done with the reply, nil
+// if either is lost.
+func (a *modelAttempt) sendQuestion(wait time.Duration, done func(*wire.AttemptReply)) {
+	m, to := a.from.cluster, a.to
+	lost := func() { a.from.schedule(m.delay(), func() { done(nil) }) }
+	if m.chance(15) {
 		lost()
 		return
 	}
-	w.after(w.delay(), func() {
+	m.after(m.delay(), func() {
 		if !to.running {
 			lost()
 			return
 		}
-		to.schedule(0, func() { h.receiveQuestion(wait, lost, done) })
+		to.schedule(0, func() { a.receiveQuestion(wait, lost, done) })
 	})
 }
 
-// receiveQuestion is a question at the node beside the upstream; one about work is answered at its end, if it may wait.
-func (h *modelAttempt) receiveQuestion(wait time.Duration, lost func(), done func(*wire.AttemptReply)) {
-	w, table := h.to.cluster, h.to.fences.Table
-	mark := w.questionMark(h.to, h.ref.Mark)
-	_, entry := table.Ask(h.ref.ID, mark)
+// receiveQuestion handles a question at the peer. If the attempt is still running, the reply waits for its end, for
+// up to wait.
+func (a *modelAttempt) receiveQuestion(wait time.Duration, lost func(), done func(*wire.AttemptReply)) {
+	m, table := a.to.cluster, a.to.fences.Table
+	mark := m.questionMark(a.to, a.ref.Mark)
+	_, entry := table.Ask(a.ref.ID, mark)
 	answer := func() {
-		reply, _ := table.Ask(h.ref.ID, mark)
-		w.countReply(reply)
-		if w.chance(15) {
+		reply, _ := table.Ask(a.ref.ID, mark)
+		m.countReply(reply)
+		if m.chance(15) {
 			lost()
 			return
 		}
-		h.from.schedule(w.delay(), func() { done(reply) })
+		a.from.schedule(m.delay(), func() { done(reply) })
 	}
 	if entry == nil || wait <= 0 {
 		answer()
 		return
 	}
 	ended, leave := entry.Watch()
-	h.awaitEnd(ended, w.now+wait, func() {
+	a.awaitEnd(ended, m.now+wait, func() {
 		leave()
 		answer()
 	})
 }
 
-// awaitEnd looks until an attempt has ended or the time is over.
-func (h *modelAttempt) awaitEnd(ended <-chan struct{}, until time.Duration, then func()) {
+// awaitEnd polls until the attempt has ended or the time is over, then calls then.
+func (a *modelAttempt) awaitEnd(ended <-chan struct{}, until time.Duration, then func()) {
 	select {
 	case <-ended:
 		then()
 		return
 	default:
 	}
-	if h.to.cluster.now >= until {
+	if a.to.cluster.now >= until {
 		then()
 		return
 	}
-	h.to.schedule(5*time.Millisecond, func() { h.awaitEnd(ended, until, then) })
+	a.to.schedule(5*time.Millisecond, func() { a.awaitEnd(ended, until, then) })
 }
--- a/internal/dataplane/model_test.go
+++ b/internal/dataplane/model_test.go
@@ -14,7 +14,8 @@
 	"curlewreach/internal/random"
 )
 
-// defaultModelSchedules is how many schedules the sound version must pass and how many may pass before a spoilt one is found out, unless MODEL_SCHEDULES is set.
+// defaultModelSchedules is the number of schedules that the model without defects must pass, and within which each
+// planted defect must be detected. The environment variable MODEL_SCHEDULES overrides it.
 const defaultModelSchedules = 5_000
 
 func modelSchedules() int {
@@ -32,62 +33,64 @@
 	replyStates := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
-		w := runModel(draw, modelDefects{})
-		for state, count := range w.replyStates {
+		m := runModel(draw, modelDefects{})
+		for state, count := range m.replyStates {
 			replyStates[state] += count
 		}
-		if len(w.violations) > 0 {
-			t.Fatal(strings.Join(w.violations, "\n"))
+		if len(m.violations) > 0 {
+			t.Fatal(strings.Join(m.violations, "\n"))
 		}
 	})
 	t.Log(replyStates)
 }
 
+// findViolation runs schedules until a rule is violated. It returns the number of that schedule, counted from 1, or
+// 0 if none violates a rule.
 func findViolation(count int, defects modelDefects) (schedule int, violations []string, replyStates map[string]int) {
 	replyStates = map[string]int{}
 	for i := range count {
-		w := runModel(seededDraw(uint64(i+1)), defects)
-		for state, count := range w.replyStates {
+		m := runModel(seededDraw(uint64(i+1)), defects)
+		for state, count := range m.replyStates {
 			replyStates[state] += count
 		}
-		if len(w.violations) > 0 {
-			return i + 1, w.violations, replyStates
+		if len(m.violations) > 0 {
+			return i + 1, m.violations, replyStates
 		}
 	}
 	return 0, nil, replyStates
 }
 
-var _ = ginkgo.Describe("the model of requests", func() {
-	ginkgo.It("given the product's own decisions, when random schedules run, then no rule is broken and every kind of reply was seen", func() {
-		schedule, found, settled := findViolation(modelSchedules(), modelDefects{})
-		Expect(found).To(BeEmpty(), "schedule %d", schedule)
-		Expect(settled).To(HaveLen(6), "%v", settled)
+var _ = ginkgo.Describe("the request model", func() {
+	ginkgo.It("given no defect, when random schedules run, then no rule is violated and replies of every state occur", func() {
+		schedule, violations, replyStates := findViolation(modelSchedules(), modelDefects{})
+		Expect(violations).To(BeEmpty(), "schedule %d", schedule)
+		Expect(replyStates).To(HaveLen(6), "%v", replyStates)
 	})
 
 	for name, each := range map[string]struct {
 		broken modelDefects
 		rule   string
 	}{
-		"a fence forgotten on restart":               {modelDefects{fenceLostOnRestart: true}, "ran"},
-		"never began, said of what may be forgotten": {modelDefects{neverBeganAfterEviction: true}, "ran"},
-		"a mark not compared on arrival":             {modelDefects{markIgnoredOnArrival: true}, "ran"},
-		"a waiting attempt that isn't fenced":        {modelDefects{waitingNotFenced: true}, "ran"},
-		"an identity that attempts share":            {modelDefects{identityShared: true}, "no upstream answered"},
-		"an id that isn't compared":                  {modelDefects{idNotCompared: true}, "no upstream answered"},
-		"a write repeated":                           {modelDefects{writeRepeated: true}, "may not be repeated"},
-		"the idle check left out":                    {modelDefects{idleCheckSkipped: true}, "was over"},
-		"a late answer taken":                        {modelDefects{lateAnswerAccepted: true}, "promised"},
-		"a promise after doubt":                      {modelDefects{notRunAfterDoubt: true}, "promised"},
-		"a hedge of a loan":                          {modelDefects{hedgeOfOnce: true}, "may not be repeated"},
-		"a seal kept on another status":              {modelDefects{sealKeptOnOtherStatus: true}, "sealed"},
-		"a deadline that nobody heeds":               {modelDefects{deadlineIgnored: true}, "held past its time"},
-		"repeats that nobody pays":                   {modelDefects{retriesUnpaid: true}, "further arrivals"},
+		"a fence lost on restart": {modelDefects{fenceLostOnRestart: true}, "ran"},
+		"'never began' as the reply about an attempt that may have been evicted": {modelDefects{neverBeganAfterEviction: true}, "ran"},
+		"a mark that is ignored on arrival":                                      {modelDefects{markIgnoredOnArrival: true}, "ran"},
+		"a waiting attempt that isn't fenced":                                    {modelDefects{waitingNotFenced: true}, "ran"},
+		"an identity shared by all attempts":                                     {modelDefects{identityShared: true}, "no upstream answered"},
+		"a response ID that isn't compared":                                      {modelDefects{idNotCompared: true}, "no upstream answered"},
+		"a request that is resent after its connection ended":                    {modelDefects{requestResent: true}, "may not be repeated"},
+		"no check of idle connections before reuse":                              {modelDefects{idleCheckSkipped: true}, "was over"},
+		"a connection that is reused after a timeout":                            {modelDefects{connectionReusedAfterTimeout: true}, "promised"},
+		"a 503 for a request that may have run":                                  {modelDefects{notRunAfterDoubt: true}, "promised"},
+		"a hedge of a request that may run once":                                 {modelDefects{hedgeOfOnce: true}, "may not be repeated"},
+		"a seal kept on a replaced status":                                       {modelDefects{sealKeptOnOtherStatus: true}, "sealed"},
+		"a deadline that is ignored":                                             {modelDefects{deadlineIgnored: true}, "held past its time"},
+		"retries without a budget":                                               {modelDefects{retriesUnpaid: true}, "further arrivals"},
 	} {
-		ginkgo.It("given "+name+", when random schedules run, then it is found out", func() {
-			schedule, found, _ := findViolation(modelSchedules(), each.broken)
-			Expect(found).NotTo(BeEmpty())
-			Expect(strings.Join(found, "\n")).To(ContainSubstring(each.rule))
-			ginkgo.AddReportEntry("found by schedule", fmt.Sprint(schedule, ": ", found[0]))
+		ginkgo.It("given "+name+", when random schedules run, then a rule is violated", func() {
+			schedule, violations, _ := findViolation(modelSchedules(), each.broken)
+			Expect(violations).NotTo(BeEmpty())
+			Expect(strings.Join(violations, "\n")).To(ContainSubstring(each.rule))
+			ginkgo.AddReportEntry("found by schedule", fmt.Sprint(schedule, ": ", violations[0]))
 		})
 	}
 })
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -10,14 +10,14 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-// modelUpstream works on requests, one at a time on a connection, and misbehaves as drawn.
+// modelUpstream runs requests, one at a time on each connection, and misbehaves at random.
 type modelUpstream struct {
 	cluster    *modelCluster
 	generation int
 	conns      []*modelConn
 }
 
-// modelConn is one connection from the node to its upstream; what waits on it unread is in inbox.
+// modelConn is a connection from a node to its upstream. inbox holds the answers that the node has not read.
 type modelConn struct {
 	upstream   *modelUpstream
 	generation int
@@ -34,6 +34,7 @@
 	body   string
 }
 
+// restart closes all connections and starts a new generation of the upstream.
 func (u *modelUpstream) restart() {
 	u.generation++
 	for _, c := range slices.Clone(u.conns) {
@@ -48,18 +49,19 @@
 	return c
 }
 
-// acquire gives a connection that rests, or a fresh one. A resting one must have nothing to read and no end.
+// acquire returns an idle connection or a new one. An idle connection that has ended, or has data to read, must not
+// be reused.
 func (u *modelUpstream) acquire() *modelConn {
-	w := u.cluster
+	m := u.cluster
 	for _, c := range slices.Clone(u.conns) {
 		if c.inUse {
 			continue
 		}
-		if over := c.ended || len(c.inbox) > 0; over && !w.defects.idleCheckSkipped {
+		if over := c.ended || len(c.inbox) > 0; over && !m.defects.idleCheckSkipped {
 			u.drop(c)
 			continue
 		} else if over {
-			w.addViolation("a request was written to a connection that was over")
+			m.addViolation("a request was written to a connection that was over")
 		}
 		c.inUse = true
 		return c
@@ -91,36 +93,36 @@
 	}
 }
 
-// handleRequest is a request arriving at the upstream.
+// handleRequest runs a request at the upstream, rejects it, or breaks the connection.
 func (c *modelConn) handleRequest(id string) {
 	u := c.upstream
-	w := u.cluster
+	m := u.cluster
 	if c.generation != u.generation || c.ended {
 		return
 	}
-	w.arrivals[id]++
-	if w.chance(12) {
-		w.after(w.delay(), func() { c.receive(modelAnswer{notRun: true, status: http.StatusServiceUnavailable}) })
+	m.arrivals[id]++
+	if m.chance(12) {
+		m.after(m.delay(), func() { c.receive(modelAnswer{notRun: true, status: http.StatusServiceUnavailable}) })
 		return
 	}
-	w.runs[id]++
-	a := modelAnswer{id: id, status: http.StatusOK, body: fmt.Sprint(id, " whole ", w.runs[id])}
-	if w.chance(10) {
+	m.runs[id]++
+	a := modelAnswer{id: id, status: http.StatusOK, body: fmt.Sprint(id, " whole ", m.runs[id])}
+	if m.chance(10) {
 		a.status, a.body = http.StatusServiceUnavailable, "failed"
 	}
-	w.answers[modelAnswerKey(id, a.status, a.body)] = true
-	work := w.delay()
+	m.answers[modelAnswerKey(id, a.status, a.body)] = true
+	work := m.delay()
 	switch {
-	case w.chance(8):
-		w.after(work, c.endConnection)
-	case w.chance(10):
-		w.after(work, func() { c.receive(a) })
-		w.after(work+w.delay(), func() { c.receive(a) })
+	case m.chance(8):
+		m.after(work, c.endConnection)
+	case m.chance(10):
+		m.after(work, func() { c.receive(a) })
+		m.after(work+m.delay(), func() { c.receive(a) })
 	default:
-		w.after(work, func() { c.receive(a) })
+		m.after(work, func() { c.receive(a) })
 	}
-	if w.chance(10) {
-		w.after(work+w.delay(), func() {
+	if m.chance(10) {
+		m.after(work+m.delay(), func() {
 			if !c.inUse {
 				c.endConnection()
 			}
@@ -128,13 +130,13 @@
 	}
 }
 
-// exchange writes one request to the upstream and tells how it ended, once. stop breaks it off.
+// exchange sends a request to the upstream and calls done once with the outcome. stop abandons the request.
 func (u *modelUpstream) exchange(id string, left time.Duration, done func(forwarding.Outcome)) (stop func()) {
-	return u.exchangeOn(u.acquire(), id, left, done, u.cluster.defects.writeRepeated)
+	return u.exchangeOn(u.acquire(), id, left, done, u.cluster.defects.requestResent)
 }
 
 func (u *modelUpstream) exchangeOn(c *modelConn, id string, left time.Duration, done func(forwarding.Outcome), retry bool) (stop func()) {
-	w, finished := u.cluster, false
+	m, finished := u.cluster, false
 	finish := func(o forwarding.Outcome, keep bool) {
 		if finished {
 			return
@@ -147,9 +149,11 @@
 		}
 		done(o)
 	}
-	stop = func() { finish(forwarding.Doubt(base.Expired, "no answer in time"), w.defects.lateAnswerAccepted) }
+	stop = func() {
+		finish(forwarding.Doubt(base.Expired, "no answer in time"), m.defects.connectionReusedAfterTimeout)
+	}
 	c.reader = func() {
-		if a, found := c.nextAnswer(id, w.defects.idNotCompared); found {
+		if a, found := c.nextAnswer(id, m.defects.idNotCompared); found {
 			finish(a.outcome(), true)
 		} else if c.ended && retry {
 			finished = true
@@ -159,13 +163,13 @@
 			finish(forwarding.Doubt(base.Lost, "the connection ended"), false)
 		}
 	}
-	w.after(w.delay(), func() { c.handleRequest(id) })
-	w.after(left, stop)
+	m.after(m.delay(), func() { c.handleRequest(id) })
+	m.after(left, stop)
 	c.reader()
 	return stop
 }
 
-// nextAnswer reads on to this request's answer. A rejection may come without an id.
+// nextAnswer reads up to this request's answer. A rejection may come without an ID.
 func (c *modelConn) nextAnswer(id string, any bool) (modelAnswer, bool) {
 	for len(c.inbox) > 0 {
 		a := c.inbox[0]
@@ -177,7 +181,7 @@
 	return modelAnswer{}, false
 }
 
-// outcome reads an upstream's answer as the node beside it does.
+// outcome returns the answer's outcome as a node reads it.
 func (a modelAnswer) outcome() forwarding.Outcome {
 	if a.notRun {
 		o := forwarding.NotRunBy(base.NewFault(base.Overloaded, "", "the upstream turned it away"))
--- a/internal/dataplane/node_test.go
+++ b/internal/dataplane/node_test.go
@@ -12,8 +12,8 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-var _ = ginkgo.Describe("a stop", func() {
-	itSimulated("given a kept connection that is idle, when a request comes on it as the node is told to stop, then it is answered whole and the connection closes after it", func(s *testbed) {
+var _ = ginkgo.Describe("a stopping node and a client that disconnects", func() {
+	itSimulated("given an idle keep-alive connection, when a request arrives on it while the node begins to stop, then it is answered whole and the connection closes after it", func(s *testbed) {
 		seeds, _, _ := s.startControllers(1, 0)
 		n := s.startNode(1, seeds)
 		n.controlClient.Adopt(testConfiguration(1), true)
@@ -39,10 +39,10 @@
 		time.Sleep(time.Millisecond)
 		response := ask("two")
 		Expect(response.StatusCode).To(Equal(200))
-		Expect(response.Close).To(BeTrue(), "the visitor is told to go elsewhere")
+		Expect(response.Close).To(BeTrue(), "Connection: close tells the client to reconnect elsewhere")
 	})
 
-	itSimulated("given a visitor who leaves while its request runs, when the node notices, then it never writes an empty success", func(s *testbed) {
+	itSimulated("given a client that disconnects while its request runs, when the node notices, then it doesn't write an empty 200", func(s *testbed) {
 		seeds, _, _ := s.startControllers(1, 0)
 		n := s.startNode(1, seeds)
 		n.controlClient.Adopt(testConfiguration(1), true)
@@ -63,6 +63,7 @@
 	})
 })
 
+// recordingWriter is a response writer that records whether anything was written.
 type recordingWriter struct {
 	header http.Header
 	wrote  bool
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -64,6 +64,7 @@
 	return header
 }
 
+// benchObservations returns reports of total nodes, of which the first matching ones serve service-0.
 func benchObservations(total, matching int, address func(i int) string) (observations []*wire.Observation) {
 	for i := range total {
 		service := "service-0"
@@ -189,18 +190,21 @@
 	b.Cleanup(server.Close)
 }
 
+// cpuTime returns the CPU time that the process has used, in nanoseconds.
 func cpuTime() int64 {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
+// reportCPUTime returns a function that reports the CPU time per iteration since the call.
 func reportCPUTime(b *testing.B) func() {
 	b.ReportAllocs()
 	before := cpuTime()
 	return func() { b.ReportMetric(float64(cpuTime()-before)/float64(b.N), "cpu-ns") }
 }
 
+// benchLatency runs the loop of a benchmark, after 50 warm-up runs, and reports latency quantiles and CPU time.
 func benchLatency(b *testing.B, run func()) {
 	latencies := hdr.New(1, int64(time.Minute), 3)
 	for range 50 {
@@ -231,6 +235,7 @@
 	})
 }
 
+// benchExchange sends a request on a pooled connection and reads its answer.
 func benchExchange(b *testing.B, pool *connection.Pool, address string, request *connection.Request) {
 	r, _, err := pool.Exchange(context.Background(), address, request, func(*http.Response) bool { return true })
 	if err != nil {
--- a/internal/dataplane/priority_test.go
+++ b/internal/dataplane/priority_test.go
@@ -18,10 +18,11 @@
 	"curlewreach/proto/wire"
 )
 
-// priorityTolerance is how much less often a more urgent kind may be served than a less urgent one of its service.
+// priorityTolerance is how much smaller the served share of a more urgent class may be than that of a less urgent
+// one.
 const priorityTolerance = 0.05
 
-// trafficClass is a route with the requests that come on it.
+// trafficClass is a route and the load on it.
 type trafficClass struct {
 	name          string
 	rank          uint32
@@ -31,7 +32,8 @@
 	ratePerSecond float64
 }
 
-// overload plays kinds of requests against one upstream and gives the share served of each.
+// overload sends the classes' requests to a single upstream for the given duration and returns the share of each
+// class that was served.
 func (s *testbed) overload(capacity uint32, duration time.Duration, classes []trafficClass) map[string]float64 {
 	seeds, _, _ := s.startControllers(1, 0)
 	n := s.startNode(1, seeds)
@@ -78,7 +80,8 @@
 	return shares
 }
 
-// getWithRetries asks as clients do: again after a rejection, once the wait that it was told is over, a few times within its deadline.
+// getWithRetries sends a request as clients do: after a rejection it waits for the given retry time and sends it
+// again, up to three times within its deadline.
 func (s *testbed) getWithRetries(to string, class trafficClass, id string) bool {
 	until := s.Clock.Mono() + class.timeout
 	for try := range 3 {
@@ -86,53 +89,53 @@
 		if left <= 0 {
 			return false
 		}
-		t := s.get(to, "/"+class.name+"/x", requestHeader(fmt.Sprint(id, "-", try), left))
-		if t.status != http.StatusServiceUnavailable {
-			return t.status == http.StatusOK
+		reply := s.get(to, "/"+class.name+"/x", requestHeader(fmt.Sprint(id, "-", try), left))
+		if reply.status != http.StatusServiceUnavailable {
+			return reply.status == http.StatusOK
 		}
-		time.Sleep(min(t.retryAfter, left/3))
+		time.Sleep(min(reply.retryAfter, left/3))
 	}
 	return false
 }
 
-var _ = ginkgo.Describe("kinds of requests in order of urgency", func() {
-	inOrder := func(shares map[string]float64, kinds []trafficClass) {
+var _ = ginkgo.Describe("priorities under overload", func() {
+	expectInOrder := func(shares map[string]float64, classes []trafficClass) {
 		ginkgo.AddReportEntry("served", shares)
-		for _, more := range kinds {
-			for _, less := range kinds {
-				if more.rank < less.rank {
-					Expect(shares[more.name]).To(BeNumerically(">=", shares[less.name]-priorityTolerance), "%s beside %s, of %v", more.name, less.name, shares)
+		for _, urgent := range classes {
+			for _, lessUrgent := range classes {
+				if urgent.rank < lessUrgent.rank {
+					Expect(shares[urgent.name]).To(BeNumerically(">=", shares[lessUrgent.name]-priorityTolerance), "%s compared with %s, of %v", urgent.name, lessUrgent.name, shares)
 				}
 			}
 		}
 	}
-	for name, kinds := range map[string][]trafficClass{
-		"short aims are urgent": {
+	for name, classes := range map[string][]trafficClass{
+		"urgent requests have short latency targets": {
 			{"shelf", 1, 200 * time.Millisecond, 1200 * time.Millisecond, 60 * time.Millisecond, 25},
 			{"report", 2, 1200 * time.Millisecond, 8 * time.Second, 400 * time.Millisecond, 12},
 		},
-		"short aims are urgent, three ranks": {
+		"urgent requests have short latency targets, in three ranks": {
 			{"shelf", 1, 200 * time.Millisecond, 1200 * time.Millisecond, 60 * time.Millisecond, 25},
 			{"search", 2, 300 * time.Millisecond, 1500 * time.Millisecond, 160 * time.Millisecond, 10},
 			{"report", 3, 1200 * time.Millisecond, 8 * time.Second, 400 * time.Millisecond, 10},
 		},
-		"long aims are urgent": {
+		"urgent requests have long latency targets": {
 			{"loan", 1, 1200 * time.Millisecond, 4 * time.Second, 210 * time.Millisecond, 16},
 			{"search", 2, 300 * time.Millisecond, 1500 * time.Millisecond, 100 * time.Millisecond, 30},
 		},
-		"the most urgent alone is too much": {
+		"the most urgent class alone exceeds the capacity": {
 			{"loan", 1, 600 * time.Millisecond, 4 * time.Second, 210 * time.Millisecond, 26},
 			{"search", 2, 500 * time.Millisecond, 3 * time.Second, 160 * time.Millisecond, 10},
 		},
 	} {
-		itSimulated("given more than an upstream can take, when "+name+", then none is served less often than a less urgent one", func(s *testbed) {
-			inOrder(s.overload(4, 30*time.Second, kinds), kinds)
+		itSimulated("given more load than an upstream can take, when "+name+", then no class is served less often than a less urgent one", func(s *testbed) {
+			expectInOrder(s.overload(4, 30*time.Second, classes), classes)
 		})
 	}
 })
 
-var _ = ginkgo.Describe("duties of a node", func() {
-	itSimulated("given an upstream that says it leaves, when the node has no configuration and reaches no control machine, then it is acknowledged at once and nothing more is handed over", func(s *testbed) {
+var _ = ginkgo.Describe("a node without controllers", func() {
+	itSimulated("given a leaving upstream, when the node has no configuration and reaches no controller, then the heartbeat is acknowledged at once and no request is delivered", func(s *testbed) {
 		n := s.startNode(1, unreachableControllers)
 		leaving := &wire.Instance{Id: "u", Service: books, Address: simulation.Host(n.params.Inward) + ":8080", Zone: "a", Capacity: 4, Leaving: true, Sequence: 1}
 		began := s.Clock.Mono()
@@ -142,7 +145,7 @@
 		Expect(o.Kind).To(Equal(base.NoInstance))
 		Expect(o.State).To(Equal(forwarding.NotRun))
 	})
-	itSimulated("given a node with a configuration, when no control machine answers for minutes, then it stays ready", func(s *testbed) {
+	itSimulated("given a node with a configuration, when no controller answers for minutes, then it stays ready", func(s *testbed) {
 		n := s.startNode(1, unreachableControllers)
 		n.controlClient.Adopt(testConfiguration(1), true)
 		time.Sleep(5 * time.Minute)
--- a/internal/dataplane/requests_client_test.go
+++ b/internal/dataplane/requests_client_test.go
@@ -15,23 +15,23 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-// streamedBody is larger than what a node holds back before it passes an answer on.
+// streamedBody is larger than what a node buffers before it relays an answer.
 const streamedBody = 2 * upstreamAnswerBuffer
 
-var _ = ginkgo.Describe("the table of requests, client to node", func() {
+var _ = ginkgo.Describe("request cases, client to node", func() {
 	var p *requestFixture
 	ginkgo.BeforeEach(func() { p = newRequestFixture(false) })
 	ginkgo.AfterEach(func() { p.close() })
 
 	ran := func(id string) int { return p.first.executionsOf(id) + p.second.executionsOf(id) }
-	closed := func(c *client) {
+	expectClosed := func(c *client) {
 		_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
 		_, err := c.reader.ReadByte()
 		Expect(err).To(HaveOccurred())
 		Expect(err).NotTo(MatchError(ContainSubstring("timeout")))
 	}
-	// servedStill shows that a request that never ran didn't only not run yet.
-	servedStill := func(id string) {
+	// expectNeverRan sends one more request before it checks, so that a request that runs late is noticed.
+	expectNeverRan := func(id string) {
 		Expect(p.connect().roundTrip("last", once, nil).status).To(Equal(http.StatusOK))
 		Expect(ran(id)).To(BeZero())
 	}
@@ -41,17 +41,17 @@
 			c := p.connect()
 			_, _ = io.WriteString(c.conn, rawRequest("row", kind, nil)[:30])
 			Expect(c.conn.CloseWrite()).To(Succeed())
-			g := c.receive()
-			Expect(g.err != nil || g.status == http.StatusBadRequest).To(BeTrue())
-			servedStill("row")
+			response := c.receive()
+			Expect(response.err != nil || response.status == http.StatusBadRequest).To(BeTrue())
+			expectNeverRan("row")
 		})
 		ginkgo.It("half a body and a close: nothing runs, the connection closes, "+kind, func() {
 			c := p.connect()
 			text := rawRequest("row", kind, make([]byte, 1000))
 			_, _ = io.WriteString(c.conn, text[:len(text)-500])
 			Expect(c.conn.CloseWrite()).To(Succeed())
-			closed(c)
-			servedStill("row")
+			expectClosed(c)
+			expectNeverRan("row")
 		})
 		ginkgo.It("half a body and a reset: nothing runs, "+kind, func() {
 			c := p.connect()
@@ -59,35 +59,35 @@
 			_, _ = io.WriteString(c.conn, text[:len(text)-500])
 			_ = c.conn.SetLinger(0)
 			_ = c.conn.Close()
-			servedStill("row")
+			expectNeverRan("row")
 		})
 		ginkgo.It("two requests at once on a connection: both are answered, in their order, "+kind, func() {
 			c := p.connect()
 			c.send("row", kind, nil)
 			c.send("row-2", kind, nil)
 			for _, id := range []string{"row", "row-2"} {
-				g := c.receive()
-				Expect(g.status).To(Equal(http.StatusOK))
-				Expect(g.body).To(Equal(bodyOf(id, "first")))
+				response := c.receive()
+				Expect(response.status).To(Equal(http.StatusOK))
+				Expect(response.body).To(Equal(bodyOf(id, "first")))
 			}
 		})
-		ginkgo.It("bytes after a request that are none: it is answered whole, then the connection closes, "+kind, func() {
+		ginkgo.It("bytes after a request that are no request: the first is answered whole, then the connection closes, "+kind, func() {
 			c := p.connect()
 			_, _ = io.WriteString(c.conn, rawRequest("row", kind, []byte("whole"))+"and more\r\n\r\n")
 			Expect(c.receive().body).To(Equal(bodyOf("row", "first")))
-			g := c.receive()
-			Expect(g.status).To(Equal(http.StatusBadRequest))
-			closed(c)
+			response := c.receive()
+			Expect(response.status).To(Equal(http.StatusBadRequest))
+			expectClosed(c)
 			Expect(ran("row")).To(Equal(1))
 		})
-		ginkgo.It("a body in chunks: the upstream gets it whole, "+kind, func() {
+		ginkgo.It("a chunked body: the upstream gets it whole, "+kind, func() {
 			text := fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: books.example\r\n%s: row\r\n%s: 3000\r\nTransfer-Encoding: chunked\r\n\r\n", kind, forwarding.Plain.Attempt, forwarding.Plain.Left)
 			c := p.connect()
 			_, _ = io.WriteString(c.conn, text+"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
 			Expect(c.receive().status).To(Equal(http.StatusOK))
 			Expect(p.first.headers["row"].Get("Content-Length")).To(Equal("7"))
 		})
-		ginkgo.It("Expect: 100-continue: told to go on, then answered, "+kind, func() {
+		ginkgo.It("Expect: 100-continue: it gets a 100, then the answer, "+kind, func() {
 			c := p.connect()
 			text := strings.Replace(rawRequest("row", kind, []byte("whole")), "\r\n\r\nwhole", "\r\nExpect: 100-continue\r\n\r\n", 1)
 			_, _ = io.WriteString(c.conn, text)
@@ -98,7 +98,7 @@
 			Expect(c.receive().body).To(Equal(bodyOf("row", "first")))
 			Expect(p.first.headers["row"].Get("Expect")).To(BeEmpty())
 		})
-		ginkgo.It("a client that leaves while its request runs: the upstream's connection closes, nothing else is asked, "+kind, func() {
+		ginkgo.It("a client that disconnects while its request runs: the connection to the upstream closes, and there is no retry, "+kind, func() {
 			began, ended := make(chan struct{}), make(chan struct{})
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
@@ -113,15 +113,15 @@
 			Eventually(ended, routeTimeout/2).Should(BeClosed())
 			Expect(ran("row")).To(Equal(1))
 		})
-		ginkgo.It("no time left: refused at once, with when to come back, "+kind, func() {
+		ginkgo.It("no time left: rejected at once, with a retry time, "+kind, func() {
 			c := p.connect()
 			_, _ = io.WriteString(c.conn, strings.Replace(rawRequest("row", kind, nil), forwarding.Plain.Left+": "+forwarding.FormatMillis(clientTimeout), forwarding.Plain.Left+": 0", 1))
-			g := c.receive()
-			Expect(g.status).To(Equal(http.StatusServiceUnavailable))
-			Expect(g.retryAfter).To(BeNumerically(">", 0))
+			response := c.receive()
+			Expect(response.status).To(Equal(http.StatusServiceUnavailable))
+			Expect(response.retryAfter).To(BeNumerically(">", 0))
 			Expect(ran("row")).To(BeZero())
 		})
-		ginkgo.It("the client's own deadline while its upstream is silent: told at the deadline that nothing is known, "+kind, func() {
+		ginkgo.It("the client's own deadline while the upstream is silent: a 504 at the deadline, "+kind, func() {
 			p.first.setBehavior("row", func(t *transaction) bool { t.execute(); return t.hang() })
 			left := routeTimeout / 4
 			c := p.connect()
@@ -130,37 +130,37 @@
 			Expect(c.receive().status).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(began)).To(BeNumerically("~", left, left/2))
 		})
-		ginkgo.It("no upstream that takes it: refused at once, with when to come back, "+kind, func() {
-			mark := forwarding.Plain.NotRun + ": full"
-			p.first.setBehavior("row", rejectWith(http.StatusServiceUnavailable, mark))
-			p.second.setBehavior("row", rejectWith(http.StatusServiceUnavailable, mark))
+		ginkgo.It("no upstream that accepts it: rejected at once, with a retry time, "+kind, func() {
+			notRunHeader := forwarding.Plain.NotRun + ": full"
+			p.first.setBehavior("row", rejectWith(http.StatusServiceUnavailable, notRunHeader))
+			p.second.setBehavior("row", rejectWith(http.StatusServiceUnavailable, notRunHeader))
 			began := time.Now()
-			g := p.connect().roundTrip("row", kind, nil)
-			Expect(g.status).To(Equal(http.StatusServiceUnavailable))
-			Expect(g.retryAfter).To(BeNumerically(">", 0))
+			response := p.connect().roundTrip("row", kind, nil)
+			Expect(response.status).To(Equal(http.StatusServiceUnavailable))
+			Expect(response.retryAfter).To(BeNumerically(">", 0))
 			Expect(time.Since(began)).To(BeNumerically("<", routeTimeout/4))
 			Expect(ran("row")).To(BeZero())
 		})
-		ginkgo.It("a stream that breaks off midway: the client sees it broken, and it ran once, "+kind, func() {
+		ginkgo.It("a stream that is cut off midway: the client sees it broken, and it ran once, "+kind, func() {
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
 				t.send(t.responseHead(http.StatusOK, t.id, streamedBody, sealHeader()) + strings.Repeat("x", streamedBody*3/4))
 				return false
 			})
-			g := p.connect().roundTrip("row", kind, nil)
-			Expect(g.status).To(Equal(http.StatusOK))
-			Expect(g.err).To(HaveOccurred())
+			response := p.connect().roundTrip("row", kind, nil)
+			Expect(response.status).To(Equal(http.StatusOK))
+			Expect(response.err).To(HaveOccurred())
 			Expect(ran("row")).To(Equal(1))
 		})
-		ginkgo.It("a stream that is whole: passed on whole, and the upstream's connection kept, "+kind, func() {
+		ginkgo.It("a complete stream: relayed whole, and the connection to the upstream is kept, "+kind, func() {
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
 				t.send(t.responseHead(http.StatusOK, t.id, streamedBody, sealHeader()) + strings.Repeat("x", streamedBody))
 				return true
 			})
-			g := p.connect().roundTrip("row", kind, nil)
-			Expect(g.err).NotTo(HaveOccurred())
-			Expect(g.body).To(HaveLen(streamedBody))
+			response := p.connect().roundTrip("row", kind, nil)
+			Expect(response.err).NotTo(HaveOccurred())
+			Expect(response.body).To(HaveLen(streamedBody))
 			Eventually(func() int {
 				silent, spoken := p.clientNode.instanceConnections.Idle(p.first.address)
 				return silent + spoken
@@ -168,7 +168,7 @@
 			Expect(p.connect().roundTrip("after", repeatable, nil).status).To(Equal(http.StatusOK))
 			Expect(p.connectionAfter("row")).To(Equal(connectionKept))
 		})
-		ginkgo.It("SIGTERM while its request runs: answered whole, and told to go elsewhere, "+kind, func() {
+		ginkgo.It("SIGTERM while its request runs: answered whole, then the connection closes, "+kind, func() {
 			began, finish := make(chan struct{}), make(chan struct{})
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
@@ -187,22 +187,22 @@
 			}()
 			Eventually(p.clientNode.Ready).Should(BeFalse())
 			close(finish)
-			g := c.receive()
-			Expect(g.err).NotTo(HaveOccurred())
-			Expect(g.body).To(Equal(bodyOf("row", "first")))
+			response := c.receive()
+			Expect(response.err).NotTo(HaveOccurred())
+			Expect(response.body).To(Equal(bodyOf("row", "first")))
 			Eventually(stopped, 2*time.Second).Should(BeClosed())
-			closed(c)
+			expectClosed(c)
 		})
-		ginkgo.It("SIGTERM before a request on an idle connection: another node runs it, and the connection closes after it, "+kind, func() {
+		ginkgo.It("SIGTERM before a request on an idle connection: another upstream runs it, and the connection closes after it, "+kind, func() {
 			c := p.connect()
 			Expect(c.roundTrip("before", repeatable, nil).status).To(Equal(http.StatusOK))
 			p.clientNode.stopping.Store(true)
 			p.clientNode.peers.Own(p.clientNode.nodeStatus())
-			g := c.roundTrip("row", kind, nil)
-			Expect(g.body).To(Equal(bodyOf("row", "second")))
-			Expect(g.closes).To(BeTrue())
+			response := c.roundTrip("row", kind, nil)
+			Expect(response.body).To(Equal(bodyOf("row", "second")))
+			Expect(response.closes).To(BeTrue())
 		})
-		ginkgo.It("HEAD: the answer's head with the upstream's length, no body, and the connection stays, "+kind, func() {
+		ginkgo.It("HEAD: the answer's head with the upstream's length, no body, and the connection stays open, "+kind, func() {
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
 				t.send(t.responseHead(http.StatusOK, t.id, len(t.body()), sealHeader()))
@@ -218,7 +218,7 @@
 			Expect(c.roundTrip("after", kind, nil).body).To(Equal(bodyOf("after", "first")))
 			Expect(ran("row")).To(Equal(1))
 		})
-		ginkgo.It("trailers after a body in chunks: the upstream gets the body whole, and the next request is its own, "+kind, func() {
+		ginkgo.It("trailers after a chunked body: the upstream gets the body whole, and the next request is separate, "+kind, func() {
 			text := fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: books.example\r\n%s: row\r\n%s: 3000\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n", kind, forwarding.Plain.Attempt, forwarding.Plain.Left)
 			c := p.connect()
 			_, _ = io.WriteString(c.conn, text+"3\r\nabc\r\n0\r\nX-Sum: 6\r\n\r\n")
@@ -235,11 +235,11 @@
 			c := p.connect()
 			c.send("row", kind, nil)
 			time.Sleep(routeTimeout / 2)
-			g := c.receive()
-			Expect(g.err).NotTo(HaveOccurred())
-			Expect(g.body).To(HaveLen(streamedBody))
+			response := c.receive()
+			Expect(response.err).NotTo(HaveOccurred())
+			Expect(response.body).To(HaveLen(streamedBody))
 		})
-		ginkgo.It("a reset by the client while its answer is written: its place is free again, and nothing else is asked, "+kind, func() {
+		ginkgo.It("a reset by the client while its answer is written: its slot is free again, and there is no retry, "+kind, func() {
 			p.first.setBehavior("row", func(t *transaction) bool {
 				t.execute()
 				t.send(t.responseHead(http.StatusOK, t.id, 4*streamedBody, sealHeader()) + strings.Repeat("x", 4*streamedBody))
@@ -261,9 +261,9 @@
 			Expect(c.roundTrip("before", kind, nil).body).To(Equal(bodyOf("before", "first")))
 			p.first.close()
 			p.first = newStubServer("first", p.first.address, false)
-			g := c.roundTrip("row", kind, nil)
-			Expect(g.status).To(Equal(http.StatusOK))
-			Expect(g.body).To(Equal(bodyOf("row", "first")))
+			response := c.roundTrip("row", kind, nil)
+			Expect(response.status).To(Equal(http.StatusOK))
+			Expect(response.body).To(Equal(bodyOf("row", "first")))
 			Expect(ran("row")).To(Equal(1))
 		})
 		ginkgo.It("a kill while its request runs: the connection closes with no answer, and it ran once, "+kind, func() {
@@ -277,13 +277,13 @@
 			c.send("row", kind, nil)
 			Eventually(began).Should(BeClosed())
 			p.clientNode.Kill()
-			closed(c)
+			expectClosed(c)
 			Expect(ran("row")).To(Equal(1))
 		})
 	}
 
 	for _, kind := range []string{once, repeatable, bulk} {
-		ginkgo.It("a stream from a peer that breaks off midway: the client sees it broken, and it ran once, "+kind, func() {
+		ginkgo.It("a stream from a peer that is cut off midway: the client sees it broken, and it ran once, "+kind, func() {
 			p := newRequestFixture(true)
 			defer p.close()
 			p.first.setBehavior("row", func(t *transaction) bool {
@@ -291,14 +291,14 @@
 				t.send(t.responseHead(http.StatusOK, t.id, streamedBody, sealHeader()) + strings.Repeat("x", streamedBody*3/4))
 				return false
 			})
-			g := p.connect().roundTrip("row", kind, nil)
-			Expect(g.status).To(Equal(http.StatusOK))
-			Expect(g.err).To(HaveOccurred())
+			response := p.connect().roundTrip("row", kind, nil)
+			Expect(response.status).To(Equal(http.StatusOK))
+			Expect(response.err).To(HaveOccurred())
 			Expect(p.first.executionsOf("row") + p.second.executionsOf("row")).To(Equal(1))
 		})
 	}
 
-	ginkgo.It("clients that leave again and again while their requests run: each upstream connection closes long before the route's timeout", func() {
+	ginkgo.It("many clients that disconnect while their requests run: each upstream connection closes long before the route's timeout", func() {
 		for i := range 200 {
 			id := fmt.Sprint("row-", i)
 			began, ended := make(chan struct{}), make(chan struct{})
@@ -315,29 +315,29 @@
 			Eventually(ended, routeTimeout/2).Should(BeClosed())
 		}
 	})
-	ginkgo.It("a large failure that isn't passed on, as a second upstream served: its place and its connection are free again", func() {
+	ginkgo.It("a large failure that isn't relayed, as a second upstream served: its slot and its connection are free again", func() {
 		p.first.setBehavior("row", func(t *transaction) bool {
 			t.execute()
 			t.send(t.responseHead(http.StatusInternalServerError, t.id, streamedBody, sealHeader()) + strings.Repeat("x", streamedBody))
 			return t.hang()
 		})
 		Expect(p.connect().roundTrip("row", repeatable, nil).body).To(Equal(bodyOf("row", "second")))
-		_, gate, _ := p.clientNode.instance.Current()
-		Eventually(func() int { return gate.Load().InFlight }).Should(BeZero())
+		_, queue, _ := p.clientNode.instance.Current()
+		Eventually(func() int { return queue.Load().InFlight }).Should(BeZero())
 	})
 
-	ginkgo.It("no route that fits: 404, and the connection stays", func() {
+	ginkgo.It("no matching route: 404, and the connection stays open", func() {
 		c := p.connect()
 		Expect(c.roundTrip("row", "unknown", nil).status).To(Equal(http.StatusNotFound))
 		Expect(c.roundTrip("after", once, nil).status).To(Equal(http.StatusOK))
 	})
-	ginkgo.It("no id: 400, and nothing runs", func() {
+	ginkgo.It("no ID: 400, and nothing runs", func() {
 		c := p.connect()
 		_, _ = io.WriteString(c.conn, strings.Replace(rawRequest("row", once, nil), forwarding.Plain.Attempt+": row\r\n", "", 1))
 		Expect(c.receive().status).To(Equal(http.StatusBadRequest))
 		Expect(ran("")).To(BeZero())
 	})
-	ginkgo.It("a peer's client that leaves: the node beside the upstream closes the upstream's connection", func() {
+	ginkgo.It("a peer that disconnects: the node beside the upstream closes the connection to it", func() {
 		began, ended := make(chan struct{}), make(chan struct{})
 		p.second.setBehavior("row", func(t *transaction) bool {
 			t.execute()
--- a/internal/dataplane/requests_test.go
+++ b/internal/dataplane/requests_test.go
@@ -20,14 +20,15 @@
 // timeoutSlack is how far past its route's timeout a request may be held.
 const timeoutSlack = 250 * time.Millisecond
 
-// What the connection of a request came to, seen from the request after it.
+// What became of the connection of a request, as seen from the request after it: reused, replaced by a new one, or not
+// needed because the server was avoided.
 const (
 	connectionKept     = "kept"
 	connectionReplaced = "replaced"
 	serverAvoided      = "elsewhere"
 )
 
-// result is what a client gets and which upstreams ran its request.
+// result is the expected answer to a client and which servers ran its request.
 type result struct {
 	status    int
 	sealed    bool
@@ -48,20 +49,22 @@
 	timedOut        = result{status: http.StatusGatewayTimeout, ranFirst: 1}
 )
 
+// relayedFromFirst is an answer of the first server with another status, relayed unchanged.
 func relayedFromFirst(status int) result {
 	return result{status: status, sealed: true, server: "first", ranFirst: 1}
 }
 
-// requestCase is an event on one peerAttempt, with what it comes to for requests that may run once and for those that may be repeated.
+// requestCase is something that goes wrong, or right, with a request at the first server, and the results for
+// requests that may run once and for those that may be repeated.
 type requestCase struct {
 	name             string
-	previous         behavior                // what happens with the request before, on the same connection
-	setUp            func(p *requestFixture) // what happens to the stand-in between the two
-	behavior         behavior                // what happens with the request
-	body             []byte                  // the request's
+	previous         behavior                // handles the request before, on the same connection
+	setUp            func(p *requestFixture) // changes the server between the two requests
+	behavior         behavior                // handles the request
+	body             []byte                  // of the request
 	expectOnce       result
 	expectRepeatable result
-	connection       string
+	connection       string // what becomes of the connection
 }
 
 func (t *transaction) responseWith(lines ...string) string {
@@ -72,12 +75,13 @@
 	return t.responseHead(http.StatusOK, t.id, len(t.body()), sealHeader()) + t.body()[:len(t.body())/2]
 }
 
+// responseTo returns a response that carries the ID of another request.
 func (t *transaction) responseTo(id string) string {
 	body := bodyOf(id, t.server.name)
 	return t.responseHead(http.StatusOK, id, len(body), sealHeader()) + body
 }
 
-// succeedThen answers well and does something with the idle connection.
+// succeedThen answers 200 and then acts on the idle connection.
 func succeedThen(onIdle func(t *transaction) (keep bool)) behavior {
 	return func(t *transaction) bool {
 		succeed(t)
@@ -85,51 +89,51 @@
 	}
 }
 
-// exchangeCases are the events that both hops from a node have in common. lostNext is where the request after one goes
-// whose exchange failed: beside an upstream to a new connection, else past the peer that failed.
+// exchangeCases are the cases common to both hops from a node. afterLoss is what the next request does after a
+// failed exchange: an upstream gets it on a new connection, while a peer is avoided.
 func exchangeCases(afterLoss string) []requestCase {
 	return slices.Concat(connectionCases(afterLoss), framingCases(afterLoss), headCases(afterLoss), statusCases())
 }
 
-// answeredCase is an event after which the answer counts.
+// answeredCase is a case in which the answer counts.
 func answeredCase(name string, behave behavior, connection string) requestCase {
 	return requestCase{name: name, behavior: behave, expectOnce: servedByFirst, expectRepeatable: servedByFirst, connection: connection}
 }
 
-// doubtfulCase is an event after which nobody knows whether the request ran.
+// doubtfulCase is a case in which the node can't know whether the request ran.
 func doubtfulCase(name string, behave behavior, connection string) requestCase {
 	return requestCase{name: name, behavior: behave, expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connection}
 }
 
-// connectionCases are about when a connection breaks or falls silent.
+// connectionCases are about connections that break or stall.
 func connectionCases(afterLoss string) []requestCase {
-	idle := func(event string, before behavior) requestCase {
-		return requestCase{name: event, previous: before, expectOnce: servedByFirst, expectRepeatable: servedByFirst, connection: connectionKept}
+	idle := func(name string, previous behavior) requestCase {
+		return requestCase{name: name, previous: previous, expectOnce: servedByFirst, expectRepeatable: servedByFirst, connection: connectionKept}
 	}
-	doubt := func(event string, does behavior) requestCase { return doubtfulCase(event, does, afterLoss) }
+	doubtful := func(name string, behave behavior) requestCase { return doubtfulCase(name, behave, afterLoss) }
 	return []requestCase{
-		answeredCase("a whole answer", succeed, connectionKept),
-		{name: "dialling refused", setUp: func(p *requestFixture) { p.first.refuseConnections() }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
-		{name: "silence while dialling", setUp: func(p *requestFixture) { p.first.blockDialing(p) }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
+		answeredCase("a complete answer", succeed, connectionKept),
+		{name: "dialing refused", setUp: func(p *requestFixture) { p.first.refuseConnections() }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
+		{name: "no reply to dialing", setUp: func(p *requestFixture) { p.first.blockDialing(p) }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
 		idle("a reset on the idle connection", succeedThen(func(t *transaction) bool { return t.reset() })),
 		idle("a close of the idle connection", succeedThen(func(*transaction) bool { return false })),
 		idle("half a close of the idle connection", succeedThen(func(t *transaction) bool {
 			_ = t.conn.CloseWrite()
 			return true
 		})),
-		idle("bytes after the answer before", succeedThen(func(t *transaction) bool {
+		idle("extra bytes after the previous answer", succeedThen(func(t *transaction) bool {
 			t.send("surplus")
 			return true
 		})),
-		idle("the answer before twice", succeedThen(func(t *transaction) bool {
+		idle("the previous answer twice", succeedThen(func(t *transaction) bool {
 			t.send(t.response(http.StatusOK))
 			return true
 		})),
-		{name: "a reset while it is written", behavior: (*transaction).reset, body: make([]byte, largeBody), expectOnce: requestLost, expectRepeatable: servedBySecond, connection: afterLoss},
-		doubt("a reset after it was written", func(t *transaction) bool { t.execute(); return t.reset() }),
-		doubt("a close after it was written", executeAndSend(func(*transaction) string { return "" }, false)),
-		{name: "silence after it was written", behavior: func(t *transaction) bool { t.execute(); return t.hang() }, expectOnce: timedOut, expectRepeatable: timedOut, connection: connectionReplaced},
-		{name: "a standstill and a thaw", behavior: func(t *transaction) bool {
+		{name: "a reset while the request is written", behavior: (*transaction).reset, body: make([]byte, largeBody), expectOnce: requestLost, expectRepeatable: servedBySecond, connection: afterLoss},
+		doubtful("a reset after the request was written", func(t *transaction) bool { t.execute(); return t.reset() }),
+		doubtful("a close after the request was written", executeAndSend(func(*transaction) string { return "" }, false)),
+		{name: "no answer after the request was written", behavior: func(t *transaction) bool { t.execute(); return t.hang() }, expectOnce: timedOut, expectRepeatable: timedOut, connection: connectionReplaced},
+		{name: "an answer after a pause", behavior: func(t *transaction) bool {
 			t.execute()
 			select {
 			case <-time.After(routeTimeout / 4):
@@ -148,39 +152,39 @@
 	}
 }
 
-// framingCases are about answers of the wrong length, of other requests, or that are none.
+// framingCases are about answers that have the wrong length, belong to other requests, or are no HTTP responses.
 func framingCases(afterLoss string) []requestCase {
-	doubt := func(event string, does behavior) requestCase { return doubtfulCase(event, does, afterLoss) }
+	doubtful := func(name string, behave behavior) requestCase { return doubtfulCase(name, behave, afterLoss) }
 	return []requestCase{
-		doubt("half a head", executeAndSend(func(t *transaction) string { return t.response(http.StatusOK)[:20] }, false)),
+		doubtful("half a head", executeAndSend(func(t *transaction) string { return t.response(http.StatusOK)[:20] }, false)),
 		{name: "half a body and a close", behavior: executeAndSend((*transaction).truncatedResponse, false), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionReplaced},
-		{name: "half a body and silence", behavior: func(t *transaction) bool {
+		{name: "half a body and then nothing", behavior: func(t *transaction) bool {
 			t.execute()
 			t.send(t.truncatedResponse())
 			return t.hang()
 		}, expectOnce: timedOut, expectRepeatable: timedOut, connection: connectionReplaced},
-		answeredCase("a body longer than told", executeAndSend(func(t *transaction) string { return t.response(http.StatusOK) + "and more" }, true), connectionReplaced),
+		answeredCase("a body longer than its Content-Length", executeAndSend(func(t *transaction) string { return t.response(http.StatusOK) + "and more" }, true), connectionReplaced),
 		answeredCase("the answer twice", executeAndSend(func(t *transaction) string { return t.response(http.StatusOK) + t.response(http.StatusOK) }, true), connectionReplaced),
-		doubt("an answer with another id and a close", executeAndSend(func(t *transaction) string { return t.responseTo("other") }, false)),
-		answeredCase("an answer to the request before in its place, and then its own", executeAndSend(func(t *transaction) string { return t.responseTo("before") + t.response(http.StatusOK) }, true), connectionReplaced),
-		doubt("answers to other requests only", executeAndSend(func(t *transaction) string { return strings.Repeat(t.responseTo("other"), connection.MostSurplus) }, true)),
-		doubt("an answer without an id and a close", executeAndSend(func(t *transaction) string {
+		doubtful("an answer with another ID and a close", executeAndSend(func(t *transaction) string { return t.responseTo("other") }, false)),
+		answeredCase("an answer to the previous request, and then its own", executeAndSend(func(t *transaction) string { return t.responseTo("before") + t.response(http.StatusOK) }, true), connectionReplaced),
+		doubtful("answers to other requests only", executeAndSend(func(t *transaction) string { return strings.Repeat(t.responseTo("other"), connection.MostSurplus) }, true)),
+		doubtful("an answer without an ID and a close", executeAndSend(func(t *transaction) string {
 			return t.responseHead(http.StatusOK, "", len(t.body()), sealHeader()) + t.body()
 		}, false)),
-		doubt("bytes that are no answer", executeAndSend(func(*transaction) string { return "\x00\x01\x02 what is this\r\n\r\n" }, false)),
+		doubtful("bytes that are no HTTP response", executeAndSend(func(*transaction) string { return "\x00\x01\x02 what is this\r\n\r\n" }, false)),
 		{name: "a body without a length", behavior: executeAndSend(func(t *transaction) string {
 			return t.responseHead(http.StatusOK, t.id, -1, "Connection: close", sealHeader()) + t.body()
 		}, false), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionReplaced},
-		answeredCase("a body in chunks", executeAndSend(func(t *transaction) string {
+		answeredCase("a chunked body", executeAndSend(func(t *transaction) string {
 			return t.responseHead(http.StatusOK, t.id, -1, "Transfer-Encoding: chunked", sealHeader()) + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(t.body()), t.body())
 		}, true), connectionKept),
-		{name: "chunks that break off", behavior: executeAndSend(func(t *transaction) string {
+		{name: "a chunked body that is cut off", behavior: executeAndSend(func(t *transaction) string {
 			return t.responseHead(http.StatusOK, t.id, -1, "Transfer-Encoding: chunked", sealHeader()) + fmt.Sprintf("%x\r\n%s\r\n", len(t.body()), t.body())
 		}, false), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionReplaced},
 	}
 }
 
-// headCases are about what an answer's head asks for.
+// headCases are about interim responses and connection headers.
 func headCases(afterLoss string) []requestCase {
 	return []requestCase{
 		answeredCase("100 and then its answer", executeAndSend(func(t *transaction) string { return "HTTP/1.1 100 Continue\r\n\r\n" + t.response(http.StatusOK) }, true), connectionReplaced),
@@ -195,43 +199,45 @@
 	}
 }
 
-// statusCases are about the statuses of whole answers.
+// statusCases are about the statuses of complete answers.
 func statusCases() []requestCase {
 	return []requestCase{
 		{name: "500", behavior: answerWith(http.StatusInternalServerError), expectOnce: relayedFromFirst(http.StatusInternalServerError), expectRepeatable: retriedOnSecond, connection: connectionKept},
 		{name: "501", behavior: answerWith(http.StatusNotImplemented), expectOnce: relayedFromFirst(http.StatusNotImplemented), expectRepeatable: retriedOnSecond, connection: connectionKept},
 		{name: "502", behavior: answerWith(http.StatusBadGateway), expectOnce: relayedFromFirst(http.StatusBadGateway), expectRepeatable: retriedOnSecond, connection: connectionKept},
-		{name: "503 without a word on whether it ran", behavior: answerWith(http.StatusServiceUnavailable, "Retry-After: 1"), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
+		{name: "503 that doesn't say whether it ran", behavior: answerWith(http.StatusServiceUnavailable, "Retry-After: 1"), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
 		{name: "504", behavior: answerWith(http.StatusGatewayTimeout), expectOnce: relayedFromFirst(http.StatusGatewayTimeout), expectRepeatable: retriedOnSecond, connection: connectionKept},
-		{name: "408 without a word on whether it ran", behavior: answerWith(http.StatusRequestTimeout), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
-		{name: "429 without a word on whether it ran", behavior: answerWith(http.StatusTooManyRequests), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
+		{name: "408 that doesn't say whether it ran", behavior: answerWith(http.StatusRequestTimeout), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
+		{name: "429 that doesn't say whether it ran", behavior: answerWith(http.StatusTooManyRequests), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
 		{name: "404", behavior: answerWith(http.StatusNotFound), expectOnce: relayedFromFirst(http.StatusNotFound), expectRepeatable: relayedFromFirst(http.StatusNotFound), connection: connectionKept},
 		{name: "302", behavior: answerWith(http.StatusFound, "Location: /elsewhere"), expectOnce: relayedFromFirst(http.StatusFound), expectRepeatable: relayedFromFirst(http.StatusFound), connection: connectionKept},
 	}
 }
 
+// upstreamCases are the cases that only an upstream can cause.
 func upstreamCases() []requestCase {
-	notRun := func(event string, does behavior, next string) requestCase {
-		return requestCase{name: event, behavior: does, expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: next}
+	notRun := func(name string, behave behavior, next string) requestCase {
+		return requestCase{name: name, behavior: behave, expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: next}
 	}
-	mark := forwarding.Plain.NotRun + ": full"
+	notRunHeader := forwarding.Plain.NotRun + ": full"
 	return []requestCase{
-		notRun("503 and not executed", rejectWith(http.StatusServiceUnavailable, mark), connectionReplaced),
-		notRun("429 and not executed", rejectWith(http.StatusTooManyRequests, mark), connectionReplaced),
-		notRun("400 and not executed", rejectWith(http.StatusBadRequest, mark), connectionReplaced),
-		notRun("421: its address was passed on", rejectWith(http.StatusMisdirectedRequest), serverAvoided),
-		{name: "200 that says it was not executed", behavior: answerWith(http.StatusOK, mark), expectOnce: servedByFirst, expectRepeatable: servedByFirst, connection: connectionKept},
+		notRun("503 and not executed", rejectWith(http.StatusServiceUnavailable, notRunHeader), connectionReplaced),
+		notRun("429 and not executed", rejectWith(http.StatusTooManyRequests, notRunHeader), connectionReplaced),
+		notRun("400 and not executed", rejectWith(http.StatusBadRequest, notRunHeader), connectionReplaced),
+		notRun("421: another instance has its address", rejectWith(http.StatusMisdirectedRequest), serverAvoided),
+		{name: "200 that says it was not executed", behavior: answerWith(http.StatusOK, notRunHeader), expectOnce: servedByFirst, expectRepeatable: servedByFirst, connection: connectionKept},
 		{name: "200 without a seal", behavior: executeAndSend(func(t *transaction) string { return t.responseHead(http.StatusOK, t.id, len(t.body())) + t.body() }, true), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionReplaced},
-		{name: "503, not executed, without an id, on a kept connection", behavior: func(t *transaction) bool {
+		{name: "503, not executed, without an ID, on a reused connection", behavior: func(t *transaction) bool {
 			t.reject()
-			t.send(t.responseHead(http.StatusServiceUnavailable, "", 0, mark))
+			t.send(t.responseHead(http.StatusServiceUnavailable, "", 0, notRunHeader))
 			return true
 		}, expectOnce: rejectionLost, expectRepeatable: rejectedByFirst, connection: connectionReplaced},
 	}
 }
 
+// peerCases are the cases that only a peer can cause.
 func peerCases() []requestCase {
-	says := func(o forwarding.Outcome) behavior {
+	answersWith := func(o forwarding.Outcome) behavior {
 		return func(t *transaction) bool {
 			if o.State == forwarding.Doubtful {
 				t.execute()
@@ -243,11 +249,11 @@
 		}
 	}
 	return []requestCase{
-		{name: "a peer that stops and has not run it", behavior: says(forwarding.NotRunBy(base.NewFault(base.Stopping, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: serverAvoided},
-		{name: "a peer that is full and has not run it", behavior: says(forwarding.NotRunBy(base.NewFault(base.Overloaded, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: connectionKept},
-		{name: "a peer whose upstream is gone", behavior: says(forwarding.NotRunBy(base.NewFault(base.NoInstance, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: serverAvoided},
-		{name: "a peer in doubt", behavior: says(forwarding.Doubt(base.Lost, "")), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
-		{name: "an answer of no peer", behavior: func(t *transaction) bool {
+		{name: "a stopping peer that has not run it", behavior: answersWith(forwarding.NotRunBy(base.NewFault(base.Stopping, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: serverAvoided},
+		{name: "a full peer that has not run it", behavior: answersWith(forwarding.NotRunBy(base.NewFault(base.Overloaded, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: connectionKept},
+		{name: "a peer whose upstream is gone", behavior: answersWith(forwarding.NotRunBy(base.NewFault(base.NoInstance, "", ""))), expectOnce: rejectedByFirst, expectRepeatable: rejectedByFirst, connection: serverAvoided},
+		{name: "a peer that doesn't know whether it ran", behavior: answersWith(forwarding.Doubt(base.Lost, "")), expectOnce: answerLost, expectRepeatable: retriedOnSecond, connection: connectionKept},
+		{name: "an answer without a load report", behavior: func(t *transaction) bool {
 			t.server.asPeer = false
 			defer func() { t.server.asPeer = true }()
 			return succeed(t)
@@ -255,7 +261,7 @@
 	}
 }
 
-// refuseConnections refuses connections from now on and closes those there are.
+// refuseConnections closes the listener and all open connections.
 func (s *stubServer) refuseConnections() {
 	_ = s.listener.Close()
 	s.closeConnections()
@@ -269,7 +275,7 @@
 	}
 }
 
-// blockDialing leaves dialling without an answer: the queue of a listener that accepts nothing is filled.
+// blockDialing makes dialing hang: it replaces the listener by one that accepts nothing and fills its backlog.
 func (s *stubServer) blockDialing(p *requestFixture) {
 	s.refuseConnections()
 	host, port, err := net.SplitHostPort(s.address)
@@ -292,7 +298,7 @@
 	}
 }
 
-// awaitIdleEvent waits until what the stand-in did to an idle connection has come to the node.
+// awaitIdleEvent waits until the node's machine has received what the server did to an idle connection.
 func awaitIdleEvent(p *requestFixture, pool *connection.Pool, r requestCase) {
 	if r.previous == nil {
 		return
@@ -303,6 +309,8 @@
 	}).Should(BeZero())
 }
 
+// check compares the answer and the runs with the expected result. In no case may a request that may run once run
+// twice, or one run that was reported as not run.
 func (r requestCase) check(p *requestFixture, id, kind string, expected result, response clientResponse) {
 	Expect(response.err).NotTo(HaveOccurred())
 	Expect(response.status).To(Equal(expected.status), "status; body %q", response.body)
@@ -318,22 +326,26 @@
 		Expect(first+second).To(BeNumerically("<=", 1), "ran twice")
 	}
 	if forwarding.PromisesNotRun(response.status) {
-		Expect(first+second).To(BeZero(), "a promise that it did not run")
+		Expect(first+second).To(BeZero(), "ran although the status says that it did not")
 	}
 }
 
+// executionsOf returns how often the request with the given ID ran.
 func (s *stubServer) executionsOf(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[id]
 }
 
+// connectionOf returns the number of the connection that brought the request, 0 if it never came.
 func (s *stubServer) connectionOf(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connectionNumbers[id]
 }
 
+// connectionAfter returns what became of the connection of the request with the given ID, by the connection that
+// request "after" used.
 func (p *requestFixture) connectionAfter(id string) string {
 	switch p.first.connectionOf("after") {
 	case 0:
@@ -344,6 +356,8 @@
 	return connectionReplaced
 }
 
+// run sends three requests on one client connection: "before" opens the connection to the server, "row" is the case,
+// and "after" shows what became of that connection.
 func (r requestCase) run(asPeer bool, kind string) {
 	p := newRequestFixture(asPeer)
 	defer p.close()
@@ -370,22 +384,22 @@
 	}
 	startedAt := time.Now()
 	response := client.roundTrip("row", kind, r.body)
-	Expect(time.Since(startedAt)).To(BeNumerically("<", routeTimeout+timeoutSlack), "held")
+	Expect(time.Since(startedAt)).To(BeNumerically("<", routeTimeout+timeoutSlack), "held past its timeout")
 	r.check(p, "row", kind, expected, response)
 	Expect(client.roundTrip("after", repeatable, nil).status).To(Equal(http.StatusOK))
 	Expect(p.connectionAfter("row")).To(Equal(r.connection), "the connection")
 }
 
-var _ = ginkgo.Describe("the table of requests", func() {
-	hop := func(name string, asPeer bool, rows []requestCase) {
+var _ = ginkgo.Describe("request cases", func() {
+	describe := func(name string, asPeer bool, cases []requestCase) {
 		ginkgo.Describe(name, func() {
-			for _, r := range rows {
+			for _, r := range cases {
 				for _, kind := range []string{once, repeatable, bulk} {
 					ginkgo.It(r.name+", "+kind, func() { r.run(asPeer, kind) })
 				}
 			}
 		})
 	}
-	hop("node to upstream", false, append(exchangeCases(connectionReplaced), upstreamCases()...))
-	hop("node to node", true, append(exchangeCases(serverAvoided), peerCases()...))
+	describe("node to upstream", false, append(exchangeCases(connectionReplaced), upstreamCases()...))
+	describe("node to node", true, append(exchangeCases(serverAvoided), peerCases()...))
 })
--- a/internal/dataplane/stub_server_test.go
+++ b/internal/dataplane/stub_server_test.go
@@ -37,10 +37,10 @@
 	largeBody       = 1 << 20
 )
 
-// behavior is what a stand-in does with one request; it tells whether the connection stays open for another.
+// behavior handles one request at a stub server. It returns whether the connection stays open for another request.
 type behavior func(t *transaction) (keep bool)
 
-// transaction is one request on one connection of a stand-in. The head has been read, the body has not.
+// transaction is one request on a connection of a stub server. Its head has been read, its body has not.
 type transaction struct {
 	server  *stubServer
 	conn    *net.TCPConn
@@ -49,19 +49,20 @@
 	id      string
 }
 
-// stubServer is an upstream, or the node beside one, that does exactly what a row of the table says. It serves on a real socket.
+// stubServer stands in for an upstream, or for a peer, and handles each request as the test sets. It serves on a
+// real socket.
 type stubServer struct {
 	name              string
 	address           string
-	asPeer            bool
+	asPeer            bool // it answers as a node would
 	listener          net.Listener
 	mu                sync.Mutex
 	connectionCount   int
 	openConnections   map[net.Conn]bool
-	behaviors         map[string]behavior
+	behaviors         map[string]behavior // by request ID, like the maps below
 	executions        map[string]int
 	rejections        map[string]int
-	connectionNumbers map[string]int
+	connectionNumbers map[string]int // which connection brought the request
 	headers           map[string]http.Header
 	idleTimeout       time.Duration
 	closed            chan struct{}
@@ -114,7 +115,7 @@
 	s.tasks.Wait()
 }
 
-// setBehavior sets what happens with the request of an id.
+// setBehavior sets how the request with the given ID is handled. By default it succeeds.
 func (s *stubServer) setBehavior(id string, behave behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// execute takes the request whole and begins to work on it.
+// execute reads the whole request and counts it as run.
 func (t *transaction) execute() {
 	_, _ = io.Copy(io.Discard, t.request.Body)
 	t.server.mu.Lock()
@@ -161,6 +162,7 @@
 	t.server.executions[t.id]++
 }
 
+// reject reads the whole request and counts it as rejected.
 func (t *transaction) reject() {
 	_, _ = io.Copy(io.Discard, t.request.Body)
 	t.server.mu.Lock()
@@ -172,13 +174,14 @@
 	_, _ = io.WriteString(t.conn, text)
 }
 
+// reset closes the connection with a TCP RST.
 func (t *transaction) reset() bool {
 	_ = t.conn.SetLinger(0)
 	_ = t.conn.Close()
 	return false
 }
 
-// hang stands still until the other side is gone or the row is over.
+// hang sends nothing until the other side sends a byte or closes, or the stub server is closed.
 func (t *transaction) hang() bool {
 	gone := make(chan struct{})
 	go func() {
@@ -196,7 +199,8 @@
 
 func (t *transaction) body() string { return bodyOf(t.id, t.server.name) }
 
-// responseHead makes an answer's head. lines are added to it.
+// responseHead returns the head of a response, with additional header lines. An empty id or a negative size leaves
+// out its header.
 func (t *transaction) responseHead(status int, id string, size int, lines ...string) string {
 	head := []string{fmt.Sprintf("HTTP/1.1 %d %s", status, http.StatusText(status))}
 	if id != "" {
@@ -213,17 +217,19 @@
 
 func sealHeader() string { return forwarding.Plain.Seal + ": " + sealValue }
 
+// response returns a whole sealed response.
 func (t *transaction) response(status int) string {
 	return t.responseHead(status, t.id, len(t.body()), sealHeader()) + t.body()
 }
 
+// succeed runs the request and answers 200.
 func succeed(t *transaction) bool {
 	t.execute()
 	t.send(t.response(http.StatusOK))
 	return true
 }
 
-// answerWith runs the request and answers with a status of the upstream's own, sealed.
+// answerWith runs the request and answers with the given status, sealed.
 func answerWith(status int, lines ...string) behavior {
 	return func(t *transaction) bool {
 		t.execute()
@@ -241,7 +247,7 @@
 	}
 }
 
-// executeAndSend runs the request and sends just this.
+// executeAndSend runs the request and sends the given text as its whole response.
 func executeAndSend(text func(t *transaction) string, keep bool) behavior {
 	return func(t *transaction) bool {
 		t.execute()
@@ -252,7 +258,8 @@
 
 var fixtureCount atomic.Int64
 
-// requestFixture is a node that a client talks to, with a stand-in that does what a row says, and a second node whose upstream is sound.
+// requestFixture is a node that clients talk to, a stub server (first) beside it or in the place of a peer, and a
+// second node with a stub server (second) that succeeds by default.
 type requestFixture struct {
 	clientNode *Node
 	peerNode   *Node
@@ -283,6 +290,7 @@
 	return n
 }
 
+// routeClassConfiguration returns a configuration with one route of each repeat class.
 func routeClassConfiguration(serial uint64) *wire.Configuration {
 	c := &wire.Configuration{Serial: serial, Services: []*wire.ConfigurationService{{Name: books, Probe: "/health", ConnLimit: 130, Protocol: "h1"}}}
 	for name, repeat := range map[string]wire.Repeat{once: wire.Repeat_ONCE, repeatable: wire.Repeat_REPEATABLE, bulk: wire.Repeat_BULK} {
@@ -300,7 +308,9 @@
 	bulk       = "bulk"
 )
 
-// newRequestFixture puts the first stand-in beside the near node, or, with asPeer, in the place of a node in the near node's zone.
+// newRequestFixture puts the first stub server beside clientNode or, with asPeer, in the place of a node in the same
+// zone. The IP address is derived from the process ID and the ports from a counter, so that test processes and
+// fixtures don't collide.
 func newRequestFixture(asPeer bool) *requestFixture {
 	number := int(fixtureCount.Add(1))
 	pid := os.Getpid()
@@ -315,7 +325,7 @@
 	for _, n := range []*Node{p.clientNode, p.peerNode} {
 		n.controlClient.Adopt(routeClassConfiguration(1), true)
 	}
-	// The second counts as slow, so that requests go to the first however busy the machine is.
+	// A long warm-up makes the second rank last, so that requests go to the first however busy the test machine is.
 	warmup := map[string]uint64{"second": uint64(time.Hour.Milliseconds())}
 	instance := func(server *stubServer, zone string) *wire.Instance {
 		return &wire.Instance{Id: "i-" + server.name, Service: books, Address: server.address, Zone: zone, Capacity: 4, WarmMs: warmup[server.name]}
@@ -341,7 +351,7 @@
 	}
 }
 
-// client is one connection of a client.
+// client is a client with a single connection to clientNode.
 type client struct {
 	conn   *net.TCPConn
 	reader *bufio.Reader
@@ -354,7 +364,7 @@
 	return &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// clientResponse is what a client gets.
+// clientResponse is the response that a client received, or its error.
 type clientResponse struct {
 	status     int
 	sealed     bool
@@ -365,6 +375,7 @@
 	err        error
 }
 
+// rawRequest returns the text of a GET request or, with a body, of a POST request.
 func rawRequest(id, route string, body []byte) string {
 	method := http.MethodGet
 	length := ""
@@ -399,7 +410,7 @@
 	return c.receive()
 }
 
-// sendAsPeer sends a request as the node beside a client does.
+// sendAsPeer sends a request to peerNode as another node does.
 func (p *requestFixture) sendAsPeer(id, route string, metadata forwarding.Metadata) clientResponse {
 	conn, err := net.Dial("tcp", p.peerNode.params.Inward)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestDataPlane(t *testing.T) {
-	simulation.RunSpecs(t, "ford")
+	simulation.RunSpecs(t, "data plane")
 }
 
 const (
@@ -26,16 +26,18 @@
 	clientIP = "10.9.9.9"
 )
 
+// unreachableControllers is the address of a controller that is not running.
 var unreachableControllers = []string{"10.9.0.1:7005"}
 
-// testbed is a simulation on which single nodes, control machines and peers are set up.
+// testbed is a simulation to which a test adds nodes, controllers and peers.
 type testbed struct{ *simulation.Simulation }
 
+// itSimulated adds a spec that runs in a simulation with the usual network delay.
 func itSimulated(text string, spec func(s *testbed)) {
 	itSimulatedWithDelay(text, simulation.UsualDelay, spec)
 }
 
-// itSimulatedWithDelay is a story whose machines are further apart than usual, one way.
+// itSimulatedWithDelay is like itSimulated, with the given one-way network delay.
 func itSimulatedWithDelay(text string, delay time.Duration, spec func(s *testbed)) {
 	simulation.ItAt(text, delay, func(s *simulation.Simulation) { spec(&testbed{s}) })
 }
@@ -53,7 +55,7 @@
 	return n
 }
 
-// addUpstream puts an upstream beside a node.
+// addUpstream starts an upstream beside a node. It adds the seal and the request ID to the handler's answers.
 func (s *testbed) addUpstream(node *Node, capacity uint32, handler http.HandlerFunc) {
 	ip := simulation.Host(node.params.Inward)
 	s.Serve(ip+":8080", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -68,6 +70,7 @@
 	return simulation.Configuration(serial, books)
 }
 
+// httpReply is the answer to a request. size is the length of its body in bytes.
 type httpReply struct {
 	status     int
 	size       int
@@ -76,8 +79,8 @@
 	elapsed    time.Duration
 }
 
-// get sends one request and reads its answer to the end.
-func (s *testbed) get(to, path string, header http.Header) (t httpReply) {
+// get sends one request and reads its whole answer.
+func (s *testbed) get(to, path string, header http.Header) (reply httpReply) {
 	scope := s.Scope(clientIP)
 	client := httpserver.NewClient(scope)
 	defer client.CloseIdleConnections()
@@ -94,6 +97,7 @@
 	return httpReply{response.StatusCode, len(body), time.Duration(retryAfter * float64(time.Second)), response.Header.Get(forwarding.OutcomeHeader), s.Clock.Mono() - startedAt}
 }
 
+// requestHeader returns the header of a request with an ID and a timeout.
 func requestHeader(id string, left time.Duration) http.Header {
 	return http.Header{forwarding.Plain.Canonical().Attempt: {id}, forwarding.Plain.Canonical().Left: {forwarding.FormatMillis(left)}}
 }
