--- /dev/null
+++ b/internal/dataplane/link_pacing_test.go
@@ -0,0 +1,116 @@
+package dataplane
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"curlewreach/base"
+	"curlewreach/internal/dataplane/admission"
+	"curlewreach/internal/dataplane/forwarding"
+	"curlewreach/internal/testing/simulation"
+)
+
+const (
+	slowLinkMbps    = 11
+	largeAnswerSize = 300_000
+)
+
+// largeTransferTime is how long one large answer occupies the paced part of the slow link.
+var largeTransferTime = backlogAfter(largeAnswerSize)
+
+// backlogAfter returns the backlog of an empty slow link after so many bytes.
+func backlogAfter(bytes int64) time.Duration {
+	pacer := admission.NewLinkPacer(&simulation.ManualClock{}, slowLinkMbps)
+	pacer.Wait(context.Background(), bytes)
+	return pacer.Backlog()
+}
+
+// startSlowLinkNode starts a node with a slow network link, whose upstream answers /archive/ with large bodies and
+// other paths with small ones.
+func (s *testbed) startSlowLinkNode() *Node {
+	n := s.startNode(1, unreachableControllers)
+	n.linkPacer = admission.NewLinkPacer(s.Clock, slowLinkMbps)
+	n.controlClient.Adopt(testConfiguration(1), true)
+	s.addUpstream(n, 32, func(w http.ResponseWriter, r *http.Request) {
+		size := 200
+		if strings.HasPrefix(r.URL.Path, "/archive/") {
+			size = largeAnswerSize
+		}
+		_, _ = w.Write(make([]byte, size))
+	})
+	return n
+}
+
+// peerRequestHeader returns the header of a request that a peer forwards.
+func peerRequestHeader(id string, route string, patience time.Duration) http.Header {
+	header := requestHeader(id, 5*time.Second)
+	header[forwarding.MetadataHeader] = []string{forwarding.Metadata{Service: books, Route: route, Serial: 1, MaxWait: patience, SoftDeadlineIn: patience, HardDeadlineIn: 4 * time.Second}.String()}
+	return header
+}
+
+var _ = ginkgo.Describe("a slow link", func() {
+	itSimulated("given six large answers at once, when a small one follows, then the large ones are sent one after the other and the small one at once", func(s *testbed) {
+		n := s.startSlowLinkNode()
+		took := make([]time.Duration, 6)
+		for i := range took {
+			s.Go(func() {
+				reply := s.get(n.params.Inward, fmt.Sprint("/archive/", i), peerRequestHeader(fmt.Sprint("large-", i), "archive", 4*time.Second))
+				Expect(reply.size).To(Equal(largeAnswerSize))
+				took[i] = reply.elapsed
+			})
+		}
+		time.Sleep(100 * time.Millisecond)
+		lookup := s.get(n.params.Inward, "/index/1", peerRequestHeader("small", "index", time.Second))
+		Expect(lookup.status).To(Equal(http.StatusOK))
+		Expect(lookup.elapsed).To(BeNumerically("<", 30*time.Millisecond))
+		s.Wait()
+		longest := time.Duration(0)
+		for _, each := range took {
+			longest = max(longest, each)
+		}
+		Expect(longest).To(BeNumerically(">", 5*largeTransferTime-2*admission.PacerBurst), "large answers were not paced")
+		Expect(longest).To(BeNumerically("<", 6*largeTransferTime))
+	})
+
+	itSimulated("given a backlog that exceeds the latency target of a large request, when it arrives, then it is rejected at once with a retry time, and a small one is still served", func(s *testbed) {
+		n := s.startSlowLinkNode()
+		s.get(n.params.Inward, "/archive/first", peerRequestHeader("first", "archive", 4*time.Second))
+		for i := range 4 {
+			s.Go(func() {
+				s.get(n.params.Inward, fmt.Sprint("/archive/", i), peerRequestHeader(fmt.Sprint("large-", i), "archive", 4*time.Second))
+			})
+		}
+		time.Sleep(100 * time.Millisecond)
+		reply := s.get(n.params.Inward, "/archive/late", peerRequestHeader("late", "archive", 300*time.Millisecond))
+		o, known := forwarding.ParseOutcome(reply.outcome)
+		Expect(known).To(BeTrue(), "the request was not rejected")
+		Expect(o.Kind).To(Equal(base.Overloaded))
+		Expect(o.State).To(Equal(forwarding.NotRun))
+		Expect(o.ReachedUpstream).To(BeFalse())
+		Expect(o.RetryAfter).To(BeNumerically(">", 3*largeTransferTime))
+		Expect(reply.elapsed).To(BeNumerically("<", 20*time.Millisecond))
+		Expect(s.get(n.params.Inward, "/index/1", peerRequestHeader("small", "index", 300*time.Millisecond)).status).To(Equal(http.StatusOK))
+		s.Wait()
+	})
+
+	// Guards against counting an answer that waits to be sent among the expected answers as well.
+	itSimulated("given large answers that wait to be sent, when the backlog is read, then each counts once", func(s *testbed) {
+		n := s.startSlowLinkNode()
+		s.get(n.params.Inward, "/archive/first", peerRequestHeader("first", "archive", 4*time.Second))
+		for i := range 4 {
+			s.Go(func() {
+				s.get(n.params.Inward, fmt.Sprint("/archive/", i), peerRequestHeader(fmt.Sprint("large-", i), "archive", 4*time.Second))
+			})
+		}
+		time.Sleep(100 * time.Millisecond)
+		backlog := n.linkPacer.Backlog()
+		s.Wait()
+		Expect(backlog).To(BeNumerically("<=", 5*largeTransferTime))
+	})
+})
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -15,47 +15,49 @@
 
 const modelService = "books"
 
-// modelNode is a node of the model: the product's decisions, and a process that can be killed and frozen.
+// modelNode is a node of the model. It makes the real decisions, and can be killed and paused.
 type modelNode struct {
-	world       *modelWorld
+	cluster     *modelCluster
 	name        string
 	upstream    *modelUpstream
-	life        int
-	up          bool
-	frozen      bool
-	held        []func()
+	generation  int
+	running     bool
+	paused      bool
+	deferred    []func() // events that came due while the node was paused
 	retryBudget *retry.Budget
 	fences      *fencing.Fences
 }
 
-func (n *modelNode) raise() {
-	if n.up {
+// start starts a new incarnation of the node, with an empty attempt table.
+func (n *modelNode) start() {
+	if n.running {
 		return
 	}
-	w := n.world
-	n.life++
-	n.up = true
-	n.retryBudget = retry.NewBudget(w, modelRatio, modelSlack, time.Hour, func() int { return len(w.nodes) })
-	n.fences = fencing.NewWithTable(n.incarnation(), attempts.NewTable(n.incarnation(), w.Mono, attempts.Bounds{
+	m := n.cluster
+	n.generation++
+	n.running = true
+	n.retryBudget = retry.NewBudget(m, modelRetryRatio, modelRetrySlack, time.Hour, func() int { return len(m.nodes) })
+	n.fences = fencing.NewWithTable(n.incarnation(), attempts.NewTable(n.incarnation(), m.Mono, attempts.Bounds{
 		Entries: modelEntries, Age: time.Minute, AnswerBytes: 1 << 10, LargestAnswer: 1 << 10, AnswerAge: 300 * time.Millisecond,
 	}))
 }
 
-func (n *modelNode) incarnation() string { return fmt.Sprint(n.name, "/", n.life) }
+func (n *modelNode) incarnation() string { return fmt.Sprint(n.name, "/", n.generation) }
 
+// kill ends the incarnation: connections to the node break, and its requests are exempt from the rules.
 func (n *modelNode) kill() {
-	if !n.up {
+	if !n.running {
 		return
 	}
-	n.up, n.frozen, n.held = false, false, nil
-	for _, h := range n.world.hops {
-		if h.to == n && h.life == n.life {
-			h.from.then(n.world.delay(), h.breaks)
+	n.running, n.paused, n.deferred = false, false, nil
+	for _, a := range n.cluster.attempts {
+		if a.to == n && a.generation == n.generation {
+			a.from.schedule(n.cluster.delay(), a.connectionFails)
 		}
 	}
-	for _, r := range n.world.requests {
+	for _, r := range n.cluster.requests {
 		if r.origin == n && r.status == 0 {
-			r.excused = true
+			r.exempt = true
 		}
 	}
 	if n.upstream != nil {
@@ -66,39 +68,40 @@
 	}
 }
 
-func (n *modelNode) freeze() { n.frozen = n.up }
+func (n *modelNode) pause() { n.paused = n.running }
 
-func (n *modelNode) thaw() {
-	held := n.held
-	n.frozen, n.held = false, nil
-	for _, do := range held {
+func (n *modelNode) resume() {
+	deferred := n.deferred
+	n.paused, n.deferred = false, nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-// then does something later in this life of the node, after a thaw if it is frozen by then.
-func (n *modelNode) then(d time.Duration, do func()) {
-	life := n.life
-	var now func()
-	now = func() {
+// schedule runs do later, if this incarnation of the node is still running. While the node is paused, do is deferred
+// until it resumes.
+func (n *modelNode) schedule(d time.Duration, do func()) {
+	generation := n.generation
+	var run func()
+	run = func() {
 		switch {
-		case !n.up || n.life != life:
-		case n.frozen:
-			for _, r := range n.world.requests {
-				r.excused = r.excused || r.origin == n
+		case !n.running || n.generation != generation:
+		case n.paused:
+			for _, r := range n.cluster.requests {
+				r.exempt = r.exempt || r.origin == n
 			}
-			n.held = append(n.held, now)
+			n.deferred = append(n.deferred, run)
 		default:
 			do()
 		}
 	}
-	n.world.after(d, now)
+	n.cluster.after(d, run)
 }
 
-// advance takes the next move that the ledger asks for.
+// advance takes the steps that the ledger decides on until it has to wait or the request is answered.
 func (n *modelNode) advance(r *modelRequest) {
 	for r.status == 0 {
-		switch r.ledger.Next(n.world.now) {
+		switch r.ledger.Next(n.cluster.now) {
 		case retry.Await:
 			return
 		case retry.Relay:
@@ -106,37 +109,37 @@
 			if best == nil {
 				best = r.ledger.Failed()
 			}
-			n.pass(r, best.Response)
+			n.relay(r, best.Response)
 		case retry.GiveUp:
 			n.giveUp(r)
 		case retry.Send:
-			n.try(r)
+			n.startNext(r)
 		}
 	}
 }
 
-func (n *modelNode) try(r *modelRequest) {
+func (n *modelNode) startNext(r *modelRequest) {
 	repeat := r.ledger.UpstreamAttempts() > 0
-	to := n.choose(r)
-	if to == nil || repeat && !n.pay() {
+	to := n.selectNode(r)
+	if to == nil || repeat && !n.spendRetry() {
 		if failed := r.ledger.Failed(); failed != nil {
-			n.pass(r, failed.Response)
+			n.relay(r, failed.Response)
 			return
 		}
 		n.giveUp(r)
 		return
 	}
-	n.start(r, to)
+	n.startAttempt(r, to)
 }
 
-func (n *modelNode) pay() bool {
-	return n.world.spoilt.repeatsUnpaid || n.retryBudget.Spend(modelService)
+func (n *modelNode) spendRetry() bool {
+	return n.cluster.defects.retriesUnpaid || n.retryBudget.Spend(modelService)
 }
 
-func (n *modelNode) choose(r *modelRequest) *modelNode {
-	first := n.world.draw(modelUpstreams)
+func (n *modelNode) selectNode(r *modelRequest) *modelNode {
+	first := n.cluster.draw(modelUpstreams)
 	for i := range modelUpstreams {
-		to := n.world.nodes[(first+i)%modelUpstreams]
+		to := n.cluster.nodes[(first+i)%modelUpstreams]
 		if !r.ledger.Tried(to.name) {
 			return to
 		}
@@ -146,301 +149,308 @@
 
 func (n *modelNode) hedge(r *modelRequest) {
 	allowed := r.ledger.MayHedge()
-	if n.world.spoilt.hedgeOfLoan {
+	if n.cluster.defects.hedgeOfOnce {
 		allowed = r.ledger.Running() == 1
 	}
-	if to := n.choose(r); r.status == 0 && allowed && to != nil && n.pay() {
-		n.start(r, to)
+	if to := n.selectNode(r); r.status == 0 && allowed && to != nil && n.spendRetry() {
+		n.startAttempt(r, to)
 	}
 }
 
 func (n *modelNode) giveUp(r *modelRequest) {
-	doubtful := r.ledger.MayHaveRun() && !n.world.spoilt.promiseAfterDoubt
-	if doubtful {
-		n.tell(r, http.StatusBadGateway, nil)
+	mayHaveRun := r.ledger.MayHaveRun() && !n.cluster.defects.notRunAfterDoubt
+	if mayHaveRun {
+		n.answerClient(r, http.StatusBadGateway, nil)
 		return
 	}
-	n.tell(r, http.StatusServiceUnavailable, nil)
+	n.answerClient(r, http.StatusServiceUnavailable, nil)
 }
 
-// pass sends an upstream's answer back as it is, or where its status would promise too much one of the node's own.
-func (n *modelNode) pass(r *modelRequest, a *forwarding.Response) {
+// relay sends an upstream's answer unchanged, or an error of the node if the request must not be repeated and the
+// answer's status would claim that it did not run.
+func (n *modelNode) relay(r *modelRequest, a *forwarding.Response) {
 	switch {
 	case forwarding.MayRelay(a, r.ledger.Repeatable):
-		n.tell(r, a.Status, a)
-	case n.world.spoilt.sealKept:
-		n.tell(r, http.StatusBadGateway, &forwarding.Response{Status: http.StatusBadGateway, Header: a.Header, Body: a.Body})
+		n.answerClient(r, a.Status, a)
+	case n.cluster.defects.sealKeptOnOtherStatus:
+		n.answerClient(r, http.StatusBadGateway, &forwarding.Response{Status: http.StatusBadGateway, Header: a.Header, Body: a.Body})
 	default:
-		n.tell(r, http.StatusBadGateway, nil)
+		n.answerClient(r, http.StatusBadGateway, nil)
 	}
 }
 
-func (n *modelNode) tell(r *modelRequest, status int, a *forwarding.Response) {
+// answerClient records the first answer to a request.
+func (n *modelNode) answerClient(r *modelRequest, status int, a *forwarding.Response) {
 	if r.status == 0 {
-		r.status, r.answered, r.answer = status, n.world.now, a
-		if r.excused {
+		r.status, r.answered, r.answer = status, n.cluster.now, a
+		if r.exempt {
 			r.answered = 0
 		}
 	}
 }
 
-// start sends one attempt on its way and moves on once it is settled.
-func (n *modelNode) start(r *modelRequest, to *modelNode) {
-	at := &retry.Attempt{Node: to.name, StartedAt: n.world.now}
-	r.ledger.Attempts = append(r.ledger.Attempts, at)
+// startAttempt starts an attempt and advances the request when it has an outcome.
+func (n *modelNode) startAttempt(r *modelRequest, to *modelNode) {
+	entry := &retry.Attempt{Node: to.name, StartedAt: n.cluster.now}
+	r.ledger.Attempts = append(r.ledger.Attempts, entry)
 	settle := func(o forwarding.Outcome) {
-		if at.State != forwarding.Running {
+		if entry.State != forwarding.Running {
 			return
 		}
-		at.State, at.Kind, at.ReachedUpstream, at.RetryAfter, at.Response = o.State, o.Kind, o.ReachedUpstream, o.RetryAfter, o.Response
+		entry.State, entry.Kind, entry.ReachedUpstream, entry.RetryAfter, entry.Response = o.State, o.Kind, o.ReachedUpstream, o.RetryAfter, o.Response
 		n.advance(r)
 	}
 	if to == n {
-		n.hand(r.id, attempts.Reference{}, r.until, settle)
+		n.deliver(r.id, attempts.Reference{}, r.until, settle)
 		return
 	}
-	if !to.up {
-		settle(forwarding.NotRunOutcome(base.NewFault(base.Unreachable, "", "nobody listens")))
+	if !to.running {
+		settle(forwarding.NotRunOutcome(base.NewFault(base.Unreachable, "", "the node is not running")))
 		return
 	}
-	hop := &modelHop{from: n, to: to, life: to.life, request: r, settle: settle}
+	attempt := &modelAttempt{from: n, to: to, generation: to.generation, request: r, settle: settle}
 	if r.once || !n.retryBudget.CanSpend(modelService) {
-		hop.ref = n.fences.NewReference(to.name, func(string) string { return to.incarnation() })
-		if n.world.spoilt.identityShared {
-			hop.ref.ID = "shared"
+		attempt.ref = n.fences.NewReference(to.name, func(string) string { return to.incarnation() })
+		if n.cluster.defects.identityShared {
+			attempt.ref.ID = "shared"
 		}
 	}
-	n.world.hops = append(n.world.hops, hop)
-	hop.send()
+	n.cluster.attempts = append(n.cluster.attempts, attempt)
+	attempt.send()
 }
 
-// hand passes a request to the upstream beside this node.
-func (n *modelNode) hand(id string, ref attempts.Reference, until time.Duration, told func(forwarding.Outcome)) (stop func()) {
-	stopped, breakOff := false, func() {}
-	n.then(n.world.delay(), func() {
-		left := until - n.world.now
+// deliver passes a request to the upstream beside this node. stop abandons it.
+func (n *modelNode) deliver(id string, ref attempts.Reference, until time.Duration, done func(forwarding.Outcome)) (stop func()) {
+	stopped, stopExchange := false, func() {}
+	n.schedule(n.cluster.delay(), func() {
+		left := until - n.cluster.now
 		switch {
 		case stopped || left <= 0:
-			told(forwarding.NotRunOutcome(base.NewFault(base.Expired, "", "no time was left at the turn")))
-		case !ref.Begin() && !n.world.spoilt.waitingNotFenced:
-			told(forwarding.NotRunOutcome(base.NewFault(base.Fenced, "", "declared never to begin")))
+			done(forwarding.NotRunOutcome(base.NewFault(base.Expired, "", "no time was left after the wait in the queue")))
+		case !ref.Begin() && !n.cluster.defects.waitingNotFenced:
+			done(forwarding.NotRunOutcome(base.NewFault(base.Fenced, "", "the attempt was fenced before it began")))
 		default:
-			life := n.life
-			breakOff = n.upstream.exchange(id, left, func(o forwarding.Outcome) {
-				if n.up && n.life == life {
-					n.then(0, func() { told(o) })
+			generation := n.generation
+			stopExchange = n.upstream.exchange(id, left, func(o forwarding.Outcome) {
+				if n.running && n.generation == generation {
+					n.schedule(0, func() { done(o) })
 				}
 			})
 		}
 	})
 	return func() {
 		stopped = true
-		breakOff()
+		stopExchange()
 	}
 }
 
-// modelHop is one attempt on a connection between two nodes.
-type modelHop struct {
-	from, to *modelNode
-	life     int
-	request  *modelRequest
-	ref      attempts.Reference
-	settle   func(forwarding.Outcome)
-	stop     func()
-	broken   bool
-	done     bool
+// modelAttempt is an attempt on a connection between two nodes.
+type modelAttempt struct {
+	from, to   *modelNode
+	generation int
+	request    *modelRequest
+	ref        attempts.Reference
+	settle     func(forwarding.Outcome)
+	stop       func()
+	broken     bool
+	done       bool
 }
 
-func (h *modelHop) send() {
-	w := h.from.world
+// send sends the request. The connection may fail before or after the request arrives.
+func (a *modelAttempt) send() {
+	m := a.from.cluster
 	header := http.Header{}
-	fencing.SetAttemptHeader(h.ref, header)
-	if w.chance(25) {
-		h.from.then(w.delay(), h.breaks)
+	fencing.SetAttemptHeader(a.ref, header)
+	if m.chance(25) {
+		a.from.schedule(m.delay(), a.connectionFails)
 	}
-	if w.chance(15) {
-		h.from.then(w.delay(), h.breaks)
+	if m.chance(15) {
+		a.from.schedule(m.delay(), a.connectionFails)
 		return
 	}
-	w.after(w.delay(), func() {
-		if !h.to.up || h.to.life != h.life {
-			h.from.then(w.delay(), h.breaks)
+	m.after(m.delay(), func() {
+		if !a.to.running || a.to.generation != a.generation {
+			a.from.schedule(m.delay(), a.connectionFails)
 			return
 		}
-		h.to.then(0, func() { h.arrive(header.Get(forwarding.AttemptHeader)) })
+		a.to.schedule(0, func() { a.arrive(header.Get(forwarding.AttemptHeader)) })
 	})
 }
 
-// arrive is the request read whole by the node beside the upstream.
-func (h *modelHop) arrive(text string) {
-	n, w := h.to, h.to.world
-	if w.spoilt.markIgnoredOnArrival && text != "" {
-		text = string(h.ref.ID) + ";" + n.fences.Table.CurrentMark().String()
+// arrive handles the complete request at the peer. text is its attempt header.
+func (a *modelAttempt) arrive(text string) {
+	n, m := a.to, a.to.cluster
+	if m.defects.markIgnoredOnArrival && text != "" {
+		text = string(a.ref.ID) + ";" + n.fences.Table.CurrentMark().String()
 	}
 	ref, refusal := n.fences.Accept(text)
 	if refusal != nil {
-		h.reply(*refusal)
+		a.reply(*refusal)
 		return
 	}
-	h.stop = n.hand(h.request.id, ref, h.request.until, func(o forwarding.Outcome) {
+	a.stop = n.deliver(a.request.id, ref, a.request.until, func(o forwarding.Outcome) {
 		fencing.Finish(ref, o)
-		h.done = true
-		h.reply(o)
+		a.done = true
+		a.reply(o)
 	})
-	if h.broken {
-		h.linger(ref)
+	if a.broken {
+		a.finishUnlessWanted(ref)
 		return
 	}
-	h.ref.Entry = ref.Entry
+	a.ref.Entry = ref.Entry
 }
 
-func (h *modelHop) reply(o forwarding.Outcome) {
-	w := h.to.world
-	mark := h.to.fences.Table.CurrentMark()
-	if w.chance(15) {
-		h.from.then(w.delay(), h.breaks)
+// reply sends the outcome back, unless the connection fails.
+func (a *modelAttempt) reply(o forwarding.Outcome) {
+	m := a.to.cluster
+	mark := a.to.fences.Table.CurrentMark()
+	if m.chance(15) {
+		a.from.schedule(m.delay(), a.connectionFails)
 		return
 	}
-	h.from.then(w.delay(), func() {
-		if h.broken {
+	a.from.schedule(m.delay(), func() {
+		if a.broken {
 			return
 		}
-		h.from.fences.Learn(h.to.name, mark)
-		h.broken = true
-		h.settle(o)
+		a.from.fences.Learn(a.to.name, mark)
+		a.broken = true
+		a.settle(o)
 	})
 }
 
-// breaks is the connection seen broken by the sender; the other side may see it later.
-func (h *modelHop) breaks() {
-	if h.broken {
+// connectionFails is called when the sender sees the connection break. The peer may see it later.
+func (a *modelAttempt) connectionFails() {
+	if a.broken {
 		return
 	}
-	h.broken = true
-	h.to.then(h.from.world.delay(), func() { h.linger(h.ref) })
-	h.resolve(3)
+	a.broken = true
+	a.to.schedule(a.from.cluster.delay(), func() { a.finishUnlessWanted(a.ref) })
+	a.resolve(3)
 }
 
-// linger breaks the attempt's work off unless somebody asks for it.
-func (h *modelHop) linger(ref attempts.Reference) {
-	if h.stop == nil || h.done {
+// finishUnlessWanted abandons the attempt at the peer unless the sender has asked for its result.
+func (a *modelAttempt) finishUnlessWanted(ref attempts.Reference) {
+	if a.stop == nil || a.done {
 		return
 	}
 	if ref.Entry != nil && ref.Entry.Withdraw() {
-		h.stop()
+		a.stop()
 		return
 	}
-	h.to.then(modelLinger, func() {
+	a.to.schedule(modelLinger, func() {
 		if ref.Entry != nil && ref.Entry.HasRecentInterest(modelLinger) {
-			h.linger(ref)
+			a.finishUnlessWanted(ref)
 			return
 		}
-		h.stop()
+		a.stop()
 	})
 }
 
-// resolve asks about the attempt on a fresh connection.
-func (h *modelHop) resolve(rounds int) {
-	doubted := forwarding.IndeterminateOutcome(base.Lost, "the connection broke")
-	w, n := h.from.world, h.from
-	if h.ref.ID == "" || !h.ref.Mark.IsSet() || rounds == 0 || !h.to.up {
-		h.settle(doubted)
+// resolve asks the peer about the attempt on a new connection, in at most the given number of rounds.
+func (a *modelAttempt) resolve(rounds int) {
+	doubtful := forwarding.IndeterminateOutcome(base.Lost, "the connection broke")
+	m, n := a.from.cluster, a.from
+	if a.ref.ID == "" || !a.ref.Mark.IsSet() || rounds == 0 || !a.to.running {
+		a.settle(doubtful)
 		return
 	}
-	giveUp := time.Duration(fencing.QueryTimeRatio * float64(h.request.until-w.now))
-	heard := false
-	n.then(giveUp, func() {
-		if !heard {
-			heard = true
-			h.settle(doubted)
+	giveUp := time.Duration(fencing.QueryTimeRatio * float64(a.request.until-m.now))
+	replied := false
+	n.schedule(giveUp, func() {
+		if !replied {
+			replied = true
+			a.settle(doubtful)
 		}
 	})
-	h.ask(0, func(reply *wire.AttemptReply) {
-		if heard {
+	a.sendQuestion(0, func(reply *wire.AttemptReply) {
+		if replied {
 			return
 		}
-		heard = true
+		replied = true
 		switch {
 		case reply == nil:
-			h.resolve(rounds - 1)
+			a.resolve(rounds - 1)
 		case reply.State == wire.AttemptState_ATTEMPT_AT_WORK:
-			h.fetch()
+			a.fetch()
 		default:
-			h.settle(h.read(reply))
+			a.settle(a.outcomeOf(reply))
 		}
 	})
 }
 
-func (h *modelHop) fetch() {
-	h.ask(h.request.until-h.from.world.now, func(reply *wire.AttemptReply) {
+// fetch waits for the answer of an attempt that is still running at the peer.
+func (a *modelAttempt) fetch() {
+	a.sendQuestion(a.request.until-a.from.cluster.now, func(reply *wire.AttemptReply) {
 		if reply == nil {
-			h.settle(forwarding.IndeterminateOutcome(base.Lost, "the answer could not be fetched"))
+			a.settle(forwarding.IndeterminateOutcome(base.Lost, "the answer could not be fetched"))
 			return
 		}
-		h.settle(h.read(reply))
+		a.settle(a.outcomeOf(reply))
 	})
 }
 
-func (h *modelHop) read(reply *wire.AttemptReply) forwarding.Outcome {
-	own := func(a *forwarding.Response) bool {
-		return h.from.world.spoilt.identityShared || a.Header.Get(forwarding.DefaultHeaderNames.RequestID) == h.request.id
+func (a *modelAttempt) outcomeOf(reply *wire.AttemptReply) forwarding.Outcome {
+	own := func(answer *forwarding.Response) bool {
+		return a.from.cluster.defects.identityShared || answer.Header.Get(forwarding.DefaultHeaderNames.RequestID) == a.request.id
 	}
 	return fencing.OutcomeFromReply(reply, own, forwarding.IndeterminateOutcome(base.Lost, "the connection broke"))
 }
 
-// ask carries one question to whichever life of the node listens, and its reply back; nil where either is lost.
-func (h *modelHop) ask(wait time.Duration, told func(*wire.AttemptReply)) {
-	w, to := h.from.world, h.to
-	lost := func() { h.from.then(w.delay(), func() { told(nil) }) }
-	if w.chance(15) {
+// sendQuestion sends a question to whichever incarnation of the peer is running and calls done with the reply, nil
+// if either is lost.
+func (a *modelAttempt) sendQuestion(wait time.Duration, done func(*wire.AttemptReply)) {
+	m, to := a.from.cluster, a.to
+	lost := func() { a.from.schedule(m.delay(), func() { done(nil) }) }
+	if m.chance(15) {
 		lost()
 		return
 	}
-	w.after(w.delay(), func() {
-		if !to.up {
+	m.after(m.delay(), func() {
+		if !to.running {
 			lost()
 			return
 		}
-		to.then(0, func() { h.asked(wait, lost, told) })
+		to.schedule(0, func() { a.receiveQuestion(wait, lost, done) })
 	})
 }
 
-// asked is a question at the node beside the upstream; one about work is answered at its end, if it may wait.
-func (h *modelHop) asked(wait time.Duration, lost func(), told func(*wire.AttemptReply)) {
-	w, table := h.to.world, h.to.fences.Table
-	mark := w.asked(h.to, h.ref.Mark)
-	_, entry := table.Resolve(h.ref.ID, mark)
+// receiveQuestion handles a question at the peer. If the attempt is still running, the reply waits for its end, for
+// up to wait.
+func (a *modelAttempt) receiveQuestion(wait time.Duration, lost func(), done func(*wire.AttemptReply)) {
+	m, table := a.to.cluster, a.to.fences.Table
+	mark := m.questionMark(a.to, a.ref.Mark)
+	_, entry := table.Resolve(a.ref.ID, mark)
 	answer := func() {
-		reply, _ := table.Resolve(h.ref.ID, mark)
-		w.settledAs(reply)
-		if w.chance(15) {
+		reply, _ := table.Resolve(a.ref.ID, mark)
+		m.countReply(reply)
+		if m.chance(15) {
 			lost()
 			return
 		}
-		h.from.then(w.delay(), func() { told(reply) })
+		a.from.schedule(m.delay(), func() { done(reply) })
 	}
 	if entry == nil || wait <= 0 {
 		answer()
 		return
 	}
 	ended, leave := entry.Watch()
-	h.watch(ended, w.now+wait, func() {
+	a.awaitEnd(ended, m.now+wait, func() {
 		leave()
 		answer()
 	})
 }
 
-// watch looks until an attempt has ended or the time is over.
-func (h *modelHop) watch(ended <-chan struct{}, until time.Duration, then func()) {
+// awaitEnd polls until the attempt has ended or the time is over, then calls then.
+func (a *modelAttempt) awaitEnd(ended <-chan struct{}, until time.Duration, then func()) {
 	select {
 	case <-ended:
 		then()
 		return
 	default:
 	}
-	if h.to.world.now >= until {
+	if a.to.cluster.now >= until {
 		then()
 		return
 	}
-	h.to.then(5*time.Millisecond, func() { h.watch(ended, until, then) })
+	a.to.schedule(5*time.Millisecond, func() { a.awaitEnd(ended, until, then) })
 }
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -10,21 +10,21 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-// modelUpstream works on requests, one at a time on a connection, and misbehaves as drawn.
+// modelUpstream runs requests, one at a time on each connection, and misbehaves at random.
 type modelUpstream struct {
-	world *modelWorld
-	life  int
-	conns []*modelConn
+	cluster    *modelCluster
+	generation int
+	conns      []*modelConn
 }
 
-// modelConn is one connection from the node to its upstream; what waits on it unread is in inbox.
+// modelConn is a connection from a node to its upstream. inbox holds the answers that the node has not read.
 type modelConn struct {
-	upstream *modelUpstream
-	life     int
-	ended    bool
-	inbox    []modelAnswer
-	reader   func()
-	inUse    bool
+	upstream   *modelUpstream
+	generation int
+	ended      bool
+	inbox      []modelAnswer
+	reader     func()
+	inUse      bool
 }
 
 type modelAnswer struct {
@@ -34,32 +34,34 @@
 	body   string
 }
 
+// restart closes all connections and starts a new generation of the upstream.
 func (u *modelUpstream) restart() {
-	u.life++
+	u.generation++
 	for _, c := range slices.Clone(u.conns) {
-		c.end()
+		c.endConnection()
 	}
 	u.conns = nil
 }
 
 func (u *modelUpstream) dial() *modelConn {
-	c := &modelConn{upstream: u, life: u.life, inUse: true}
+	c := &modelConn{upstream: u, generation: u.generation, inUse: true}
 	u.conns = append(u.conns, c)
 	return c
 }
 
-// take gives a connection that rests, or a fresh one. A resting one must have nothing to read and no end.
-func (u *modelUpstream) take() *modelConn {
-	w := u.world
+// acquire returns an idle connection or a new one. An idle connection that has ended, or has data to read, must not
+// be reused.
+func (u *modelUpstream) acquire() *modelConn {
+	m := u.cluster
 	for _, c := range slices.Clone(u.conns) {
 		if c.inUse {
 			continue
 		}
-		if over := c.ended || len(c.inbox) > 0; over && !w.spoilt.idleCheckLeftOut {
+		if over := c.ended || len(c.inbox) > 0; over && !m.defects.idleCheckSkipped {
 			u.drop(c)
 			continue
 		} else if over {
-			w.violated("a request was written to a connection that was over")
+			m.addViolation("a request was written to a connection that was over")
 		}
 		c.inUse = true
 		return c
@@ -72,12 +74,12 @@
 	u.conns = slices.DeleteFunc(u.conns, func(each *modelConn) bool { return each == c })
 }
 
-func (c *modelConn) end() {
+func (c *modelConn) endConnection() {
 	c.ended = true
 	c.wake()
 }
 
-func (c *modelConn) say(a modelAnswer) {
+func (c *modelConn) receive(a modelAnswer) {
 	if c.ended {
 		return
 	}
@@ -91,84 +93,84 @@
 	}
 }
 
-// serve is a request arriving at the upstream.
-func (c *modelConn) serve(id string) {
+// handleRequest runs a request at the upstream, rejects it, or breaks the connection.
+func (c *modelConn) handleRequest(id string) {
 	u := c.upstream
-	w := u.world
-	if c.life != u.life || c.ended {
+	m := u.cluster
+	if c.generation != u.generation || c.ended {
 		return
 	}
-	w.arrivals[id]++
-	if w.chance(12) {
-		w.after(w.delay(), func() { c.say(modelAnswer{notRun: true, status: http.StatusServiceUnavailable}) })
+	m.arrivals[id]++
+	if m.chance(12) {
+		m.after(m.delay(), func() { c.receive(modelAnswer{notRun: true, status: http.StatusServiceUnavailable}) })
 		return
 	}
-	w.runs[id]++
-	a := modelAnswer{id: id, status: http.StatusOK, body: fmt.Sprint(id, " whole ", w.runs[id])}
-	if w.chance(10) {
+	m.runs[id]++
+	a := modelAnswer{id: id, status: http.StatusOK, body: fmt.Sprint(id, " whole ", m.runs[id])}
+	if m.chance(10) {
 		a.status, a.body = http.StatusServiceUnavailable, "failed"
 	}
-	w.answers[modelAnswerKey(id, a.status, a.body)] = true
-	work := w.delay()
+	m.answers[modelAnswerKey(id, a.status, a.body)] = true
+	work := m.delay()
 	switch {
-	case w.chance(8):
-		w.after(work, c.end)
-	case w.chance(10):
-		w.after(work, func() { c.say(a) })
-		w.after(work+w.delay(), func() { c.say(a) })
+	case m.chance(8):
+		m.after(work, c.endConnection)
+	case m.chance(10):
+		m.after(work, func() { c.receive(a) })
+		m.after(work+m.delay(), func() { c.receive(a) })
 	default:
-		w.after(work, func() { c.say(a) })
+		m.after(work, func() { c.receive(a) })
 	}
-	if w.chance(10) {
-		w.after(work+w.delay(), func() {
+	if m.chance(10) {
+		m.after(work+m.delay(), func() {
 			if !c.inUse {
-				c.end()
+				c.endConnection()
 			}
 		})
 	}
 }
 
-// exchange writes one request to the upstream and tells how it ended, once. stop breaks it off.
-func (u *modelUpstream) exchange(id string, left time.Duration, told func(forwarding.Outcome)) (stop func()) {
-	return u.exchangeOn(u.take(), id, left, told, u.world.spoilt.writeRepeated)
+// exchange sends a request to the upstream and calls done once with the outcome. stop abandons the request.
+func (u *modelUpstream) exchange(id string, left time.Duration, done func(forwarding.Outcome)) (stop func()) {
+	return u.exchangeOn(u.acquire(), id, left, done, u.cluster.defects.requestResent)
 }
 
-func (u *modelUpstream) exchangeOn(c *modelConn, id string, left time.Duration, told func(forwarding.Outcome), again bool) (stop func()) {
-	w, over := u.world, false
+func (u *modelUpstream) exchangeOn(c *modelConn, id string, left time.Duration, done func(forwarding.Outcome), retry bool) (stop func()) {
+	m, finished := u.cluster, false
 	finish := func(o forwarding.Outcome, keep bool) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if keep {
 			c.inUse, c.reader = false, nil
 		} else {
 			u.drop(c)
 		}
-		told(o)
+		done(o)
 	}
 	stop = func() {
-		finish(forwarding.IndeterminateOutcome(base.Expired, "no answer in time"), w.spoilt.lateAnswerTaken)
+		finish(forwarding.IndeterminateOutcome(base.Expired, "no answer in time"), m.defects.connectionReusedAfterTimeout)
 	}
 	c.reader = func() {
-		if a, found := c.next(id, w.spoilt.idNotCompared); found {
+		if a, found := c.nextAnswer(id, m.defects.idNotCompared); found {
 			finish(a.outcome(), true)
-		} else if c.ended && again {
-			over = true
+		} else if c.ended && retry {
+			finished = true
 			u.drop(c)
-			u.exchangeOn(u.dial(), id, left, told, false)
+			u.exchangeOn(u.dial(), id, left, done, false)
 		} else if c.ended {
 			finish(forwarding.IndeterminateOutcome(base.Lost, "the connection ended"), false)
 		}
 	}
-	w.after(w.delay(), func() { c.serve(id) })
-	w.after(left, stop)
+	m.after(m.delay(), func() { c.handleRequest(id) })
+	m.after(left, stop)
 	c.reader()
 	return stop
 }
 
-// next reads on to this request's answer. A rejection may come without an id.
-func (c *modelConn) next(id string, any bool) (modelAnswer, bool) {
+// nextAnswer reads up to this request's answer. A rejection may come without an ID.
+func (c *modelConn) nextAnswer(id string, any bool) (modelAnswer, bool) {
 	for len(c.inbox) > 0 {
 		a := c.inbox[0]
 		c.inbox = c.inbox[1:]
@@ -179,15 +181,15 @@
 	return modelAnswer{}, false
 }
 
-// outcome reads an upstream's answer as the node beside it does.
+// outcome returns the answer's outcome as a node reads it.
 func (a modelAnswer) outcome() forwarding.Outcome {
 	if a.notRun {
-		o := forwarding.NotRunOutcome(base.NewFault(base.Overloaded, "", "the upstream turned it away"))
+		o := forwarding.NotRunOutcome(base.NewFault(base.Overloaded, "", "the upstream rejected the request"))
 		o.ReachedUpstream = true
 		return o
 	}
-	told := &forwarding.Response{Status: a.status, Header: http.Header{}, Body: []byte(a.body), Size: int64(len(a.body))}
-	told.Header.Set(forwarding.DefaultHeaderNames.Seal, "sealed")
-	told.Header.Set(forwarding.DefaultHeaderNames.RequestID, a.id)
-	return forwarding.Outcome{State: forwarding.StateOf(a.status), ReachedUpstream: true, Response: told}
+	answer := &forwarding.Response{Status: a.status, Header: http.Header{}, Body: []byte(a.body), Size: int64(len(a.body))}
+	answer.Header.Set(forwarding.DefaultHeaderNames.Seal, "sealed")
+	answer.Header.Set(forwarding.DefaultHeaderNames.RequestID, a.id)
+	return forwarding.Outcome{State: forwarding.StateOf(a.status), ReachedUpstream: true, Response: answer}
 }
--- a/internal/dataplane/node_test.go
+++ b/internal/dataplane/node_test.go
@@ -12,16 +12,16 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-var _ = ginkgo.Describe("a stop", func() {
-	story("given a kept connection that is idle, when a request comes on it as the node is told to stop, then it is answered whole and the connection closes after it", func(s *stand) {
-		seeds, _, _ := s.standControllers(1, 0)
-		n := s.node(1, seeds)
-		n.control.Adopt(aConfiguration(1), true)
-		s.seat(n, 4, func(w http.ResponseWriter, _ *http.Request) {
+var _ = ginkgo.Describe("a stopping node and a client that disconnects", func() {
+	itSimulated("given an idle keep-alive connection, when a request arrives on it while the node begins to stop, then it is answered whole and the connection closes after it", func(s *testbed) {
+		seeds, _, _ := s.startControllers(1, 0)
+		n := s.startNode(1, seeds)
+		n.controlClient.Adopt(testConfiguration(1), true)
+		s.addUpstream(n, 4, func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(30 * time.Millisecond)
 			_, _ = w.Write([]byte("pages"))
 		})
-		scope := s.Scope(otherBox)
+		scope := s.Scope(clientIP)
 		conn, err := scope.Net.Dial(context.Background(), "tcp", n.params.Outward)
 		Expect(err).NotTo(HaveOccurred())
 		in := bufio.NewReader(conn)
@@ -39,21 +39,21 @@
 		time.Sleep(time.Millisecond)
 		response := ask("two")
 		Expect(response.StatusCode).To(Equal(200))
-		Expect(response.Close).To(BeTrue(), "the visitor is told to go elsewhere")
+		Expect(response.Close).To(BeTrue(), "Connection: close tells the client to reconnect elsewhere")
 	})
 
-	story("given a visitor who leaves while its request runs, when the node notices, then it never writes an empty success", func(s *stand) {
-		seeds, _, _ := s.standControllers(1, 0)
-		n := s.node(1, seeds)
-		n.control.Adopt(aConfiguration(1), true)
-		s.seat(n, 4, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Second) })
+	itSimulated("given a client that disconnects while its request runs, when the node notices, then it doesn't write an empty 200", func(s *testbed) {
+		seeds, _, _ := s.startControllers(1, 0)
+		n := s.startNode(1, seeds)
+		n.controlClient.Adopt(testConfiguration(1), true)
+		s.addUpstream(n, 4, func(http.ResponseWriter, *http.Request) { time.Sleep(2 * time.Second) })
 		ctx, leave := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://books.example/search/x", nil)
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set(forwarding.DefaultHeaderNames.RequestID, "one")
 		request.Header.Set(forwarding.DefaultHeaderNames.TimeLeft, "3000")
 		request.RequestURI = "/search/x"
-		w := &noted{header: http.Header{}}
+		w := &recordingWriter{header: http.Header{}}
 		s.Go(func() {
 			time.Sleep(200 * time.Millisecond)
 			leave()
@@ -63,11 +63,12 @@
 	})
 })
 
-type noted struct {
+// recordingWriter is a response writer that records whether anything was written.
+type recordingWriter struct {
 	header http.Header
 	wrote  bool
 }
 
-func (w *noted) Header() http.Header         { return w.header }
-func (w *noted) WriteHeader(int)             { w.wrote = true }
-func (w *noted) Write(b []byte) (int, error) { w.wrote = true; return len(b), nil }
+func (w *recordingWriter) Header() http.Header         { return w.header }
+func (w *recordingWriter) WriteHeader(int)             { w.wrote = true }
+func (w *recordingWriter) Write(b []byte) (int, error) { w.wrote = true; return len(b), nil }
