--- a/internal/replica/checker_test.go
+++ b/internal/replica/checker_test.go
@@ -13,87 +13,87 @@
 
 // checker watches a world for what must never happen.
 type checker struct {
-	world       *world
-	failure     string
-	generations map[uint64]*wire.Membership
-	newest      *wire.Membership   // of generations
-	abandoned   []*wire.Membership // first generations that were never on a majority of disks
-	chosen      map[string][]*wire.Version
-	chosenAt    map[string][]time.Duration       // when each of chosen was first known to some replica
-	versions    map[string][]byte                // value by key, term and serial
-	owners      map[string]string                // process by key and term
-	promised    map[string]map[string]*wire.Term // highest granted, by identity and generation, then by key
-	seals       map[string]bool                  // by identity and generation
-	installed   map[string]uint64                // the highest generation that an identity held durably
-	losses      []loss
+	sim              *simulation
+	failure          string
+	generations      map[uint64]*wire.Membership
+	newestMembership *wire.Membership   // of generations
+	abandoned        []*wire.Membership // first generations that were never on a majority of disks
+	chosen           map[string][]*wire.Version
+	chosenAt         map[string][]time.Duration       // when each of chosen was first known to some replica
+	versions         map[string][]byte                // value by key, term and serial
+	termOwners       map[string]string                // process by key and term
+	promised         map[string]map[string]*wire.Term // highest granted, by identity and generation, then by key
+	seals            map[string]bool                  // by identity and generation
+	installed        map[string]uint64                // the highest generation that an identity held durably
+	diskLosses       []diskLoss
 }
 
-// loss is a disk of a voter that is gone and not yet made up for.
-type loss struct {
+// diskLoss is a disk of a voter that is gone and not yet made up for.
+type diskLoss struct {
 	id         string
 	generation uint64
 }
 
-// nodeView is what was last seen of a node, to look only at what changed.
-type nodeView struct {
+// observedState is what was last seen of a node, to look only at what changed.
+type observedState struct {
 	state, durable *wire.ReplicaState
 	learned        *wire.Membership
 	chosen         map[string]*wire.Version
-	freshAt        map[string]time.Duration
+	upToDateAt     map[string]time.Duration
 }
 
-func newChecker(w *world) *checker {
+func newChecker(sim *simulation) *checker {
 	return &checker{
-		world: w, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, chosenAt: map[string][]time.Duration{}, versions: map[string][]byte{},
-		owners: map[string]string{}, promised: map[string]map[string]*wire.Term{}, seals: map[string]bool{}, installed: map[string]uint64{},
+		sim: sim, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, chosenAt: map[string][]time.Duration{}, versions: map[string][]byte{},
+		termOwners: map[string]string{}, promised: map[string]map[string]*wire.Term{}, seals: map[string]bool{}, installed: map[string]uint64{},
 	}
 }
 
 func (c *checker) fail(format string, details ...any) {
 	if c.failure == "" {
-		c.failure = fmt.Sprintf("%v: ", c.world.now) + fmt.Sprintf(format, details...)
+		c.failure = fmt.Sprintf("%v: ", c.sim.now) + fmt.Sprintf(format, details...)
 	}
 }
 
 // observe looks at a machine after each input.
 func (c *checker) observe(n *node) {
 	m := n.machine
-	if m.state != n.seen.state {
-		n.seen.state = m.state
-		c.knowSaved(n, m.state.Membership)
-		c.knowMembership(n, m.state.Next)
+	if m.state != n.observed.state {
+		n.observed.state = m.state
+		c.checkSavedMembership(n, m.state.Membership)
+		c.checkMembership(n, m.state.Next)
 	}
-	if m.durable != n.seen.durable {
-		n.seen.durable = m.durable
-		c.knowMembership(n, m.durable.Membership)
+	if m.durable != n.observed.durable {
+		n.observed.durable = m.durable
+		c.checkMembership(n, m.durable.Membership)
 	}
-	if m.learned != n.seen.learned {
-		n.seen.learned = m.learned
-		c.knowMembership(n, m.learned)
+	if m.learnedMembership != n.observed.learned {
+		n.observed.learned = m.learnedMembership
+		c.checkMembership(n, m.learnedMembership)
 	}
-	if n.seen.chosen == nil {
-		n.seen.chosen = map[string]*wire.Version{}
+	if n.observed.chosen == nil {
+		n.observed.chosen = map[string]*wire.Version{}
 	}
 	for key, version := range m.chosen {
-		if n.seen.chosen[key] != version {
-			n.seen.chosen[key] = version
-			c.knowChosen(n, key, version)
+		if n.observed.chosen[key] != version {
+			n.observed.chosen[key] = version
+			c.checkChosen(n, key, version)
 		}
 	}
-	c.observeFresh(n)
+	c.checkUpToDate(n)
 }
 
-// observeFresh demands that a replica which claims to know the newest version as of some moment has missed none that
+// checkUpToDate demands that a replica which claims to know the newest version as of some moment has missed none that
 // any replica knew to be chosen before.
-func (c *checker) observeFresh(n *node) {
-	for key, asOf := range n.machine.freshAt {
-		if seen, known := n.seen.freshAt[key]; known && seen == asOf {
+func (c *checker) checkUpToDate(n *node) {
+	for key, asOf := range n.machine.upToDateAt {
+		if seen, known := n.observed.upToDateAt[key]; known && seen == asOf {
 			continue
 		}
-		if n.seen.freshAt == nil {
-			n.seen.freshAt = map[string]time.Duration{}
+		if n.observed.upToDateAt == nil {
+			n.observed.upToDateAt = map[string]time.Duration{}
 		}
-		n.seen.freshAt[key] = asOf
+		n.observed.upToDateAt[key] = asOf
 		held := n.machine.chosen[key]
 		for i, version := range c.chosen[key] {
 			if c.chosenAt[key][i] < asOf && (held == nil || compareVersions(held, version) < 0) {
@@ -103,16 +103,16 @@
 	}
 }
 
-// knowSaved takes a membership that may not be saved, or be saved without its founder's knowledge. A first generation
+// checkSavedMembership takes a membership that may not be saved, or be saved without its founder's knowledge. A first generation
 // counts only once its founder goes by it: the founder may try again, with others.
-func (c *checker) knowSaved(n *node, membership *wire.Membership) {
+func (c *checker) checkSavedMembership(n *node, membership *wire.Membership) {
 	if membership.GetGeneration() > 1 {
-		c.knowMembership(n, membership)
+		c.checkMembership(n, membership)
 	}
 }
 
-// knowMembership demands that a generation has one membership, without a voter twice and with none too few.
-func (c *checker) knowMembership(n *node, membership *wire.Membership) {
+// checkMembership demands that a generation has one membership, without a voter twice and with none too few.
+func (c *checker) checkMembership(n *node, membership *wire.Membership) {
 	m := n.machine
 	if membership == nil {
 		return
@@ -124,13 +124,13 @@
 	if c.isAbandoned(membership) && m.state.Membership != membership {
 		return
 	}
-	if known != nil && !c.abandon(known) {
+	if known != nil && !c.tryAbandon(known) {
 		c.fail("%s knows %s, which was %s", n.address, describeIDs(membership), describeIDs(known))
 		return
 	}
 	c.generations[membership.Generation] = membership
-	if membership.Generation >= c.newest.GetGeneration() {
-		c.newest = membership
+	if membership.Generation >= c.newestMembership.GetGeneration() {
+		c.newestMembership = membership
 	}
 	c.checkVoters(membership)
 }
@@ -148,16 +148,16 @@
 		if _, known := c.installed[voter.Id]; !known {
 			c.fail("%s names %s, an identity that was on no disk", describeIDs(membership), voter.Id)
 		}
-		c.neverBack(voter.Id, membership.Generation)
+		c.checkNotReadmitted(voter.Id, membership.Generation)
 	}
 	if first := c.generations[1]; first != nil && len(membership.Voters) < len(first.Voters) {
 		c.fail("%s has fewer voters than the first", describeIDs(membership))
 	}
 }
 
-// abandon drops a first generation that no majority holds and whose founder's disk is gone: it decided nothing, and
+// tryAbandon drops a first generation that no majority holds and whose founder's disk is gone: it decided nothing, and
 // will decide nothing. Who has heard of it may remember it, but mustn't vote in it.
-func (c *checker) abandon(first *wire.Membership) bool {
+func (c *checker) tryAbandon(first *wire.Membership) bool {
 	held, founderLost := 0, false
 	for _, voter := range first.Voters {
 		lost := c.isLost(voter.Id)
@@ -182,13 +182,13 @@
 	return false
 }
 
-// neverBack demands that an identity that was replaced is no voter again.
-func (c *checker) neverBack(id string, generation uint64) {
+// checkNotReadmitted demands that an identity that was replaced is no voter again.
+func (c *checker) checkNotReadmitted(id string, generation uint64) {
 	left := false
 	for earlier := generation - 1; earlier > 0; earlier-- {
 		switch membership := c.generations[earlier]; {
 		case membership == nil:
-		case voterWith(membership, id) == nil:
+		case voterByID(membership, id) == nil:
 			left = true
 		case left:
 			c.fail("%s is a voter of generation %d again, after it was replaced", id, generation)
@@ -204,8 +204,8 @@
 	return fmt.Sprintf("generation %d of %s", membership.GetGeneration(), strings.Join(voters, " "))
 }
 
-// knowChosen demands that of two chosen versions the older is an ancestor of the newer: values are lists of changes.
-func (c *checker) knowChosen(n *node, key string, version *wire.Version) {
+// checkChosen demands that of two chosen versions the older is an ancestor of the newer: values are lists of changes.
+func (c *checker) checkChosen(n *node, key string, version *wire.Version) {
 	if key == membershipKey {
 		return
 	}
@@ -222,36 +222,36 @@
 		}
 	}
 	c.chosen[key] = append(c.chosen[key], version)
-	c.chosenAt[key] = append(c.chosenAt[key], c.world.now)
+	c.chosenAt[key] = append(c.chosenAt[key], c.sim.now)
 }
 
-// sent demands that a term and serial stand for one value, and a term for one owner's process.
-func (c *checker) sent(n *node, request *wire.ReplicaRequest) {
+// checkAccept demands that a term and serial stand for one value, and a term for one owner's process.
+func (c *checker) checkAccept(n *node, request *wire.ReplicaRequest) {
 	ask := request.GetAccept()
 	if ask == nil {
 		return
 	}
-	owner := termName(request, ask.Version.Term)
-	process := fmt.Sprintf("%s/%d", n.address, n.life)
-	if known, ok := c.owners[owner]; ok && known != process {
+	owner := termKey(request, ask.Version.Term)
+	process := fmt.Sprintf("%s/%d", n.address, n.incarnation)
+	if known, ok := c.termOwners[owner]; ok && known != process {
 		c.fail("the term %s was used by %s and %s", owner, known, process)
 	}
-	c.owners[owner] = process
+	c.termOwners[owner] = process
 	version := ask.Version
 	if ask.Base != nil {
 		base := &wire.Version{Term: ask.Base.Term, Serial: ask.Base.Serial}
-		base.Value = c.versions[versionName(request, base)]
-		version = wholeVersion(ask, base)
+		base.Value = c.versions[versionKey(request, base)]
+		version = resolveVersion(ask, base)
 	}
-	name := versionName(request, version)
+	name := versionKey(request, version)
 	if known, ok := c.versions[name]; ok && !bytes.Equal(known, version.Value) {
 		c.fail("the version %s is both %q and %q", name, known, version.Value)
 	}
 	c.versions[name] = version.Value
 }
 
-// termName names a term of a key. The register of the membership begins anew with each generation.
-func termName(request *wire.ReplicaRequest, term *wire.Term) string {
+// termKey names a term of a key. The register of the membership begins anew with each generation.
+func termKey(request *wire.ReplicaRequest, term *wire.Term) string {
 	key := request.GetAccept().Key
 	if key == membershipKey {
 		key = fmt.Sprint(key, request.Generation)
@@ -259,17 +259,17 @@
 	return fmt.Sprintf("%s/%d/%s", key, term.GetNumber(), term.GetOwner())
 }
 
-func versionName(request *wire.ReplicaRequest, version *wire.Version) string {
-	return fmt.Sprintf("%s/%d", termName(request, version.Term), version.Serial)
+func versionKey(request *wire.ReplicaRequest, version *wire.Version) string {
+	return fmt.Sprintf("%s/%d", termKey(request, version.Term), version.Serial)
 }
 
 func (c *checker) hasSealed(n *node, generation uint64) bool {
 	return c.seals[fmt.Sprintf("%s/%d", n.machine.durable.Id, generation)]
 }
 
-// answered demands of a granted vote that its giver is a voter that holds the generation durably, hasn't sealed it
+// checkReply demands of a granted vote that its giver is a voter that holds the generation durably, hasn't sealed it
 // before it was asked, and hasn't promised a higher term.
-func (c *checker) answered(call *call, reply *wire.ReplicaReply) {
+func (c *checker) checkReply(call *call, reply *wire.ReplicaReply) {
 	if reply.Standing != wire.Standing_GRANTED {
 		return
 	}
@@ -280,25 +280,25 @@
 	case *wire.ReplicaRequest_Seal:
 		c.seals[name] = true
 	case *wire.ReplicaRequest_Promise:
-		c.voted(call, reply, generation)
-		c.promise(name, ask.Promise.Key, ask.Promise.Term)
+		c.checkVote(call, reply, generation)
+		c.recordPromise(name, ask.Promise.Key, ask.Promise.Term)
 	case *wire.ReplicaRequest_Accept:
-		c.voted(call, reply, generation)
-		c.promise(name, ask.Accept.Key, ask.Accept.Version.Term)
+		c.checkVote(call, reply, generation)
+		c.recordPromise(name, ask.Accept.Key, ask.Accept.Version.Term)
 	case *wire.ReplicaRequest_Confirm:
-		c.voted(call, reply, generation)
+		c.checkVote(call, reply, generation)
 	}
 }
 
-// voted checks the right to a vote.
-func (c *checker) voted(call *call, reply *wire.ReplicaReply, generation uint64) {
+// checkVote checks the right to a vote.
+func (c *checker) checkVote(call *call, reply *wire.ReplicaReply, generation uint64) {
 	if reply.Generation != generation {
 		c.fail("%s votes in generation %d by a reply of generation %d", reply.From, generation, reply.Generation)
 	}
 	if call.sealed {
 		c.fail("%s votes in generation %d, which it has sealed", reply.From, generation)
 	}
-	if voterWith(c.generations[generation], reply.From) == nil {
+	if voterByID(c.generations[generation], reply.From) == nil {
 		c.fail("%s votes in %s", reply.From, describeIDs(c.generations[generation]))
 	}
 	// An identity that has been resigned meanwhile is no longer on the disk.
@@ -307,18 +307,18 @@
 	}
 }
 
-// promise remembers the highest term that was granted.
-func (c *checker) promise(name, key string, term *wire.Term) {
+// recordPromise remembers the highest term that was granted.
+func (c *checker) recordPromise(name, key string, term *wire.Term) {
 	if c.promised[name] == nil {
 		c.promised[name] = map[string]*wire.Term{}
 	}
-	c.promised[name][key] = higher(c.promised[name][key], term)
+	c.promised[name][key] = higherTerm(c.promised[name][key], term)
 }
 
-// wrote demands that a disk holds every promise that was told in the same generation.
-func (c *checker) wrote(n *node, state *wire.ReplicaState) {
+// checkWrite demands that a disk holds every promise that was told in the same generation.
+func (c *checker) checkWrite(n *node, state *wire.ReplicaState) {
 	generation := state.Membership.GetGeneration()
-	c.knowSaved(n, state.Membership)
+	c.checkSavedMembership(n, state.Membership)
 	c.checkMembershipRegister(n, state)
 	c.installed[state.Id] = max(c.installed[state.Id], generation)
 	for key, term := range c.promised[fmt.Sprintf("%s/%d", state.Id, generation)] {
@@ -340,32 +340,32 @@
 	}
 }
 
-// lostDisk counts a disk whose voter is gone.
-func (c *checker) lostDisk(n *node) {
-	if id := n.diskState().GetId(); id != "" && c.counts(id) {
-		c.losses = append(c.losses, loss{id, c.newest.GetGeneration()})
+// recordDiskLoss counts a disk whose voter is gone.
+func (c *checker) recordDiskLoss(n *node) {
+	if id := n.diskState().GetId(); id != "" && c.isActiveVoter(id) {
+		c.diskLosses = append(c.diskLosses, diskLoss{id, c.newestMembership.GetGeneration()})
 	}
 }
 
-// counts says whether an identity is a voter of the newest generation, or of an earlier one that isn't over.
-func (c *checker) counts(id string) bool {
-	if c.newest == nil {
+// isActiveVoter says whether an identity is a voter of the newest generation, or of an earlier one that isn't over.
+func (c *checker) isActiveVoter(id string) bool {
+	if c.newestMembership == nil {
 		return true
 	}
-	for generation := c.newest.Generation; generation > 0; generation-- {
+	for generation := c.newestMembership.Generation; generation > 0; generation-- {
 		membership := c.generations[generation]
-		if voterWith(membership, id) != nil {
+		if voterByID(membership, id) != nil {
 			return true
 		}
-		if membership != nil && c.complete(membership) {
+		if membership != nil && c.isFullyInstalled(membership) {
 			return false
 		}
 	}
 	return false
 }
 
-// complete says whether every voter of a membership holds it durably, but for those whose disks are gone.
-func (c *checker) complete(membership *wire.Membership) bool {
+// isFullyInstalled says whether every voter of a membership holds it durably, but for those whose disks are gone.
+func (c *checker) isFullyInstalled(membership *wire.Membership) bool {
 	for _, voter := range membership.Voters {
 		if c.installed[voter.Id] < membership.Generation && !c.isLost(voter.Id) {
 			return false
@@ -375,7 +375,7 @@
 }
 
 func (c *checker) isLost(id string) bool {
-	for _, each := range c.losses {
+	for _, each := range c.diskLosses {
 		if each.id == id {
 			return true
 		}
@@ -383,13 +383,13 @@
 	return false
 }
 
-// outstanding counts the voters whose disks are gone and that no later generation has made up for.
-func (c *checker) outstanding() int {
+// unrepairedLosses counts the voters whose disks are gone and that no later generation has made up for.
+func (c *checker) unrepairedLosses() int {
 	count := 0
-	for _, each := range c.losses {
+	for _, each := range c.diskLosses {
 		madeUp := false
 		for generation, membership := range c.generations {
-			madeUp = madeUp || generation >= each.generation && voterWith(membership, each.id) == nil && c.complete(membership)
+			madeUp = madeUp || generation >= each.generation && voterByID(membership, each.id) == nil && c.isFullyInstalled(membership)
 		}
 		if !madeUp {
 			count++
@@ -398,15 +398,15 @@
 	return count
 }
 
-// tolerates says whether one more disk may be lost: by the smallest generation that isn't over.
-func (c *checker) tolerates() bool {
-	voters := len(c.newest.Voters)
-	for generation := c.newest.Generation; generation > 0; generation-- {
+// toleratesDiskLoss says whether one more disk may be lost: by the smallest generation that isn't over.
+func (c *checker) toleratesDiskLoss() bool {
+	voters := len(c.newestMembership.Voters)
+	for generation := c.newestMembership.Generation; generation > 0; generation-- {
 		membership := c.generations[generation]
 		voters = min(voters, len(membership.GetVoters()))
-		if membership != nil && c.complete(membership) {
+		if membership != nil && c.isFullyInstalled(membership) {
 			break
 		}
 	}
-	return c.outstanding() < (voters-1)/2
+	return c.unrepairedLosses() < (voters-1)/2
 }
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -5,27 +5,27 @@
 	"curlewreach/proto/wire"
 )
 
-// deltaRatio is the largest delta worth sending, as a share of the whole value.
-const deltaRatio = 0.5
+// maxDeltaRatio is the largest delta worth sending, as a share of the whole value.
+const maxDeltaRatio = 0.5
 
-func acceptAsk(ask *wire.AcceptAsk) *wire.ReplicaRequest {
+func newAcceptRequest(ask *wire.AcceptAsk) *wire.ReplicaRequest {
 	return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Accept{Accept: ask}}
 }
 
-// deltaAsk tells a version by its difference to the one before it, or is nil where that doesn't pay.
-func deltaAsk(key string, version, before *wire.Version) *wire.AcceptAsk {
-	if before == nil {
+// newDeltaAsk tells a version by its difference to the one before it, or is nil where that doesn't pay.
+func newDeltaAsk(key string, version, previous *wire.Version) *wire.AcceptAsk {
+	if previous == nil {
 		return nil
 	}
-	delta := bytedelta.Encode(before.Value, version.Value)
-	if float64(len(delta)) > deltaRatio*float64(len(version.Value)) {
+	delta := bytedelta.Encode(previous.Value, version.Value)
+	if float64(len(delta)) > maxDeltaRatio*float64(len(version.Value)) {
 		return nil
 	}
-	return &wire.AcceptAsk{Key: key, Version: withoutValue(version), Base: withoutValue(before), Delta: delta}
+	return &wire.AcceptAsk{Key: key, Version: withoutValue(version), Base: withoutValue(previous), Delta: delta}
 }
 
-// wholeVersion gives the version that is to be accepted, or nil if the one that its delta starts from isn't held.
-func wholeVersion(ask *wire.AcceptAsk, held *wire.Version) *wire.Version {
+// resolveVersion gives the version that is to be accepted, or nil if the one that its delta starts from isn't held.
+func resolveVersion(ask *wire.AcceptAsk, held *wire.Version) *wire.Version {
 	if ask.Base == nil {
 		return ask.Version
 	}
--- a/internal/replica/delta_test.go
+++ b/internal/replica/delta_test.go
@@ -11,8 +11,8 @@
 )
 
 // What is sent for a change grows with the change, not with the value.
-func TestAcceptIsSentAsDifference(t *testing.T) {
-	const valueBytes, changeBytes, mostSent = 250_000, 200, 600
+func TestAcceptIsSentAsDelta(t *testing.T) {
+	const valueBytes, changeBytes, maxSentBytes = 250_000, 200, 600
 	random := rand.New(rand.NewPCG(1, 1))
 	old := make([]byte, valueBytes)
 	for i := range old {
@@ -22,19 +22,19 @@
 	for i := range changeBytes {
 		changed[valueBytes/2+i] ^= 0x55
 	}
-	before := &wire.Version{Term: &wire.Term{Number: 3, Owner: "a"}, Serial: 7, Value: old}
-	version := &wire.Version{Term: before.Term, Serial: 8, Value: changed}
-	ask := deltaAsk("k", version, before)
-	if size := proto.Size(ask); size > mostSent {
+	previous := &wire.Version{Term: &wire.Term{Number: 3, Owner: "a"}, Serial: 7, Value: old}
+	version := &wire.Version{Term: previous.Term, Serial: 8, Value: changed}
+	ask := newDeltaAsk("k", version, previous)
+	if size := proto.Size(ask); size > maxSentBytes {
 		t.Fatalf("%d bytes for a change of %d", size, changeBytes)
 	} else {
 		t.Logf("%d bytes for a change of %d in %d", size, changeBytes, valueBytes)
 	}
-	if got := wholeVersion(ask, before); !proto.Equal(got, version) {
+	if got := resolveVersion(ask, previous); !proto.Equal(got, version) {
 		t.Fatal("the difference gives another value")
 	}
-	other := &wire.Version{Term: before.Term, Serial: 6, Value: old}
-	if wholeVersion(ask, other) != nil || wholeVersion(ask, nil) != nil {
+	other := &wire.Version{Term: previous.Term, Serial: 6, Value: old}
+	if resolveVersion(ask, other) != nil || resolveVersion(ask, nil) != nil {
 		t.Fatal("a difference to another version was applied")
 	}
 }
--- a/internal/replica/exhaustive_test.go
+++ b/internal/replica/exhaustive_test.go
@@ -12,17 +12,17 @@
 	"curlewreach/proto/wire"
 )
 
-// smallCase is a system of three voters and a learner that knows all, and what befalls it.
-type smallCase struct {
+// explorationCase is a system of three voters and a learner that knows all, and what befalls it.
+type explorationCase struct {
 	name string
-	// moves may happen at any moment, each once, in this order.
-	moves []move
-	// passed is how often in a run a younger event may come before the oldest.
-	passed int
+	// actions may happen at any moment, each once, in this order.
+	actions []explorationAction
+	// reorderings is how often in a run a younger event may come before the oldest.
+	reorderings int
 }
 
-// move is one thing that happens in a small case.
-type move struct {
+// explorationAction is one thing that happens in a small case.
+type explorationAction struct {
 	name string
 	run  func(x *exploration)
 }
@@ -30,191 +30,191 @@
 // exploration is one run of a small case: which of the pending messages and saves, or the next move, comes next is
 // chosen from outside. No time passes.
 type exploration struct {
-	world     *world
-	history   *history
-	operators [2]*operator
-	moves     []move
-	past      map[string]uint64 // hash of what each node was handed
-	passed    int               // how often an event was passed over
+	sim         *simulation
+	history     *history
+	clients     [2]*client
+	actions     []explorationAction
+	inputHash   map[string]uint64 // hash of what each node was handed
+	reorderings int               // how often an event was passed over
 }
 
-func explore(c smallCase) *exploration {
-	w := newWorld(1, "a", "b", "c")
-	w.exploring, w.now = true, time.Minute
-	x := &exploration{world: w, history: &history{world: w}, moves: c.moves, past: map[string]uint64{}}
-	for i := range x.operators {
-		x.operators[i] = &operator{known: map[string]string{}}
+func newExploration(c explorationCase) *exploration {
+	sim := newSimulation(1, "a", "b", "c")
+	sim.exploring, sim.now = true, time.Minute
+	x := &exploration{sim: sim, history: &history{sim: sim}, actions: c.actions, inputHash: map[string]uint64{}}
+	for i := range x.clients {
+		x.clients[i] = &client{known: map[string]string{}}
 	}
-	membership := generationOf(1, "a", "b", "c")
+	membership := newMembership(1, "a", "b", "c")
 	for _, address := range []string{"a", "b", "c", "d"} {
-		n := &node{world: w, address: address}
-		w.nodes[address] = n
-		w.names = append(w.names, address)
+		n := &node{sim: sim, address: address}
+		sim.nodes[address] = n
+		sim.names = append(sim.names, address)
 		n.write(&wire.ReplicaState{Id: address})
 	}
 	for _, address := range []string{"a", "b", "c"} {
-		w.nodes[address].write(&wire.ReplicaState{Id: address, Membership: membership})
+		sim.nodes[address].write(&wire.ReplicaState{Id: address, Membership: membership})
 	}
-	for _, address := range w.names {
-		x.place(address)
+	for _, address := range sim.names {
+		x.startMachine(address)
 	}
-	w.nodes["d"].input(w.nodes["d"].life, func() { w.nodes["d"].machine.learn(membership) })
+	sim.nodes["d"].input(sim.nodes["d"].incarnation, func() { sim.nodes["d"].machine.learnMembership(membership) })
 	return x
 }
 
-// place runs a machine without a clock.
-func (x *exploration) place(address string) {
-	w := x.world
-	n := w.nodes[address]
-	n.life++
-	n.seen = nodeView{}
+// startMachine runs a machine without a clock.
+func (x *exploration) startMachine(address string) {
+	sim := x.sim
+	n := sim.nodes[address]
+	n.incarnation++
+	n.observed = observedState{}
 	n.machine = NewMachine(Settings{
-		Address: address, Seeds: []string{"a", "b", "c"}, Watch: simWatch, Silence: simSilence, Patience: simPatience,
-		FoundingWait: simFoundingWait, NewID: w.newID,
-	}, n.diskState(), w.now)
+		Address: address, Seeds: []string{"a", "b", "c"}, StatusInterval: simStatusInterval, VoterTimeout: simVoterTimeout, RecommitAfter: simRecommitAfter,
+		BootstrapWait: simBootstrapWait, NewID: sim.newID,
+	}, n.diskState(), sim.now)
 	n.flush()
 }
 
-// replace has an address begin to choose the generation in which a learner takes the place of a voter.
-func (x *exploration) replace(by, voter string, newcomer *wire.Replica) {
-	n := x.world.nodes[by]
+// beginReplacement has an address begin to choose the generation in which a learner takes the place of a voter.
+func (x *exploration) beginReplacement(by, voter string, newcomer *wire.Replica) {
+	n := x.sim.nodes[by]
 	if n.machine == nil {
 		return
 	}
-	n.input(n.life, func() {
+	n.input(n.incarnation, func() {
 		m := n.machine
-		if m.votes() && m.generation() == 1 {
-			m.learners[newcomer.Id] = &learner{address: newcomer.Address, heard: m.now, caughtUp: true, verified: true}
-			m.heard[voter] = -time.Hour
-			m.steadySince = -time.Hour
-			m.chooseNext()
-			m.drain()
+		if m.isVoter() && m.generation() == 1 {
+			m.learners[newcomer.Id] = &learner{address: newcomer.Address, lastHeard: m.now, caughtUp: true, verified: true}
+			m.lastHeard[voter] = -time.Hour
+			m.uninterruptedSince = -time.Hour
+			m.proposeNextMembership()
+			m.runDeferred()
 		}
 	})
 }
 
-func changeAt(operator int, address string) move {
-	return move{"change at " + address, func(x *exploration) { x.history.change(x.operators[operator], address, "k", false) }}
+func changeAction(client int, address string) explorationAction {
+	return explorationAction{"change at " + address, func(x *exploration) { x.history.change(x.clients[client], address, "k", false) }}
 }
 
-func replaceBy(by string) move {
-	return move{by + " replaces c", func(x *exploration) { x.replace(by, "c", &wire.Replica{Id: "d", Address: "d"}) }}
+func replaceAction(by string) explorationAction {
+	return explorationAction{by + " replaces c", func(x *exploration) { x.beginReplacement(by, "c", &wire.Replica{Id: "d", Address: "d"}) }}
 }
 
-func restartOf(address string) move {
-	return move{"crash and restart of " + address, func(x *exploration) {
-		x.world.crash(address, false)
-		x.place(address)
+func restartAction(address string) explorationAction {
+	return explorationAction{"crash and restart of " + address, func(x *exploration) {
+		x.sim.crash(address, false)
+		x.startMachine(address)
 	}}
 }
 
-func cutOff(address string) move {
-	return move{"cut around " + address, func(x *exploration) { x.world.isolate(address, "a", "b", "c", "d") }}
+func isolateAction(address string) explorationAction {
+	return explorationAction{"cut around " + address, func(x *exploration) { x.sim.isolate(address, "a", "b", "c", "d") }}
 }
 
-func healed(address string) move {
-	return move{"end of the cut", func(x *exploration) { x.world.reunite(address, "a", "b", "c", "d") }}
+func reconnectAction(address string) explorationAction {
+	return explorationAction{"end of the cut", func(x *exploration) { x.sim.reconnect(address, "a", "b", "c", "d") }}
 }
 
-func wipeOf(address string) move {
-	return move{"wipe of " + address, func(x *exploration) {
-		x.world.wipe(address)
-		x.place(address)
+func wipeAction(address string) explorationAction {
+	return explorationAction{"wipe of " + address, func(x *exploration) {
+		x.sim.wipe(address)
+		x.startMachine(address)
 	}}
 }
 
-func replaceWiped(by, address string) move {
-	return move{by + " replaces what was wiped", func(x *exploration) {
-		x.replace(by, address, &wire.Replica{Id: x.world.nodes[address].machine.state.Id, Address: address})
+func replaceWipedAction(by, address string) explorationAction {
+	return explorationAction{by + " replaces what was wiped", func(x *exploration) {
+		x.beginReplacement(by, address, &wire.Replica{Id: x.sim.nodes[address].machine.state.Id, Address: address})
 	}}
 }
 
-func readAt(operator int, address string) move {
-	return move{"read at " + address, func(x *exploration) { x.history.read(x.operators[operator], address, "k", false) }}
+func readAction(client int, address string) explorationAction {
+	return explorationAction{"read at " + address, func(x *exploration) { x.history.read(x.clients[client], address, "k", false) }}
 }
 
-var smallCases = []smallCase{
-	{name: "two changes", moves: []move{changeAt(0, "a"), changeAt(1, "b")}, passed: 1},
-	{name: "two changes and a cut", moves: []move{changeAt(0, "a"), cutOff("a"), changeAt(1, "b")}},
-	{name: "two changes and a restart", moves: []move{changeAt(0, "a"), restartOf("b"), changeAt(1, "b")}},
-	{name: "a replacement between two changes", moves: []move{changeAt(0, "a"), replaceBy("b"), changeAt(1, "b")}},
-	{name: "a change between two coordinators", moves: []move{replaceBy("a"), changeAt(0, "c"), replaceBy("b")}},
-	{name: "a change and the replacement of a wiped disk", moves: []move{changeAt(0, "a"), wipeOf("c"), replaceWiped("a", "c")}},
-	{name: "a replacement with a cut", moves: []move{changeAt(0, "a"), replaceBy("b"), cutOff("c")}},
+var defaultCases = []explorationCase{
+	{name: "two changes", actions: []explorationAction{changeAction(0, "a"), changeAction(1, "b")}, reorderings: 1},
+	{name: "two changes and a cut", actions: []explorationAction{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b")}},
+	{name: "two changes and a restart", actions: []explorationAction{changeAction(0, "a"), restartAction("b"), changeAction(1, "b")}},
+	{name: "a replacement between two changes", actions: []explorationAction{changeAction(0, "a"), replaceAction("b"), changeAction(1, "b")}},
+	{name: "a change between two coordinators", actions: []explorationAction{replaceAction("a"), changeAction(0, "c"), replaceAction("b")}},
+	{name: "a change and the replacement of a wiped disk", actions: []explorationAction{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c")}},
+	{name: "a replacement with a cut", actions: []explorationAction{changeAction(0, "a"), replaceAction("b"), isolateAction("c")}},
 }
 
 // largeCases take minutes; LARGE asks for them.
-var largeCases = []smallCase{
-	{name: "two changes, a cut that ends, a read", moves: []move{changeAt(0, "a"), cutOff("a"), changeAt(1, "b"), healed("a"), readAt(0, "a")}},
-	{name: "two coordinators, a change and a read", moves: []move{changeAt(0, "c"), replaceBy("a"), replaceBy("b"), readAt(1, "a")}},
-	{name: "two changes, a wipe and its replacement", moves: []move{changeAt(0, "a"), wipeOf("c"), replaceWiped("a", "c"), changeAt(1, "b")}},
+var largeCases = []explorationCase{
+	{name: "two changes, a cut that ends, a read", actions: []explorationAction{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b"), reconnectAction("a"), readAction(0, "a")}},
+	{name: "two coordinators, a change and a read", actions: []explorationAction{changeAction(0, "c"), replaceAction("a"), replaceAction("b"), readAction(1, "a")}},
+	{name: "two changes, a wipe and its replacement", actions: []explorationAction{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c"), changeAction(1, "b")}},
 }
 
 // pending lists the events that may come next, the oldest first.
 func (x *exploration) pending() []int {
 	var found []int
-	for i, each := range x.world.events {
-		if each.label != "" {
+	for i, each := range x.sim.events {
+		if each.id != "" {
 			found = append(found, i)
 		}
 	}
-	slices.SortFunc(found, func(i, j int) int { return cmp.Compare(x.world.events[i].order, x.world.events[j].order) })
+	slices.SortFunc(found, func(i, j int) int { return cmp.Compare(x.sim.events[i].order, x.sim.events[j].order) })
 	return found
 }
 
 // take runs option number choice: a pending event, or after them the next move.
 func (x *exploration) take(choice int) {
-	w := x.world
+	sim := x.sim
 	pending := x.pending()
 	if choice == len(pending) {
-		next := x.moves[0]
-		x.moves = x.moves[1:]
-		for _, name := range w.names {
-			x.note(name, next.name)
+		next := x.actions[0]
+		x.actions = x.actions[1:]
+		for _, name := range sim.names {
+			x.recordInput(name, next.name)
 		}
 		next.run(x)
 		return
 	}
 	if choice > 0 {
-		x.passed++
+		x.reorderings++
 	}
-	chosen := w.events[pending[choice]]
-	w.events = slices.Delete(w.events, pending[choice], pending[choice]+1)
-	x.note(chosen.node, chosen.label)
+	chosen := sim.events[pending[choice]]
+	sim.events = slices.Delete(sim.events, pending[choice], pending[choice]+1)
+	x.recordInput(chosen.node, chosen.id)
 	chosen.run()
 }
 
-// note adds to what a node was handed. Machines are deterministic, so equal pasts are equal states.
-func (x *exploration) note(node, label string) {
+// recordInput adds to what a node was handed. Machines are deterministic, so equal pasts are equal states.
+func (x *exploration) recordInput(node, label string) {
 	hash := fnv.New64a()
-	fmt.Fprintf(hash, "%d %s", x.past[node], label)
-	x.past[node] = hash.Sum64()
+	fmt.Fprintf(hash, "%d %s", x.inputHash[node], label)
+	x.inputHash[node] = hash.Sum64()
 }
 
-// state names where a run stands: what each node was handed, what is pending, and what may yet be passed over.
-func (x *exploration) state() string {
+// fingerprint names where a run stands: what each node was handed, what is pending, and what may yet be passed over.
+func (x *exploration) fingerprint() string {
 	var parts []string
-	for _, name := range x.world.names {
-		parts = append(parts, fmt.Sprint(x.past[name]))
+	for _, name := range x.sim.names {
+		parts = append(parts, fmt.Sprint(x.inputHash[name]))
 	}
 	for _, i := range x.pending() {
-		parts = append(parts, x.world.events[i].label)
+		parts = append(parts, x.sim.events[i].id)
 	}
-	return fmt.Sprint(parts, len(x.moves), x.passed)
+	return fmt.Sprint(parts, len(x.actions), x.reorderings)
 }
 
 // search visits every state of a case, by replay of the choices that lead there.
 type search struct {
-	problem string
-	small   smallCase
-	seen    map[uint64]bool
-	ends    int
-	replays int
+	problem     string
+	subject     explorationCase
+	seen        map[uint64]bool
+	finalStates int
+	replays     int
 }
 
 func (s *search) replay(path []int) *exploration {
 	s.replays++
-	x := explore(s.small)
+	x := newExploration(s.subject)
 	for _, choice := range path {
 		x.take(choice)
 	}
@@ -224,20 +224,20 @@
 // visit goes on from a run that stands at the end of a path.
 func (s *search) visit(x *exploration, path []int) {
 	for s.problem == "" {
-		if x.world.check.failure != "" {
-			s.problem = fmt.Sprintf("%s\npath %v", x.world.check.failure, path)
+		if x.sim.check.failure != "" {
+			s.problem = fmt.Sprintf("%s\npath %v", x.sim.check.failure, path)
 			return
 		}
 		hash := fnv.New64a()
-		hash.Write([]byte(x.state()))
+		hash.Write([]byte(x.fingerprint()))
 		if s.seen[hash.Sum64()] {
 			return
 		}
 		s.seen[hash.Sum64()] = true
 		options := s.options(x)
 		if len(options) == 0 {
-			s.ends++
-			if wrong := x.history.judge(); wrong != "" {
+			s.finalStates++
+			if wrong := x.history.checkLinearizable(); wrong != "" {
 				s.problem = fmt.Sprintf("%s\npath %v", wrong, path)
 			}
 			return
@@ -255,11 +255,11 @@
 	pending := len(x.pending())
 	var options []int
 	for choice := range pending {
-		if choice == 0 || x.passed < s.small.passed {
+		if choice == 0 || x.reorderings < s.subject.reorderings {
 			options = append(options, choice)
 		}
 	}
-	if len(x.moves) > 0 {
+	if len(x.actions) > 0 {
 		options = append(options, pending)
 	}
 	return options
@@ -267,19 +267,19 @@
 
 // TestSmallCasesExhaustively visits all states of the small cases; PASSED lets the order be broken more often.
 func TestSmallCasesExhaustively(t *testing.T) {
-	cases := smallCases
-	if numberFrom(t, "LARGE", 0) > 0 {
-		cases = slices.Concat(smallCases, largeCases)
+	cases := defaultCases
+	if intFromEnv(t, "LARGE", 0) > 0 {
+		cases = slices.Concat(defaultCases, largeCases)
 	}
 	total := 0
 	for _, each := range cases {
-		each.passed += numberFrom(t, "PASSED", 0)
-		s := &search{small: each, seen: map[uint64]bool{}}
+		each.reorderings += intFromEnv(t, "PASSED", 0)
+		s := &search{subject: each, seen: map[uint64]bool{}}
 		s.visit(s.replay(nil), nil)
 		if s.problem != "" {
 			t.Errorf("%s: %s", each.name, strings.ReplaceAll(s.problem, "\n", "\n\t"))
 		}
-		t.Logf("%s, order broken %d times: %d states, %d ends, %d runs", each.name, each.passed, len(s.seen), s.ends, s.replays)
+		t.Logf("%s, order broken %d times: %d states, %d ends, %d runs", each.name, each.reorderings, len(s.seen), s.finalStates, s.replays)
 		total += len(s.seen)
 	}
 	t.Logf("%d states", total)
--- a/internal/replica/generation.go
+++ b/internal/replica/generation.go
@@ -14,67 +14,67 @@
 const (
 	// membershipKey is the register whose chosen value is the next generation.
 	membershipKey = "membership"
-	// learnerRounds is how many status rounds a learner may miss before it is forgotten.
-	learnerRounds = 4
-	// retryRounds is how many status rounds a change of the membership may stand still before another voter goes on with it.
-	retryRounds = 2
+	// learnerTimeoutRounds is how many status rounds a learner may miss before it is forgotten.
+	learnerTimeoutRounds = 4
+	// reconfigRetryRounds is how many status rounds a change of the membership may stand still before another voter goes on with it.
+	reconfigRetryRounds = 2
 )
 
 // learner is a replica without a vote that wants one.
 type learner struct {
-	address  string
-	heard    time.Duration
-	caughtUp bool
-	leaving  bool
-	verified bool // it has answered under its identity, so that its questions weren't late ones of a lost disk
+	address   string
+	lastHeard time.Duration
+	caughtUp  bool
+	leaving   bool
+	verified  bool // it has answered under its identity, so that its questions weren't late ones of a lost disk
 }
 
 // reconfiguration is this replica's work on the next generation.
 type reconfiguration struct {
-	since   time.Duration // since when a change has been due; 0: none is
-	started time.Duration
-	running bool
+	dueSince   time.Duration // since when a change has been due; 0: none is
+	lastStep   time.Duration
+	inProgress bool
 }
 
-// pause is how long to leave the last step alone before the next.
-func (w *reconfiguration) pause(watch time.Duration) time.Duration {
-	if w.running {
-		return retryRounds * watch
+// minStepInterval is how long to leave the last step alone before the next.
+func (r *reconfiguration) minStepInterval(statusInterval time.Duration) time.Duration {
+	if r.inProgress {
+		return reconfigRetryRounds * statusInterval
 	}
-	return watch / 2
+	return statusInterval / 2
 }
 
 // observeLearner remembers a replica that has no vote.
-func (m *Machine) observeLearner(ask *wire.ReplicaRequest, question *wire.StatusAsk) {
+func (m *Machine) observeLearner(request *wire.ReplicaRequest, ask *wire.StatusAsk) {
 	for id, each := range m.learners {
-		if each.address == ask.Address && id != ask.From {
+		if each.address == request.Address && id != request.From {
 			delete(m.learners, id)
 		}
 	}
-	known := m.learners[ask.From]
-	verified := known != nil && known.address == ask.Address && known.verified
-	m.learners[ask.From] = &learner{
-		address: ask.Address, heard: m.now, caughtUp: question.CaughtUp, leaving: question.Leaving, verified: verified,
+	known := m.learners[request.From]
+	verified := known != nil && known.address == request.Address && known.verified
+	m.learners[request.From] = &learner{
+		address: request.Address, lastHeard: m.now, caughtUp: ask.CaughtUp, leaving: ask.Leaving, verified: verified,
 	}
 	if !verified {
-		m.verifyLearner(ask.From, ask.Address)
+		m.verifyLearner(request.From, request.Address)
 	}
 }
 
 // verifyLearner asks back, for a short answer that tells who is at the address.
 func (m *Machine) verifyLearner(id, address string) {
-	question := &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{}}}
-	m.send(address, question, func(reply *wire.ReplicaReply) {
+	request := &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{}}}
+	m.send(address, request, func(reply *wire.ReplicaReply) {
 		if each := m.learners[id]; each != nil && each.address == address && reply.GetFrom() == id {
 			each.verified = true
 		}
 	})
 }
 
-// forgetLearners drops replicas without a vote that have been silent for long.
-func (m *Machine) forgetLearners() {
+// expireLearners drops replicas without a vote that have been silent for long.
+func (m *Machine) expireLearners() {
 	for id, each := range m.learners {
-		if m.now-max(each.heard, m.steadySince) > learnerRounds*m.settings.Watch {
+		if m.now-max(each.lastHeard, m.uninterruptedSince) > learnerTimeoutRounds*m.settings.StatusInterval {
 			delete(m.learners, id)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // caughtUp says whether this disk holds this identity and the newest versions known to be chosen.
 func (m *Machine) caughtUp() bool {
-	if !m.confirmed || m.durable.Id != m.state.Id {
+	if !m.heardMajority || m.durable.Id != m.state.Id {
 		return false
 	}
 	for key, version := range m.chosen {
@@ -98,36 +98,36 @@
 // A learner takes the place of a voter at its own address (whose disk is gone), of one that leaves, or of one
 // that has been silent for long; it becomes a further voter where there are fewer than wanted.
 func (m *Machine) nextMembership() *wire.Membership {
-	present := m.state.Membership
-	voters := slices.Clone(present.Voters)
+	current := m.state.Membership
+	voters := slices.Clone(current.Voters)
 	for _, id := range m.readyLearners() {
-		voters = m.admit(voters, &wire.Replica{Id: id, Address: m.learners[id].address}, present)
+		voters = m.admit(voters, &wire.Replica{Id: id, Address: m.learners[id].address}, current)
 	}
-	if sameVoters(voters, present.Voters) {
+	if sameVoters(voters, current.Voters) {
 		return nil
 	}
 	slices.SortFunc(voters, func(a, b *wire.Replica) int { return cmp.Compare(a.Id, b.Id) })
-	return &wire.Membership{Generation: present.Generation + 1, Voters: voters, Target: present.Target}
+	return &wire.Membership{Generation: current.Generation + 1, Voters: voters, Target: current.Target}
 }
 
 // readyLearners lists, sorted, the learners that have caught up and may take a place.
 func (m *Machine) readyLearners() []string {
 	ready := slices.DeleteFunc(slices.Sorted(maps.Keys(m.learners)), func(id string) bool {
 		each := m.learners[id]
-		return !each.verified || !each.caughtUp || each.leaving || voterWith(m.state.Membership, id) != nil
+		return !each.verified || !each.caughtUp || each.leaving || voterByID(m.state.Membership, id) != nil
 	})
 	return ready
 }
 
 // admit gives a newcomer the place of the voter at its own address; else one beside the others while they are too few;
 // else that of the one that may best be spared, if any.
-func (m *Machine) admit(voters []*wire.Replica, newcomer *wire.Replica, present *wire.Membership) []*wire.Replica {
+func (m *Machine) admit(voters []*wire.Replica, newcomer *wire.Replica, current *wire.Membership) []*wire.Replica {
 	at := slices.IndexFunc(voters, func(voter *wire.Replica) bool { return voter.Address == newcomer.Address })
-	if at < 0 && len(voters) < int(present.Target) {
+	if at < 0 && len(voters) < int(current.Target) {
 		return append(voters, newcomer)
 	}
 	if at < 0 {
-		at = m.dispensable(voters, present)
+		at = m.replaceableVoter(voters, current)
 	}
 	if at >= 0 {
 		voters[at] = newcomer
@@ -135,11 +135,11 @@
 	return voters
 }
 
-// dispensable finds a voter that leaves, or else the one that has been silent longest beyond the bound.
-func (m *Machine) dispensable(voters []*wire.Replica, present *wire.Membership) int {
-	found, longest := -1, m.settings.Silence
+// replaceableVoter finds a voter that leaves, or else the one that has been silent longest beyond the bound.
+func (m *Machine) replaceableVoter(voters []*wire.Replica, current *wire.Membership) int {
+	found, longest := -1, m.settings.VoterTimeout
 	for i, voter := range voters {
-		if voterWith(present, voter.Id) == nil {
+		if voterByID(current, voter.Id) == nil {
 			continue // it has just been admitted
 		}
 		if voter.Id == m.state.Id {
@@ -148,7 +148,7 @@
 			}
 			continue
 		}
-		if silence := m.silence(voter.Id); silence >= longest {
+		if silence := m.sinceHeard(voter.Id); silence >= longest {
 			found, longest = i, silence
 		}
 	}
@@ -161,57 +161,57 @@
 
 // reconfigure begins, or goes on with, a change of the membership.
 func (m *Machine) reconfigure() {
-	if !m.votes() {
-		m.finishLeaving()
+	if !m.isVoter() {
+		m.completeLeave()
 		return
 	}
-	work := &m.reconfig
-	if m.now-work.started < work.pause(m.settings.Watch) {
+	reconfig := &m.reconfig
+	if m.now-reconfig.lastStep < reconfig.minStepInterval(m.settings.StatusInterval) {
 		return
 	}
-	work.running = false
+	reconfig.inProgress = false
 	due := m.state.Next != nil || m.register(membershipKey).Accepted != nil || m.nextMembership() != nil
 	if !due {
-		work.since = 0
-		m.finishLeaving()
+		reconfig.dueSince = 0
+		m.completeLeave()
 		return
 	}
-	if work.since == 0 {
-		work.since = m.now
+	if reconfig.dueSince == 0 {
+		reconfig.dueSince = m.now
 	}
-	if !m.leaving && m.now-work.since < m.backoff() {
+	if !m.leaving && m.now-reconfig.dueSince < m.rankDelay() {
 		return
 	}
-	work.running, work.started, work.since = true, m.now, m.now
+	reconfig.inProgress, reconfig.lastStep, reconfig.dueSince = true, m.now, m.now
 	if m.state.Next != nil {
 		m.sealAll(m.state.Next)
 		return
 	}
-	m.chooseNext()
+	m.proposeNextMembership()
 }
 
-// chooseNext has the next generation chosen by a majority of the present one, then carries it out.
-func (m *Machine) chooseNext() {
+// proposeNextMembership has the next generation chosen by a majority of the present one, then carries it out.
+func (m *Machine) proposeNextMembership() {
 	generation := m.generation()
-	wanted := m.nextMembership()
+	proposed := m.nextMembership()
 	m.enqueue(membershipKey, &task{
 		change: func(old []byte) ([]byte, error) {
-			if len(old) > 0 || wanted == nil {
+			if len(old) > 0 || proposed == nil {
 				return nil, nil
 			}
-			return proto.MarshalOptions{Deterministic: true}.Marshal(wanted)
+			return proto.MarshalOptions{Deterministic: true}.Marshal(proposed)
 		},
 		done: func(version *wire.Version, err error) {
 			if err != nil || m.generation() != generation || len(version.GetValue()) == 0 {
-				m.reconfig.running = false
+				m.reconfig.inProgress = false
 				return
 			}
 			next := &wire.Membership{}
 			if proto.Unmarshal(version.Value, next) != nil || next.Generation != generation+1 {
-				m.settings.Note("membership-unreadable", "", "the chosen membership can't be read")
+				m.settings.RecordEvent("membership-unreadable", "", "the chosen membership can't be read")
 				return
 			}
-			m.settings.Note("membership-chosen", "", describe(next))
+			m.settings.RecordEvent("membership-chosen", "", describeMembership(next))
 			m.sealAll(next)
 		},
 	})
@@ -219,24 +219,24 @@
 
 // sealAll ends the present generation on a majority of its voters and installs the next with all that they hold.
 func (m *Machine) sealAll(next *wire.Membership) {
-	present := m.state.Membership
-	ask := func() *wire.ReplicaRequest {
+	current := m.state.Membership
+	newRequest := func() *wire.ReplicaRequest {
 		return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Seal{Seal: &wire.SealAsk{Next: next}}}
 	}
-	m.poll(present, ask, func(r *round, _ *wire.ReplicaReply) {
+	m.poll(current, newRequest, func(r *round, _ *wire.ReplicaReply) {
 		switch {
-		case r.granted() >= majority(present):
+		case r.granted() >= majority(current):
 			r.closed = true
-			m.installAll(next, r.gathered())
+			m.installAll(next, r.mergedRegisters())
 		case r.majorityImpossible():
 			r.closed = true
-			m.reconfig.running = false
+			m.reconfig.inProgress = false
 		}
 	})
 }
 
-// gathered joins what the sealed replicas hold: every version chosen in their generation is among it.
-func (r *round) gathered() map[string]*wire.Register {
+// mergedRegisters joins what the sealed replicas hold: every version chosen in their generation is among it.
+func (r *round) mergedRegisters() map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
 	for _, reply := range r.replies {
 		if !r.grants(reply) {
@@ -248,7 +248,7 @@
 			}
 			known := registers[key]
 			registers[key] = &wire.Register{
-				Promised: higher(known.GetPromised(), held.Promised), Accepted: newer(known.GetAccepted(), held.Accepted),
+				Promised: higherTerm(known.GetPromised(), held.Promised), Accepted: newerVersion(known.GetAccepted(), held.Accepted),
 			}
 		}
 	}
@@ -256,119 +256,119 @@
 }
 
 func (m *Machine) installAll(next *wire.Membership, registers map[string]*wire.Register) {
-	ask := func() *wire.ReplicaRequest {
+	newRequest := func() *wire.ReplicaRequest {
 		return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Install{Install: &wire.InstallAsk{Membership: next, Registers: registers}}}
 	}
-	m.poll(next, ask, func(r *round, _ *wire.ReplicaReply) {
+	m.poll(next, newRequest, func(r *round, _ *wire.ReplicaReply) {
 		switch {
 		case r.granted() >= majority(next):
 			r.closed = true
-			m.reconfig.running = false
-			m.settings.Note("membership-installed", "", describe(next))
+			m.reconfig.inProgress = false
+			m.settings.RecordEvent("membership-installed", "", describeMembership(next))
 			m.afterInstall(next)
 		case r.majorityImpossible():
 			r.closed = true
-			m.reconfig.running = false
+			m.reconfig.inProgress = false
 		}
 	})
 }
 
 // afterInstall lets a replica that is no longer a voter become a learner.
 func (m *Machine) afterInstall(next *wire.Membership) {
-	m.learn(next)
-	if m.votes() && m.generation() < next.Generation && voterWith(next, m.state.Id) == nil {
-		m.resign()
+	m.learnMembership(next)
+	if m.isVoter() && m.generation() < next.Generation && voterByID(next, m.state.Id) == nil {
+		m.resignVote()
 	}
 }
 
-// seal ends this generation here. That the next is chosen, the asker has seen.
-func (m *Machine) seal(ask *wire.ReplicaRequest, question *wire.SealAsk, reply func(*wire.ReplicaReply)) {
-	if !m.votes() || ask.Generation != m.generation() || question.Next.GetGeneration() != m.generation()+1 {
-		m.answer(reply, m.standing(ask.Generation))
+// handleSeal ends this generation here. That the next is chosen, the asker has seen.
+func (m *Machine) handleSeal(request *wire.ReplicaRequest, ask *wire.SealAsk, respond func(*wire.ReplicaReply)) {
+	if !m.isVoter() || request.Generation != m.generation() || ask.Next.GetGeneration() != m.generation()+1 {
+		m.replyNow(respond, m.standing(request.Generation))
 		return
 	}
 	if m.state.Next == nil {
-		m.change(func(next *wire.ReplicaState) { next.Next = question.Next })
-		m.resetOwnershipBut(membershipKey, errReset)
+		m.updateState(func(next *wire.ReplicaState) { next.Next = ask.Next })
+		m.stopProposersExcept(membershipKey, errGenerationEnded)
 	}
-	answer := m.blankReply(wire.Standing_GRANTED)
-	answer.Registers = m.state.Registers
-	m.answerSaved(reply, answer)
+	reply := m.newReply(wire.Standing_GRANTED)
+	reply.Registers = m.state.Registers
+	m.replyAfterSave(respond, reply)
 }
 
-// install starts a generation here.
-func (m *Machine) install(question *wire.InstallAsk, reply func(*wire.ReplicaReply)) {
-	next := question.Membership
+// handleInstall starts a generation here.
+func (m *Machine) handleInstall(ask *wire.InstallAsk, respond func(*wire.ReplicaReply)) {
+	next := ask.Membership
 	switch {
-	case voterWith(next, m.state.Id) == nil:
-		m.answer(reply, wire.Standing_NO_VOTE)
+	case voterByID(next, m.state.Id) == nil:
+		m.replyNow(respond, wire.Standing_NO_VOTE)
 		return
 	case next.Generation < m.generation():
-		m.answer(reply, wire.Standing_FENCED)
+		m.replyNow(respond, wire.Standing_FENCED)
 		return
 	case next.Generation > m.generation():
-		m.enter(next, question.Registers)
+		m.enterGeneration(next, ask.Registers)
 	}
-	m.answerSaved(reply, m.blankReply(wire.Standing_GRANTED))
+	m.replyAfterSave(respond, m.newReply(wire.Standing_GRANTED))
 }
 
-// enter makes this replica a voter of a generation, with registers that hold all that was chosen before it.
+// enterGeneration makes this replica a voter of a generation, with registers that hold all that was chosen before it.
 // What it promised itself is kept, so that it never uses a term twice.
-func (m *Machine) enter(membership *wire.Membership, registers map[string]*wire.Register) {
-	m.change(func(next *wire.ReplicaState) {
-		promised := next.Registers
+func (m *Machine) enterGeneration(membership *wire.Membership, registers map[string]*wire.Register) {
+	m.updateState(func(next *wire.ReplicaState) {
+		previous := next.Registers
 		next.Membership, next.Next, next.Founding = membership, nil, nil
 		next.Registers = map[string]*wire.Register{}
 		for key, register := range registers {
 			if key != membershipKey {
-				term := higher(register.Promised, promised[key].GetPromised())
+				term := higherTerm(register.Promised, previous[key].GetPromised())
 				next.Registers[key] = &wire.Register{Promised: term, Accepted: register.Accepted}
 			}
 		}
-		for key, register := range promised {
+		for key, register := range previous {
 			if key != membershipKey && next.Registers[key] == nil {
 				next.Registers[key] = &wire.Register{Promised: register.Promised}
 			}
 		}
 		next.Known = addressesOf(membership)
 	})
-	m.restart("generation", describe(membership))
+	m.resetGenerationState("generation", describeMembership(membership))
 	for _, voter := range membership.Voters {
-		m.heard[voter.Id] = max(m.heard[voter.Id], m.now)
+		m.lastHeard[voter.Id] = max(m.lastHeard[voter.Id], m.now)
 		delete(m.learners, voter.Id)
 	}
 }
 
-// resign turns a voter that has been replaced into a newcomer: its old votes are over.
-func (m *Machine) resign() {
-	m.change(func(next *wire.ReplicaState) {
+// resignVote turns a voter that has been replaced into a newcomer: its old votes are over.
+func (m *Machine) resignVote() {
+	m.updateState(func(next *wire.ReplicaState) {
 		next.Id = m.settings.NewID()
 		next.Membership, next.Next = nil, nil
 		next.Registers = map[string]*wire.Register{}
 	})
-	m.restart("replaced", "this replica has been replaced and joins as a newcomer")
+	m.resetGenerationState("replaced", "this replica has been replaced and joins as a newcomer")
 }
 
-// restart forgets what belonged to the former generation or identity.
-func (m *Machine) restart(what, detail string) {
-	m.resetOwnership(errReset)
+// resetGenerationState forgets what belonged to the former generation or identity.
+func (m *Machine) resetGenerationState(what, detail string) {
+	m.stopProposers(errGenerationEnded)
 	m.reconfig = reconfiguration{}
-	m.unsettled = map[string]time.Duration{}
-	m.confirmed = false
-	m.out.Members = true
-	m.nextStatus = m.now
-	m.settings.Note(what, "", detail)
+	m.underReplicated = map[string]time.Duration{}
+	m.heardMajority = false
+	m.output.MembershipChanged = true
+	m.nextStatusRound = m.now
+	m.settings.RecordEvent(what, "", detail)
 }
 
-// pull asks a replica of a newer generation for what it holds.
-func (m *Machine) pull(address string) {
-	if m.pulling || address == "" {
+// fetchState asks a replica of a newer generation for what it holds.
+func (m *Machine) fetchState(address string) {
+	if m.fetchingState || address == "" {
 		return
 	}
-	m.pulling = true
-	have := m.heldVersions()
-	m.send(address, m.statusAsk(have), func(reply *wire.ReplicaReply) {
-		m.pulling = false
+	m.fetchingState = true
+	have := m.acceptedVersions()
+	m.send(address, m.newStatusRequest(have), func(reply *wire.ReplicaReply) {
+		m.fetchingState = false
 		m.observeStatus(reply, have)
 	})
 }
@@ -377,16 +377,16 @@
 func (m *Machine) Leave(now time.Duration, ticket uint64) {
 	m.now = now
 	m.leaving = true
-	m.leave = append(m.leave, ticket)
-	m.reconfig = reconfiguration{started: now - m.settings.Watch}
+	m.leaveTickets = append(m.leaveTickets, ticket)
+	m.reconfig = reconfiguration{lastStep: now - m.settings.StatusInterval}
 	m.reconfigure()
-	m.drain()
+	m.runDeferred()
 }
 
-// finishLeaving ends the tickets of Leave once nothing is left to do.
-func (m *Machine) finishLeaving() {
-	for _, ticket := range m.leave {
-		m.out.Results = append(m.out.Results, Result{Ticket: ticket, Agreed: true, Settled: true})
+// completeLeave ends the tickets of Leave once nothing is left to do.
+func (m *Machine) completeLeave() {
+	for _, ticket := range m.leaveTickets {
+		m.output.Results = append(m.output.Results, Result{Ticket: ticket, MajorityReplied: true, UpToDate: true})
 	}
-	m.leave = nil
+	m.leaveTickets = nil
 }
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -21,33 +21,33 @@
 	Address string
 	// Seeds are addresses of other replicas, as the settings name them.
 	Seeds []string
-	// Founding says that the whole system starts for the first time.
-	Founding bool
-	// Target is the least number of voters wanted, where there are machines for it.
-	Target int
-	// Watch is the pause between two status rounds.
-	Watch time.Duration
-	// Silence is how long a voter may go unheard before a learner takes its place.
-	Silence time.Duration
-	// Patience is how long a version may stay on too few disks before it is read under a new term.
-	Patience time.Duration
-	// FoundingWait is how long the founder lists who asks.
-	FoundingWait time.Duration
+	// Bootstrap says that the whole system starts for the first time.
+	Bootstrap bool
+	// TargetVoters is the least number of voters wanted, where there are machines for it.
+	TargetVoters int
+	// StatusInterval is the pause between two status rounds.
+	StatusInterval time.Duration
+	// VoterTimeout is how long a voter may go unheard before a learner takes its place.
+	VoterTimeout time.Duration
+	// RecommitAfter is how long a version may stay on too few disks before it is read under a new term.
+	RecommitAfter time.Duration
+	// BootstrapWait is how long the founder lists who asks.
+	BootstrapWait time.Duration
 	// NewID draws an identity that no replica had before.
 	NewID func() string
-	// Note records what happened; it may be nil.
-	Note func(what, subject, detail string)
+	// RecordEvent records what happened; it may be nil.
+	RecordEvent func(what, subject, detail string)
 }
 
 // Request is a question to another replica; its answer comes back through Answered.
 type Request struct {
-	ID  uint64
-	To  string
-	Ask *wire.ReplicaRequest
+	ID      uint64
+	To      string
+	Payload *wire.ReplicaRequest
 }
 
-// Answer belongs to a question that came in through Receive.
-type Answer struct {
+// Response belongs to a question that came in through Receive.
+type Response struct {
 	Call  uint64
 	Reply *wire.ReplicaReply
 }
@@ -57,10 +57,10 @@
 	Ticket uint64
 	// Version is the newest chosen version known.
 	Version *wire.Version
-	// Agreed says that a majority of voters answered since the ticket was opened.
-	Agreed bool
-	// Settled says that Version is the newest chosen one as of some moment since the ticket was opened.
-	Settled bool
+	// MajorityReplied says that a majority of voters answered since the ticket was opened.
+	MajorityReplied bool
+	// UpToDate says that Version is the newest chosen one as of some moment since the ticket was opened.
+	UpToDate bool
 	// Err is why the ticket failed. With Settled, it is the error that the change gave on that version.
 	Err error
 }
@@ -73,14 +73,14 @@
 
 // Output is what a Machine wants done.
 type Output struct {
-	Save     *Save
-	Requests []Request
-	Answers  []Answer
-	Results  []Result
-	// Chosen is set when a newer version of some key is known to be chosen.
-	Chosen bool
-	// Members is set when the membership or the generation known has changed.
-	Members bool
+	Save      *Save
+	Requests  []Request
+	Responses []Response
+	Results   []Result
+	// ChosenChanged is set when a newer version of some key is known to be chosen.
+	ChosenChanged bool
+	// MembershipChanged is set when the membership or the generation known has changed.
+	MembershipChanged bool
 }
 
 // Machine is the state machine of one replica. It isn't safe for concurrent use.
@@ -88,63 +88,63 @@
 type Machine struct {
 	settings Settings
 	now      time.Duration
-	out      Output
+	output   Output
 
 	state          *wire.ReplicaState // the newest, perhaps not yet on disk
 	durable        *wire.ReplicaState // the last one known to be on disk
-	number         uint64             // of state
+	stateNumber    uint64             // of state
 	saving         *Save              // handed out and not yet answered
-	saved          uint64             // number of durable
+	durableNumber  uint64             // number of durable
 	pendingReplies []pendingReply
 
-	lastRequest uint64
-	waiting     map[uint64]func(*wire.ReplicaReply)
-	local       []func()
+	lastRequest     uint64
+	pendingRequests map[uint64]func(*wire.ReplicaReply)
+	deferred        []func()
 
-	learned     *wire.Membership // the newest membership heard of
-	chosen      map[string]*wire.Version
-	owned       map[string]*ownership
-	highest     map[string]uint64        // highest term number used here, by key
-	heard       map[string]time.Duration // by identity
-	steadySince time.Duration            // since when this replica has run without a standstill
-	tickedAt    time.Duration
-	nextStatus  time.Duration
-	unsettled   map[string]time.Duration
-	copies      map[string]int      // of each key's newest version, as last seen
-	learners    map[string]*learner // by identity
-	rounds      uint64
-	confirmed   bool                     // a majority has been heard since this replica started, or joined its generation
-	majorityAt  time.Duration            // when the last round began that a majority answered
-	freshAt     map[string]time.Duration // by key: when the last round began that found no version newer than the chosen one
-	pulling     bool
-	reconfig    reconfiguration
-	founding    foundingState
-	leave       []uint64
-	leaving     bool
+	learnedMembership  *wire.Membership // the newest membership heard of
+	chosen             map[string]*wire.Version
+	proposers          map[string]*proposer
+	highestTerm        map[string]uint64        // highest term number used here, by key
+	lastHeard          map[string]time.Duration // by identity
+	uninterruptedSince time.Duration            // since when this replica has run without a standstill
+	lastTick           time.Duration
+	nextStatusRound    time.Duration
+	underReplicated    map[string]time.Duration
+	copies             map[string]int      // of each key's newest version, as last seen
+	learners           map[string]*learner // by identity
+	statusRounds       uint64
+	heardMajority      bool                     // a majority has been heard since this replica started, or joined its generation
+	lastMajorityRound  time.Duration            // when the last round began that a majority answered
+	upToDateAt         map[string]time.Duration // by key: when the last round began that found no version newer than the chosen one
+	fetchingState      bool
+	reconfig           reconfiguration
+	bootstrap          bootstrapState
+	leaveTickets       []uint64
+	leaving            bool
 }
 
 // pendingReply waits until the state that it speaks of is on disk.
 type pendingReply struct {
-	number  uint64
-	deliver func(saved bool)
+	number   uint64
+	complete func(saved bool)
 }
 
 // NewMachine starts from the state on disk, or from nil where there is none to go by.
 func NewMachine(settings Settings, state *wire.ReplicaState, now time.Duration) *Machine {
-	if settings.Note == nil {
-		settings.Note = func(string, string, string) {}
+	if settings.RecordEvent == nil {
+		settings.RecordEvent = func(string, string, string) {}
 	}
 	m := &Machine{
-		settings: settings, now: now, steadySince: now, tickedAt: now, nextStatus: now,
-		waiting: map[uint64]func(*wire.ReplicaReply){}, chosen: map[string]*wire.Version{}, owned: map[string]*ownership{},
-		highest: map[string]uint64{}, heard: map[string]time.Duration{}, unsettled: map[string]time.Duration{}, freshAt: map[string]time.Duration{},
+		settings: settings, now: now, uninterruptedSince: now, lastTick: now, nextStatusRound: now,
+		pendingRequests: map[uint64]func(*wire.ReplicaReply){}, chosen: map[string]*wire.Version{}, proposers: map[string]*proposer{},
+		highestTerm: map[string]uint64{}, lastHeard: map[string]time.Duration{}, underReplicated: map[string]time.Duration{}, upToDateAt: map[string]time.Duration{},
 		copies: map[string]int{}, learners: map[string]*learner{},
 	}
-	m.founding.since = now
+	m.bootstrap.since = now
 	if state == nil {
 		state = &wire.ReplicaState{}
 	}
-	m.state, m.durable, m.learned = state, state, state.Membership
+	m.state, m.durable, m.learnedMembership = state, state, state.Membership
 	m.ensureIdentity()
 	return m
 }
@@ -154,40 +154,40 @@
 	if m.state.Id != "" {
 		return
 	}
-	m.change(func(next *wire.ReplicaState) {
+	m.updateState(func(next *wire.ReplicaState) {
 		next.Id = m.settings.NewID()
-		if m.settings.Founding {
-			next.Founding = m.foundingSeeds()
+		if m.settings.Bootstrap {
+			next.Founding = m.bootstrapSeeds()
 		}
 	})
 }
 
-// change replaces the state by a changed copy, to be saved.
-func (m *Machine) change(edit func(next *wire.ReplicaState)) {
-	before := m.state
+// updateState replaces the state by a changed copy, to be saved.
+func (m *Machine) updateState(edit func(next *wire.ReplicaState)) {
+	current := m.state
 	next := &wire.ReplicaState{
-		Id: before.Id, Membership: before.Membership, Next: before.Next,
-		Registers: maps.Clone(before.Registers), Known: before.Known, Founding: before.Founding,
+		Id: current.Id, Membership: current.Membership, Next: current.Next,
+		Registers: maps.Clone(current.Registers), Known: current.Known, Founding: current.Founding,
 	}
 	if next.Registers == nil {
 		next.Registers = map[string]*wire.Register{}
 	}
 	edit(next)
 	m.state = next
-	m.number++
+	m.stateNumber++
 }
 
-// whenSaved runs deliver once the present state is on disk, or with false if it can't be saved.
-func (m *Machine) whenSaved(deliver func(saved bool)) {
-	if m.number == m.saved {
-		m.local = append(m.local, func() { deliver(true) })
+// afterSave runs deliver once the present state is on disk, or with false if it can't be saved.
+func (m *Machine) afterSave(complete func(saved bool)) {
+	if m.stateNumber == m.durableNumber {
+		m.deferred = append(m.deferred, func() { complete(true) })
 		return
 	}
-	m.pendingReplies = append(m.pendingReplies, pendingReply{m.number, deliver})
+	m.pendingReplies = append(m.pendingReplies, pendingReply{m.stateNumber, complete})
 }
 
-// Saved tells how saving a state ended. After a failure the replica goes on from the last state saved.
-func (m *Machine) Saved(now time.Duration, number uint64, ok bool) {
+// HandleSaved tells how saving a state ended. After a failure the replica goes on from the last state saved.
+func (m *Machine) HandleSaved(now time.Duration, number uint64, ok bool) {
 	m.now = now
 	if m.saving == nil || number != m.saving.Number {
 		return
@@ -195,62 +195,62 @@
 	state := m.saving.State
 	m.saving = nil
 	if ok {
-		m.saved, m.durable = number, state
+		m.durableNumber, m.durable = number, state
 	} else {
-		m.settings.Note("disk-trouble", "", "the state could not be saved")
-		m.rollBack()
+		m.settings.RecordEvent("disk-trouble", "", "the state could not be saved")
+		m.rollback()
 	}
-	waiting := m.pendingReplies
+	replies := m.pendingReplies
 	m.pendingReplies = nil
-	for _, each := range waiting {
+	for _, each := range replies {
 		if ok && each.number > number {
 			m.pendingReplies = append(m.pendingReplies, each)
 			continue
 		}
-		m.local = append(m.local, func() { each.deliver(ok) })
+		m.deferred = append(m.deferred, func() { each.complete(ok) })
 	}
-	m.drain()
+	m.runDeferred()
 }
 
-// rollBack forgets what was not saved. Nobody was told of it: every answer waits for its save.
-func (m *Machine) rollBack() {
+// rollback forgets what was not saved. Nobody was told of it: every answer waits for its save.
+func (m *Machine) rollback() {
 	m.state = m.durable
-	m.number++
-	m.saved = m.number
+	m.stateNumber++
+	m.durableNumber = m.stateNumber
 	m.ensureIdentity()
-	for _, key := range slices.Sorted(maps.Keys(m.owned)) {
-		o := m.owned[key]
-		if o.term != nil && compareTerms(m.register(key).Promised, o.term) != 0 {
-			o.stepDown(errDisk)
+	for _, key := range slices.Sorted(maps.Keys(m.proposers)) {
+		p := m.proposers[key]
+		if p.term != nil && compareTerms(m.register(key).Promised, p.term) != 0 {
+			p.stepDown(errDiskWrite)
 		}
 	}
 }
 
-// drain runs what this replica owes itself.
-func (m *Machine) drain() {
-	for len(m.local) > 0 {
-		next := m.local[0]
-		m.local = m.local[1:]
+// runDeferred runs what this replica owes itself.
+func (m *Machine) runDeferred() {
+	for len(m.deferred) > 0 {
+		next := m.deferred[0]
+		m.deferred = m.deferred[1:]
 		next()
 	}
 }
 
-// Take hands out what is to be done since the last call.
-func (m *Machine) Take() Output {
-	out := m.out
-	m.out = Output{}
-	if m.saving == nil && m.number != m.saved {
-		m.saving = &Save{Number: m.number, State: m.state}
+// TakeOutput hands out what is to be done since the last call.
+func (m *Machine) TakeOutput() Output {
+	out := m.output
+	m.output = Output{}
+	if m.saving == nil && m.stateNumber != m.durableNumber {
+		m.saving = &Save{Number: m.stateNumber, State: m.state}
 		out.Save = m.saving
 	}
 	return out
 }
 
-// Answered gives the reply to a request, or nil if none came in time.
-func (m *Machine) Answered(now time.Duration, request uint64, reply *wire.ReplicaReply) {
+// HandleReply gives the reply to a request, or nil if none came in time.
+func (m *Machine) HandleReply(now time.Duration, request uint64, reply *wire.ReplicaReply) {
 	m.now = now
-	handle := m.waiting[request]
-	delete(m.waiting, request)
+	handle := m.pendingRequests[request]
+	delete(m.pendingRequests, request)
 	if handle == nil {
 		return
 	}
@@ -258,61 +258,61 @@
 		m.observeReply(reply)
 	}
 	handle(reply)
-	m.drain()
+	m.runDeferred()
 }
 
 // observeReply notes what every reply tells: that its sender is there, and which membership it knows.
 func (m *Machine) observeReply(reply *wire.ReplicaReply) {
 	if reply.From != "" {
-		m.heard[reply.From] = m.now
+		m.lastHeard[reply.From] = m.now
 	}
-	m.learn(reply.Membership)
+	m.learnMembership(reply.Membership)
 	if reply.Standing == wire.Standing_FENCED || reply.Standing == wire.Standing_BEHIND {
-		m.nextStatus = min(m.nextStatus, m.now+m.settings.Watch/4)
+		m.nextStatusRound = min(m.nextStatusRound, m.now+m.settings.StatusInterval/4)
 	}
 }
 
 // Tick lets time pass; it is called several times in each Watch.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
-	if now-m.tickedAt > standstillRatio*m.settings.Watch {
-		m.steadySince = now
-		m.settings.Note("standstill", "", "this replica stood still")
+	if now-m.lastTick > pauseIntervals*m.settings.StatusInterval {
+		m.uninterruptedSince = now
+		m.settings.RecordEvent("standstill", "", "this replica stood still")
 	}
-	m.tickedAt = now
+	m.lastTick = now
 	if m.durable.Id == "" {
 		return
 	}
-	if now >= m.nextStatus {
-		m.nextStatus = now + m.settings.Watch
-		m.watchMembers()
+	if now >= m.nextStatusRound {
+		m.nextStatusRound = now + m.settings.StatusInterval
+		m.pollMembers()
 	}
-	m.found()
-	m.forgetLearners()
+	m.advanceBootstrap()
+	m.expireLearners()
 	m.reconfigure()
-	m.recommitStale()
-	m.drain()
+	m.recommitUnderReplicated()
+	m.runDeferred()
 }
 
 // send sends a question to one replica; handle gets its reply, or nil.
-func (m *Machine) send(to string, ask *wire.ReplicaRequest, handle func(*wire.ReplicaReply)) {
-	ask.From, ask.Address, ask.Generation = m.state.Id, m.settings.Address, m.generation()
+func (m *Machine) send(to string, request *wire.ReplicaRequest, handle func(*wire.ReplicaReply)) {
+	request.From, request.Address, request.Generation = m.state.Id, m.settings.Address, m.generation()
 	if to == m.settings.Address {
-		m.handle(ask, handle)
+		m.dispatch(request, handle)
 		return
 	}
 	m.lastRequest++
-	m.waiting[m.lastRequest] = handle
-	m.out.Requests = append(m.out.Requests, Request{ID: m.lastRequest, To: to, Ask: ask})
+	m.pendingRequests[m.lastRequest] = handle
+	m.output.Requests = append(m.output.Requests, Request{ID: m.lastRequest, To: to, Payload: request})
 }
 
-// Receive takes a question of another replica; its answer comes out of Take under the same call number.
-func (m *Machine) Receive(now time.Duration, call uint64, ask *wire.ReplicaRequest) {
+// HandleRequest takes a question of another replica; its answer comes out of Take under the same call number.
+func (m *Machine) HandleRequest(now time.Duration, call uint64, request *wire.ReplicaRequest) {
 	m.now = now
-	m.handle(ask, func(reply *wire.ReplicaReply) {
-		m.out.Answers = append(m.out.Answers, Answer{Call: call, Reply: reply})
+	m.dispatch(request, func(reply *wire.ReplicaReply) {
+		m.output.Responses = append(m.output.Responses, Response{Call: call, Reply: reply})
 	})
-	m.drain()
+	m.runDeferred()
 }
 
 // generation is that of the voters that this replica belongs to, or has heard of.
@@ -323,13 +323,13 @@
 	return 0
 }
 
-// votes says whether this replica has a vote in its generation.
-func (m *Machine) votes() bool { return m.state.Membership != nil }
+// isVoter says whether this replica has a vote in its generation.
+func (m *Machine) isVoter() bool { return m.state.Membership != nil }
 
-// members is the newest membership that this replica knows of; it may be nil.
-func (m *Machine) members() *wire.Membership {
-	if m.state.Membership != nil && m.state.Membership.Generation >= m.learned.GetGeneration() {
+// newestMembership is the newest membership that this replica knows of; it may be nil.
+func (m *Machine) newestMembership() *wire.Membership {
+	if m.state.Membership != nil && m.state.Membership.Generation >= m.learnedMembership.GetGeneration() {
 		return m.state.Membership
 	}
-	return m.learned
+	return m.learnedMembership
 }
--- a/internal/replica/spoilt_test.go
+++ b/internal/replica/mutation_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// spoilt is a version of this package with one fault, and the test that must find it.
-type spoilt struct {
+// mutant is a version of this package with one fault, and the test that must find it.
+type mutant struct {
 	patch, fault, test string
 }
 
-// readSpoilt reads the first lines of a patch.
-func readSpoilt(t *testing.T, path string) spoilt {
+// readMutant reads the first lines of a patch.
+func readMutant(t *testing.T, path string) mutant {
 	file, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	s := spoilt{patch: path}
+	s := mutant{patch: path}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() && (s.fault == "" || s.test == "") {
 		if fault, ok := strings.CutPrefix(lines.Text(), "# Spoilt: "); ok {
@@ -62,11 +62,11 @@
 	return directory
 }
 
-var schedulesNeeded = regexp.MustCompile(`failed after (\d+) tests`)
+var schedulesRun = regexp.MustCompile(`failed after (\d+) tests`)
 
-// TestSpoiltVersionsAreFound applies each patch of testdata/spoilt to a copy and demands that its named test fails.
+// TestMutantsAreDetected applies each patch of testdata/spoilt to a copy and demands that its named test fails.
 // It runs where SPOILT is set, since it builds the package once for each.
-func TestSpoiltVersionsAreFound(t *testing.T) {
+func TestMutantsAreDetected(t *testing.T) {
 	if os.Getenv("SPOILT") == "" {
 		t.Skip("SPOILT is not set")
 	}
@@ -76,14 +76,14 @@
 	}
 	for _, patch := range patches {
 		t.Run(strings.TrimSuffix(filepath.Base(patch), ".patch"), func(t *testing.T) {
-			s := readSpoilt(t, patch)
-			s.mustBeFound(t, copyPackage(t))
+			s := readMutant(t, patch)
+			s.mustBeDetected(t, copyPackage(t))
 		})
 	}
 }
 
-// mustBeFound builds and runs the spoilt copy.
-func (s spoilt) mustBeFound(t *testing.T, directory string) {
+// mustBeDetected builds and runs the spoilt copy.
+func (s mutant) mustBeDetected(t *testing.T, directory string) {
 	target := "--directory=" + filepath.Join("internal/replica", directory)
 	apply := exec.Command("git", "apply", "-p3", target, filepath.Join("internal/replica", s.patch))
 	apply.Dir = "../.."
@@ -100,7 +100,7 @@
 		t.Fatalf("%s does not find: %s\n%s", s.test, s.fault, output)
 	}
 	schedules := "1"
-	if found := schedulesNeeded.FindSubmatch(output); found != nil {
+	if found := schedulesRun.FindSubmatch(output); found != nil {
 		schedules = string(found[1])
 	}
 	t.Logf("%s | %s | after %s schedules, %v", s.fault, s.test, schedules, time.Since(began).Round(time.Second))
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	errDisk     = base.NewFault(base.DiskFailure, "", "the disk here refused")
-	errNoVote   = base.NewFault(base.NoState, "", "this replica has no vote")
-	errNewer    = base.NewFault(base.Superseded, "", "a higher term came first")
-	errNoQuorum = base.NewFault(base.Unreachable, "", "no majority of replicas promised")
-	errDoubt    = base.NewFault(base.Uncertain, "", "no majority of replicas answered")
-	errReset    = base.NewFault(base.Superseded, "", "the generation has ended")
+	errDiskWrite       = base.NewFault(base.DiskFailure, "", "the disk here refused")
+	errNotVoter        = base.NewFault(base.NoState, "", "this replica has no vote")
+	errHigherTerm      = base.NewFault(base.Superseded, "", "a higher term came first")
+	errNoQuorum        = base.NewFault(base.Unreachable, "", "no majority of replicas promised")
+	errUncertain       = base.NewFault(base.Uncertain, "", "no majority of replicas answered")
+	errGenerationEnded = base.NewFault(base.Superseded, "", "the generation has ended")
 )
 
 // task is one change or read that waits for its key.
@@ -25,12 +25,12 @@
 	change func(old []byte) ([]byte, error)
 	// done runs in place of a result where this replica itself asked.
 	done func(version *wire.Version, err error)
-	// refusal is the error that change gave. It stands once a majority has confirmed the value that it was given.
-	refusal error
+	// changeErr is the error that change gave. It stands once a majority has confirmed the value that it was given.
+	changeErr error
 }
 
-// ownership is this replica's work as owner of one key.
-type ownership struct {
+// proposer is this replica's work as owner of one key.
+type proposer struct {
 	machine *Machine
 	key     string
 	term    *wire.Term // nil: not the owner
@@ -41,14 +41,14 @@
 	running []*task
 }
 
-// ownership returns this replica's work on a key.
-func (m *Machine) ownership(key string) *ownership {
-	o := m.owned[key]
-	if o == nil {
-		o = &ownership{machine: m, key: key}
-		m.owned[key] = o
+// proposer returns this replica's work on a key.
+func (m *Machine) proposer(key string) *proposer {
+	p := m.proposers[key]
+	if p == nil {
+		p = &proposer{machine: m, key: key}
+		m.proposers[key] = p
 	}
-	return o
+	return p
 }
 
 // Change has a value of a key replaced. The result comes once a majority of disks has the new version, or, where
@@ -56,92 +56,92 @@
 func (m *Machine) Change(now time.Duration, ticket uint64, key string, change func(old []byte) ([]byte, error)) {
 	m.now = now
 	m.enqueue(key, &task{ticket: ticket, change: change})
-	m.drain()
+	m.runDeferred()
 }
 
 // Read gives the newest value as of some moment after the call.
 func (m *Machine) Read(now time.Duration, ticket uint64, key string) {
 	m.now = now
 	m.enqueue(key, &task{ticket: ticket})
-	m.drain()
+	m.runDeferred()
 }
 
 // enqueue adds a task to a key's queue and starts on it if nothing runs.
-func (m *Machine) enqueue(key string, work *task) {
-	o := m.ownership(key)
-	o.queue = append(o.queue, work)
-	o.startNext()
+func (m *Machine) enqueue(key string, newTask *task) {
+	p := m.proposer(key)
+	p.queue = append(p.queue, newTask)
+	p.startNext()
 }
 
 // fail ends a task without knowledge of the newest value.
 func (t *task) fail(m *Machine, err error) {
-	t.end(m, Result{Ticket: t.ticket, Err: err})
+	t.finish(m, Result{Ticket: t.ticket, Err: err})
 }
 
-// conclude ends a task on the newest value.
-func (t *task) conclude(m *Machine, version *wire.Version) {
-	t.end(m, Result{Ticket: t.ticket, Version: version, Agreed: true, Settled: true, Err: t.refusal})
+// complete ends a task on the newest value.
+func (t *task) complete(m *Machine, version *wire.Version) {
+	t.finish(m, Result{Ticket: t.ticket, Version: version, MajorityReplied: true, UpToDate: true, Err: t.changeErr})
 }
 
-// end tells the outcome of a task to whoever asked.
-func (t *task) end(m *Machine, result Result) {
+// finish tells the outcome of a task to whoever asked.
+func (t *task) finish(m *Machine, result Result) {
 	if t.done != nil {
 		t.done(result.Version, result.Err)
 		return
 	}
-	m.out.Results = append(m.out.Results, result)
+	m.output.Results = append(m.output.Results, result)
 }
 
 // startNext starts on the queue if nothing runs.
-func (o *ownership) startNext() {
-	m := o.machine
-	if o.busy || len(o.queue) == 0 {
+func (p *proposer) startNext() {
+	m := p.machine
+	if p.busy || len(p.queue) == 0 {
 		return
 	}
 	if m.standing(m.generation()) != wire.Standing_GRANTED {
-		o.stepDown(errNoVote)
+		p.stepDown(errNotVoter)
 		return
 	}
-	o.busy = true
-	if o.term != nil && compareTerms(m.register(o.key).Promised, o.term) == 0 {
-		o.applyQueue()
+	p.busy = true
+	if p.term != nil && compareTerms(m.register(p.key).Promised, p.term) == 0 {
+		p.applyQueue()
 		return
 	}
-	o.campaign()
+	p.campaign()
 }
 
 // stepDown gives up the term and fails all work; whoever asked may ask again.
-func (o *ownership) stepDown(err error) {
-	o.term, o.busy = nil, false
-	o.attempt++
-	work := slices.Concat(o.running, o.queue)
-	o.running, o.queue = nil, nil
-	for _, each := range work {
-		each.fail(o.machine, err)
+func (p *proposer) stepDown(err error) {
+	p.term, p.busy = nil, false
+	p.attempt++
+	tasks := slices.Concat(p.running, p.queue)
+	p.running, p.queue = nil, nil
+	for _, each := range tasks {
+		each.fail(p.machine, err)
 	}
 }
 
 // campaign promises a higher term on the own disk first, so that no term is used twice, then asks the others.
-func (o *ownership) campaign() {
-	m := o.machine
-	number := max(m.register(o.key).GetPromised().GetNumber(), m.highest[o.key]) + 1
-	m.highest[o.key] = number
+func (p *proposer) campaign() {
+	m := p.machine
+	number := max(m.register(p.key).GetPromised().GetNumber(), m.highestTerm[p.key]) + 1
+	m.highestTerm[p.key] = number
 	term := &wire.Term{Number: number, Owner: m.state.Id}
-	o.attempt++
-	attempt, membership := o.attempt, m.state.Membership
-	m.send(m.settings.Address, promiseAsk(o.key, term, nil), func(reply *wire.ReplicaReply) {
-		if o.attempt != attempt {
+	p.attempt++
+	attempt, membership := p.attempt, m.state.Membership
+	m.send(m.settings.Address, newPromiseRequest(p.key, term, nil), func(reply *wire.ReplicaReply) {
+		if p.attempt != attempt {
 			return
 		}
 		if reply.Standing != wire.Standing_GRANTED {
-			o.stepDown(errDisk)
+			p.stepDown(errDiskWrite)
 			return
 		}
-		o.collectPromises(term, attempt, membership)
+		p.collectPromises(term, attempt, membership)
 	})
 }
 
-func promiseAsk(key string, term *wire.Term, have *wire.Version) *wire.ReplicaRequest {
+func newPromiseRequest(key string, term *wire.Term, have *wire.Version) *wire.ReplicaRequest {
 	ask := &wire.PromiseAsk{Key: key, Term: term}
 	if have != nil {
 		ask.Have = withoutValue(have)
@@ -150,79 +150,79 @@
 }
 
 // collectPromises asks all voters for their promise and takes over the newest version among a majority.
-func (o *ownership) collectPromises(term *wire.Term, attempt uint64, membership *wire.Membership) {
-	m := o.machine
-	have := m.register(o.key).Accepted
-	m.poll(membership, func() *wire.ReplicaRequest { return promiseAsk(o.key, term, have) }, func(r *round, _ *wire.ReplicaReply) {
-		if o.attempt != attempt {
+func (p *proposer) collectPromises(term *wire.Term, attempt uint64, membership *wire.Membership) {
+	m := p.machine
+	have := m.register(p.key).Accepted
+	m.poll(membership, func() *wire.ReplicaRequest { return newPromiseRequest(p.key, term, have) }, func(r *round, _ *wire.ReplicaReply) {
+		if p.attempt != attempt {
 			r.closed = true
 			return
 		}
 		switch {
 		case r.granted() >= majority(membership):
 			r.closed = true
-			o.adoptHighest(term, have, r)
+			p.adoptHighest(term, have, r)
 		case r.majorityImpossible():
 			r.closed = true
-			o.endLostRound(r)
+			p.handleLostRound(r)
 		}
 	})
 }
 
 // adoptHighest writes the newest version among a majority again under the new term: only then is it surely chosen.
-func (o *ownership) adoptHighest(term *wire.Term, have *wire.Version, r *round) {
+func (p *proposer) adoptHighest(term *wire.Term, have *wire.Version, r *round) {
 	var highest *wire.Version
 	for _, reply := range r.replies {
 		if r.grants(reply) {
-			highest = newer(highest, withValue(reply.Accepted, have))
+			highest = newerVersion(highest, restoreValue(reply.Accepted, have))
 		}
 	}
-	o.term = term
-	o.machine.settings.Note("owner", o.key, o.machine.settings.Address)
+	p.term = term
+	p.machine.settings.RecordEvent("owner", p.key, p.machine.settings.Address)
 	if highest == nil {
-		o.version = nil
-		o.applyQueue()
+		p.version = nil
+		p.applyQueue()
 		return
 	}
-	o.write(&wire.Version{Term: term, Serial: highest.Serial, Value: highest.Value}, highest, o.applyQueue)
+	p.write(&wire.Version{Term: term, Serial: highest.Serial, Value: highest.Value}, highest, p.applyQueue)
 }
 
-// endLostRound gives up after a lost round, remembering the term that won it.
-func (o *ownership) endLostRound(r *round) {
-	m := o.machine
+// handleLostRound gives up after a lost round, remembering the term that won it.
+func (p *proposer) handleLostRound(r *round) {
+	m := p.machine
 	outranked := false
 	for _, reply := range r.replies {
 		if reply != nil && reply.Standing == wire.Standing_OUTRANKED {
 			outranked = true
-			m.highest[o.key] = max(m.highest[o.key], reply.Promised.GetNumber())
+			m.highestTerm[p.key] = max(m.highestTerm[p.key], reply.Promised.GetNumber())
 		}
 	}
 	if outranked {
-		o.stepDown(errNewer)
+		p.stepDown(errHigherTerm)
 		return
 	}
-	o.stepDown(errNoQuorum)
+	p.stepDown(errNoQuorum)
 }
 
 // applyQueue runs the whole queue on the present value and writes the outcome once. Refusals wait for a majority too:
 // this replica may have been replaced as owner without having heard of it.
-func (o *ownership) applyQueue() {
-	o.running, o.queue = o.queue, nil
-	value, changed := o.version.GetValue(), false
-	for _, each := range o.running {
+func (p *proposer) applyQueue() {
+	p.running, p.queue = p.queue, nil
+	value, changed := p.version.GetValue(), false
+	for _, each := range p.running {
 		next, err := each.apply(value)
-		each.refusal = err
+		each.changeErr = err
 		if err == nil && next != nil {
 			value, changed = next, true
 		}
 	}
 	switch {
 	case changed:
-		o.write(&wire.Version{Term: o.term, Serial: o.version.GetSerial() + 1, Value: value}, o.version, o.completeTasks)
-	case len(o.running) > 0:
-		o.reconfirm()
+		p.write(&wire.Version{Term: p.term, Serial: p.version.GetSerial() + 1, Value: value}, p.version, p.completeTasks)
+	case len(p.running) > 0:
+		p.confirmTerm()
 	default:
-		o.completeTasks()
+		p.completeTasks()
 	}
 }
 
@@ -235,113 +235,113 @@
 }
 
 // write has a version accepted by a majority. Voters that hold the one before it are sent the difference.
-func (o *ownership) write(version, before *wire.Version, then func()) {
-	m := o.machine
-	o.attempt++
-	attempt, membership := o.attempt, m.state.Membership
-	whole := func() *wire.ReplicaRequest { return acceptAsk(&wire.AcceptAsk{Key: o.key, Version: version}) }
-	delta := deltaAsk(o.key, version, before)
-	ask := func(voter *wire.Replica) *wire.ReplicaRequest {
+func (p *proposer) write(version, previous *wire.Version, onChosen func()) {
+	m := p.machine
+	p.attempt++
+	attempt, membership := p.attempt, m.state.Membership
+	newFullRequest := func() *wire.ReplicaRequest { return newAcceptRequest(&wire.AcceptAsk{Key: p.key, Version: version}) }
+	delta := newDeltaAsk(p.key, version, previous)
+	newRequest := func(voter *wire.Replica) *wire.ReplicaRequest {
 		if delta == nil || voter.Id == m.state.Id {
-			return whole()
+			return newFullRequest()
 		}
-		return acceptAsk(delta)
+		return newAcceptRequest(delta)
 	}
-	m.pollEach(membership, ask, whole, func(r *round, _ *wire.ReplicaReply) {
-		if o.attempt != attempt {
+	m.pollEach(membership, newRequest, newFullRequest, func(r *round, _ *wire.ReplicaReply) {
+		if p.attempt != attempt {
 			r.closed = true
 			return
 		}
 		switch {
 		case r.granted() >= majority(membership):
 			r.closed = true
-			o.version = version
-			m.markChosen(o.key, version)
-			o.broadcastChosen(version)
-			then()
+			p.version = version
+			m.markChosen(p.key, version)
+			p.broadcastChosen(version)
+			onChosen()
 		case r.majorityImpossible():
 			r.closed = true
-			o.term = nil
-			o.stepDown(errDoubt)
+			p.term = nil
+			p.stepDown(errUncertain)
 		}
 	})
 }
 
 // broadcastChosen tells the others that a version is chosen.
-func (o *ownership) broadcastChosen(version *wire.Version) {
-	m := o.machine
+func (p *proposer) broadcastChosen(version *wire.Version) {
+	m := p.machine
 	for _, voter := range m.state.Membership.GetVoters() {
 		if voter.Id == m.state.Id {
 			continue
 		}
 		m.send(voter.Address, &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Chosen{
-			Chosen: &wire.ChosenAsk{Key: o.key, Term: version.Term, Serial: version.Serial},
+			Chosen: &wire.ChosenAsk{Key: p.key, Term: version.Term, Serial: version.Serial},
 		}}, func(*wire.ReplicaReply) {})
 	}
 }
 
-// reconfirm asks a majority whether the term still is the highest, so that what was read was the newest.
-func (o *ownership) reconfirm() {
-	m := o.machine
-	o.attempt++
-	attempt, membership, term := o.attempt, m.state.Membership, o.term
-	ask := func() *wire.ReplicaRequest {
-		return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{Key: o.key, Term: term}}}
+// confirmTerm asks a majority whether the term still is the highest, so that what was read was the newest.
+func (p *proposer) confirmTerm() {
+	m := p.machine
+	p.attempt++
+	attempt, membership, term := p.attempt, m.state.Membership, p.term
+	newRequest := func() *wire.ReplicaRequest {
+		return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{Key: p.key, Term: term}}}
 	}
-	m.poll(membership, ask, func(r *round, _ *wire.ReplicaReply) {
-		if o.attempt != attempt {
+	m.poll(membership, newRequest, func(r *round, _ *wire.ReplicaReply) {
+		if p.attempt != attempt {
 			r.closed = true
 			return
 		}
 		switch {
 		case r.granted() >= majority(membership):
 			r.closed = true
-			o.completeTasks()
+			p.completeTasks()
 		case r.majorityImpossible():
 			r.closed = true
-			o.endLostRound(r)
+			p.handleLostRound(r)
 		}
 	})
 }
 
 // completeTasks ends the work that ran and goes on with what came meanwhile.
-func (o *ownership) completeTasks() {
-	work := o.running
-	o.running, o.busy = nil, false
-	o.attempt++
-	for _, each := range work {
-		each.conclude(o.machine, o.version)
+func (p *proposer) completeTasks() {
+	tasks := p.running
+	p.running, p.busy = nil, false
+	p.attempt++
+	for _, each := range tasks {
+		each.complete(p.machine, p.version)
 	}
-	o.startNext()
+	p.startNext()
 }
 
-// takeOver seeks the term of a key that its owner hands over.
-func (m *Machine) takeOver(key string, reply func(*wire.ReplicaReply)) {
+// handleOwn seeks the term of a key that its owner hands over.
+func (m *Machine) handleOwn(key string, respond func(*wire.ReplicaReply)) {
 	m.enqueue(key, &task{done: func(_ *wire.Version, err error) {
 		standing := wire.Standing_GRANTED
 		if err != nil {
 			standing = wire.Standing_FAILED
 		}
-		m.answer(reply, standing)
+		m.replyNow(respond, standing)
 	}})
 }
 
 // Owner names the voter that a key's highest promised term belongs to.
 func (m *Machine) Owner(key string) (owner *wire.Replica, term *wire.Term) {
 	promised := m.register(key).Promised
-	return voterWith(m.members(), promised.GetOwner()), promised
+	return voterByID(m.newestMembership(), promised.GetOwner()), promised
 }
 
-// resetOwnership ends all work under a generation that is over.
-func (m *Machine) resetOwnership(err error) {
-	m.resetOwnershipBut("", err)
+// stopProposers ends all work under a generation that is over.
+func (m *Machine) stopProposers(err error) {
+	m.stopProposersExcept("", err)
 }
 
-// resetOwnershipBut spares one key.
-func (m *Machine) resetOwnershipBut(spared string, err error) {
-	for _, key := range slices.Sorted(maps.Keys(m.owned)) {
-		if key != spared {
-			m.owned[key].stepDown(err)
+// stopProposersExcept spares one key.
+func (m *Machine) stopProposersExcept(except string, err error) {
+	for _, key := range slices.Sorted(maps.Keys(m.proposers)) {
+		if key != except {
+			m.proposers[key].stepDown(err)
 		}
 	}
 }
--- a/internal/replica/random_test.go
+++ b/internal/replica/random_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// randomSeeds and randomChecks are the schedules of a normal run; SEEDS and RAPID_CHECKS ask for others.
-	randomSeeds  = 4
-	randomChecks = 150
+	// defaultSeeds and randomChecks are the schedules of a normal run; SEEDS and RAPID_CHECKS ask for others.
+	defaultSeeds  = 4
+	defaultChecks = 150
 )
 
-// numberFrom reads a number from the environment.
-func numberFrom(t *testing.T, name string, normal int) int {
-	given := os.Getenv(name)
-	if given == "" {
-		return normal
+// intFromEnv reads a number from the environment.
+func intFromEnv(t *testing.T, name string, fallback int) int {
+	text := os.Getenv(name)
+	if text == "" {
+		return fallback
 	}
-	number, err := strconv.Atoi(given)
+	number, err := strconv.Atoi(text)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -41,22 +41,22 @@
 
 // TestRandomSchedules plays schedules that rapid draws from fixed seeds, and shrinks those that fail.
 func TestRandomSchedules(t *testing.T) {
-	setFlag(t, "rapid.checks", numberFrom(t, "RAPID_CHECKS", randomChecks))
+	setFlag(t, "rapid.checks", intFromEnv(t, "RAPID_CHECKS", defaultChecks))
 	var recoveries []time.Duration
-	for seed := range numberFrom(t, "SEEDS", randomSeeds) {
+	for seed := range intFromEnv(t, "SEEDS", defaultSeeds) {
 		setFlag(t, "rapid.seed", seed+1)
 		rapid.Check(t, func(t *rapid.T) {
 			s := scheduleGenerator.Draw(t, "schedule")
-			p := newPlay(s)
-			if problem := p.run(); problem != "" {
+			run := newScheduleRun(s)
+			if problem := run.run(); problem != "" {
 				t.Fatalf("%s\n%v", problem, s)
 			}
-			recoveries = append(recoveries, p.converged)
+			recoveries = append(recoveries, run.recoveryTime)
 		})
 	}
 	slices.Sort(recoveries)
-	if played := len(recoveries); played > 0 {
+	if count := len(recoveries); count > 0 {
 		t.Logf("%d schedules; after the last fault all was well in %v (median), %v (99 of 100), %v (longest)",
-			played, recoveries[played/2], recoveries[played*99/100], recoveries[played-1])
+			count, recoveries[count/2], recoveries[count*99/100], recoveries[count-1])
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// ticksPerWatch is how often a machine is ticked between two status rounds.
-	ticksPerWatch = 5
-	// largestMessage bounds what one replica tells another, in bytes.
-	largestMessage = 64 << 20
+	// ticksPerStatusInterval is how often a machine is ticked between two status rounds.
+	ticksPerStatusInterval = 5
+	// maxMessageBytes bounds what one replica tells another, in bytes.
+	maxMessageBytes = 64 << 20
 )
 
 // Store makes states durable; Save answers once the state is on disk, or that it may not be.
@@ -28,14 +28,14 @@
 
 // Replica runs a Machine with a clock, a disk and a network.
 type Replica struct {
-	scope    base.Scope
-	settings Settings
-	round    time.Duration
-	store    Store
-	http     *http.Client
-	tasks    base.Group
-	saves    chan *Save
-	changed  base.Broadcast
+	scope          base.Scope
+	settings       Settings
+	requestTimeout time.Duration
+	store          Store
+	httpClient     *http.Client
+	tasks          base.Group
+	saves          chan *Save
+	changed        base.Broadcast
 
 	mu         sync.Mutex // held only while the machine runs, never across I/O
 	machine    *Machine
@@ -47,24 +47,24 @@
 }
 
 // New prepares a replica; state is what the store held at its opening, or nil. A request may take round.
-func New(s base.Scope, settings Settings, store Store, state *wire.ReplicaState, web *http.Client, round time.Duration) *Replica {
-	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Name(identityLength) }
-	settings.Note = s.Record
+func New(s base.Scope, settings Settings, store Store, state *wire.ReplicaState, httpClient *http.Client, requestTimeout time.Duration) *Replica {
+	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Name(identitySuffixLength) }
+	settings.RecordEvent = s.Record
 	return &Replica{
-		scope: s, settings: settings, round: round, store: store, http: web, saves: make(chan *Save, 1),
+		scope: s, settings: settings, requestTimeout: requestTimeout, store: store, httpClient: httpClient, saves: make(chan *Save, 1),
 		machine: NewMachine(settings, state, s.Clock.Mono()), tickets: map[uint64]chan Result{},
 		calls: map[uint64]chan *wire.ReplicaReply{}, clients: map[string]wireconnect.ReplicasClient{},
 	}
 }
 
-// identityLength makes it improbable that two identities at one address are ever alike.
-const identityLength = 6
+// identitySuffixLength makes it improbable that two identities at one address are ever alike.
+const identitySuffixLength = 6
 
 // Run lets the replica work until the scope ends.
 func (r *Replica) Run(s base.Scope) {
-	r.tasks.Go(func() { base.ForEach(s, r.saves, r.save) })
+	r.tasks.Go(func() { base.ForEach(s, r.saves, r.persist) })
 	r.step(func(*Machine) {})
-	base.Tick(s, r.settings.Watch/ticksPerWatch, func(s base.Scope) {
+	base.Tick(s, r.settings.StatusInterval/ticksPerStatusInterval, func(s base.Scope) {
 		r.step(func(m *Machine) { m.Tick(s.Clock.Mono()) })
 	})
 	r.tasks.Wait()
@@ -74,7 +74,7 @@
 func (r *Replica) step(run func(m *Machine)) {
 	r.mu.Lock()
 	run(r.machine)
-	out := r.machine.Take()
+	out := r.machine.TakeOutput()
 	r.deliver(out)
 	r.mu.Unlock()
 	if out.Save != nil {
@@ -83,7 +83,7 @@
 	for _, request := range out.Requests {
 		go r.send(request) // it ends within a round
 	}
-	if out.Chosen || out.Members {
+	if out.ChosenChanged || out.MembershipChanged {
 		r.changed.Notify()
 	}
 }
@@ -96,7 +96,7 @@
 			waiting <- result
 		}
 	}
-	for _, answer := range out.Answers {
+	for _, answer := range out.Responses {
 		if waiting := r.calls[answer.Call]; waiting != nil {
 			delete(r.calls, answer.Call)
 			waiting <- answer.Reply
@@ -104,28 +104,28 @@
 	}
 }
 
-// save writes a state to the disk and tells the machine how that ended.
-func (r *Replica) save(save *Save) {
-	err := r.store.Save(save.State)
+// persist writes a state to the disk and tells the machine how that ended.
+func (r *Replica) persist(request *Save) {
+	err := r.store.Save(request.State)
 	if err != nil {
 		r.scope.Log.Warn("state not saved", "error", err)
 	}
-	r.step(func(m *Machine) { m.Saved(r.scope.Clock.Mono(), save.Number, err == nil) })
+	r.step(func(m *Machine) { m.HandleSaved(r.scope.Clock.Mono(), request.Number, err == nil) })
 }
 
 // send asks one replica and gives up after a round.
 func (r *Replica) send(request Request) {
-	ctx, cancel := context.WithTimeout(r.scope.Context, r.round)
+	ctx, cancel := context.WithTimeout(r.scope.Context, r.requestTimeout)
 	defer cancel()
 	var reply *wire.ReplicaReply
-	response, err := r.client(request.To).Exchange(ctx, connect.NewRequest(request.Ask))
+	response, err := r.client(request.To).Exchange(ctx, connect.NewRequest(request.Payload))
 	if err == nil {
 		reply = response.Msg
 	}
 	if r.scope.Err() != nil {
 		return
 	}
-	r.step(func(m *Machine) { m.Answered(r.scope.Clock.Mono(), request.ID, reply) })
+	r.step(func(m *Machine) { m.HandleReply(r.scope.Clock.Mono(), request.ID, reply) })
 }
 
 // client returns the client for a replica's address.
@@ -134,7 +134,7 @@
 	defer r.mu.Unlock()
 	client := r.clients[address]
 	if client == nil {
-		client = wireconnect.NewReplicasClient(r.http, "http://"+address, connect.WithReadMaxBytes(largestMessage))
+		client = wireconnect.NewReplicasClient(r.httpClient, "http://"+address, connect.WithReadMaxBytes(maxMessageBytes))
 		r.clients[address] = client
 	}
 	return client
@@ -145,19 +145,19 @@
 
 // Handler serves the other replicas.
 func (r *Replica) Handler() (path string, handler http.Handler) {
-	return wireconnect.NewReplicasHandler(server{r}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(largestMessage))
+	return wireconnect.NewReplicasHandler(server{r}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(maxMessageBytes))
 }
 
 // Exchange answers one question.
-func (v server) Exchange(ctx context.Context, request *connect.Request[wire.ReplicaRequest]) (*connect.Response[wire.ReplicaReply], error) {
-	r := v.replica
+func (s server) Exchange(ctx context.Context, request *connect.Request[wire.ReplicaRequest]) (*connect.Response[wire.ReplicaReply], error) {
+	r := s.replica
 	answer := make(chan *wire.ReplicaReply, 1)
 	var call uint64
 	r.step(func(m *Machine) {
 		r.lastCall++
 		call = r.lastCall
 		r.calls[call] = answer
-		m.Receive(r.scope.Clock.Mono(), call, request.Msg)
+		m.HandleRequest(r.scope.Clock.Mono(), call, request.Msg)
 	})
 	select {
 	case reply := <-answer:
@@ -171,15 +171,15 @@
 	return nil, base.NewFault(base.Unreachable, "", "no answer in time")
 }
 
-// wait opens a ticket and waits for its result.
-func (r *Replica) wait(s base.Scope, open func(m *Machine, now time.Duration, ticket uint64)) Result {
+// await opens a ticket and waits for its result.
+func (r *Replica) await(s base.Scope, start func(m *Machine, now time.Duration, ticket uint64)) Result {
 	result := make(chan Result, 1)
 	var ticket uint64
 	r.step(func(m *Machine) {
 		r.lastTicket++
 		ticket = r.lastTicket
 		r.tickets[ticket] = result
-		open(m, r.scope.Clock.Mono(), ticket)
+		start(m, r.scope.Clock.Mono(), ticket)
 	})
 	select {
 	case done := <-result:
@@ -196,33 +196,33 @@
 // Change replaces the value of a key. It returns once a majority of disks has the new version or, where change
 // gives nil, once a majority has confirmed that the value seen was the newest. After an error the outcome is open.
 func (r *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
-	return r.wait(s, func(m *Machine, now time.Duration, ticket uint64) { m.Change(now, ticket, key, change) }).Err
+	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Change(now, ticket, key, change) }).Err
 }
 
 // Read gives the newest value of a key as of some moment since the call.
 func (r *Replica) Read(s base.Scope, key string) ([]byte, error) {
-	result := r.wait(s, func(m *Machine, now time.Duration, ticket uint64) { m.Read(now, ticket, key) })
+	result := r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Read(now, ticket, key) })
 	return result.Version.GetValue(), result.Err
 }
 
-// Survey asks all voters what they hold of a key, without becoming its owner.
-func (r *Replica) Survey(s base.Scope, key string) Result {
-	return r.wait(s, func(m *Machine, now time.Duration, ticket uint64) { m.Survey(now, ticket, key) })
+// QuorumRead asks all voters what they hold of a key, without becoming its owner.
+func (r *Replica) QuorumRead(s base.Scope, key string) Result {
+	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.QuorumRead(now, ticket, key) })
 }
 
 // Leave has a learner take this replica's place, where one is ready.
 func (r *Replica) Leave(s base.Scope) error {
-	return r.wait(s, func(m *Machine, now time.Duration, ticket uint64) { m.Leave(now, ticket) }).Err
+	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Leave(now, ticket) }).Err
 }
 
-// HandOver lets another voter take over each key that this replica owns.
-func (r *Replica) HandOver(s base.Scope, keys ...string) {
+// TransferOwnership lets another voter take over each key that this replica owns.
+func (r *Replica) TransferOwnership(s base.Scope, keys ...string) {
 	for _, key := range keys {
 		if !r.Owns(key) {
 			continue
 		}
 		for _, address := range r.Voters() {
-			if address != r.settings.Address && r.offer(s, address, key) {
+			if address != r.settings.Address && r.requestTakeover(s, address, key) {
 				r.scope.Record("duty", key, "handed to "+address)
 				break
 			}
@@ -230,9 +230,9 @@
 	}
 }
 
-// offer asks a voter to take over a key.
-func (r *Replica) offer(s base.Scope, address, key string) bool {
-	ctx, cancel := context.WithTimeout(s, r.round)
+// requestTakeover asks a voter to take over a key.
+func (r *Replica) requestTakeover(s base.Scope, address, key string) bool {
+	ctx, cancel := context.WithTimeout(s, r.requestTimeout)
 	defer cancel()
 	var id string
 	var generation uint64
@@ -245,11 +245,11 @@
 }
 
 // inspect runs a read of the machine under its lock, with the present time.
-func (r *Replica) inspect(at func(m *Machine)) {
+func (r *Replica) inspect(read func(m *Machine)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.machine.now = r.scope.Clock.Mono()
-	at(r.machine)
+	read(r.machine)
 }
 
 // Changed is closed when a newer version is known to be chosen, or the members have changed.
@@ -261,35 +261,35 @@
 	return version
 }
 
-// Fresh gives the newest version of a key known here to be chosen, and a moment of the steady clock before which no
+// ChosenAsOf gives the newest version of a key known here to be chosen, and a moment of the steady clock before which no
 // newer one was chosen; known is false while no majority has told.
-func (r *Replica) Fresh(key string) (version *wire.Version, asOf time.Duration, known bool) {
-	r.inspect(func(m *Machine) { version, asOf, known = m.Fresh(key) })
+func (r *Replica) ChosenAsOf(key string) (version *wire.Version, asOf time.Duration, known bool) {
+	r.inspect(func(m *Machine) { version, asOf, known = m.ChosenAsOf(key) })
 	return version, asOf, known
 }
 
-// Held gives the version of a key on this replica's own disk, chosen or not, or nil.
-func (r *Replica) Held(key string) (version *wire.Version) {
+// Accepted gives the version of a key on this replica's own disk, chosen or not, or nil.
+func (r *Replica) Accepted(key string) (version *wire.Version) {
 	r.inspect(func(m *Machine) { version = m.durable.Registers[key].GetAccepted() })
 	return version
 }
 
-// Votes says whether this replica is a voter.
-func (r *Replica) Votes() (votes bool) {
-	r.inspect(func(m *Machine) { votes = m.votes() })
-	return votes
+// IsVoter says whether this replica is a voter.
+func (r *Replica) IsVoter() (isVoter bool) {
+	r.inspect(func(m *Machine) { isVoter = m.isVoter() })
+	return isVoter
 }
 
-// Settled tells when the last round began in which a majority answered, by the steady clock; ok is false if the
+// ReplicatedAsOf tells when the last round began in which a majority answered, by the steady clock; ok is false if the
 // newest version of the key was then on too few disks, or if there was no such round.
-func (r *Replica) Settled(key string) (began time.Duration, ok bool) {
-	r.inspect(func(m *Machine) { began, ok = m.Settled(key) })
+func (r *Replica) ReplicatedAsOf(key string) (began time.Duration, ok bool) {
+	r.inspect(func(m *Machine) { began, ok = m.ReplicatedAsOf(key) })
 	return began, ok
 }
 
 // LastMajority tells when the last round began in which a majority answered, if there was one.
 func (r *Replica) LastMajority() (began time.Duration, ok bool) {
-	r.inspect(func(m *Machine) { began, ok = m.majorityAt, m.confirmed })
+	r.inspect(func(m *Machine) { began, ok = m.lastMajorityRound, m.heardMajority })
 	return began, ok
 }
 
@@ -316,14 +316,14 @@
 
 // Voters gives the voters' addresses, as far as they are known, sorted.
 func (r *Replica) Voters() (addresses []string) {
-	r.inspect(func(m *Machine) { addresses = addressesOf(m.members()) })
+	r.inspect(func(m *Machine) { addresses = addressesOf(m.newestMembership()) })
 	return addresses
 }
 
-// HeardLately says whether the voter at an address was heard lately.
-func (r *Replica) HeardLately(address string, lately time.Duration) (hears bool) {
-	r.inspect(func(m *Machine) { hears = m.HeardLately(address, lately) })
-	return hears
+// HeardWithin says whether the voter at an address was heard lately.
+func (r *Replica) HeardWithin(address string, window time.Duration) (heard bool) {
+	r.inspect(func(m *Machine) { heard = m.HeardWithin(address, window) })
+	return heard
 }
 
 // View tells how this replica stands.
@@ -332,7 +332,7 @@
 	return view
 }
 
-// Reload takes other seeds.
-func (r *Replica) Reload(seeds []string) {
+// SetSeeds takes other seeds.
+func (r *Replica) SetSeeds(seeds []string) {
 	r.inspect(func(m *Machine) { m.settings.Seeds = seeds })
 }
--- a/internal/replica/round.go
+++ b/internal/replica/round.go
@@ -11,20 +11,20 @@
 	membership *wire.Membership
 	replies    map[string]*wire.ReplicaReply // by identity; nil where none came
 	closed     bool                          // further replies don't matter
-	concluded  bool                          // whoever waited has been told
+	reported   bool                          // whoever waited has been told
 }
 
 // poll asks every voter of membership; each runs after each reply until it closes the round.
-func (m *Machine) poll(membership *wire.Membership, ask func() *wire.ReplicaRequest, each func(r *round, reply *wire.ReplicaReply)) {
-	m.pollEach(membership, func(*wire.Replica) *wire.ReplicaRequest { return ask() }, nil, each)
+func (m *Machine) poll(membership *wire.Membership, newRequest func() *wire.ReplicaRequest, onReply func(r *round, reply *wire.ReplicaReply)) {
+	m.pollEach(membership, func(*wire.Replica) *wire.ReplicaRequest { return newRequest() }, nil, onReply)
 }
 
 // pollEach asks each voter something of its own. Where a voter needs the whole of what it was told in part, it is
 // asked once more, with whole.
-func (m *Machine) pollEach(membership *wire.Membership, ask func(*wire.Replica) *wire.ReplicaRequest, whole func() *wire.ReplicaRequest, each func(r *round, reply *wire.ReplicaReply)) {
+func (m *Machine) pollEach(membership *wire.Membership, newRequest func(*wire.Replica) *wire.ReplicaRequest, newFullRequest func() *wire.ReplicaRequest, onReply func(r *round, reply *wire.ReplicaReply)) {
 	r := &round{membership: membership, replies: map[string]*wire.ReplicaReply{}}
 	for _, voter := range membership.Voters {
-		take := func(reply *wire.ReplicaReply) {
+		record := func(reply *wire.ReplicaReply) {
 			if r.closed {
 				return
 			}
@@ -32,23 +32,23 @@
 				reply = nil // another replica has taken over the address
 			}
 			r.replies[voter.Id] = reply
-			each(r, reply)
+			onReply(r, reply)
 		}
-		m.send(voter.Address, ask(voter), func(reply *wire.ReplicaReply) {
-			if whole != nil && reply.GetStanding() == wire.Standing_NEEDS_WHOLE && !r.closed {
-				m.send(voter.Address, whole(), take)
+		m.send(voter.Address, newRequest(voter), func(reply *wire.ReplicaReply) {
+			if newFullRequest != nil && reply.GetStanding() == wire.Standing_NEEDS_WHOLE && !r.closed {
+				m.send(voter.Address, newFullRequest(), record)
 				return
 			}
-			take(reply)
+			record(reply)
 		})
 	}
 }
 
 // count says how many replies fit.
-func (r *round) count(fits func(*wire.ReplicaReply) bool) int {
+func (r *round) count(matches func(*wire.ReplicaReply) bool) int {
 	count := 0
 	for _, reply := range r.replies {
-		if reply != nil && fits(reply) {
+		if reply != nil && matches(reply) {
 			count++
 		}
 	}
@@ -74,8 +74,8 @@
 // majority is the least number of voters of which any two sets share one.
 func majority(membership *wire.Membership) int { return len(membership.Voters)/2 + 1 }
 
-// voterWith finds a voter by identity.
-func voterWith(membership *wire.Membership, id string) *wire.Replica {
+// voterByID finds a voter by identity.
+func voterByID(membership *wire.Membership, id string) *wire.Replica {
 	at := slices.IndexFunc(membership.GetVoters(), func(voter *wire.Replica) bool { return voter.Id == id })
 	if at < 0 {
 		return nil
@@ -83,8 +83,8 @@
 	return membership.Voters[at]
 }
 
-// voterAt finds a voter by address.
-func voterAt(membership *wire.Membership, address string) *wire.Replica {
+// voterByAddress finds a voter by address.
+func voterByAddress(membership *wire.Membership, address string) *wire.Replica {
 	at := slices.IndexFunc(membership.GetVoters(), func(voter *wire.Replica) bool { return voter.Address == address })
 	if at < 0 {
 		return nil
--- /dev/null
+++ b/internal/replica/simulation_test.go
@@ -0,0 +1,471 @@
+package replica
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"curlewreach/proto/wire"
+)
+
+// The durations of the simulated replicas.
+const (
+	simRequestTimeout = 400 * time.Millisecond
+	simStatusInterval = 250 * time.Millisecond
+	simVoterTimeout   = 1500 * time.Millisecond
+	simRecommitAfter  = time.Second
+	simBootstrapWait  = time.Second
+	simTick           = simStatusInterval / 5
+	simSaveDelay      = 5 * time.Millisecond
+	simMessageDelay   = time.Millisecond
+)
+
+// event is something that happens at a moment of the simulated time.
+type event struct {
+	at    time.Duration
+	order int
+	run   func()
+	id    string // of messages and saves: names it among all of a run, whatever the order
+	node  string // whom it concerns
+}
+
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	(*q)[last] = event{}
+	*q = (*q)[:last]
+	return popped
+}
+
+// node is one address with its disk and, while it runs, its machine.
+type node struct {
+	sim         *simulation
+	address     string
+	machine     *Machine // nil while it is down
+	incarnation int      // rises with each stop, so that events of an earlier process are told apart
+	disk        []byte   // the last durable state; nil where there is none
+	saving      *Save
+	diskFull    bool     // saves fail
+	paused      bool     // inputs and ticks wait
+	pending     []func() // inputs that wait for the thaw
+	removed     bool     // the disk is gone and the address won't come back
+	observed    observedState
+}
+
+// conditions says what the network and the disks do by chance.
+type conditions struct {
+	lossPercent      int
+	duplicatePercent int
+	failPercent      int           // of the saves
+	maxDelay         time.Duration // of one message
+	maxSave          time.Duration
+}
+
+// message is one request or reply on its way.
+type message struct {
+	from, to string
+	request  *wire.ReplicaRequest
+	reply    *wire.ReplicaReply // nil for a request
+	id       string
+	onLost   func() // runs where the world is explored and the message can't arrive
+}
+
+// delivery says what becomes of a message.
+type delivery struct {
+	lost  bool
+	delay time.Duration
+}
+
+// simulation runs machines over a simulated network and simulated disks, without real time.
+type simulation struct {
+	now        time.Duration
+	order      int
+	events     eventQueue
+	nodes      map[string]*node
+	names      []string // of nodes, in the order of their first start
+	random     *rand.Rand
+	seeds      []string
+	target     int
+	cuts       map[[2]string]bool // from, to
+	conditions conditions
+	// intercept, where set, decides about each message in place of the weather.
+	intercept func(message) delivery
+	// saveDelay, where set, decides how long a save takes.
+	saveDelay func(*node) time.Duration
+
+	lastID     int
+	lastCall   uint64
+	calls      map[uint64]*call
+	lastTicket uint64
+	tickets    map[uint64]func(Result)
+	exploring  bool // no time passes, and what can't arrive is known to be lost at once
+
+	check *checker
+	log   func(string, ...any)
+}
+
+// call is a request that a machine has been handed and not yet answered.
+type call struct {
+	to          *node
+	incarnation int
+	request     *wire.ReplicaRequest
+	sealed      bool // the receiver had told before that it has sealed the request's generation
+	reply       func(*wire.ReplicaReply)
+}
+
+func newSimulation(seed uint64, seeds ...string) *simulation {
+	sim := &simulation{
+		nodes: map[string]*node{}, random: rand.New(rand.NewPCG(seed, 1)), seeds: seeds, target: 3, cuts: map[[2]string]bool{},
+		calls: map[uint64]*call{}, tickets: map[uint64]func(Result){}, log: func(string, ...any) {},
+	}
+	sim.check = newChecker(sim)
+	return sim
+}
+
+// bootstrap starts a system for the first time.
+func (sim *simulation) bootstrap(addresses ...string) {
+	for _, address := range addresses {
+		sim.start(address, true)
+	}
+}
+
+func (sim *simulation) after(span time.Duration, run func()) { sim.schedule(span, "", "", run) }
+
+func (sim *simulation) schedule(span time.Duration, label, node string, run func()) {
+	sim.order++
+	heap.Push(&sim.events, event{sim.now + span, sim.order, run, label, node})
+}
+
+// step runs the next event.
+func (sim *simulation) step() {
+	next := heap.Pop(&sim.events).(event)
+	sim.now = max(sim.now, next.at)
+	next.run()
+}
+
+// run lets a span of time pass, or less once done says so or a check has failed.
+func (sim *simulation) run(span time.Duration, done func() bool) bool {
+	until := sim.now + span
+	for len(sim.events) > 0 && sim.events[0].at <= until && sim.check.failure == "" {
+		if done != nil && done() {
+			return true
+		}
+		sim.step()
+	}
+	sim.now = until
+	return done != nil && done()
+}
+
+func (sim *simulation) newID() string {
+	sim.lastID++
+	return fmt.Sprintf("i%03d", sim.lastID)
+}
+
+// start runs the process of an address from what its disk holds.
+func (sim *simulation) start(address string, founding bool) *node {
+	n := sim.nodes[address]
+	if n == nil {
+		n = &node{sim: sim, address: address}
+		sim.nodes[address] = n
+		sim.names = append(sim.names, address)
+	}
+	n.incarnation++
+	n.observed = observedState{}
+	n.machine = NewMachine(Settings{
+		Address: address, Seeds: slices.Clone(sim.seeds), Bootstrap: founding, TargetVoters: sim.target, StatusInterval: simStatusInterval, VoterTimeout: simVoterTimeout,
+		RecommitAfter: simRecommitAfter, BootstrapWait: simBootstrapWait, NewID: sim.newID,
+		RecordEvent: func(what, subject, detail string) {
+			sim.log("%v %s: %s %s %s", sim.now, address, what, subject, detail)
+		},
+	}, n.diskState(), sim.now)
+	n.tick(n.incarnation)
+	return n
+}
+
+// diskState reads the disk; nil where it holds nothing.
+func (n *node) diskState() *wire.ReplicaState {
+	if n.disk == nil {
+		return nil
+	}
+	state := &wire.ReplicaState{}
+	if err := proto.Unmarshal(n.disk, state); err != nil {
+		panic(err)
+	}
+	return state
+}
+
+// write puts a state on the disk.
+func (n *node) write(state *wire.ReplicaState) {
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
+	if err != nil {
+		panic(err)
+	}
+	n.disk = encoded
+	n.sim.check.checkWrite(n, state)
+}
+
+// crash ends the process; a save in flight ends either way.
+func (sim *simulation) crash(address string, saveLands bool) {
+	n := sim.nodes[address]
+	if n.machine == nil {
+		return
+	}
+	if n.saving != nil && saveLands && !n.diskFull {
+		n.write(n.saving.State)
+	}
+	n.incarnation++
+	n.machine, n.saving, n.paused, n.pending = nil, nil, false, nil
+}
+
+// wipe ends the process and empties the disk.
+func (sim *simulation) wipe(address string) {
+	sim.crash(address, false)
+	sim.check.recordDiskLoss(sim.nodes[address])
+	sim.nodes[address].disk = nil
+}
+
+// remove ends an address for good.
+func (sim *simulation) remove(address string) {
+	sim.wipe(address)
+	sim.nodes[address].removed = true
+}
+
+func (sim *simulation) cut(from, to string)  { sim.cuts[[2]string{from, to}] = true }
+func (sim *simulation) heal(from, to string) { delete(sim.cuts, [2]string{from, to}) }
+
+// isolate cuts an address off from some others, both ways.
+func (sim *simulation) isolate(address string, others ...string) {
+	for _, other := range others {
+		sim.cut(address, other)
+		sim.cut(other, address)
+	}
+}
+
+// reconnect ends isolate.
+func (sim *simulation) reconnect(address string, others ...string) {
+	for _, other := range others {
+		sim.heal(address, other)
+		sim.heal(other, address)
+	}
+}
+
+func (sim *simulation) pause(address string) {
+	if n := sim.nodes[address]; n.machine != nil {
+		n.paused = true
+	}
+}
+
+// resume handles what came meanwhile, all at once.
+func (sim *simulation) resume(address string) {
+	n := sim.nodes[address]
+	if !n.paused {
+		return
+	}
+	n.paused = false
+	pending := n.pending
+	n.pending = nil
+	life := n.incarnation
+	for _, each := range pending {
+		n.input(life, each)
+	}
+}
+
+// input hands something to the machine, or keeps it for the thaw.
+func (n *node) input(life int, deliver func()) {
+	switch {
+	case n.incarnation != life || n.machine == nil:
+	case n.paused:
+		n.pending = append(n.pending, deliver)
+	default:
+		deliver()
+		n.flush()
+	}
+}
+
+func (n *node) tick(life int) {
+	if n.incarnation != life {
+		return
+	}
+	n.input(life, func() {
+		n.machine.Tick(n.sim.now)
+		n.sim.after(simTick, func() { n.tick(life) })
+	})
+}
+
+// flush does what the machine wants done.
+func (n *node) flush() {
+	sim := n.sim
+	out := n.machine.TakeOutput()
+	sim.check.observe(n)
+	for _, result := range out.Results {
+		if done := sim.tickets[result.Ticket]; done != nil {
+			delete(sim.tickets, result.Ticket)
+			done(result)
+		}
+	}
+	if out.Save != nil {
+		n.save(out.Save)
+	}
+	for _, request := range out.Requests {
+		sim.send(n, request)
+	}
+	for _, answer := range out.Responses {
+		sim.reply(answer)
+	}
+}
+
+func (n *node) save(save *Save) {
+	sim, life := n.sim, n.incarnation
+	n.saving = save
+	label := fmt.Sprintf("save %s/%d/%d", n.address, life, save.Number)
+	sim.schedule(sim.drawSaveDelay(n), label, n.address, func() {
+		if n.incarnation != life {
+			return
+		}
+		n.saving = nil
+		ok := !n.diskFull && !sim.chance(sim.conditions.failPercent)
+		if ok || !n.diskFull && sim.chance(50) {
+			n.write(save.State)
+		}
+		n.input(life, func() { n.machine.HandleSaved(sim.now, save.Number, ok) })
+	})
+}
+
+func (sim *simulation) drawSaveDelay(n *node) time.Duration {
+	if sim.saveDelay != nil {
+		return sim.saveDelay(n)
+	}
+	return simSaveDelay + sim.randomDuration(sim.conditions.maxSave)
+}
+
+func (sim *simulation) randomDuration(most time.Duration) time.Duration {
+	if most <= 0 {
+		return 0
+	}
+	return time.Duration(sim.random.Int64N(int64(most)))
+}
+
+func (sim *simulation) chance(percent int) bool { return percent > 0 && sim.random.IntN(100) < percent }
+
+// transmit takes a message over the network; deliver may run never, once or twice.
+func (sim *simulation) transmit(m message, deliver func()) {
+	if sim.intercept != nil {
+		if v := sim.intercept(m); !v.lost {
+			sim.scheduleDelivery(m, max(v.delay, simMessageDelay), deliver)
+		}
+		return
+	}
+	if sim.chance(sim.conditions.lossPercent) {
+		return
+	}
+	sim.scheduleDelivery(m, simMessageDelay+sim.randomDuration(sim.conditions.maxDelay), deliver)
+	if sim.chance(sim.conditions.duplicatePercent) {
+		sim.scheduleDelivery(m, simMessageDelay+sim.randomDuration(2*sim.conditions.maxDelay), deliver)
+	}
+}
+
+func (sim *simulation) scheduleDelivery(m message, delay time.Duration, deliver func()) {
+	sim.schedule(delay, m.id, m.to, func() {
+		if !sim.cuts[[2]string{m.from, m.to}] {
+			deliver()
+			return
+		}
+		if sim.exploring {
+			m.onLost()
+		}
+	})
+}
+
+func (sim *simulation) send(n *node, request Request) {
+	life := n.incarnation
+	sim.check.checkAccept(n, request.Payload)
+	answered := false
+	finish := func(reply *wire.ReplicaReply) {
+		if !answered {
+			answered = true
+			n.input(life, func() { n.machine.HandleReply(sim.now, request.ID, reply) })
+		}
+	}
+	sim.after(simRequestTimeout, func() { finish(nil) })
+	received := roundTripEncoding(request.Payload)
+	lost := func() { finish(nil) }
+	label := fmt.Sprintf("%s/%d/%d", n.address, life, request.ID)
+	sim.transmit(message{from: n.address, to: request.To, request: received, id: "ask " + label, onLost: lost}, func() {
+		if to := sim.nodes[request.To]; sim.exploring && (to == nil || to.machine == nil) {
+			lost()
+			return
+		}
+		sim.receive(request.To, received, func(reply *wire.ReplicaReply) {
+			decoded := roundTripEncoding(reply)
+			response := message{from: request.To, to: n.address, request: received, reply: decoded, id: "answer " + label, onLost: lost}
+			sim.transmit(response, func() { finish(decoded) })
+		})
+	})
+}
+
+// roundTripEncoding gives the message as its receiver decodes it.
+func roundTripEncoding[M proto.Message](sent M) M {
+	encoded, err := proto.Marshal(sent)
+	if err != nil {
+		panic(err)
+	}
+	received := sent.ProtoReflect().New().Interface().(M)
+	if err := proto.Unmarshal(encoded, received); err != nil {
+		panic(err)
+	}
+	return received
+}
+
+func (sim *simulation) receive(address string, request *wire.ReplicaRequest, reply func(*wire.ReplicaReply)) {
+	n := sim.nodes[address]
+	if n == nil || n.machine == nil {
+		return
+	}
+	n.input(n.incarnation, func() {
+		sim.lastCall++
+		sim.calls[sim.lastCall] = &call{to: n, incarnation: n.incarnation, request: request, sealed: sim.check.hasSealed(n, request.Generation), reply: reply}
+		n.machine.HandleRequest(sim.now, sim.lastCall, request)
+	})
+}
+
+func (sim *simulation) reply(answer Response) {
+	call := sim.calls[answer.Call]
+	delete(sim.calls, answer.Call)
+	sim.check.checkReply(call, answer.Reply)
+	call.reply(answer.Reply)
+}
+
+// ask opens a ticket on a machine; done runs with its result, unless the process ends before.
+func (sim *simulation) ask(address string, start func(m *Machine, ticket uint64), done func(Result)) {
+	n := sim.nodes[address]
+	if n == nil || n.machine == nil {
+		return
+	}
+	sim.lastTicket++
+	ticket := sim.lastTicket
+	sim.tickets[ticket] = done
+	n.input(n.incarnation, func() { start(n.machine, ticket) })
+}
+
+// restart runs a stopped process again, from what its disk holds.
+func (sim *simulation) restart(address string) { sim.start(address, false) }
+
+// request opens a change that puts a value, whatever the old one was.
+func (sim *simulation) request(address, key, value string, done func(Result)) {
+	sim.ask(address, func(m *Machine, ticket uint64) {
+		m.Change(sim.now, ticket, key, func([]byte) ([]byte, error) { return []byte(value), nil })
+	}, done)
+}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,71 +9,71 @@
 )
 
 const (
-	// standstillRatio of Watch without a tick is taken for a standstill: what was unheard meanwhile counts for nothing.
-	standstillRatio = 3
-	// absentRounds is how many status rounds a voter may be silent before a round no longer waits for it.
-	absentRounds = 2
-	// seedRounds is how many status rounds pass between two looks at seeds that are no voters.
-	seedRounds = 8
+	// pauseIntervals of Watch without a tick is taken for a standstill: what was unheard meanwhile counts for nothing.
+	pauseIntervals = 3
+	// responsiveRounds is how many status rounds a voter may be silent before a round no longer waits for it.
+	responsiveRounds = 2
+	// seedPollRounds is how many status rounds pass between two looks at seeds that are no voters.
+	seedPollRounds = 8
 )
 
-// survey waits for a majority of voters that answered a question asked since it was opened.
-type survey struct {
+// quorumRead waits for a majority of voters that answered a question asked since it was opened.
+type quorumRead struct {
 	ticket uint64
 	key    string
 }
 
-// Survey gives the newest chosen version of a key by a round of questions that begins now.
-func (m *Machine) Survey(now time.Duration, ticket uint64, key string) {
+// QuorumRead gives the newest chosen version of a key by a round of questions that begins now.
+func (m *Machine) QuorumRead(now time.Duration, ticket uint64, key string) {
 	m.now = now
-	m.startStatusRound([]*survey{{ticket, key}})
-	m.drain()
+	m.startStatusRound([]*quorumRead{{ticket, key}})
+	m.runDeferred()
 }
 
-// watchMembers runs once in each Watch: a status round and, where this replica has no vote or hardly hears the voters,
+// pollMembers runs once in each Watch: a status round and, where this replica has no vote or hardly hears the voters,
 // a search for others.
-func (m *Machine) watchMembers() {
-	m.rounds++
-	if !m.votes() || m.rounds%seedRounds == 0 && m.isIsolated() {
-		m.searchMembers()
+func (m *Machine) pollMembers() {
+	m.statusRounds++
+	if !m.isVoter() || m.statusRounds%seedPollRounds == 0 && m.isIsolated() {
+		m.discoverMembers()
 	}
 	m.startStatusRound(nil)
 }
 
 // startStatusRound asks all members what they hold. Where none are known its surveys fail at once, without a question
 // to anybody: callers ask again within moments, and only watchMembers bounds how often the seeds are asked.
-func (m *Machine) startStatusRound(surveys []*survey) {
-	members := m.members()
+func (m *Machine) startStatusRound(reads []*quorumRead) {
+	members := m.newestMembership()
 	if members == nil {
-		m.endSurveys(surveys, nil)
+		m.failQuorumReads(reads, nil)
 		return
 	}
-	have, began := m.heldVersions(), m.now
-	m.poll(members, func() *wire.ReplicaRequest { return m.statusAsk(have) }, func(r *round, reply *wire.ReplicaReply) {
+	have, began := m.acceptedVersions(), m.now
+	m.poll(members, func() *wire.ReplicaRequest { return m.newStatusRequest(have) }, func(r *round, reply *wire.ReplicaReply) {
 		m.observeStatus(reply, have)
 		m.resignIfReplaced(r)
-		m.concludeStatus(r, began, have, surveys)
+		m.evaluateStatusRound(r, began, have, reads)
 	})
 }
 
 // isIsolated says whether most of the voters have been silent.
 func (m *Machine) isIsolated() bool {
 	heard := 0
-	for _, voter := range m.members().Voters {
-		if voter.Id == m.state.Id || m.silence(voter.Id) < m.settings.Silence {
+	for _, voter := range m.newestMembership().Voters {
+		if voter.Id == m.state.Id || m.sinceHeard(voter.Id) < m.settings.VoterTimeout {
 			heard++
 		}
 	}
-	return heard < majority(m.members())
+	return heard < majority(m.newestMembership())
 }
 
-// silence is for how long a replica went unheard while this one ran.
-func (m *Machine) silence(id string) time.Duration {
-	return m.now - max(m.heard[id], m.steadySince)
+// sinceHeard is for how long a replica went unheard while this one ran.
+func (m *Machine) sinceHeard(id string) time.Duration {
+	return m.now - max(m.lastHeard[id], m.uninterruptedSince)
 }
 
-// heldVersions lists the versions on this replica, by key.
-func (m *Machine) heldVersions() map[string]*wire.Version {
+// acceptedVersions lists the versions on this replica, by key.
+func (m *Machine) acceptedVersions() map[string]*wire.Version {
 	have := map[string]*wire.Version{}
 	for key, register := range m.state.Registers {
 		if register.Accepted != nil {
@@ -83,14 +83,14 @@
 	return have
 }
 
-// statusAsk asks for the registers, naming the versions that need not be sent again.
-func (m *Machine) statusAsk(have map[string]*wire.Version) *wire.ReplicaRequest {
-	told := map[string]*wire.Version{}
+// newStatusRequest asks for the registers, naming the versions that need not be sent again.
+func (m *Machine) newStatusRequest(have map[string]*wire.Version) *wire.ReplicaRequest {
+	known := map[string]*wire.Version{}
 	for key, version := range have {
-		told[key] = withoutValue(version)
+		known[key] = withoutValue(version)
 	}
 	return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Status{Status: &wire.StatusAsk{
-		Have: told, Learner: !m.votes(), CaughtUp: m.caughtUp(), Leaving: m.leaving,
+		Have: known, Learner: !m.isVoter(), CaughtUp: m.caughtUp(), Leaving: m.leaving,
 	}}}
 }
 
@@ -99,12 +99,12 @@
 	if reply == nil {
 		return
 	}
-	m.learn(reply.Membership)
+	m.learnMembership(reply.Membership)
 	if reply.Membership.GetGeneration() != reply.Generation || reply.Generation <= m.generation() {
 		return
 	}
-	if voterWith(reply.Membership, m.state.Id) != nil {
-		m.enter(reply.Membership, withValues(reply.Registers, have))
+	if voterByID(reply.Membership, m.state.Id) != nil {
+		m.enterGeneration(reply.Membership, restoreValues(reply.Registers, have))
 	}
 }
 
@@ -112,49 +112,49 @@
 // Until then the next generation may have to be installed again from what is held here.
 func (m *Machine) resignIfReplaced(r *round) {
 	newer := r.membership
-	if !m.votes() || newer.Generation <= m.generation() || voterWith(newer, m.state.Id) != nil {
+	if !m.isVoter() || newer.Generation <= m.generation() || voterByID(newer, m.state.Id) != nil {
 		return
 	}
 	installed := r.count(func(reply *wire.ReplicaReply) bool { return reply.Generation >= newer.Generation })
 	if installed >= majority(newer) {
-		m.resign()
+		m.resignVote()
 	}
 }
 
-// withValues puts back the values that a reply left out because the question named their versions.
-func withValues(told map[string]*wire.Register, have map[string]*wire.Version) map[string]*wire.Register {
+// restoreValues puts back the values that a reply left out because the question named their versions.
+func restoreValues(received map[string]*wire.Register, have map[string]*wire.Version) map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
-	for key, register := range told {
-		registers[key] = &wire.Register{Promised: register.Promised, Accepted: withValue(register.Accepted, have[key])}
+	for key, register := range received {
+		registers[key] = &wire.Register{Promised: register.Promised, Accepted: restoreValue(register.Accepted, have[key])}
 	}
 	return registers
 }
 
-// withValue puts back the value of a version that is known here.
-func withValue(told, known *wire.Version) *wire.Version {
-	if told != nil && known != nil && compareVersions(told, known) == 0 {
+// restoreValue puts back the value of a version that is known here.
+func restoreValue(received, known *wire.Version) *wire.Version {
+	if received != nil && known != nil && compareVersions(received, known) == 0 {
 		return known
 	}
-	return told
+	return received
 }
 
-// learn remembers the newest membership heard of.
-func (m *Machine) learn(membership *wire.Membership) {
-	if membership.GetGeneration() <= m.members().GetGeneration() {
+// learnMembership remembers the newest membership heard of.
+func (m *Machine) learnMembership(membership *wire.Membership) {
+	if membership.GetGeneration() <= m.newestMembership().GetGeneration() {
 		return
 	}
-	m.learned = membership
-	m.out.Members = true
-	m.rememberAddresses(membership)
+	m.learnedMembership = membership
+	m.output.MembershipChanged = true
+	m.saveKnownAddresses(membership)
 }
 
-// rememberAddresses keeps the voters' addresses on disk, to find them after a restart with other seeds.
-func (m *Machine) rememberAddresses(membership *wire.Membership) {
+// saveKnownAddresses keeps the voters' addresses on disk, to find them after a restart with other seeds.
+func (m *Machine) saveKnownAddresses(membership *wire.Membership) {
 	addresses := addressesOf(membership)
 	if slices.Equal(addresses, m.state.Known) {
 		return
 	}
-	m.change(func(next *wire.ReplicaState) { next.Known = addresses })
+	m.updateState(func(next *wire.ReplicaState) { next.Known = addresses })
 }
 
 func addressesOf(membership *wire.Membership) []string {
@@ -166,49 +166,49 @@
 	return addresses
 }
 
-// concludeStatus ends a round once a majority has answered and each key's newest version is on a majority.
-func (m *Machine) concludeStatus(r *round, began time.Duration, have map[string]*wire.Version, surveys []*survey) {
-	agreed := r.granted() >= majority(r.membership)
-	if !agreed && !r.complete() {
+// evaluateStatusRound ends a round once a majority has answered and each key's newest version is on a majority.
+func (m *Machine) evaluateStatusRound(r *round, began time.Duration, have map[string]*wire.Version, reads []*quorumRead) {
+	majorityReplied := r.granted() >= majority(r.membership)
+	if !majorityReplied && !r.complete() {
 		return
 	}
-	newest, settled := r.newest(have)
-	if agreed {
-		m.adopt(newest, settled)
-		m.noteFresh(began, settled)
+	newest, onMajority := r.newest(have)
+	if majorityReplied {
+		m.adoptChosen(newest, onMajority)
+		m.recordUpToDate(began, onMajority)
 	}
-	if !r.complete() && (!all(settled) || m.awaitsVoter(r)) {
+	if !r.complete() && (!allTrue(onMajority) || m.awaitsResponsiveVoter(r)) {
 		return
 	}
 	r.closed = r.complete()
-	if r.concluded {
+	if r.reported {
 		return
 	}
-	r.concluded = true
-	if agreed {
-		m.majorityAt = max(m.majorityAt, began)
-		m.majorityHeard(newest, settled)
+	r.reported = true
+	if majorityReplied {
+		m.lastMajorityRound = max(m.lastMajorityRound, began)
+		m.recordReplication(newest, onMajority)
 		for key, version := range newest {
-			m.copies[key] = r.copies(key, version)
+			m.copies[key] = r.countCopies(key, version)
 		}
 	}
-	for _, each := range surveys {
-		_, disputed := settled[each.key]
-		m.out.Results = append(m.out.Results, Result{
-			Ticket: each.ticket, Version: m.chosen[each.key], Agreed: agreed, Settled: agreed && (!disputed || settled[each.key]),
+	for _, each := range reads {
+		_, found := onMajority[each.key]
+		m.output.Results = append(m.output.Results, Result{
+			Ticket: each.ticket, Version: m.chosen[each.key], MajorityReplied: majorityReplied, UpToDate: majorityReplied && (!found || onMajority[each.key]),
 		})
 	}
 }
 
-// awaitsVoter says whether a voter that was heard lately has not replied yet. It may hold a version that nobody else has.
-func (m *Machine) awaitsVoter(r *round) bool {
+// awaitsResponsiveVoter says whether a voter that was heard lately has not replied yet. It may hold a version that nobody else has.
+func (m *Machine) awaitsResponsiveVoter(r *round) bool {
 	return slices.ContainsFunc(r.membership.Voters, func(voter *wire.Replica) bool {
 		_, replied := r.replies[voter.Id]
-		return !replied && m.silence(voter.Id) < absentRounds*m.settings.Watch
+		return !replied && m.sinceHeard(voter.Id) < responsiveRounds*m.settings.StatusInterval
 	})
 }
 
-func all(truths map[string]bool) bool {
+func allTrue(truths map[string]bool) bool {
 	for _, truth := range truths {
 		if !truth {
 			return false
@@ -217,35 +217,35 @@
 	return true
 }
 
-// endSurveys ends surveys that can't be answered.
-func (m *Machine) endSurveys(surveys []*survey, version *wire.Version) {
-	for _, each := range surveys {
-		m.out.Results = append(m.out.Results, Result{Ticket: each.ticket, Version: version, Err: errNoVote})
+// failQuorumReads ends surveys that can't be answered.
+func (m *Machine) failQuorumReads(reads []*quorumRead, version *wire.Version) {
+	for _, each := range reads {
+		m.output.Results = append(m.output.Results, Result{Ticket: each.ticket, Version: version, Err: errNotVoter})
 	}
 }
 
 // newest gives each key's highest version among the replies, and whether a majority holds just that.
-func (r *round) newest(have map[string]*wire.Version) (newest map[string]*wire.Version, settled map[string]bool) {
-	newest, settled = map[string]*wire.Version{}, map[string]bool{}
+func (r *round) newest(have map[string]*wire.Version) (newest map[string]*wire.Version, onMajority map[string]bool) {
+	newest, onMajority = map[string]*wire.Version{}, map[string]bool{}
 	for _, reply := range r.replies {
 		if !r.grants(reply) {
 			continue
 		}
 		for key, register := range reply.Registers {
 			if register.Accepted != nil {
-				newest[key] = newer(newest[key], withValue(register.Accepted, have[key]))
+				newest[key] = newerVersion(newest[key], restoreValue(register.Accepted, have[key]))
 			}
 		}
 	}
 	for key, version := range newest {
-		settled[key] = r.votes(key, version) >= majority(r.membership)
+		onMajority[key] = r.countVotes(key, version) >= majority(r.membership)
 	}
-	return newest, settled
+	return newest, onMajority
 }
 
-// votes counts the replies that hold a version as a vote for it. A copy that was installed, or taken over, under a
+// countVotes counts the replies that hold a version as a vote for it. A copy that was installed, or taken over, under a
 // higher promise is none: a version of that higher term may stand elsewhere.
-func (r *round) votes(key string, version *wire.Version) int {
+func (r *round) countVotes(key string, version *wire.Version) int {
 	return r.count(func(reply *wire.ReplicaReply) bool {
 		held := reply.Registers[key]
 		return r.grants(reply) && held.GetAccepted() != nil && compareVersions(held.Accepted, version) == 0 &&
@@ -253,19 +253,19 @@
 	})
 }
 
-// copies counts the replies that hold a version.
-func (r *round) copies(key string, version *wire.Version) int {
+// countCopies counts the replies that hold a version.
+func (r *round) countCopies(key string, version *wire.Version) int {
 	return r.count(func(reply *wire.ReplicaReply) bool {
 		held := reply.Registers[key].GetAccepted()
 		return r.grants(reply) && held != nil && compareVersions(held, version) == 0
 	})
 }
 
-// adopt keeps the versions that a majority holds. The membership register is left to those who change it: its
+// adoptChosen keeps the versions that a majority holds. The membership register is left to those who change it: its
 // versions mean something in their own generation only.
-func (m *Machine) adopt(newest map[string]*wire.Version, settled map[string]bool) {
+func (m *Machine) adoptChosen(newest map[string]*wire.Version, onMajority map[string]bool) {
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
-		if key == membershipKey || !settled[key] {
+		if key == membershipKey || !onMajority[key] {
 			continue
 		}
 		m.storeChosen(key, newest[key])
@@ -273,20 +273,20 @@
 	}
 }
 
-// noteFresh notes that no version chosen before the round began is newer than the chosen one known here: a majority
+// recordUpToDate notes that no version chosen before the round began is newer than the chosen one known here: a majority
 // answered, every earlier majority shares a voter with it, and the newest version among its replies is chosen.
-func (m *Machine) noteFresh(began time.Duration, settled map[string]bool) {
-	for key, isSettled := range settled {
-		if isSettled && key != membershipKey {
-			m.freshAt[key] = max(m.freshAt[key], began)
+func (m *Machine) recordUpToDate(began time.Duration, onMajority map[string]bool) {
+	for key, chosen := range onMajority {
+		if chosen && key != membershipKey {
+			m.upToDateAt[key] = max(m.upToDateAt[key], began)
 		}
 	}
 }
 
-// Fresh gives the newest version of a key known to be chosen, and a moment before which no newer one was chosen.
+// ChosenAsOf gives the newest version of a key known to be chosen, and a moment before which no newer one was chosen.
 // known is false if there was no round yet that could tell.
-func (m *Machine) Fresh(key string) (version *wire.Version, asOf time.Duration, known bool) {
-	asOf, known = m.freshAt[key]
+func (m *Machine) ChosenAsOf(key string) (version *wire.Version, asOf time.Duration, known bool) {
+	asOf, known = m.upToDateAt[key]
 	return m.chosen[key], asOf, known
 }
 
@@ -296,48 +296,48 @@
 	if held.Accepted != nil && compareVersions(version, held.Accepted) <= 0 {
 		return
 	}
-	if m.votes() && (m.state.Next != nil || compareTerms(version.Term, held.Promised) < 0) {
+	if m.isVoter() && (m.state.Next != nil || compareTerms(version.Term, held.Promised) < 0) {
 		return
 	}
-	m.setRegister(key, &wire.Register{Promised: higher(held.Promised, version.Term), Accepted: version})
+	m.setRegister(key, &wire.Register{Promised: higherTerm(held.Promised, version.Term), Accepted: version})
 }
 
-// majorityHeard notes which keys stand on too few disks, and since when.
-func (m *Machine) majorityHeard(newest map[string]*wire.Version, settled map[string]bool) {
-	m.confirmed = true
+// recordReplication notes which keys stand on too few disks, and since when.
+func (m *Machine) recordReplication(newest map[string]*wire.Version, onMajority map[string]bool) {
+	m.heardMajority = true
 	for key := range newest {
-		if settled[key] {
-			delete(m.unsettled, key)
-		} else if _, known := m.unsettled[key]; !known {
-			m.unsettled[key] = m.now
+		if onMajority[key] {
+			delete(m.underReplicated, key)
+		} else if _, known := m.underReplicated[key]; !known {
+			m.underReplicated[key] = m.now
 		}
 	}
 }
 
-// recommitStale reads a key under a new term if its newest version has long been on too few disks.
-func (m *Machine) recommitStale() {
-	if !m.votes() {
+// recommitUnderReplicated reads a key under a new term if its newest version has long been on too few disks.
+func (m *Machine) recommitUnderReplicated() {
+	if !m.isVoter() {
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(m.unsettled)) {
-		if key == membershipKey || m.now-m.unsettled[key] < m.settings.Patience+m.backoff() {
+	for _, key := range slices.Sorted(maps.Keys(m.underReplicated)) {
+		if key == membershipKey || m.now-m.underReplicated[key] < m.settings.RecommitAfter+m.rankDelay() {
 			continue
 		}
-		m.settings.Note("unsettled", key, "its newest version is on too few disks; reading it under a new term")
-		m.unsettled[key] = m.now
+		m.settings.RecordEvent("unsettled", key, "its newest version is on too few disks; reading it under a new term")
+		m.underReplicated[key] = m.now
 		m.enqueue(key, &task{done: func(*wire.Version, error) {}})
 	}
 }
 
-// backoff keeps voters from doing the same at the same moment.
-func (m *Machine) backoff() time.Duration {
-	rank := slices.IndexFunc(m.members().GetVoters(), func(voter *wire.Replica) bool { return voter.Id == m.state.Id })
-	return time.Duration(max(rank, 0)) * m.settings.Watch
+// rankDelay keeps voters from doing the same at the same moment.
+func (m *Machine) rankDelay() time.Duration {
+	rank := slices.IndexFunc(m.newestMembership().GetVoters(), func(voter *wire.Replica) bool { return voter.Id == m.state.Id })
+	return time.Duration(max(rank, 0)) * m.settings.StatusInterval
 }
 
-// Settled tells when the last round began in which a majority answered; ok is false if the newest version of the
+// ReplicatedAsOf tells when the last round began in which a majority answered; ok is false if the newest version of the
 // key was then on too few disks, or if there was no such round.
-func (m *Machine) Settled(key string) (began time.Duration, ok bool) {
-	_, disputed := m.unsettled[key]
-	return m.majorityAt, m.confirmed && !disputed
+func (m *Machine) ReplicatedAsOf(key string) (began time.Duration, ok bool) {
+	_, found := m.underReplicated[key]
+	return m.lastMajorityRound, m.heardMajority && !found
 }
--- a/internal/replica/terms.go
+++ b/internal/replica/terms.go
@@ -16,16 +16,16 @@
 	return cmp.Or(compareTerms(a.GetTerm(), b.GetTerm()), cmp.Compare(a.GetSerial(), b.GetSerial()))
 }
 
-// newer gives the higher of two versions; either may be nil.
-func newer(a, b *wire.Version) *wire.Version {
+// newerVersion gives the higher of two versions; either may be nil.
+func newerVersion(a, b *wire.Version) *wire.Version {
 	if b == nil || a != nil && compareVersions(a, b) >= 0 {
 		return a
 	}
 	return b
 }
 
-// higher gives the higher of two terms; either may be nil.
-func higher(a, b *wire.Term) *wire.Term {
+// higherTerm gives the higher of two terms; either may be nil.
+func higherTerm(a, b *wire.Term) *wire.Term {
 	if b == nil || a != nil && compareTerms(a, b) >= 0 {
 		return a
 	}
