--- a/internal/replica/acceptor.go
+++ b/internal/replica/acceptor.go
@@ -2,7 +2,7 @@
 
 import "curlewreach/proto/wire"
 
-// dispatch answers a question; reply runs when what the answer says is on disk.
+// dispatch handles a request. It calls respond only once the state that the reply describes is on disk.
 func (m *Machine) dispatch(request *wire.ReplicaRequest, respond func(*wire.ReplicaReply)) {
 	if request.From != "" {
 		m.lastHeard[request.From] = m.now
@@ -33,7 +33,7 @@
 	}
 }
 
-// omitKnownMembership leaves out of a reply the membership of the generation that the asker named as its own.
+// omitKnownMembership removes the membership from a reply if the requester already knows that generation.
 func omitKnownMembership(known uint64, respond func(*wire.ReplicaReply)) func(*wire.ReplicaReply) {
 	return func(reply *wire.ReplicaReply) {
 		if reply != nil && reply.Membership.GetGeneration() == known {
@@ -43,13 +43,13 @@
 	}
 }
 
-// replyNow replies at once, with a standing only.
+// replyNow replies with a standing only, without waiting for a save.
 func (m *Machine) replyNow(respond func(*wire.ReplicaReply), standing wire.Standing) {
 	reply := m.newReply(standing)
 	m.deferred = append(m.deferred, func() { respond(reply) })
 }
 
-// replyAfterSave replies when the present state is on disk.
+// replyAfterSave replies once the current state is on disk, or with FAILED if saving it fails.
 func (m *Machine) replyAfterSave(respond func(*wire.ReplicaReply), reply *wire.ReplicaReply) {
 	m.afterSave(func(saved bool) {
 		if !saved {
@@ -59,13 +59,13 @@
 	})
 }
 
-// newReply is a reply of a standing that tells who this replica is and which membership it knows, and nothing else.
+// newReply returns a reply with the given standing, this replica's identity and generation, and the membership it knows.
 func (m *Machine) newReply(standing wire.Standing) *wire.ReplicaReply {
 	return &wire.ReplicaReply{From: m.durable.Id, Generation: m.generation(), Standing: standing, Membership: m.advertisedMembership()}
 }
 
-// advertisedMembership is the newest membership that this replica tells: one that it heard of, or holds on disk. A first
-// generation that isn't on disk may yet come to nothing.
+// advertisedMembership returns the newest membership that replies may carry: one reported by another replica or one on
+// the local disk. A generation that is not on disk yet may still be lost; for the first one, nobody else has it.
 func (m *Machine) advertisedMembership() *wire.Membership {
 	if m.durable.Membership.GetGeneration() >= m.learnedMembership.GetGeneration() {
 		return m.durable.Membership
@@ -73,7 +73,7 @@
 	return m.learnedMembership
 }
 
-// requireVoter runs vote if this replica votes in the generation of the question; else it says why not.
+// requireVoter calls vote if this replica votes in the generation of the request; otherwise it replies why it does not.
 func (m *Machine) requireVoter(request *wire.ReplicaRequest, respond func(*wire.ReplicaReply), vote func()) {
 	if standing := m.standing(request.Generation); standing != wire.Standing_GRANTED {
 		m.replyNow(respond, standing)
@@ -82,7 +82,7 @@
 	vote()
 }
 
-// standing says whether this replica may vote in a generation.
+// standing returns GRANTED if this replica may vote in a generation, or else the reason why not.
 func (m *Machine) standing(generation uint64) wire.Standing {
 	switch {
 	case !m.isVoter():
@@ -97,7 +97,7 @@
 	return wire.Standing_GRANTED
 }
 
-// register returns what this replica holds of a key; it is empty and not nil for an unknown one.
+// register returns the register of a key; for an unknown key it is empty and not nil.
 func (m *Machine) register(key string) *wire.Register {
 	if register := m.state.Registers[key]; register != nil {
 		return register
@@ -105,12 +105,12 @@
 	return &wire.Register{}
 }
 
-// setRegister replaces what this replica holds of a key, to be saved.
+// setRegister replaces the register of a key in the state to be saved.
 func (m *Machine) setRegister(key string, register *wire.Register) {
 	m.updateState(func(next *wire.ReplicaState) { next.Registers[key] = register })
 }
 
-// handlePromise takes nothing under a lower term any more.
+// handlePromise promises to accept nothing under a lower term, and returns the version accepted so far.
 func (m *Machine) handlePromise(ask *wire.PromiseAsk, respond func(*wire.ReplicaReply)) {
 	held := m.register(ask.Key)
 	if compareTerms(ask.Term, held.Promised) < 0 {
@@ -130,7 +130,7 @@
 	m.replyAfterSave(respond, reply)
 }
 
-// handleAccept keeps a version unless a higher term was promised.
+// handleAccept accepts a version unless a higher term was promised.
 func (m *Machine) handleAccept(ask *wire.AcceptAsk, respond func(*wire.ReplicaReply)) {
 	held := m.register(ask.Key)
 	version := resolveVersion(ask, held.Accepted)
@@ -150,7 +150,8 @@
 	m.replyAfterSave(respond, m.newReply(wire.Standing_GRANTED))
 }
 
-// handleConfirm says whether a term is still the highest promised, here and on this disk, in a generation that is on it too.
+// handleConfirm grants if the term is still the highest promised, both in memory and on disk, and if the current
+// generation is on disk too.
 func (m *Machine) handleConfirm(ask *wire.ConfirmAsk, respond func(*wire.ReplicaReply)) {
 	if m.durable.Membership.GetGeneration() != m.generation() {
 		m.replyNow(respond, wire.Standing_FAILED)
@@ -166,7 +167,7 @@
 	m.deferred = append(m.deferred, func() { respond(reply) })
 }
 
-// handleStatus tells what this disk holds. Values that the asker has are left out.
+// handleStatus reports the registers on disk, without the values that the requester has.
 func (m *Machine) handleStatus(request *wire.ReplicaRequest, ask *wire.StatusAsk, respond func(*wire.ReplicaReply)) {
 	standing := m.standing(request.Generation)
 	if ask.Learner {
@@ -185,8 +186,8 @@
 	m.deferred = append(m.deferred, func() { respond(reply) })
 }
 
-// standingForLearner tells an asker without a vote whether this reply counts as a voter's: only if the generation on
-// disk, of which the reply tells, is neither sealed nor over.
+// standingForLearner tells a requester without a vote whether the reply counts as a voter's. It does only if the
+// generation on disk, which the reply describes, has neither been sealed nor ended.
 func (m *Machine) standingForLearner(request *wire.ReplicaRequest) wire.Standing {
 	switch {
 	case m.awaitsBootstrap():
@@ -200,7 +201,7 @@
 	return wire.Standing_GRANTED
 }
 
-// registersExcept lists all registers, without the values that the asker has.
+// registersExcept returns all registers on disk, without the values of versions that the requester has.
 func (m *Machine) registersExcept(have map[string]*wire.Version) map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
 	for key, held := range m.durable.Registers {
@@ -213,7 +214,7 @@
 	return registers
 }
 
-// handleChosen learns that a version held here is on a majority of disks.
+// handleChosen records that a version held here is chosen.
 func (m *Machine) handleChosen(ask *wire.ChosenAsk) {
 	held := m.register(ask.Key).Accepted
 	if held != nil && compareTerms(held.Term, ask.Term) == 0 && held.Serial == ask.Serial {
@@ -221,8 +222,8 @@
 	}
 }
 
-// markChosen keeps the newest version known to be chosen. The membership's register begins anew with each generation,
-// so that its versions say nothing later.
+// markChosen records the newest version known to be chosen. The membership register is skipped: it starts empty in each
+// generation, so its versions mean nothing in a later one.
 func (m *Machine) markChosen(key string, version *wire.Version) {
 	if key == membershipKey {
 		return
@@ -235,5 +236,5 @@
 	delete(m.underReplicated, key)
 }
 
-// Chosen is the newest version of a key known to be chosen, or nil.
+// Chosen returns the newest version of a key known to be chosen, or nil.
 func (m *Machine) Chosen(key string) *wire.Version { return m.chosen[key] }
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -9,16 +9,17 @@
 	"curlewreach/proto/wire"
 )
 
-// bootstrapState is this replica's part in the first start of all.
+// bootstrapState is this replica's state during the first start of the whole system. On the wire and on disk,
+// bootstrapping is called founding.
 type bootstrapState struct {
 	since          time.Duration
 	joiners        map[string]string // identity by address
-	leaderID       string            // the only identity whose first generation is taken; "": any
+	leaderID       string            // only identity whose first generation is accepted; empty for any
 	lastStep       time.Duration
-	unstartedSeeds map[string]bool // seeds that told a newcomer that nothing is founded
+	unstartedSeeds map[string]bool // seeds that told this new replica that they still wait for the first generation
 }
 
-// bootstrapSeeds are the seeds of the first start, with this replica's address if it is one of them.
+// bootstrapSeeds returns the sorted seeds of the first start. The first one leads it; without seeds, it is this replica.
 func (m *Machine) bootstrapSeeds() []string {
 	seeds := slices.Clone(m.settings.Seeds)
 	if len(seeds) == 0 {
@@ -28,17 +29,18 @@
 	return slices.Compact(seeds)
 }
 
-// awaitsBootstrap says whether this replica has yet to hear of the first generation.
+// awaitsBootstrap reports whether this replica takes part in the first start and does not know the first generation yet.
 func (m *Machine) awaitsBootstrap() bool {
 	return !m.isVoter() && len(m.state.Founding) > 0
 }
 
-// isBootstrapLeader tells whether this replica is the one to found the first generation.
+// isBootstrapLeader reports whether this replica creates the first generation.
 func (m *Machine) isBootstrapLeader() bool {
 	return m.awaitsBootstrap() && m.state.Founding[0] == m.settings.Address
 }
 
-// advanceBootstrap works on the first generation: the founder lists who asks, the others ask it.
+// advanceBootstrap does the next step towards the first generation: the leader tries to create it, the others ask the
+// leader for it.
 func (m *Machine) advanceBootstrap() {
 	if !m.awaitsBootstrap() || m.now-m.bootstrap.lastStep < m.settings.StatusInterval/2 {
 		return
@@ -51,8 +53,8 @@
 	m.send(m.state.Founding[0], &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Found{Found: &wire.FoundAsk{}}}, m.handleFoundReply)
 }
 
-// createFirstGeneration fixes the first generation once all seeds have asked and the others had time to. Its voters are the
-// seeds, and no others: a founder that lost its disk asks just them whether anything was founded.
+// createFirstGeneration creates the first generation once BootstrapWait has passed and all seeds have sent a request.
+// Its voters are exactly the seeds: a leader that has lost its disk asks only them whether a first generation exists.
 func (m *Machine) createFirstGeneration() {
 	if m.now-m.bootstrap.since < m.settings.BootstrapWait {
 		return
@@ -71,7 +73,7 @@
 	m.enterGeneration(&wire.Membership{Generation: 1, Voters: voters, Target: uint32(m.bootstrapTarget())}, map[string]*wire.Register{})
 }
 
-// bootstrapTarget is the number of voters wanted: seeds and other joiners, which come in as learners.
+// bootstrapTarget returns the number of voters wanted. It includes the joiners that are not seeds and start as learners.
 func (m *Machine) bootstrapTarget() int {
 	all := map[string]bool{m.settings.Address: true}
 	for address := range m.bootstrap.joiners {
@@ -80,7 +82,7 @@
 	return max(len(all), m.settings.TargetVoters)
 }
 
-// handleFound lists a replica that asks for the first generation, or hands that out.
+// handleFound records a replica that asks for the first generation or, once that exists, returns it.
 func (m *Machine) handleFound(request *wire.ReplicaRequest, respond func(*wire.ReplicaReply)) {
 	switch {
 	case m.isBootstrapLeader():
@@ -102,7 +104,8 @@
 	}
 }
 
-// handleFoundReply enters the first generation as the founder fixed it. This replica has never voted, so it has nothing to bring.
+// handleFoundReply enters the first generation that the leader created. This replica has never voted, so it starts
+// with empty registers.
 func (m *Machine) handleFoundReply(reply *wire.ReplicaReply) {
 	if reply == nil || reply.Standing != wire.Standing_GRANTED || !m.awaitsBootstrap() {
 		return
@@ -121,14 +124,15 @@
 	}
 }
 
-// recordBootstrapLeader lets only the newest replica at the founder's address found: an older one has lost its disk.
+// recordBootstrapLeader lets only the newest identity at the leader's address create the first generation: earlier ones
+// have lost their disks.
 func (m *Machine) recordBootstrapLeader(request *wire.ReplicaRequest) {
 	if len(m.state.Founding) > 0 && request.Address == m.state.Founding[0] {
 		m.bootstrap.leaderID = request.From
 	}
 }
 
-// discoverMembers looks for voters at every address known, and, where the first start was never finished, joins it.
+// discoverMembers asks all known addresses for voters and, if the first start has not finished, takes part in it.
 func (m *Machine) discoverMembers() {
 	have := m.acceptedVersions()
 	for _, address := range m.discoveryAddresses() {
@@ -141,7 +145,8 @@
 	}
 }
 
-// discoveryAddresses lists who may know the voters: seeds, and those known before the last restart.
+// discoveryAddresses returns the addresses that may know the voters: the seeds and the addresses of voters last saved to
+// disk, without this replica's own and those of known voters.
 func (m *Machine) discoveryAddresses() []string {
 	addresses := slices.Concat(m.settings.Seeds, m.state.Known)
 	slices.Sort(addresses)
@@ -151,8 +156,8 @@
 	})
 }
 
-// joinBootstrap lets a newcomer take part in a first start that is still under way. Whoever founds is certain that
-// nothing was founded before: at the founder's address, by the word of all other seeds; elsewhere, by the founder's.
+// joinBootstrap lets a new replica take part in a first start that has not finished. It must be certain that no first
+// generation exists: the replica at the leader's address needs the word of all other seeds, any other the leader's.
 func (m *Machine) joinBootstrap(address string, reply *wire.ReplicaReply) {
 	if m.isVoter() || m.awaitsBootstrap() || m.learnedMembership != nil || reply.Standing != wire.Standing_FOUNDING {
 		return
@@ -177,7 +182,7 @@
 	m.bootstrap.since = m.now
 }
 
-// describeMembership names a generation and its voters.
+// describeMembership returns a generation and its voters as text.
 func describeMembership(membership *wire.Membership) string {
 	return fmt.Sprintf("generation %d of %s", membership.Generation, strings.Join(addressesOf(membership), " "))
 }
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// TestFounderThatLostItsDiskFoundsNothingBesideTheFirstGeneration: b and c are cut off when a, the founder, and d and e
-// begin generation 1 and take a change. a then loses its disk and hears from b and c only, which still wait for it.
+// TestFounderThatLostItsDiskFoundsNothingBesideTheFirstGeneration isolates b and c while the bootstrap leader a creates
+// generation 1 and accepts a change together with d and e. Then a loses its disk and hears only b and c, which still wait
+// for the first generation. It must not create a second one.
 func TestFounderThatLostItsDiskFoundsNothingBesideTheFirstGeneration(t *testing.T) {
 	sim := newSimulation(1, "a:1", "b:1", "c:1")
 	sim.log = t.Logf
 	sim.bootstrap("a:1", "b:1", "c:1", "d:1", "e:1")
-	sim.run(500*time.Millisecond, nil) // all have asked the founder
-	for _, cut := range []string{"b:1", "c:1"} {
-		sim.isolate(cut, "a:1", "d:1", "e:1")
+	sim.run(500*time.Millisecond, nil) // all have sent a request to the leader
+	for _, address := range []string{"b:1", "c:1"} {
+		sim.isolate(address, "a:1", "d:1", "e:1")
 	}
 	sim.run(2*time.Second, nil)
 	sim.request("a:1", "k", "one;", func(Result) {})
@@ -21,15 +22,15 @@
 	sim.wipe("a:1")
 	sim.start("a:1", false)
 	sim.isolate("a:1", "d:1", "e:1")
-	for _, cut := range []string{"b:1", "c:1"} {
-		sim.reconnect(cut, "a:1")
+	for _, address := range []string{"b:1", "c:1"} {
+		sim.reconnect(address, "a:1")
 	}
 	sim.run(4*time.Second, nil)
 	sim.mustHaveNoViolation(t)
 }
 
-// TestFirstGenerationIsToldOnlyFromDisk: a tells of generation 1 while saving it, crashes before it is saved, and b loses
-// its disk; whoever had heard of that generation told b that all was founded, and nothing ever was.
+// TestFirstGenerationIsToldOnlyFromDisk crashes a while it is saving generation 1, and b loses its disk. Had a reported
+// the generation before it was on disk, others would tell b that the bootstrap is over, and it would never finish.
 func TestFirstGenerationIsToldOnlyFromDisk(t *testing.T) {
 	sim := newSimulation(1, "a:1", "b:1", "c:1")
 	sim.log = t.Logf
@@ -50,7 +51,7 @@
 	sim.mustHaveNoViolation(t)
 	for _, address := range sim.names {
 		if n := sim.nodes[address]; n.machine.durable.Membership == nil {
-			t.Errorf("%s has no vote", address)
+			t.Errorf("%s is not a voter", address)
 		}
 	}
 }
--- a/internal/replica/checker_test.go
+++ b/internal/replica/checker_test.go
@@ -11,30 +11,30 @@
 	"curlewreach/proto/wire"
 )
 
-// checker watches a world for what must never happen.
+// checker verifies the safety properties of a simulation while it runs.
 type checker struct {
 	sim              *simulation
 	failure          string
 	generations      map[uint64]*wire.Membership
-	newestMembership *wire.Membership   // of generations
-	abandoned        []*wire.Membership // first generations that were never on a majority of disks
+	newestMembership *wire.Membership   // newest of generations
+	abandoned        []*wire.Membership // first generations that a majority never held on disk
 	chosen           map[string][]*wire.Version
-	chosenAt         map[string][]time.Duration       // when each of chosen was first known to some replica
+	chosenAt         map[string][]time.Duration       // when each version in chosen first became known to a replica
 	versions         map[string][]byte                // value by key, term and serial
 	termOwners       map[string]string                // process by key and term
-	promised         map[string]map[string]*wire.Term // highest granted, by identity and generation, then by key
+	promised         map[string]map[string]*wire.Term // highest granted term, by identity and generation, then by key
 	seals            map[string]bool                  // by identity and generation
-	installed        map[string]uint64                // the highest generation that an identity held durably
+	installed        map[string]uint64                // highest generation that an identity had on disk
 	diskLosses       []diskLoss
 }
 
-// diskLoss is a disk of a voter that is gone and not yet made up for.
+// diskLoss is the lost disk of a voter.
 type diskLoss struct {
 	id         string
 	generation uint64
 }
 
-// observedState is what was last seen of a node, to look only at what changed.
+// observedState is what was last seen of a node, used to check only what changed.
 type observedState struct {
 	state, durable *wire.ReplicaState
 	learned        *wire.Membership
@@ -55,7 +55,7 @@
 	}
 }
 
-// observe looks at a machine after each input.
+// observe checks a machine after each input.
 func (c *checker) observe(n *node) {
 	m := n.machine
 	if m.state != n.observed.state {
@@ -83,8 +83,8 @@
 	c.checkUpToDate(n)
 }
 
-// checkUpToDate demands that a replica which claims to know the newest version as of some moment has missed none that
-// any replica knew to be chosen before.
+// checkUpToDate requires that a replica which claims to know the newest version as of some time has missed no version
+// that any replica knew to be chosen before that time.
 func (c *checker) checkUpToDate(n *node) {
 	for key, asOf := range n.machine.upToDateAt {
 		if seen, known := n.observed.upToDateAt[key]; known && seen == asOf {
@@ -97,21 +97,21 @@
 		held := n.machine.chosen[key]
 		for i, version := range c.chosen[key] {
 			if c.chosenAt[key][i] < asOf && (held == nil || compareVersions(held, version) < 0) {
-				c.fail("%s claims to know %s as of %v, but misses %q %v, chosen at %v", n.address, key, asOf, version.Value, version.Term, c.chosenAt[key][i])
+				c.fail("%s claims to have the newest version of %s as of %v, but lacks %q %v, chosen at %v", n.address, key, asOf, version.Value, version.Term, c.chosenAt[key][i])
 			}
 		}
 	}
 }
 
-// checkSavedMembership takes a membership that may not be saved, or be saved without its founder's knowledge. A first generation
-// counts only once its founder goes by it: the founder may try again, with others.
+// checkSavedMembership checks a membership that is being saved and may not reach the disk. The first generation is
+// left out: it counts only once its leader uses it, because the leader may create another one after a failed save.
 func (c *checker) checkSavedMembership(n *node, membership *wire.Membership) {
 	if membership.GetGeneration() > 1 {
 		c.checkMembership(n, membership)
 	}
 }
 
-// checkMembership demands that a generation has one membership, without a voter twice and with none too few.
+// checkMembership requires that a generation has one membership only, and checks its voters.
 func (c *checker) checkMembership(n *node, membership *wire.Membership) {
 	m := n.machine
 	if membership == nil {
@@ -125,7 +125,7 @@
 		return
 	}
 	if known != nil && !c.tryAbandon(known) {
-		c.fail("%s knows %s, which was %s", n.address, describeIDs(membership), describeIDs(known))
+		c.fail("%s knows %s, which differs from %s", n.address, describeIDs(membership), describeIDs(known))
 		return
 	}
 	c.generations[membership.Generation] = membership
@@ -135,38 +135,39 @@
 	c.checkVoters(membership)
 }
 
-// checkVoters demands that no voter stands twice, that each identity was on a disk, and that there are none too few.
+// checkVoters requires that no voter is listed twice, that each identity was on a disk, and that there are not fewer
+// voters than in the first generation.
 func (c *checker) checkVoters(membership *wire.Membership) {
 	ids, addresses := map[string]bool{}, map[string]bool{}
 	for _, voter := range membership.Voters {
 		if ids[voter.Id] || addresses[voter.Address] {
-			c.fail("%s has a voter twice", describeIDs(membership))
+			c.fail("%s lists a voter twice", describeIDs(membership))
 		}
 		ids[voter.Id], addresses[voter.Address] = true, true
 	}
 	for _, voter := range membership.Voters {
 		if _, known := c.installed[voter.Id]; !known {
-			c.fail("%s names %s, an identity that was on no disk", describeIDs(membership), voter.Id)
+			c.fail("%s contains %s, an identity that was never on a disk", describeIDs(membership), voter.Id)
 		}
 		c.checkNotReadmitted(voter.Id, membership.Generation)
 	}
 	if first := c.generations[1]; first != nil && len(membership.Voters) < len(first.Voters) {
-		c.fail("%s has fewer voters than the first", describeIDs(membership))
+		c.fail("%s has fewer voters than the first generation", describeIDs(membership))
 	}
 }
 
-// tryAbandon drops a first generation that no majority holds and whose founder's disk is gone: it decided nothing, and
-// will decide nothing. Who has heard of it may remember it, but mustn't vote in it.
+// tryAbandon drops a first generation that no voter holds on its disk and of which a voter has lost its disk: it
+// has decided nothing and never will. Replicas may still remember it but must not vote in it. It reports whether it was dropped.
 func (c *checker) tryAbandon(first *wire.Membership) bool {
-	held, founderLost := 0, false
+	held, diskLost := 0, false
 	for _, voter := range first.Voters {
 		lost := c.isLost(voter.Id)
-		founderLost = founderLost || lost
+		diskLost = diskLost || lost
 		if c.installed[voter.Id] > 0 && !lost {
 			held++
 		}
 	}
-	if first.Generation != 1 || !founderLost || held > 0 {
+	if first.Generation != 1 || !diskLost || held > 0 {
 		return false
 	}
 	c.abandoned = append(c.abandoned, first)
@@ -182,7 +183,7 @@
 	return false
 }
 
-// checkNotReadmitted demands that an identity that was replaced is no voter again.
+// checkNotReadmitted requires that a replaced identity never becomes a voter again.
 func (c *checker) checkNotReadmitted(id string, generation uint64) {
 	left := false
 	for earlier := generation - 1; earlier > 0; earlier-- {
@@ -191,7 +192,7 @@
 		case voterByID(membership, id) == nil:
 			left = true
 		case left:
-			c.fail("%s is a voter of generation %d again, after it was replaced", id, generation)
+			c.fail("%s is a voter of generation %d again after it was replaced", id, generation)
 		}
 	}
 }
@@ -204,7 +205,7 @@
 	return fmt.Sprintf("generation %d of %s", membership.GetGeneration(), strings.Join(voters, " "))
 }
 
-// checkChosen demands that of two chosen versions the older is an ancestor of the newer: values are lists of changes.
+// checkChosen requires that of two chosen versions the newer extends the older. Values are lists of changes.
 func (c *checker) checkChosen(n *node, key string, version *wire.Version) {
 	if key == membershipKey {
 		return
@@ -215,7 +216,7 @@
 			older, newer = newer, older
 		}
 		if !bytes.HasPrefix(newer.Value, older.Value) {
-			c.fail("%s takes %s=%q %v for chosen, but so was %q %v", n.address, key, version.Value, version.Term, other.Value, other.Term)
+			c.fail("%s considers %s=%q %v chosen, but the conflicting %q %v was chosen too", n.address, key, version.Value, version.Term, other.Value, other.Term)
 		}
 		if compareVersions(other, version) == 0 {
 			return
@@ -225,18 +226,18 @@
 	c.chosenAt[key] = append(c.chosenAt[key], c.sim.now)
 }
 
-// checkAccept demands that a term and serial stand for one value, and a term for one owner's process.
+// checkAccept requires that a term and serial stand for one value only, and that a term is used by one process only.
 func (c *checker) checkAccept(n *node, request *wire.ReplicaRequest) {
 	ask := request.GetAccept()
 	if ask == nil {
 		return
 	}
-	owner := termKey(request, ask.Version.Term)
+	term := termKey(request, ask.Version.Term)
 	process := fmt.Sprintf("%s/%d", n.address, n.incarnation)
-	if known, ok := c.termOwners[owner]; ok && known != process {
-		c.fail("the term %s was used by %s and %s", owner, known, process)
+	if known, ok := c.termOwners[term]; ok && known != process {
+		c.fail("the term %s was used by %s and %s", term, known, process)
 	}
-	c.termOwners[owner] = process
+	c.termOwners[term] = process
 	version := ask.Version
 	if ask.Base != nil {
 		base := &wire.Version{Term: ask.Base.Term, Serial: ask.Base.Serial}
@@ -245,12 +246,12 @@
 	}
 	name := versionKey(request, version)
 	if known, ok := c.versions[name]; ok && !bytes.Equal(known, version.Value) {
-		c.fail("the version %s is both %q and %q", name, known, version.Value)
+		c.fail("the version %s has two values, %q and %q", name, known, version.Value)
 	}
 	c.versions[name] = version.Value
 }
 
-// termKey names a term of a key. The register of the membership begins anew with each generation.
+// termKey identifies a term of a key. The membership register starts anew in each generation.
 func termKey(request *wire.ReplicaRequest, term *wire.Term) string {
 	key := request.GetAccept().Key
 	if key == membershipKey {
@@ -267,8 +268,8 @@
 	return c.seals[fmt.Sprintf("%s/%d", n.machine.durable.Id, generation)]
 }
 
-// checkReply demands of a granted vote that its giver is a voter that holds the generation durably, hasn't sealed it
-// before it was asked, and hasn't promised a higher term.
+// checkReply requires that the sender of a granted vote is a voter, holds the generation on disk and has not sealed it
+// before the request, and records the promise that the vote implies.
 func (c *checker) checkReply(call *call, reply *wire.ReplicaReply) {
 	if reply.Standing != wire.Standing_GRANTED {
 		return
@@ -290,24 +291,24 @@
 	}
 }
 
-// checkVote checks the right to a vote.
+// checkVote checks that the sender of a reply was entitled to vote.
 func (c *checker) checkVote(call *call, reply *wire.ReplicaReply, generation uint64) {
 	if reply.Generation != generation {
-		c.fail("%s votes in generation %d by a reply of generation %d", reply.From, generation, reply.Generation)
+		c.fail("%s votes in generation %d with a reply of generation %d", reply.From, generation, reply.Generation)
 	}
 	if call.sealed {
 		c.fail("%s votes in generation %d, which it has sealed", reply.From, generation)
 	}
 	if voterByID(c.generations[generation], reply.From) == nil {
-		c.fail("%s votes in %s", reply.From, describeIDs(c.generations[generation]))
+		c.fail("%s votes in %s without being one of its voters", reply.From, describeIDs(c.generations[generation]))
 	}
-	// An identity that has been resigned meanwhile is no longer on the disk.
+	// An identity that was given up in the meantime is no longer on the disk.
 	if durable := call.to.diskState(); durable.GetId() == reply.From && durable.GetMembership().GetGeneration() < generation {
 		c.fail("%s votes in generation %d with %s on its disk", reply.From, generation, describeIDs(durable.GetMembership()))
 	}
 }
 
-// recordPromise remembers the highest term that was granted.
+// recordPromise records the highest term that was granted.
 func (c *checker) recordPromise(name, key string, term *wire.Term) {
 	if c.promised[name] == nil {
 		c.promised[name] = map[string]*wire.Term{}
@@ -315,7 +316,7 @@
 	c.promised[name][key] = higherTerm(c.promised[name][key], term)
 }
 
-// checkWrite demands that a disk holds every promise that was told in the same generation.
+// checkWrite requires that a state written to disk contains every promise granted in the same generation.
 func (c *checker) checkWrite(n *node, state *wire.ReplicaState) {
 	generation := state.Membership.GetGeneration()
 	c.checkSavedMembership(n, state.Membership)
@@ -323,12 +324,12 @@
 	c.installed[state.Id] = max(c.installed[state.Id], generation)
 	for key, term := range c.promised[fmt.Sprintf("%s/%d", state.Id, generation)] {
 		if generation > 0 && compareTerms(state.Registers[key].GetPromised(), term) < 0 {
-			c.fail("%s told that it promised %v for %s and writes %v", n.address, term, key, state.Registers[key].GetPromised())
+			c.fail("%s granted a promise of %v for %s but saves %v", n.address, term, key, state.Registers[key].GetPromised())
 		}
 	}
 }
 
-// checkMembershipRegister demands that the register of the membership holds what should follow this generation.
+// checkMembershipRegister requires that the membership register holds the generation after the state's own.
 func (c *checker) checkMembershipRegister(n *node, state *wire.ReplicaState) {
 	version := state.Registers[membershipKey].GetAccepted()
 	if version == nil || state.Membership == nil {
@@ -336,18 +337,18 @@
 	}
 	next := &wire.Membership{}
 	if err := proto.Unmarshal(version.Value, next); err != nil || next.Generation != state.Membership.Generation+1 {
-		c.fail("%s in generation %d holds %s for the next", n.address, state.Membership.Generation, describeIDs(next))
+		c.fail("%s in generation %d holds %s as the next generation", n.address, state.Membership.Generation, describeIDs(next))
 	}
 }
 
-// recordDiskLoss counts a disk whose voter is gone.
+// recordDiskLoss records the loss of a voter's disk.
 func (c *checker) recordDiskLoss(n *node) {
 	if id := n.diskState().GetId(); id != "" && c.isActiveVoter(id) {
 		c.diskLosses = append(c.diskLosses, diskLoss{id, c.newestMembership.GetGeneration()})
 	}
 }
 
-// isActiveVoter says whether an identity is a voter of the newest generation, or of an earlier one that isn't over.
+// isActiveVoter reports whether an identity is a voter of the newest generation or of an earlier one still in use.
 func (c *checker) isActiveVoter(id string) bool {
 	if c.newestMembership == nil {
 		return true
@@ -364,7 +365,7 @@
 	return false
 }
 
-// isFullyInstalled says whether every voter of a membership holds it durably, but for those whose disks are gone.
+// isFullyInstalled reports whether every voter of a membership that still has its disk holds the membership on it.
 func (c *checker) isFullyInstalled(membership *wire.Membership) bool {
 	for _, voter := range membership.Voters {
 		if c.installed[voter.Id] < membership.Generation && !c.isLost(voter.Id) {
@@ -383,22 +384,22 @@
 	return false
 }
 
-// unrepairedLosses counts the voters whose disks are gone and that no later generation has made up for.
+// unrepairedLosses counts the voters with lost disks that no later generation has replaced.
 func (c *checker) unrepairedLosses() int {
 	count := 0
 	for _, each := range c.diskLosses {
-		madeUp := false
+		repaired := false
 		for generation, membership := range c.generations {
-			madeUp = madeUp || generation >= each.generation && voterByID(membership, each.id) == nil && c.isFullyInstalled(membership)
+			repaired = repaired || generation >= each.generation && voterByID(membership, each.id) == nil && c.isFullyInstalled(membership)
 		}
-		if !madeUp {
+		if !repaired {
 			count++
 		}
 	}
 	return count
 }
 
-// toleratesDiskLoss says whether one more disk may be lost: by the smallest generation that isn't over.
+// toleratesDiskLoss reports whether one more disk may be lost, judged by the smallest generation still in use.
 func (c *checker) toleratesDiskLoss() bool {
 	voters := len(c.newestMembership.Voters)
 	for generation := c.newestMembership.Generation; generation > 0; generation-- {
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -5,14 +5,14 @@
 	"curlewreach/proto/wire"
 )
 
-// maxDeltaRatio is the largest delta worth sending, as a share of the whole value.
+// maxDeltaRatio is the largest size of a delta, relative to the full value, that is sent in its place.
 const maxDeltaRatio = 0.5
 
 func newAcceptRequest(ask *wire.AcceptAsk) *wire.ReplicaRequest {
 	return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Accept{Accept: ask}}
 }
 
-// newDeltaAsk tells a version by its difference to the one before it, or is nil where that doesn't pay.
+// newDeltaAsk encodes a version as a delta to the previous one. It returns nil if the delta is too large to be worth it.
 func newDeltaAsk(key string, version, previous *wire.Version) *wire.AcceptAsk {
 	if previous == nil {
 		return nil
@@ -24,7 +24,7 @@
 	return &wire.AcceptAsk{Key: key, Version: withoutValue(version), Base: withoutValue(previous), Delta: delta}
 }
 
-// resolveVersion gives the version that is to be accepted, or nil if the one that its delta starts from isn't held.
+// resolveVersion returns the full version to be accepted, or nil if this replica does not hold the base of its delta.
 func resolveVersion(ask *wire.AcceptAsk, held *wire.Version) *wire.Version {
 	if ask.Base == nil {
 		return ask.Version
--- a/internal/replica/delta_test.go
+++ b/internal/replica/delta_test.go
@@ -10,7 +10,7 @@
 	"curlewreach/proto/wire"
 )
 
-// What is sent for a change grows with the change, not with the value.
+// TestAcceptIsSentAsDelta checks that the size of an accept request depends on the size of the change, not of the value.
 func TestAcceptIsSentAsDelta(t *testing.T) {
 	const valueBytes, changeBytes, maxSentBytes = 250_000, 200, 600
 	random := rand.New(rand.NewPCG(1, 1))
@@ -26,15 +26,15 @@
 	version := &wire.Version{Term: previous.Term, Serial: 8, Value: changed}
 	ask := newDeltaAsk("k", version, previous)
 	if size := proto.Size(ask); size > maxSentBytes {
-		t.Fatalf("%d bytes for a change of %d", size, changeBytes)
+		t.Fatalf("%d bytes sent for a change of %d bytes", size, changeBytes)
 	} else {
-		t.Logf("%d bytes for a change of %d in %d", size, changeBytes, valueBytes)
+		t.Logf("%d bytes sent for a change of %d bytes in %d", size, changeBytes, valueBytes)
 	}
 	if got := resolveVersion(ask, previous); !proto.Equal(got, version) {
-		t.Fatal("the difference gives another value")
+		t.Fatal("the delta yields a different value")
 	}
 	other := &wire.Version{Term: previous.Term, Serial: 6, Value: old}
 	if resolveVersion(ask, other) != nil || resolveVersion(ask, nil) != nil {
-		t.Fatal("a difference to another version was applied")
+		t.Fatal("a delta to a different base version was applied")
 	}
 }
--- a/internal/replica/exhaustive_test.go
+++ b/internal/replica/exhaustive_test.go
@@ -12,30 +12,30 @@
 	"curlewreach/proto/wire"
 )
 
-// explorationCase is a system of three voters and a learner that knows all, and what befalls it.
+// explorationCase is a system of three voters and a learner that knows them, with the actions performed on it.
 type explorationCase struct {
 	name string
-	// actions may happen at any moment, each once, in this order.
-	actions []explorationAction
-	// reorderings is how often in a run a younger event may come before the oldest.
+	// actions are each performed once, in this order, at any time.
+	actions []action
+	// reorderings is how often in a run an event may be processed before an older one.
 	reorderings int
 }
 
-// explorationAction is one thing that happens in a small case.
-type explorationAction struct {
+// action is one action of an exploration case.
+type action struct {
 	name string
 	run  func(x *exploration)
 }
 
-// exploration is one run of a small case: which of the pending messages and saves, or the next move, comes next is
-// chosen from outside. No time passes.
+// exploration is one run of a case. The caller chooses which pending message or save is processed next, or whether the
+// next action is performed. No time passes.
 type exploration struct {
 	sim         *simulation
 	history     *history
 	clients     [2]*client
-	actions     []explorationAction
-	inputHash   map[string]uint64 // hash of what each node was handed
-	reorderings int               // how often an event was passed over
+	actions     []action
+	inputHash   map[string]uint64 // hash of each node's inputs so far
+	reorderings int               // how often an event was processed before an older one
 }
 
 func newExploration(c explorationCase) *exploration {
@@ -62,7 +62,7 @@
 	return x
 }
 
-// startMachine runs a machine without a clock.
+// startMachine starts a machine without periodic ticks.
 func (x *exploration) startMachine(address string) {
 	sim := x.sim
 	n := sim.nodes[address]
@@ -75,7 +75,7 @@
 	n.flush()
 }
 
-// beginReplacement has an address begin to choose the generation in which a learner takes the place of a voter.
+// beginReplacement makes a voter propose a generation in which a learner replaces another voter.
 func (x *exploration) beginReplacement(by, voter string, newcomer *wire.Replica) {
 	n := x.sim.nodes[by]
 	if n.machine == nil {
@@ -93,64 +93,64 @@
 	})
 }
 
-func changeAction(client int, address string) explorationAction {
-	return explorationAction{"change at " + address, func(x *exploration) { x.history.change(x.clients[client], address, "k", false) }}
+func changeAction(client int, address string) action {
+	return action{"change at " + address, func(x *exploration) { x.history.change(x.clients[client], address, "k", false) }}
 }
 
-func replaceAction(by string) explorationAction {
-	return explorationAction{by + " replaces c", func(x *exploration) { x.beginReplacement(by, "c", &wire.Replica{Id: "d", Address: "d"}) }}
+func replaceAction(by string) action {
+	return action{by + " replaces c", func(x *exploration) { x.beginReplacement(by, "c", &wire.Replica{Id: "d", Address: "d"}) }}
 }
 
-func restartAction(address string) explorationAction {
-	return explorationAction{"crash and restart of " + address, func(x *exploration) {
+func restartAction(address string) action {
+	return action{"crash and restart of " + address, func(x *exploration) {
 		x.sim.crash(address, false)
 		x.startMachine(address)
 	}}
 }
 
-func isolateAction(address string) explorationAction {
-	return explorationAction{"cut around " + address, func(x *exploration) { x.sim.isolate(address, "a", "b", "c", "d") }}
+func isolateAction(address string) action {
+	return action{"isolation of " + address, func(x *exploration) { x.sim.isolate(address, "a", "b", "c", "d") }}
 }
 
-func reconnectAction(address string) explorationAction {
-	return explorationAction{"end of the cut", func(x *exploration) { x.sim.reconnect(address, "a", "b", "c", "d") }}
+func reconnectAction(address string) action {
+	return action{"end of the isolation", func(x *exploration) { x.sim.reconnect(address, "a", "b", "c", "d") }}
 }
 
-func wipeAction(address string) explorationAction {
-	return explorationAction{"wipe of " + address, func(x *exploration) {
+func wipeAction(address string) action {
+	return action{"wipe of " + address, func(x *exploration) {
 		x.sim.wipe(address)
 		x.startMachine(address)
 	}}
 }
 
-func replaceWipedAction(by, address string) explorationAction {
-	return explorationAction{by + " replaces what was wiped", func(x *exploration) {
+func replaceWipedAction(by, address string) action {
+	return action{by + " replaces the wiped voter", func(x *exploration) {
 		x.beginReplacement(by, address, &wire.Replica{Id: x.sim.nodes[address].machine.state.Id, Address: address})
 	}}
 }
 
-func readAction(client int, address string) explorationAction {
-	return explorationAction{"read at " + address, func(x *exploration) { x.history.read(x.clients[client], address, "k", false) }}
+func readAction(client int, address string) action {
+	return action{"read at " + address, func(x *exploration) { x.history.read(x.clients[client], address, "k", false) }}
 }
 
 var defaultCases = []explorationCase{
-	{name: "two changes", actions: []explorationAction{changeAction(0, "a"), changeAction(1, "b")}, reorderings: 1},
-	{name: "two changes and a cut", actions: []explorationAction{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b")}},
-	{name: "two changes and a restart", actions: []explorationAction{changeAction(0, "a"), restartAction("b"), changeAction(1, "b")}},
-	{name: "a replacement between two changes", actions: []explorationAction{changeAction(0, "a"), replaceAction("b"), changeAction(1, "b")}},
-	{name: "a change between two coordinators", actions: []explorationAction{replaceAction("a"), changeAction(0, "c"), replaceAction("b")}},
-	{name: "a change and the replacement of a wiped disk", actions: []explorationAction{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c")}},
-	{name: "a replacement with a cut", actions: []explorationAction{changeAction(0, "a"), replaceAction("b"), isolateAction("c")}},
+	{name: "two changes", actions: []action{changeAction(0, "a"), changeAction(1, "b")}, reorderings: 1},
+	{name: "two changes and an isolation", actions: []action{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b")}},
+	{name: "two changes and a restart", actions: []action{changeAction(0, "a"), restartAction("b"), changeAction(1, "b")}},
+	{name: "a replacement between two changes", actions: []action{changeAction(0, "a"), replaceAction("b"), changeAction(1, "b")}},
+	{name: "a change between two coordinators", actions: []action{replaceAction("a"), changeAction(0, "c"), replaceAction("b")}},
+	{name: "a change and the replacement of a wiped disk", actions: []action{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c")}},
+	{name: "a replacement with an isolation", actions: []action{changeAction(0, "a"), replaceAction("b"), isolateAction("c")}},
 }
 
-// largeCases take minutes; LARGE asks for them.
+// largeCases take minutes each; they run only if LARGE is set to a positive number.
 var largeCases = []explorationCase{
-	{name: "two changes, a cut that ends, a read", actions: []explorationAction{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b"), reconnectAction("a"), readAction(0, "a")}},
-	{name: "two coordinators, a change and a read", actions: []explorationAction{changeAction(0, "c"), replaceAction("a"), replaceAction("b"), readAction(1, "a")}},
-	{name: "two changes, a wipe and its replacement", actions: []explorationAction{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c"), changeAction(1, "b")}},
+	{name: "two changes, a temporary isolation, a read", actions: []action{changeAction(0, "a"), isolateAction("a"), changeAction(1, "b"), reconnectAction("a"), readAction(0, "a")}},
+	{name: "two coordinators, a change and a read", actions: []action{changeAction(0, "c"), replaceAction("a"), replaceAction("b"), readAction(1, "a")}},
+	{name: "two changes, a wipe and its replacement", actions: []action{changeAction(0, "a"), wipeAction("c"), replaceWipedAction("a", "c"), changeAction(1, "b")}},
 }
 
-// pending lists the events that may come next, the oldest first.
+// pending returns the indexes of the events that may be processed next, the oldest first.
 func (x *exploration) pending() []int {
 	var found []int
 	for i, each := range x.sim.events {
@@ -162,7 +162,7 @@
 	return found
 }
 
-// take runs option number choice: a pending event, or after them the next move.
+// take executes the option with the given number: a pending event or, after those, the next action.
 func (x *exploration) take(choice int) {
 	sim := x.sim
 	pending := x.pending()
@@ -184,14 +184,15 @@
 	chosen.run()
 }
 
-// recordInput adds to what a node was handed. Machines are deterministic, so equal pasts are equal states.
-func (x *exploration) recordInput(node, label string) {
+// recordInput adds an input to a node's hash. Machines are deterministic, so equal inputs lead to equal states.
+func (x *exploration) recordInput(node, input string) {
 	hash := fnv.New64a()
-	fmt.Fprintf(hash, "%d %s", x.inputHash[node], label)
+	fmt.Fprintf(hash, "%d %s", x.inputHash[node], input)
 	x.inputHash[node] = hash.Sum64()
 }
 
-// fingerprint names where a run stands: what each node was handed, what is pending, and what may yet be passed over.
+// fingerprint identifies the state of a run: each node's inputs, the pending events, and the actions and reorderings
+// that remain.
 func (x *exploration) fingerprint() string {
 	var parts []string
 	for _, name := range x.sim.names {
@@ -203,7 +204,7 @@
 	return fmt.Sprint(parts, len(x.actions), x.reorderings)
 }
 
-// search visits every state of a case, by replay of the choices that lead there.
+// search visits every state of a case by replaying the choices that lead to it.
 type search struct {
 	problem     string
 	subject     explorationCase
@@ -221,7 +222,7 @@
 	return x
 }
 
-// visit goes on from a run that stands at the end of a path.
+// visit continues a run that has reached the end of a path.
 func (s *search) visit(x *exploration, path []int) {
 	for s.problem == "" {
 		if x.sim.check.failure != "" {
@@ -237,8 +238,8 @@
 		options := s.options(x)
 		if len(options) == 0 {
 			s.finalStates++
-			if wrong := x.history.checkLinearizable(); wrong != "" {
-				s.problem = fmt.Sprintf("%s\npath %v", wrong, path)
+			if violation := x.history.checkLinearizable(); violation != "" {
+				s.problem = fmt.Sprintf("%s\npath %v", violation, path)
 			}
 			return
 		}
@@ -265,7 +266,7 @@
 	return options
 }
 
-// TestSmallCasesExhaustively visits all states of the small cases; PASSED lets the order be broken more often.
+// TestSmallCasesExhaustively visits all states of the small cases. PASSED adds to the reorderings allowed per run.
 func TestSmallCasesExhaustively(t *testing.T) {
 	cases := defaultCases
 	if intFromEnv(t, "LARGE", 0) > 0 {
@@ -279,7 +280,7 @@
 		if s.problem != "" {
 			t.Errorf("%s: %s", each.name, strings.ReplaceAll(s.problem, "\n", "\n\t"))
 		}
-		t.Logf("%s, order broken %d times: %d states, %d ends, %d runs", each.name, each.reorderings, len(s.seen), s.finalStates, s.replays)
+		t.Logf("%s, up to %d reorderings: %d states, %d final states, %d runs", each.name, each.reorderings, len(s.seen), s.finalStates, s.replays)
 		total += len(s.seen)
 	}
 	t.Logf("%d states", total)
--- a/internal/replica/generation.go
+++ b/internal/replica/generation.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// membershipKey is the register whose chosen value is the next generation.
+	// membershipKey is the register whose chosen value is the next generation's membership.
 	membershipKey = "membership"
-	// learnerTimeoutRounds is how many status rounds a learner may miss before it is forgotten.
+	// learnerTimeoutRounds is how many status rounds a learner may be silent before it is forgotten.
 	learnerTimeoutRounds = 4
-	// reconfigRetryRounds is how many status rounds a change of the membership may stand still before another voter goes on with it.
+	// reconfigRetryRounds is how many status rounds a step of a reconfiguration may take before it is retried.
 	reconfigRetryRounds = 2
 )
 
@@ -26,17 +26,17 @@
 	lastHeard time.Duration
 	caughtUp  bool
 	leaving   bool
-	verified  bool // it has answered under its identity, so that its questions weren't late ones of a lost disk
+	verified  bool // it has replied under its identity, so its requests were not delayed ones of a disk that is lost
 }
 
-// reconfiguration is this replica's work on the next generation.
+// reconfiguration is the state of this replica's attempt to install the next generation.
 type reconfiguration struct {
-	dueSince   time.Duration // since when a change has been due; 0: none is
+	dueSince   time.Duration // when a change became due; 0 if none is
 	lastStep   time.Duration
 	inProgress bool
 }
 
-// minStepInterval is how long to leave the last step alone before the next.
+// minStepInterval returns the minimum time between the previous step and the next.
 func (r *reconfiguration) minStepInterval(statusInterval time.Duration) time.Duration {
 	if r.inProgress {
 		return reconfigRetryRounds * statusInterval
@@ -44,7 +44,7 @@
 	return statusInterval / 2
 }
 
-// observeLearner remembers a replica that has no vote.
+// observeLearner records a replica that has no vote. Its earlier identities at the same address are dropped.
 func (m *Machine) observeLearner(request *wire.ReplicaRequest, ask *wire.StatusAsk) {
 	for id, each := range m.learners {
 		if each.address == request.Address && id != request.From {
@@ -61,7 +61,7 @@
 	}
 }
 
-// verifyLearner asks back, for a short answer that tells who is at the address.
+// verifyLearner sends a request with a short reply to the learner's address, to find out which identity replies there.
 func (m *Machine) verifyLearner(id, address string) {
 	request := &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{}}}
 	m.send(address, request, func(reply *wire.ReplicaReply) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// expireLearners drops replicas without a vote that have been silent for long.
+// expireLearners drops learners that have been silent for learnerTimeoutRounds.
 func (m *Machine) expireLearners() {
 	for id, each := range m.learners {
 		if m.now-max(each.lastHeard, m.uninterruptedSince) > learnerTimeoutRounds*m.settings.StatusInterval {
@@ -80,7 +80,7 @@
 	}
 }
 
-// caughtUp says whether this disk holds this identity and the newest versions known to be chosen.
+// caughtUp reports whether the local disk holds this replica's identity and the newest versions known to be chosen.
 func (m *Machine) caughtUp() bool {
 	if !m.heardMajority || m.durable.Id != m.state.Id {
 		return false
@@ -94,9 +94,9 @@
 	return true
 }
 
-// nextMembership gives the membership that should follow, or nil if nothing is due.
-// A learner takes the place of a voter at its own address (whose disk is gone), of one that leaves, or of one
-// that has been silent for long; it becomes a further voter where there are fewer than wanted.
+// nextMembership returns the membership that should follow, or nil if no change is due.
+// A learner replaces the voter at its own address (whose disk is lost), the local voter if that one is leaving, or a
+// voter that has been silent for VoterTimeout. If there are fewer voters than targeted, it is added as a further one.
 func (m *Machine) nextMembership() *wire.Membership {
 	current := m.state.Membership
 	voters := slices.Clone(current.Voters)
@@ -110,7 +110,7 @@
 	return &wire.Membership{Generation: current.Generation + 1, Voters: voters, Target: current.Target}
 }
 
-// readyLearners lists, sorted, the learners that have caught up and may take a place.
+// readyLearners lists the verified learners that have caught up and may become voters, sorted by identity.
 func (m *Machine) readyLearners() []string {
 	ready := slices.DeleteFunc(slices.Sorted(maps.Keys(m.learners)), func(id string) bool {
 		each := m.learners[id]
@@ -119,8 +119,8 @@
 	return ready
 }
 
-// admit gives a newcomer the place of the voter at its own address; else one beside the others while they are too few;
-// else that of the one that may best be spared, if any.
+// admit replaces the voter at the newcomer's own address; if there is none, it appends the newcomer while there are fewer
+// voters than targeted, or else replaces the voter that replaceableVoter finds, if any.
 func (m *Machine) admit(voters []*wire.Replica, newcomer *wire.Replica, current *wire.Membership) []*wire.Replica {
 	at := slices.IndexFunc(voters, func(voter *wire.Replica) bool { return voter.Address == newcomer.Address })
 	if at < 0 && len(voters) < int(current.Target) {
@@ -135,12 +135,13 @@
 	return voters
 }
 
-// replaceableVoter finds a voter that leaves, or else the one that has been silent longest beyond the bound.
+// replaceableVoter returns the index of this replica if it is leaving, or else of the voter that has been silent longest,
+// for at least VoterTimeout; -1 if there is none.
 func (m *Machine) replaceableVoter(voters []*wire.Replica, current *wire.Membership) int {
 	found, longest := -1, m.settings.VoterTimeout
 	for i, voter := range voters {
 		if voterByID(current, voter.Id) == nil {
-			continue // it has just been admitted
+			continue // admitted by this change
 		}
 		if voter.Id == m.state.Id {
 			if m.leaving {
@@ -159,7 +160,7 @@
 	return slices.EqualFunc(a, b, func(x, y *wire.Replica) bool { return x.Id == y.Id && x.Address == y.Address })
 }
 
-// reconfigure begins, or goes on with, a change of the membership.
+// reconfigure starts or continues a change of the membership.
 func (m *Machine) reconfigure() {
 	if !m.isVoter() {
 		m.completeLeave()
@@ -190,7 +191,7 @@
 	m.proposeNextMembership()
 }
 
-// proposeNextMembership has the next generation chosen by a majority of the present one, then carries it out.
+// proposeNextMembership has a majority of the current generation choose the next one, and then installs it.
 func (m *Machine) proposeNextMembership() {
 	generation := m.generation()
 	proposed := m.nextMembership()
@@ -217,7 +218,7 @@
 	})
 }
 
-// sealAll ends the present generation on a majority of its voters and installs the next with all that they hold.
+// sealAll seals the current generation on a majority of its voters and installs the next with their merged registers.
 func (m *Machine) sealAll(next *wire.Membership) {
 	current := m.state.Membership
 	newRequest := func() *wire.ReplicaRequest {
@@ -235,7 +236,8 @@
 	})
 }
 
-// mergedRegisters joins what the sealed replicas hold: every version chosen in their generation is among it.
+// mergedRegisters merges the registers of the sealed voters. They are a majority, so the result contains every version
+// chosen in their generation.
 func (r *round) mergedRegisters() map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
 	for _, reply := range r.replies {
@@ -273,7 +275,7 @@
 	})
 }
 
-// afterInstall lets a replica that is no longer a voter become a learner.
+// afterInstall makes this replica a learner if it is not a voter of the installed generation.
 func (m *Machine) afterInstall(next *wire.Membership) {
 	m.learnMembership(next)
 	if m.isVoter() && m.generation() < next.Generation && voterByID(next, m.state.Id) == nil {
@@ -281,7 +283,7 @@
 	}
 }
 
-// handleSeal ends this generation here. That the next is chosen, the asker has seen.
+// handleSeal seals the current generation here. The requester has seen that the next one is chosen.
 func (m *Machine) handleSeal(request *wire.ReplicaRequest, ask *wire.SealAsk, respond func(*wire.ReplicaReply)) {
 	if !m.isVoter() || request.Generation != m.generation() || ask.Next.GetGeneration() != m.generation()+1 {
 		m.replyNow(respond, m.standing(request.Generation))
@@ -296,7 +298,7 @@
 	m.replyAfterSave(respond, reply)
 }
 
-// handleInstall starts a generation here.
+// handleInstall makes this replica a voter of a generation, if it is one of that generation's voters.
 func (m *Machine) handleInstall(ask *wire.InstallAsk, respond func(*wire.ReplicaReply)) {
 	next := ask.Membership
 	switch {
@@ -312,8 +314,8 @@
 	m.replyAfterSave(respond, m.newReply(wire.Standing_GRANTED))
 }
 
-// enterGeneration makes this replica a voter of a generation, with registers that hold all that was chosen before it.
-// What it promised itself is kept, so that it never uses a term twice.
+// enterGeneration makes this replica a voter of a generation. The registers must contain all versions chosen before it.
+// The replica's own promises are kept, so that it never uses a term twice.
 func (m *Machine) enterGeneration(membership *wire.Membership, registers map[string]*wire.Register) {
 	m.updateState(func(next *wire.ReplicaState) {
 		previous := next.Registers
@@ -339,7 +341,7 @@
 	}
 }
 
-// resignVote turns a voter that has been replaced into a newcomer: its old votes are over.
+// resignVote makes a replaced voter a learner under a new identity, so that its old votes no longer count.
 func (m *Machine) resignVote() {
 	m.updateState(func(next *wire.ReplicaState) {
 		next.Id = m.settings.NewID()
@@ -349,7 +351,7 @@
 	m.resetGenerationState("replaced", "this replica has been replaced and joins as a newcomer")
 }
 
-// resetGenerationState forgets what belonged to the former generation or identity.
+// resetGenerationState discards what belonged to the previous generation or identity.
 func (m *Machine) resetGenerationState(what, detail string) {
 	m.stopProposers(errGenerationEnded)
 	m.reconfig = reconfiguration{}
@@ -360,7 +362,7 @@
 	m.settings.RecordEvent(what, "", detail)
 }
 
-// fetchState asks a replica of a newer generation for what it holds.
+// fetchState requests the state of a replica that is in a newer generation.
 func (m *Machine) fetchState(address string) {
 	if m.fetchingState || address == "" {
 		return
@@ -373,7 +375,7 @@
 	})
 }
 
-// Leave has this replica's place taken by a learner, if one is ready, before it stops.
+// Leave asks that a learner, if one is ready, replaces this replica before it stops.
 func (m *Machine) Leave(now time.Duration, ticket uint64) {
 	m.now = now
 	m.leaving = true
@@ -383,7 +385,7 @@
 	m.runDeferred()
 }
 
-// completeLeave ends the tickets of Leave once nothing is left to do.
+// completeLeave completes the tickets of Leave once there is nothing left to do.
 func (m *Machine) completeLeave() {
 	for _, ticket := range m.leaveTickets {
 		m.output.Results = append(m.output.Results, Result{Ticket: ticket, MajorityReplied: true, UpToDate: true})
--- a/internal/replica/generation_test.go
+++ b/internal/replica/generation_test.go
@@ -7,7 +7,7 @@
 	"curlewreach/proto/wire"
 )
 
-// newMembership makes a membership of replicas whose identities are their addresses.
+// newMembership returns a membership of replicas whose identities equal their addresses.
 func newMembership(generation uint64, addresses ...string) *wire.Membership {
 	membership := &wire.Membership{Generation: generation, Target: uint32(len(addresses))}
 	for _, address := range addresses {
@@ -24,7 +24,8 @@
 	}, state, 0)
 }
 
-// A round of the generation before may end after the next has begun; what it says of the membership is over.
+// TestLateStatusRoundOfPreviousGenerationIsIgnored completes a status round of generation 1 after generation 2 has begun.
+// The membership register that its replies carry must not be adopted.
 func TestLateStatusRoundOfPreviousGenerationIsIgnored(t *testing.T) {
 	previous, next := newMembership(1, "a", "b", "c"), newMembership(2, "a", "b", "d")
 	m := newVoter(previous, "a")
@@ -43,11 +44,12 @@
 		t.Fatalf("generation %d, want 2", m.generation())
 	}
 	if stale := m.register(membershipKey).Accepted; stale != nil {
-		t.Fatalf("the second generation holds %q as its successor", stale.Value)
+		t.Fatalf("generation 2 holds %q in its membership register", stale.Value)
 	}
 }
 
-// A version that was never chosen is left behind with its generation. Its term must not be used again for another.
+// TestTermsAreNotUsedAgainInTheNextGeneration guards against reusing a term for another value. A version that was never
+// chosen is dropped with its generation, but its term has been used.
 func TestTermsAreNotUsedAgainInTheNextGeneration(t *testing.T) {
 	previous, next := newMembership(1, "a", "b", "c"), newMembership(2, "a", "b", "d")
 	m := newVoter(previous, "a")
@@ -57,14 +59,14 @@
 			Promise: &wire.PromiseAsk{Key: key, Term: used},
 		}})
 	}
-	gathered := map[string]*wire.Register{"known": {Promised: &wire.Term{Number: 3, Owner: "b"}}}
+	merged := map[string]*wire.Register{"known": {Promised: &wire.Term{Number: 3, Owner: "b"}}}
 	m.HandleRequest(0, 7, &wire.ReplicaRequest{From: "b", Address: "b", Generation: 1, Ask: &wire.ReplicaRequest_Install{
-		Install: &wire.InstallAsk{Membership: next, Registers: gathered},
+		Install: &wire.InstallAsk{Membership: next, Registers: merged},
 	}})
 	restarted := NewMachine(m.settings, m.TakeOutput().Save.State, 0)
 	for _, key := range []string{"known", "unknown"} {
 		if promised := restarted.register(key).Promised; compareTerms(promised, used) < 0 {
-			t.Fatalf("key %s: %v is promised, below the term %v used before", key, promised, used)
+			t.Fatalf("key %s: %v is promised, which is below the term %v used before", key, promised, used)
 		}
 	}
 }
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -10,26 +10,26 @@
 	"github.com/anishathalye/porcupine"
 )
 
-var errMismatch = errors.New("the value is another")
+var errMismatch = errors.New("the value differs from the expected one")
 
-// operation is what an operator asked of one key, and what it was told.
+// operation is a client's request for one key and its outcome.
 type operation struct {
 	key        string
 	isChange   bool
 	expected   string // of a change: the value that it replaces
 	next       string // of a change: the new value
 	calledAt   int64
-	returnedAt int64 // 0 while no clear answer has come
-	rejected   bool  // of a change: it found another value
+	returnedAt int64 // 0 while the outcome is unknown
+	rejected   bool  // of a change: it found a different value
 	observed   string
 }
 
-// client changes keys by what it was last told of them.
+// client issues changes based on the last value that it has seen of each key.
 type client struct {
 	known map[string]string
 }
 
-// history records operations; their values are lists of the changes that led to them.
+// history records operations. Each value is the list of the changes that led to it.
 type history struct {
 	sim        *simulation
 	clock      int64
@@ -47,7 +47,7 @@
 	return o
 }
 
-// change sends a compare-and-set change; if loseAnswer, the operator never hears how it ended.
+// change issues a compare-and-set change; if loseReply is set, the client never learns its outcome.
 func (h *history) change(client *client, address, key string, loseReply bool) *operation {
 	o := h.begin(key)
 	o.isChange, o.expected = true, client.known[key]
@@ -73,11 +73,11 @@
 	return o
 }
 
-// read asks for the newest value, by a read or a survey.
-func (h *history) read(client *client, address, key string, survey bool) *operation {
+// read reads the newest value through the key's owner or by a quorum read.
+func (h *history) read(client *client, address, key string, quorumRead bool) *operation {
 	o := h.begin(key)
 	start := func(m *Machine, ticket uint64) { m.Read(h.sim.now, ticket, key) }
-	if survey {
+	if quorumRead {
 		start = func(m *Machine, ticket uint64) { m.QuorumRead(h.sim.now, ticket, key) }
 	}
 	h.sim.ask(address, start, func(result Result) {
@@ -90,9 +90,9 @@
 	return o
 }
 
-// observed says whether anybody was told of a value that holds the change.
+// observed reports whether any completed operation saw a value that contains the change.
 func (h *history) observed(change *operation) bool {
-	own := strings.TrimPrefix(change.next, change.expected)
+	ownEntry := strings.TrimPrefix(change.next, change.expected)
 	for _, o := range h.operations {
 		if o.returnedAt == 0 {
 			continue
@@ -101,14 +101,14 @@
 		if o.isChange && !o.rejected {
 			value = ";" + o.next
 		}
-		if o.key == change.key && strings.Contains(value, ";"+own) {
+		if o.key == change.key && strings.Contains(value, ";"+ownEntry) {
 			return true
 		}
 	}
 	return false
 }
 
-// model is a compare-and-set register.
+// model is the sequential specification of a compare-and-set register.
 var model = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
@@ -129,21 +129,21 @@
 	DescribeOperation: func(input, _ any) string { return input.(*operation).String() },
 }
 
-// String tells an operation in one line.
+// String describes an operation in one line.
 func (o *operation) String() string {
 	switch {
 	case !o.isChange:
 		return fmt.Sprintf("[%d,%d] read %s: %q", o.calledAt, o.returnedAt, o.key, o.observed)
 	case o.returnedAt == 0:
-		return fmt.Sprintf("[%d,...] change %s from %q to %q: no answer", o.calledAt, o.key, o.expected, o.next)
+		return fmt.Sprintf("[%d,...] change %s from %q to %q: outcome unknown", o.calledAt, o.key, o.expected, o.next)
 	case o.rejected:
-		return fmt.Sprintf("[%d,%d] change %s from %q: refused, found %q", o.calledAt, o.returnedAt, o.key, o.expected, o.observed)
+		return fmt.Sprintf("[%d,%d] change %s from %q: rejected, found %q", o.calledAt, o.returnedAt, o.key, o.expected, o.observed)
 	}
 	return fmt.Sprintf("[%d,%d] change %s from %q to %q", o.calledAt, o.returnedAt, o.key, o.expected, o.next)
 }
 
-// checkLinearizable says what is wrong with the history, or "". A change without an answer that nobody has seen may be left
-// out: it would stand after all others.
+// checkLinearizable returns a description of the first violation, or "". A change of unknown outcome whose value nobody
+// has seen may be left out, because it could be ordered after all others.
 func (h *history) checkLinearizable() string {
 	keys := map[string][]porcupine.Operation{}
 	for _, o := range h.operations {
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -1,10 +1,11 @@
-// Package replica keeps registers on a set of replicas that is itself agreed.
+// Package replica implements a replicated key-value register store whose set of voters can be changed at run time.
 //
-// Each key is a register with one owner at a time, chosen by a rising term: the owner has a version on a
-// majority of disks before it counts. The voters belong to a generation; the next generation is a value that a
-// majority of the present one chooses, after which the present one is sealed, its registers are gathered from a
-// majority, and installed on the voters of the next. Machine holds all of it apart from I/O; Replica runs a
-// Machine with a real clock, disk and network.
+// Each key is a register with one owner at a time. An owner acquires the key under a term higher than all earlier
+// ones, and a version that it writes is chosen once a majority of voters has it on disk (Paxos with a distinguished
+// proposer). The voters form a numbered generation. The next generation is itself a value that a majority of the
+// current one chooses; a majority of the current generation is then sealed, so that it accepts nothing more, and its
+// registers are merged and installed on the voters of the next. Machine implements the protocol without I/O; Replica
+// runs a Machine with a real clock, disk and network.
 package replica
 
 import (
@@ -15,107 +16,108 @@
 	"curlewreach/proto/wire"
 )
 
-// Settings are what a Machine is told at its start. Durations are ratios of the bounds in the product's settings.
+// Settings configures a Machine. The durations are derived from the time limits in the product's configuration.
 type Settings struct {
-	// Address is where the other replicas reach this one.
+	// Address is where other replicas reach this one.
 	Address string
-	// Seeds are addresses of other replicas, as the settings name them.
+	// Seeds are the configured addresses of other replicas.
 	Seeds []string
-	// Bootstrap says that the whole system starts for the first time.
+	// Bootstrap is true if the whole system starts for the first time.
 	Bootstrap bool
-	// TargetVoters is the least number of voters wanted, where there are machines for it.
+	// TargetVoters is the minimum number of voters wanted, if that many replicas are available.
 	TargetVoters int
-	// StatusInterval is the pause between two status rounds.
+	// StatusInterval is the time between two status rounds.
 	StatusInterval time.Duration
-	// VoterTimeout is how long a voter may go unheard before a learner takes its place.
+	// VoterTimeout is how long a voter may be silent before a learner may replace it.
 	VoterTimeout time.Duration
-	// RecommitAfter is how long a version may stay on too few disks before it is read under a new term.
+	// RecommitAfter is how long the newest version of a key may be held by less than a majority before the key is read,
+	// and its version thereby written again, under a new term.
 	RecommitAfter time.Duration
-	// BootstrapWait is how long the founder lists who asks.
+	// BootstrapWait is how long the bootstrap leader collects join requests before it creates the first generation.
 	BootstrapWait time.Duration
-	// NewID draws an identity that no replica had before.
+	// NewID returns an identity that no replica has had before.
 	NewID func() string
-	// RecordEvent records what happened; it may be nil.
+	// RecordEvent records an event; it may be nil.
 	RecordEvent func(what, subject, detail string)
 }
 
-// Request is a question to another replica; its answer comes back through Answered.
+// Request is a request to another replica. Its reply is passed to HandleReply.
 type Request struct {
 	ID      uint64
 	To      string
 	Payload *wire.ReplicaRequest
 }
 
-// Response belongs to a question that came in through Receive.
+// Response answers the call that was passed to HandleRequest.
 type Response struct {
 	Call  uint64
 	Reply *wire.ReplicaReply
 }
 
-// Result ends a ticket of Change, Read, Survey or Leave.
+// Result completes the ticket of a Change, Read, QuorumRead or Leave.
 type Result struct {
 	Ticket uint64
-	// Version is the newest chosen version known.
+	// Version is the newest version known to be chosen.
 	Version *wire.Version
-	// MajorityReplied says that a majority of voters answered since the ticket was opened.
+	// MajorityReplied is true if a majority of voters replied after the ticket was opened.
 	MajorityReplied bool
-	// UpToDate says that Version is the newest chosen one as of some moment since the ticket was opened.
+	// UpToDate is true if Version was the newest chosen version at some moment after the ticket was opened.
 	UpToDate bool
-	// Err is why the ticket failed. With Settled, it is the error that the change gave on that version.
+	// Err is why the ticket failed. If UpToDate is set, it is the error that the change function returned for Version.
 	Err error
 }
 
-// Save asks for a state to be made durable; the outcome comes back through Saved.
+// Save asks the caller to write State to disk. The outcome is passed to HandleSaved.
 type Save struct {
 	Number uint64
 	State  *wire.ReplicaState
 }
 
-// Output is what a Machine wants done.
+// Output lists what the caller of a Machine has to carry out.
 type Output struct {
 	Save      *Save
 	Requests  []Request
 	Responses []Response
 	Results   []Result
-	// ChosenChanged is set when a newer version of some key is known to be chosen.
+	// ChosenChanged is true if a newer version of some key became known to be chosen.
 	ChosenChanged bool
-	// MembershipChanged is set when the membership or the generation known has changed.
+	// MembershipChanged is true if the known membership, or this replica's own generation, changed.
 	MembershipChanged bool
 }
 
-// Machine is the state machine of one replica. It isn't safe for concurrent use.
-// States are never changed in place, so that a saved or sent one stays as it was.
+// Machine is the state machine of one replica. It is not safe for concurrent use.
+// Its states are replaced and never modified in place, so a state that was handed out for saving or sending stays valid.
 type Machine struct {
 	settings Settings
 	now      time.Duration
 	output   Output
 
-	state          *wire.ReplicaState // the newest, perhaps not yet on disk
-	durable        *wire.ReplicaState // the last one known to be on disk
-	stateNumber    uint64             // of state
-	saving         *Save              // handed out and not yet answered
-	durableNumber  uint64             // number of durable
+	state          *wire.ReplicaState // newest state, possibly not yet on disk
+	durable        *wire.ReplicaState // last state known to be on disk
+	stateNumber    uint64             // version number of state
+	saving         *Save              // handed out, outcome not yet known
+	durableNumber  uint64             // version number of durable
 	pendingReplies []pendingReply
 
 	lastRequest     uint64
 	pendingRequests map[uint64]func(*wire.ReplicaReply)
 	deferred        []func()
 
-	learnedMembership  *wire.Membership // the newest membership heard of
+	learnedMembership  *wire.Membership // newest membership reported by another replica
 	chosen             map[string]*wire.Version
 	proposers          map[string]*proposer
-	highestTerm        map[string]uint64        // highest term number used here, by key
+	highestTerm        map[string]uint64        // highest term number seen here, by key
 	lastHeard          map[string]time.Duration // by identity
-	uninterruptedSince time.Duration            // since when this replica has run without a standstill
+	uninterruptedSince time.Duration            // start of the current period without a process pause
 	lastTick           time.Duration
 	nextStatusRound    time.Duration
 	underReplicated    map[string]time.Duration
-	copies             map[string]int      // of each key's newest version, as last seen
+	copies             map[string]int      // voters that held each key's newest version in the last status round
 	learners           map[string]*learner // by identity
 	statusRounds       uint64
-	heardMajority      bool                     // a majority has been heard since this replica started, or joined its generation
-	lastMajorityRound  time.Duration            // when the last round began that a majority answered
-	upToDateAt         map[string]time.Duration // by key: when the last round began that found no version newer than the chosen one
+	heardMajority      bool                     // a majority has replied since this replica started or entered its generation
+	lastMajorityRound  time.Duration            // start of the last status round that a majority replied to
+	upToDateAt         map[string]time.Duration // by key: start of the last round that showed the chosen version known here to be the newest
 	fetchingState      bool
 	reconfig           reconfiguration
 	bootstrap          bootstrapState
@@ -123,13 +125,13 @@
 	leaving            bool
 }
 
-// pendingReply waits until the state that it speaks of is on disk.
+// pendingReply is a callback that waits until the state with the given number is on disk.
 type pendingReply struct {
 	number   uint64
 	complete func(saved bool)
 }
 
-// NewMachine starts from the state on disk, or from nil where there is none to go by.
+// NewMachine returns a machine that starts from the given state on disk; state is nil if there is none.
 func NewMachine(settings Settings, state *wire.ReplicaState, now time.Duration) *Machine {
 	if settings.RecordEvent == nil {
 		settings.RecordEvent = func(string, string, string) {}
@@ -149,7 +151,7 @@
 	return m
 }
 
-// ensureIdentity gives a disk that has none its identity.
+// ensureIdentity draws a new identity if the state has none.
 func (m *Machine) ensureIdentity() {
 	if m.state.Id != "" {
 		return
@@ -162,7 +164,7 @@
 	})
 }
 
-// updateState replaces the state by a changed copy, to be saved.
+// updateState replaces the state by a modified copy, which will be saved.
 func (m *Machine) updateState(edit func(next *wire.ReplicaState)) {
 	current := m.state
 	next := &wire.ReplicaState{
@@ -177,7 +179,7 @@
 	m.stateNumber++
 }
 
-// afterSave runs deliver once the present state is on disk, or with false if it can't be saved.
+// afterSave runs complete with true once the current state is on disk, or with false if saving it fails.
 func (m *Machine) afterSave(complete func(saved bool)) {
 	if m.stateNumber == m.durableNumber {
 		m.deferred = append(m.deferred, func() { complete(true) })
@@ -186,7 +188,7 @@
 	m.pendingReplies = append(m.pendingReplies, pendingReply{m.stateNumber, complete})
 }
 
-// HandleSaved tells how saving a state ended. After a failure the replica goes on from the last state saved.
+// HandleSaved takes the outcome of a Save. If it failed, the replica continues from the last state on disk.
 func (m *Machine) HandleSaved(now time.Duration, number uint64, ok bool) {
 	m.now = now
 	if m.saving == nil || number != m.saving.Number {
@@ -212,7 +214,7 @@
 	m.runDeferred()
 }
 
-// rollback forgets what was not saved. Nobody was told of it: every answer waits for its save.
+// rollback discards the changes that were not saved. No other replica has seen them, because replies wait for the save.
 func (m *Machine) rollback() {
 	m.state = m.durable
 	m.stateNumber++
@@ -226,7 +228,7 @@
 	}
 }
 
-// runDeferred runs what this replica owes itself.
+// runDeferred runs the queued callbacks, including those that they queue in turn.
 func (m *Machine) runDeferred() {
 	for len(m.deferred) > 0 {
 		next := m.deferred[0]
@@ -235,7 +237,7 @@
 	}
 }
 
-// TakeOutput hands out what is to be done since the last call.
+// TakeOutput returns, and clears, what is to be carried out since the last call.
 func (m *Machine) TakeOutput() Output {
 	out := m.output
 	m.output = Output{}
@@ -246,7 +248,7 @@
 	return out
 }
 
-// HandleReply gives the reply to a request, or nil if none came in time.
+// HandleReply takes the reply to a request; reply is nil if none arrived in time.
 func (m *Machine) HandleReply(now time.Duration, request uint64, reply *wire.ReplicaReply) {
 	m.now = now
 	handle := m.pendingRequests[request]
@@ -261,7 +263,7 @@
 	m.runDeferred()
 }
 
-// observeReply notes what every reply tells: that its sender is there, and which membership it knows.
+// observeReply records what every reply carries: that its sender is alive, and the membership that it knows.
 func (m *Machine) observeReply(reply *wire.ReplicaReply) {
 	if reply.From != "" {
 		m.lastHeard[reply.From] = m.now
@@ -272,12 +274,12 @@
 	}
 }
 
-// Tick lets time pass; it is called several times in each Watch.
+// Tick advances the clock. It must be called several times per StatusInterval.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
 	if now-m.lastTick > pauseIntervals*m.settings.StatusInterval {
 		m.uninterruptedSince = now
-		m.settings.RecordEvent("standstill", "", "this replica stood still")
+		m.settings.RecordEvent("standstill", "", "this replica was paused")
 	}
 	m.lastTick = now
 	if m.durable.Id == "" {
@@ -294,7 +296,7 @@
 	m.runDeferred()
 }
 
-// send sends a question to one replica; handle gets its reply, or nil.
+// send sends a request to one replica; handle gets its reply, or nil if none arrived in time.
 func (m *Machine) send(to string, request *wire.ReplicaRequest, handle func(*wire.ReplicaReply)) {
 	request.From, request.Address, request.Generation = m.state.Id, m.settings.Address, m.generation()
 	if to == m.settings.Address {
@@ -306,7 +308,7 @@
 	m.output.Requests = append(m.output.Requests, Request{ID: m.lastRequest, To: to, Payload: request})
 }
 
-// HandleRequest takes a question of another replica; its answer comes out of Take under the same call number.
+// HandleRequest takes a request of another replica. TakeOutput returns its response under the same call number.
 func (m *Machine) HandleRequest(now time.Duration, call uint64, request *wire.ReplicaRequest) {
 	m.now = now
 	m.dispatch(request, func(reply *wire.ReplicaReply) {
@@ -315,7 +317,7 @@
 	m.runDeferred()
 }
 
-// generation is that of the voters that this replica belongs to, or has heard of.
+// generation returns the number of the generation that this replica votes in, or 0 if it has no vote.
 func (m *Machine) generation() uint64 {
 	if m.state.Membership != nil {
 		return m.state.Membership.Generation
@@ -323,10 +325,10 @@
 	return 0
 }
 
-// isVoter says whether this replica has a vote in its generation.
+// isVoter reports whether this replica has a vote in its generation.
 func (m *Machine) isVoter() bool { return m.state.Membership != nil }
 
-// newestMembership is the newest membership that this replica knows of; it may be nil.
+// newestMembership returns the newest membership that this replica knows of; it may be nil.
 func (m *Machine) newestMembership() *wire.Membership {
 	if m.state.Membership != nil && m.state.Membership.Generation >= m.learnedMembership.GetGeneration() {
 		return m.state.Membership
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -10,38 +10,39 @@
 )
 
 var (
-	errDiskWrite       = base.NewFault(base.DiskFailure, "", "the disk here refused")
+	errDiskWrite       = base.NewFault(base.DiskFailure, "", "this replica could not save to its disk")
 	errNotVoter        = base.NewFault(base.NoState, "", "this replica has no vote")
-	errHigherTerm      = base.NewFault(base.Superseded, "", "a higher term came first")
-	errNoQuorum        = base.NewFault(base.Unreachable, "", "no majority of replicas promised")
+	errHigherTerm      = base.NewFault(base.Superseded, "", "a higher term was promised")
+	errNoQuorum        = base.NewFault(base.Unreachable, "", "no majority of replicas promised the term")
 	errUncertain       = base.NewFault(base.Uncertain, "", "no majority of replicas answered")
 	errGenerationEnded = base.NewFault(base.Superseded, "", "the generation has ended")
 )
 
-// task is one change or read that waits for its key.
+// task is one change or read that is queued for its key.
 type task struct {
 	ticket uint64
-	// change gives the next value, or nil to leave the value as it is. It is nil for a read.
+	// change returns the next value, or nil to keep the current one. It is nil for a read.
 	change func(old []byte) ([]byte, error)
-	// done runs in place of a result where this replica itself asked.
+	// done is called in place of emitting a Result if this replica itself created the task.
 	done func(version *wire.Version, err error)
-	// changeErr is the error that change gave. It stands once a majority has confirmed the value that it was given.
+	// changeErr is the error that change returned. It is reported only once a majority has confirmed that the value
+	// passed to change was the newest.
 	changeErr error
 }
 
-// proposer is this replica's work as owner of one key.
+// proposer acquires one key for this replica and writes versions of it while this replica owns it.
 type proposer struct {
 	machine *Machine
 	key     string
-	term    *wire.Term // nil: not the owner
+	term    *wire.Term // nil if this replica does not own the key
 	version *wire.Version
 	busy    bool
-	attempt uint64 // rises with each change of phase, so that late replies are told apart
+	attempt uint64 // incremented with each phase, so that late replies to an earlier one are ignored
 	queue   []*task
 	running []*task
 }
 
-// proposer returns this replica's work on a key.
+// proposer returns the proposer of a key, creating it if needed.
 func (m *Machine) proposer(key string) *proposer {
 	p := m.proposers[key]
 	if p == nil {
@@ -51,39 +52,39 @@
 	return p
 }
 
-// Change has a value of a key replaced. The result comes once a majority of disks has the new version, or, where
-// change leaves the value as it is, once a majority has confirmed that it was the newest since.
+// Change replaces the value of a key. The result is emitted once a majority of voters has the new version on disk or,
+// if change keeps the value, once a majority has confirmed that it was the newest after the call.
 func (m *Machine) Change(now time.Duration, ticket uint64, key string, change func(old []byte) ([]byte, error)) {
 	m.now = now
 	m.enqueue(key, &task{ticket: ticket, change: change})
 	m.runDeferred()
 }
 
-// Read gives the newest value as of some moment after the call.
+// Read returns the value that was the newest at some moment after the call.
 func (m *Machine) Read(now time.Duration, ticket uint64, key string) {
 	m.now = now
 	m.enqueue(key, &task{ticket: ticket})
 	m.runDeferred()
 }
 
-// enqueue adds a task to a key's queue and starts on it if nothing runs.
+// enqueue adds a task to a key's queue and starts it if the proposer is idle.
 func (m *Machine) enqueue(key string, newTask *task) {
 	p := m.proposer(key)
 	p.queue = append(p.queue, newTask)
 	p.startNext()
 }
 
-// fail ends a task without knowledge of the newest value.
+// fail completes a task without knowledge of the newest value.
 func (t *task) fail(m *Machine, err error) {
 	t.finish(m, Result{Ticket: t.ticket, Err: err})
 }
 
-// complete ends a task on the newest value.
+// complete completes a task with the newest version.
 func (t *task) complete(m *Machine, version *wire.Version) {
 	t.finish(m, Result{Ticket: t.ticket, Version: version, MajorityReplied: true, UpToDate: true, Err: t.changeErr})
 }
 
-// finish tells the outcome of a task to whoever asked.
+// finish delivers the outcome of a task to its requester.
 func (t *task) finish(m *Machine, result Result) {
 	if t.done != nil {
 		t.done(result.Version, result.Err)
@@ -92,7 +93,7 @@
 	m.output.Results = append(m.output.Results, result)
 }
 
-// startNext starts on the queue if nothing runs.
+// startNext starts processing the queue if the proposer is idle.
 func (p *proposer) startNext() {
 	m := p.machine
 	if p.busy || len(p.queue) == 0 {
@@ -110,7 +111,7 @@
 	p.campaign()
 }
 
-// stepDown gives up the term and fails all work; whoever asked may ask again.
+// stepDown gives up the term and fails all tasks; their requesters may retry.
 func (p *proposer) stepDown(err error) {
 	p.term, p.busy = nil, false
 	p.attempt++
@@ -121,7 +122,8 @@
 	}
 }
 
-// campaign promises a higher term on the own disk first, so that no term is used twice, then asks the others.
+// campaign saves a promise for a higher term on the local disk first, so that no term is ever used twice, and then asks
+// the other voters.
 func (p *proposer) campaign() {
 	m := p.machine
 	number := max(m.register(p.key).GetPromised().GetNumber(), m.highestTerm[p.key]) + 1
@@ -149,7 +151,7 @@
 	return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Promise{Promise: ask}}
 }
 
-// collectPromises asks all voters for their promise and takes over the newest version among a majority.
+// collectPromises asks all voters to promise the term. Once a majority has, it adopts the newest version among them.
 func (p *proposer) collectPromises(term *wire.Term, attempt uint64, membership *wire.Membership) {
 	m := p.machine
 	have := m.register(p.key).Accepted
@@ -169,7 +171,8 @@
 	})
 }
 
-// adoptHighest writes the newest version among a majority again under the new term: only then is it surely chosen.
+// adoptHighest writes the newest version held by a majority again, under the new term. Only then is it certain that this
+// version is chosen.
 func (p *proposer) adoptHighest(term *wire.Term, have *wire.Version, r *round) {
 	var highest *wire.Version
 	for _, reply := range r.replies {
@@ -187,7 +190,7 @@
 	p.write(&wire.Version{Term: term, Serial: highest.Serial, Value: highest.Value}, highest, p.applyQueue)
 }
 
-// handleLostRound gives up after a lost round, remembering the term that won it.
+// handleLostRound steps down after a round without a majority and remembers the highest term that outranked this one.
 func (p *proposer) handleLostRound(r *round) {
 	m := p.machine
 	outranked := false
@@ -204,8 +207,9 @@
 	p.stepDown(errNoQuorum)
 }
 
-// applyQueue runs the whole queue on the present value and writes the outcome once. Refusals wait for a majority too:
-// this replica may have been replaced as owner without having heard of it.
+// applyQueue applies all queued tasks to the current value and writes the outcome once. If no task changes the value,
+// including when change functions return errors, a majority must still confirm the term: another replica may have
+// become the owner without this one having heard of it.
 func (p *proposer) applyQueue() {
 	p.running, p.queue = p.queue, nil
 	value, changed := p.version.GetValue(), false
@@ -226,7 +230,7 @@
 	}
 }
 
-// apply runs the change of a task on a value; a read changes nothing.
+// apply runs the change function of a task on a value; a read changes nothing.
 func (t *task) apply(old []byte) ([]byte, error) {
 	if t.change == nil {
 		return nil, nil
@@ -234,7 +238,8 @@
 	return t.change(old)
 }
 
-// write has a version accepted by a majority. Voters that hold the one before it are sent the difference.
+// write has a version accepted by a majority and then calls onChosen. The other voters are sent only the delta to the
+// previous version; those that do not hold it ask for the full version.
 func (p *proposer) write(version, previous *wire.Version, onChosen func()) {
 	m := p.machine
 	p.attempt++
@@ -267,7 +272,7 @@
 	})
 }
 
-// broadcastChosen tells the others that a version is chosen.
+// broadcastChosen tells the other voters that a version is chosen.
 func (p *proposer) broadcastChosen(version *wire.Version) {
 	m := p.machine
 	for _, voter := range m.state.Membership.GetVoters() {
@@ -280,7 +285,7 @@
 	}
 }
 
-// confirmTerm asks a majority whether the term still is the highest, so that what was read was the newest.
+// confirmTerm asks a majority whether the term is still the highest, which proves that the version held here is the newest.
 func (p *proposer) confirmTerm() {
 	m := p.machine
 	p.attempt++
@@ -304,7 +309,7 @@
 	})
 }
 
-// completeTasks ends the work that ran and goes on with what came meanwhile.
+// completeTasks completes the running tasks and starts those that were queued meanwhile.
 func (p *proposer) completeTasks() {
 	tasks := p.running
 	p.running, p.busy = nil, false
@@ -315,7 +320,7 @@
 	p.startNext()
 }
 
-// handleOwn seeks the term of a key that its owner hands over.
+// handleOwn acquires a key that its owner hands over to this replica.
 func (m *Machine) handleOwn(key string, respond func(*wire.ReplicaReply)) {
 	m.enqueue(key, &task{done: func(_ *wire.Version, err error) {
 		standing := wire.Standing_GRANTED
@@ -326,18 +331,18 @@
 	}})
 }
 
-// Owner names the voter that a key's highest promised term belongs to.
+// Owner returns the voter that the highest promised term of a key belongs to, or nil if it is not a voter, and the term.
 func (m *Machine) Owner(key string) (owner *wire.Replica, term *wire.Term) {
 	promised := m.register(key).Promised
 	return voterByID(m.newestMembership(), promised.GetOwner()), promised
 }
 
-// stopProposers ends all work under a generation that is over.
+// stopProposers fails the tasks of all keys because their generation has ended.
 func (m *Machine) stopProposers(err error) {
 	m.stopProposersExcept("", err)
 }
 
-// stopProposersExcept spares one key.
+// stopProposersExcept does the same for all keys but one.
 func (m *Machine) stopProposersExcept(except string, err error) {
 	for _, key := range slices.Sorted(maps.Keys(m.proposers)) {
 		if key != except {
--- a/internal/replica/owner_test.go
+++ b/internal/replica/owner_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRefusalNeedsMajority: a owns the key and is cut off; b takes over and changes it. A change at a that compares with
-// the value must not be refused by the old one.
+// TestRefusalNeedsMajority isolates a, the owner of the key, while b takes the key over and changes it. A compare-and-set
+// change at a must not be rejected on the basis of the outdated value.
 func TestRefusalNeedsMajority(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", time.Second)
@@ -19,6 +19,6 @@
 	}, func(result Result) { outcome = result })
 	sim.run(2*time.Second, nil)
 	if errors.Is(outcome.Err, errMismatch) {
-		t.Fatal("a replica that is cut off refuses a change by an old value")
+		t.Fatal("an isolated replica rejects a change on the basis of an outdated value")
 	}
 }
--- a/internal/replica/survey_test.go
+++ b/internal/replica/quorum_read_test.go
@@ -7,9 +7,10 @@
 	"curlewreach/proto/wire"
 )
 
-// TestCopyInstalledUnderHigherPromiseIsNotSettled: a alone has "one", c alone has "two" under a higher term that b
-// promised. c gathers from itself and b, and installs "two" on d; b gathers from a and itself, and installs "one" on
-// both. A survey by a and b must not take "one" for chosen: d, b give "two" to the next owner.
+// TestCopyInstalledUnderHigherPromiseIsNotSettled guards against counting an installed copy as a vote. Only a has "one",
+// and only c has "two", under a higher term that b promised. c merges its own and b's registers and installs "two" on d;
+// b merges a's and its own and installs "one" on both. A quorum read of a and b must not report "one" as chosen, since
+// the next owner may read "two" from d and b.
 func TestCopyInstalledUnderHigherPromiseIsNotSettled(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.start("d:1", false)
@@ -22,17 +23,17 @@
 	sim.run(100*time.Millisecond, nil)
 	sim.intercept = func(m message) delivery { return delivery{lost: m.request.GetInstall() != nil && m.to == "b:1"} }
 	sim.ask("c:1", func(m *Machine, ticket uint64) { m.Leave(sim.now, ticket) }, func(Result) {})
-	sim.run(5*time.Second, func() bool { return sim.nodes["d:1"].machine.durable.Membership != nil }) // installed on d with "two;"
+	sim.run(5*time.Second, func() bool { return sim.nodes["d:1"].machine.durable.Membership != nil }) // "two;" is installed on d
 	sim.isolate("c:1", "a:1", "b:1", "d:1")
 	sim.isolate("d:1", "a:1", "b:1")
 	sim.intercept = nil
-	sim.run(5*time.Second, func() bool { return sim.nodes["a:1"].machine.generation() == 2 }) // b gathers "one;" from a and itself
+	sim.run(5*time.Second, func() bool { return sim.nodes["a:1"].machine.generation() == 2 }) // b merges "one;" from a and its own registers
 	sim.run(time.Second, nil)
 	var outcome Result
 	sim.ask("a:1", func(m *Machine, ticket uint64) { m.QuorumRead(sim.now, ticket, "k") }, func(result Result) { outcome = result })
 	sim.run(time.Second, nil)
 	if outcome.UpToDate {
-		t.Errorf("%q is settled, though nobody wrote it to a majority", outcome.Version.GetValue())
+		t.Errorf("%q is reported as up to date, but it was never accepted by a majority", outcome.Version.GetValue())
 	}
 	sim.reconnect("d:1", "b:1")
 	sim.isolate("a:1", "b:1")
@@ -41,8 +42,8 @@
 	sim.mustHaveNoViolation(t)
 }
 
-// TestSealedVoterTellsNothingToLearnersWhileTheNextGenerationIsNotOnItsDisk: c is cut off, b has sealed generation 1
-// and is slow to save generation 2, in which a and d take a change. A learner that asks b and c must not count b.
+// TestSealedVoterTellsNothingToLearnersWhileTheNextGenerationIsNotOnItsDisk isolates c while b has sealed generation 1 and
+// is slow to save generation 2, in which a and d accept a change. A learner that asks b and c must not count b's reply.
 func TestSealedVoterTellsNothingToLearnersWhileTheNextGenerationIsNotOnItsDisk(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", time.Second)
@@ -59,7 +60,7 @@
 		return simSaveDelay
 	}
 	sim.intercept = func(m message) delivery {
-		slow = slow || m.request.GetInstall() != nil // b has sealed generation 1; installing the next takes long
+		slow = slow || m.request.GetInstall() != nil // b has sealed generation 1 and now saves the next one slowly
 		return delivery{}
 	}
 	sim.run(3*time.Second, func() bool { return slow })
@@ -71,13 +72,13 @@
 	sim.run(time.Second, nil)
 	sim.mustHaveNoViolation(t)
 	if outcome.UpToDate && string(outcome.Version.GetValue()) != "one;two;" {
-		t.Fatalf("a learner is told that %q is settled", outcome.Version.GetValue())
+		t.Fatalf("a learner reports %q as up to date", outcome.Version.GetValue())
 	}
 }
 
-// TestSurveyThatOutlivesItsGenerationTellsWhatItFound: b missed a change that a and c took in generation 1, asks them,
-// and has entered generation 2 when their replies come.
-func TestSurveyThatOutlivesItsGenerationTellsWhatItFound(t *testing.T) {
+// TestQuorumReadThatOutlivesItsGenerationReportsItsReplies has b miss a change that a and c accepted in generation 1. b
+// reads from them and has entered generation 2 when their replies arrive.
+func TestQuorumReadThatOutlivesItsGenerationReportsItsReplies(t *testing.T) {
 	previous, next := newMembership(1, "a", "b", "c"), newMembership(2, "a", "b", "d")
 	m := newVoter(previous, "b")
 	m.QuorumRead(time.Second, 1, "k")
@@ -93,12 +94,12 @@
 	}
 	for _, result := range m.TakeOutput().Results {
 		if result.UpToDate && string(result.Version.GetValue()) != "one;" {
-			t.Fatalf("%q is settled, but a majority told of %q", result.Version.GetValue(), chosen.Value)
+			t.Fatalf("%q is reported as up to date, but a majority replied with %q", result.Version.GetValue(), chosen.Value)
 		}
 	}
 }
 
-// TestReplicaConfirmsOnlyInAGenerationOnItsDisk: b is asked to confirm a term while it installs the generation.
+// TestReplicaConfirmsOnlyInAGenerationOnItsDisk asks b to confirm a term while it is saving the generation.
 func TestReplicaConfirmsOnlyInAGenerationOnItsDisk(t *testing.T) {
 	previous, next := newMembership(1, "a", "b", "c"), newMembership(2, "a", "b", "d")
 	m := newVoter(previous, "b")
@@ -110,14 +111,14 @@
 	}})
 	for _, answer := range m.TakeOutput().Responses {
 		if answer.Call == 2 && answer.Reply.Standing == wire.Standing_GRANTED {
-			t.Fatal("a term is confirmed in a generation that isn't on disk")
+			t.Fatal("a term is confirmed in a generation that is not on disk")
 		}
 	}
 }
 
-// TestSurveysWithoutKnownMembersAskNobody: hundreds of nodes want the configuration confirmed while this replica still
-// looks for the voters; only its own watch asks the seeds.
-func TestSurveysWithoutKnownMembersAskNobody(t *testing.T) {
+// TestQuorumReadsWithoutKnownMembersSendNoRequests guards against a request storm: many nodes want the configuration
+// confirmed while this replica still looks for the voters. Only its own status interval may trigger requests to the seeds.
+func TestQuorumReadsWithoutKnownMembersSendNoRequests(t *testing.T) {
 	const callers = 200
 	m := NewMachine(Settings{
 		Address: "d:1", Seeds: []string{"a:1", "b:1", "c:1"}, StatusInterval: simStatusInterval, VoterTimeout: simVoterTimeout, NewID: func() string { return "d" },
@@ -125,20 +126,20 @@
 	m.HandleSaved(0, m.TakeOutput().Save.Number, true)
 	m.Tick(simTick)
 	if requests := len(m.TakeOutput().Requests); requests != 3 {
-		t.Fatalf("the watch asked %d times, want each seed once", requests)
+		t.Fatalf("the status interval triggered %d requests, want one per seed", requests)
 	}
 	for ticket := range uint64(callers) {
 		m.QuorumRead(simTick, ticket+1, "k")
 	}
 	out := m.TakeOutput()
 	if len(out.Requests) > 0 {
-		t.Errorf("%d surveys asked %d times", callers, len(out.Requests))
+		t.Errorf("%d quorum reads sent %d requests", callers, len(out.Requests))
 	}
 	if len(out.Results) != callers {
-		t.Errorf("%d of %d surveys have a result", len(out.Results), callers)
+		t.Errorf("%d of %d quorum reads have a result", len(out.Results), callers)
 	}
 	m.Tick(simTick + simStatusInterval)
 	if requests := len(m.TakeOutput().Requests); requests != 3 {
-		t.Errorf("the next watch asked %d times, want each seed once", requests)
+		t.Errorf("the next status interval triggered %d requests, want one per seed", requests)
 	}
 }
--- a/internal/replica/random_test.go
+++ b/internal/replica/random_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// defaultSeeds and randomChecks are the schedules of a normal run; SEEDS and RAPID_CHECKS ask for others.
+	// defaultSeeds and defaultChecks give the number of schedules of a normal run; SEEDS and RAPID_CHECKS override them.
 	defaultSeeds  = 4
 	defaultChecks = 150
 )
 
-// intFromEnv reads a number from the environment.
+// intFromEnv reads a number from an environment variable.
 func intFromEnv(t *testing.T, name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
@@ -30,7 +30,7 @@
 	return number
 }
 
-// setFlag sets a flag of the testing library for the rest of a test.
+// setFlag sets a flag of the testing library until the end of the test.
 func setFlag(t *testing.T, name string, value int) {
 	before := flag.Lookup(name).Value.String()
 	if err := flag.Set(name, strconv.Itoa(value)); err != nil {
@@ -39,7 +39,7 @@
 	t.Cleanup(func() { _ = flag.Set(name, before) })
 }
 
-// TestRandomSchedules plays schedules that rapid draws from fixed seeds, and shrinks those that fail.
+// TestRandomSchedules runs schedules that rapid draws from fixed seeds, and shrinks those that fail.
 func TestRandomSchedules(t *testing.T) {
 	setFlag(t, "rapid.checks", intFromEnv(t, "RAPID_CHECKS", defaultChecks))
 	var recoveries []time.Duration
@@ -56,7 +56,7 @@
 	}
 	slices.Sort(recoveries)
 	if count := len(recoveries); count > 0 {
-		t.Logf("%d schedules; after the last fault all was well in %v (median), %v (99 of 100), %v (longest)",
+		t.Logf("%d schedules; recovery time after the last fault: median %v, 99th percentile %v, maximum %v",
 			count, recoveries[count/2], recoveries[count*99/100], recoveries[count-1])
 	}
 }
--- a/internal/replica/replacement_test.go
+++ b/internal/replica/replacement_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// mustChange has a value taken at an address, trying again until it is or the time is over.
+// mustChange sets a value at an address and retries until it is accepted; it fails the test after the given time.
 func (sim *simulation) mustChange(t *testing.T, address, key, value string, within time.Duration) {
 	t.Helper()
 	accepted, deadline := false, sim.now+within
@@ -22,11 +22,11 @@
 	}
 	sim.mustHaveNoViolation(t)
 	if !accepted {
-		t.Fatalf("%v: no change is taken at %s", sim.now, address)
+		t.Fatalf("%v: %s accepts no change", sim.now, address)
 	}
 }
 
-// mustRead demands a value at an address.
+// mustRead requires that an address reads the wanted value within the given time.
 func (sim *simulation) mustRead(t *testing.T, address, key, want string, within time.Duration) {
 	t.Helper()
 	got, replied, deadline := "", false, sim.now+within
@@ -42,11 +42,11 @@
 	}
 	sim.mustHaveNoViolation(t)
 	if !replied || got != want {
-		t.Fatalf("%v: %s reads %q (answered: %v), want %q", sim.now, address, got, replied, want)
+		t.Fatalf("%v: %s reads %q (replied: %v), want %q", sim.now, address, got, replied, want)
 	}
 }
 
-// mustHaveNoViolation fails the test if a check of the world has failed.
+// mustHaveNoViolation fails the test if the checker has found a violation.
 func (sim *simulation) mustHaveNoViolation(t *testing.T) {
 	t.Helper()
 	if sim.check.failure != "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// newRunningSimulation lets a system start and settle.
+// newRunningSimulation bootstraps a system and lets it settle.
 func newRunningSimulation(t *testing.T, addresses ...string) *simulation {
 	sim := newSimulation(1, addresses[:3]...)
 	sim.log = t.Logf
@@ -84,9 +84,10 @@
 	}
 }
 
-// TestReplacedVoterKeepsItsDiskUntilTheNextGenerationStandsOnAMajority: a change is on a, b and c; a and b are cut off
-// and replaced by f and g, but only f has installed generation 2. a and b hear of it, then f and c lose their disks: two of
-// five, and the change must still be there.
+// TestReplacedVoterKeepsItsDiskUntilTheNextGenerationStandsOnAMajority guards against a replaced voter erasing its
+// registers too early. A change is on a, b and c. Then a and b are isolated and replaced by f and g, but only f has
+// installed generation 2. After a and b hear of it, f and c lose their disks: the change must survive the loss of two
+// disks of five.
 func TestReplacedVoterKeepsItsDiskUntilTheNextGenerationStandsOnAMajority(t *testing.T) {
 	sim := newSimulation(1, "a:1", "b:1", "c:1", "d:1", "e:1")
 	sim.target = 5
@@ -96,7 +97,7 @@
 	sim.intercept = func(m message) delivery {
 		return delivery{lost: m.request.GetAccept() != nil && (m.to == "d:1" || m.to == "e:1")}
 	}
-	sim.mustChange(t, "a:1", "k", "one;", time.Second) // on a, b and c
+	sim.mustChange(t, "a:1", "k", "one;", time.Second) // accepted by a, b and c
 	sim.intercept = nil
 	sim.isolate("a:1", sim.names...)
 	sim.isolate("b:1", sim.names...)
@@ -111,8 +112,8 @@
 		return delivery{lost: installSent && m.reply != nil && m.reply.From == "i006" && m.to != "a:1" && m.to != "b:1"}
 	}
 	sim.run(5*time.Second, func() bool { return sim.nodes["f:1"].machine.durable.Membership != nil })
-	for _, busy := range []string{"c:1", "d:1", "e:1", "g:1"} {
-		sim.crash(busy, true)
+	for _, address := range []string{"c:1", "d:1", "e:1", "g:1"} {
+		sim.crash(address, true)
 	}
 	sim.intercept = nil
 	sim.reconnect("a:1", sim.names...)
@@ -120,15 +121,15 @@
 	sim.run(4*time.Second, nil) // a and b hear of generation 2 from f
 	sim.remove("f:1")
 	sim.remove("c:1")
-	for _, back := range []string{"d:1", "e:1", "g:1"} {
-		sim.restart(back)
+	for _, address := range []string{"d:1", "e:1", "g:1"} {
+		sim.restart(address)
 	}
 	sim.run(5*time.Second, nil)
 	sim.mustRead(t, "d:1", "k", "one;", 4*time.Second)
 }
 
-// TestVoterThatMissedTheInstallCatchesUpWithoutKeys: b is replaced by d before any key was written, and c misses the
-// install; on the wire, no registers and an absent map are the same.
+// TestVoterThatMissedTheInstallCatchesUpWithoutKeys replaces b by d before any key was written, while c misses the
+// install. An empty register map is encoded like an absent one, so c must not mistake it for missing data.
 func TestVoterThatMissedTheInstallCatchesUpWithoutKeys(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.intercept = func(m message) delivery { return delivery{lost: m.to == "c:1" && m.request.GetInstall() != nil} }
@@ -139,12 +140,12 @@
 	sim.run(4*time.Second, nil)
 	sim.mustHaveNoViolation(t)
 	if got := sim.nodes["c:1"].machine.generation(); got != 2 {
-		t.Fatalf("c holds generation %d, want 2", got)
+		t.Fatalf("c is in generation %d, want 2", got)
 	}
 }
 
-// TestReplacedCoordinatorIsAdmittedAgain: b coordinates the replacement of a, is then replaced itself, and is the only
-// learner when c falls silent.
+// TestReplacedCoordinatorIsAdmittedAgain has b coordinate the replacement of a and then be replaced itself; b is the only
+// learner when c becomes silent, and must be admitted again.
 func TestReplacedCoordinatorIsAdmittedAgain(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	all := []string{"a:1", "b:1", "c:1", "d:1"}
@@ -153,23 +154,24 @@
 	sim.run(time.Second, nil)
 	for i, silent := range []string{"a:1", "b:1", "c:1"} {
 		sim.isolate(silent, all...)
-		sim.run(4*time.Second, nil) // the learner takes its place
+		sim.run(4*time.Second, nil) // the learner replaces it
 		sim.reconnect(silent, all...)
-		sim.run(2*time.Second, nil) // it is the learner
+		sim.run(2*time.Second, nil) // it becomes the learner
 		sim.mustHaveNoViolation(t)
 		if got := sim.check.newestMembership.Generation; got != uint64(i)+2 {
-			t.Fatalf("after %s fell silent, the newest is %s", silent, describeIDs(sim.check.newestMembership))
+			t.Fatalf("after %s became silent, the newest membership is %s", silent, describeIDs(sim.check.newestMembership))
 		}
 	}
 }
 
-// TestIdentityIsAdmittedOnlyFromDisk: a has been replaced and takes long to save its new identity, while c is down.
+// TestIdentityIsAdmittedOnlyFromDisk has the replaced voter a save its new identity slowly while c is down. The identity
+// must not become a voter before it is on disk.
 func TestIdentityIsAdmittedOnlyFromDisk(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "b:1", "k", "one;", time.Second)
 	sim.isolate("a:1", "b:1", "c:1", "d:1")
 	sim.start("d:1", false)
-	sim.run(4*time.Second, nil) // d takes the place of a
+	sim.run(4*time.Second, nil) // d replaces a
 	sim.crash("c:1", true)
 	sim.run(1600*time.Millisecond, nil)
 	sim.saveDelay = func(n *node) time.Duration {
@@ -183,8 +185,9 @@
 	sim.mustHaveNoViolation(t)
 }
 
-// TestMembershipRegisterIsNotCarriedIntoNextGeneration: a is gone and c leaves, but stops once it has chosen that d
-// takes its place. A status round of d, held up by a, begins then and ends when b has installed generation 2 on d.
+// TestMembershipRegisterIsNotCarriedIntoNextGeneration guards against a version of the membership register that was chosen
+// in generation 1 counting in generation 2. a is removed, and c crashes once it has chosen that d replaces it. A status
+// round of d, delayed by a, begins at that time and ends after b has installed generation 2 on d.
 func TestMembershipRegisterIsNotCarriedIntoNextGeneration(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.remove("a:1")
@@ -199,14 +202,14 @@
 	sim.restart("c:1")
 	sim.run(2*time.Second, nil)
 	sim.mustHaveNoViolation(t)
-	sim.run(4*time.Second, nil) // c comes in again, in the place of a
+	sim.run(4*time.Second, nil) // c rejoins and replaces a
 	if sim.check.newestMembership.Generation != 3 || !sim.check.isFullyInstalled(sim.check.newestMembership) {
-		t.Fatalf("after generation 2 there is no other: %s", describeIDs(sim.check.newestMembership))
+		t.Fatalf("generation 2 is not followed by generation 3: %s", describeIDs(sim.check.newestMembership))
 	}
 }
 
-// TestLateQuestionOfALostLearnerReplacesNobody: c loses its disk twice; a question of the identity between arrives when the
-// last one is a voter at the address.
+// TestLateQuestionOfALostLearnerReplacesNobody wipes c twice. A delayed request of the first new identity arrives when the
+// second one is already a voter at that address, and must not cause another replacement.
 func TestLateQuestionOfALostLearnerReplacesNobody(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", time.Second)
@@ -218,27 +221,27 @@
 		}
 		return delivery{delay: 3 * time.Second}
 	}
-	sim.run(700*time.Millisecond, nil) // the first identity has asked
+	sim.run(700*time.Millisecond, nil) // the first new identity has sent its requests
 	sim.wipe("c:1")
 	sim.intercept = nil
 	sim.start("c:1", false)
-	sim.run(time.Second, nil) // the second is a voter
+	sim.run(time.Second, nil) // the second one is a voter
 	first := sim.check.newestMembership
 	sim.run(4*time.Second, nil)
 	sim.mustHaveNoViolation(t)
 	if sim.check.newestMembership != first {
-		t.Fatalf("%s follows %s", describeIDs(sim.check.newestMembership), describeIDs(first))
+		t.Fatalf("%s follows %s without need", describeIDs(sim.check.newestMembership), describeIDs(first))
 	}
 }
 
-// TestTwoCoordinatorsChooseOneGeneration: c is gone; only a hears of d, only b hears of e, and messages between a and b
-// take longer than the pause between their attempts.
+// TestTwoCoordinatorsChooseOneGeneration removes c while only a hears of learner d and only b of learner e. Messages
+// between a and b take longer than the pause between their attempts, so their proposals overlap.
 func TestTwoCoordinatorsChooseOneGeneration(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", time.Second)
 	sim.start("d:1", false)
 	sim.start("e:1", false)
-	sim.run(time.Second, nil) // both learn of the voters
+	sim.run(time.Second, nil) // both learn the voters
 	sim.crash("c:1", true)
 	sim.intercept = func(m message) delivery {
 		status := m.request.GetStatus()
@@ -256,6 +259,6 @@
 	sim.run(4*time.Second, nil)
 	sim.mustHaveNoViolation(t)
 	if sim.check.newestMembership.Generation < 2 || !sim.check.isFullyInstalled(sim.check.newestMembership) {
-		t.Fatalf("the newest is %s", describeIDs(sim.check.newestMembership))
+		t.Fatalf("the newest membership is %s", describeIDs(sim.check.newestMembership))
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// ticksPerStatusInterval is how often a machine is ticked between two status rounds.
+	// ticksPerStatusInterval is how many times per status interval the machine is ticked.
 	ticksPerStatusInterval = 5
-	// maxMessageBytes bounds what one replica tells another, in bytes.
+	// maxMessageBytes is the size limit of requests and replies between replicas.
 	maxMessageBytes = 64 << 20
 )
 
-// Store makes states durable; Save answers once the state is on disk, or that it may not be.
+// Store makes states durable. Save returns nil once the state is on disk; after an error it may or may not be there.
 type Store interface {
 	Save(*wire.ReplicaState) error
 }
@@ -46,7 +46,8 @@
 	clients    map[string]wireconnect.ReplicasClient
 }
 
-// New prepares a replica; state is what the store held at its opening, or nil. A request may take round.
+// New returns a replica. state is what the store held when it was opened, or nil; requestTimeout limits each request to
+// another replica.
 func New(s base.Scope, settings Settings, store Store, state *wire.ReplicaState, httpClient *http.Client, requestTimeout time.Duration) *Replica {
 	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Name(identitySuffixLength) }
 	settings.RecordEvent = s.Record
@@ -57,10 +58,11 @@
 	}
 }
 
-// identitySuffixLength makes it improbable that two identities at one address are ever alike.
+// identitySuffixLength is the length of the random part of an identity; it makes it improbable that two identities at one
+// address are equal.
 const identitySuffixLength = 6
 
-// Run lets the replica work until the scope ends.
+// Run runs the replica until the scope ends.
 func (r *Replica) Run(s base.Scope) {
 	r.tasks.Go(func() { base.ForEach(s, r.saves, r.persist) })
 	r.step(func(*Machine) {})
@@ -70,7 +72,7 @@
 	r.tasks.Wait()
 }
 
-// step runs the machine once and does what it then wants.
+// step runs an operation on the machine and carries out the resulting output.
 func (r *Replica) step(run func(m *Machine)) {
 	r.mu.Lock()
 	run(r.machine)
@@ -78,17 +80,17 @@
 	r.deliver(out)
 	r.mu.Unlock()
 	if out.Save != nil {
-		r.saves <- out.Save // there is never more than one
+		r.saves <- out.Save // never blocks: at most one save is outstanding
 	}
 	for _, request := range out.Requests {
-		go r.send(request) // it ends within a round
+		go r.send(request) // ends within requestTimeout
 	}
 	if out.ChosenChanged || out.MembershipChanged {
 		r.changed.Notify()
 	}
 }
 
-// deliver hands results and answers to those who wait for them.
+// deliver passes results and responses to the goroutines that wait for them.
 func (r *Replica) deliver(out Output) {
 	for _, result := range out.Results {
 		if waiting := r.tickets[result.Ticket]; waiting != nil {
@@ -96,15 +98,15 @@
 			waiting <- result
 		}
 	}
-	for _, answer := range out.Responses {
-		if waiting := r.calls[answer.Call]; waiting != nil {
-			delete(r.calls, answer.Call)
-			waiting <- answer.Reply
+	for _, response := range out.Responses {
+		if waiting := r.calls[response.Call]; waiting != nil {
+			delete(r.calls, response.Call)
+			waiting <- response.Reply
 		}
 	}
 }
 
-// persist writes a state to the disk and tells the machine how that ended.
+// persist writes a state to disk and reports the outcome to the machine.
 func (r *Replica) persist(request *Save) {
 	err := r.store.Save(request.State)
 	if err != nil {
@@ -113,7 +115,7 @@
 	r.step(func(m *Machine) { m.HandleSaved(r.scope.Clock.Mono(), request.Number, err == nil) })
 }
 
-// send asks one replica and gives up after a round.
+// send sends a request to one replica and reports the reply, or nil after requestTimeout or an error, to the machine.
 func (r *Replica) send(request Request) {
 	ctx, cancel := context.WithTimeout(r.scope.Context, r.requestTimeout)
 	defer cancel()
@@ -128,7 +130,7 @@
 	r.step(func(m *Machine) { m.HandleReply(r.scope.Clock.Mono(), request.ID, reply) })
 }
 
-// client returns the client for a replica's address.
+// client returns the RPC client for a replica's address.
 func (r *Replica) client(address string) wireconnect.ReplicasClient {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,27 +142,27 @@
 	return client
 }
 
-// server answers the other replicas.
+// server implements the RPC service for the other replicas.
 type server struct{ replica *Replica }
 
-// Handler serves the other replicas.
+// Handler returns the HTTP handler that serves the other replicas.
 func (r *Replica) Handler() (path string, handler http.Handler) {
 	return wireconnect.NewReplicasHandler(server{r}, httpserver.HandlerOptions(), connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// Exchange answers one question.
+// Exchange handles one request of another replica.
 func (s server) Exchange(ctx context.Context, request *connect.Request[wire.ReplicaRequest]) (*connect.Response[wire.ReplicaReply], error) {
 	r := s.replica
-	answer := make(chan *wire.ReplicaReply, 1)
+	replies := make(chan *wire.ReplicaReply, 1)
 	var call uint64
 	r.step(func(m *Machine) {
 		r.lastCall++
 		call = r.lastCall
-		r.calls[call] = answer
+		r.calls[call] = replies
 		m.HandleRequest(r.scope.Clock.Mono(), call, request.Msg)
 	})
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return connect.NewResponse(reply), nil
 	case <-ctx.Done():
 	case <-r.scope.Done():
@@ -193,29 +195,30 @@
 	return Result{Ticket: ticket, Err: base.NewFault(base.Uncertain, "", "no result in time")}
 }
 
-// Change replaces the value of a key. It returns once a majority of disks has the new version or, where change
-// gives nil, once a majority has confirmed that the value seen was the newest. After an error the outcome is open.
+// Change replaces the value of a key. It returns once a majority of voters has the new version on disk or, if change
+// returns nil, once a majority has confirmed that the value passed to it was the newest. After any other
+// error than that of change itself, the change may or may not have taken effect.
 func (r *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
 	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Change(now, ticket, key, change) }).Err
 }
 
-// Read gives the newest value of a key as of some moment since the call.
+// Read returns the value of a key that was the newest at some moment after the call.
 func (r *Replica) Read(s base.Scope, key string) ([]byte, error) {
 	result := r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Read(now, ticket, key) })
 	return result.Version.GetValue(), result.Err
 }
 
-// QuorumRead asks all voters what they hold of a key, without becoming its owner.
+// QuorumRead asks all voters for their version of a key without acquiring ownership of the key.
 func (r *Replica) QuorumRead(s base.Scope, key string) Result {
 	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.QuorumRead(now, ticket, key) })
 }
 
-// Leave has a learner take this replica's place, where one is ready.
+// Leave has a learner replace this replica, if one is ready.
 func (r *Replica) Leave(s base.Scope) error {
 	return r.await(s, func(m *Machine, now time.Duration, ticket uint64) { m.Leave(now, ticket) }).Err
 }
 
-// TransferOwnership lets another voter take over each key that this replica owns.
+// TransferOwnership asks other voters to take over those of the keys that this replica owns.
 func (r *Replica) TransferOwnership(s base.Scope, keys ...string) {
 	for _, key := range keys {
 		if !r.Owns(key) {
@@ -230,7 +233,7 @@
 	}
 }
 
-// requestTakeover asks a voter to take over a key.
+// requestTakeover asks a voter to take over a key, and reports whether it did.
 func (r *Replica) requestTakeover(s base.Scope, address, key string) bool {
 	ctx, cancel := context.WithTimeout(s, r.requestTimeout)
 	defer cancel()
@@ -244,7 +247,7 @@
 	return err == nil && reply.Msg.Standing == wire.Standing_GRANTED
 }
 
-// inspect runs a read of the machine under its lock, with the present time.
+// inspect runs a read on the machine under the lock, with its clock set to the current time.
 func (r *Replica) inspect(read func(m *Machine)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,48 +255,48 @@
 	read(r.machine)
 }
 
-// Changed is closed when a newer version is known to be chosen, or the members have changed.
+// Changed returns a channel that is closed when a newer version becomes known to be chosen or the membership changes.
 func (r *Replica) Changed() <-chan struct{} { return r.changed.Next() }
 
-// Chosen gives the newest version of a key known here to be chosen, or nil.
+// Chosen returns the newest version of a key known here to be chosen, or nil.
 func (r *Replica) Chosen(key string) (version *wire.Version) {
 	r.inspect(func(m *Machine) { version = m.Chosen(key) })
 	return version
 }
 
-// ChosenAsOf gives the newest version of a key known here to be chosen, and a moment of the steady clock before which no
-// newer one was chosen; known is false while no majority has told.
+// ChosenAsOf returns the newest version of a key known here to be chosen, and a time of the monotonic clock before which
+// no newer one was chosen. known is false if no majority has established such a time yet.
 func (r *Replica) ChosenAsOf(key string) (version *wire.Version, asOf time.Duration, known bool) {
 	r.inspect(func(m *Machine) { version, asOf, known = m.ChosenAsOf(key) })
 	return version, asOf, known
 }
 
-// Accepted gives the version of a key on this replica's own disk, chosen or not, or nil.
+// Accepted returns the version of a key on this replica's own disk, chosen or not, or nil.
 func (r *Replica) Accepted(key string) (version *wire.Version) {
 	r.inspect(func(m *Machine) { version = m.durable.Registers[key].GetAccepted() })
 	return version
 }
 
-// IsVoter says whether this replica is a voter.
+// IsVoter reports whether this replica is a voter.
 func (r *Replica) IsVoter() (isVoter bool) {
 	r.inspect(func(m *Machine) { isVoter = m.isVoter() })
 	return isVoter
 }
 
-// ReplicatedAsOf tells when the last round began in which a majority answered, by the steady clock; ok is false if the
-// newest version of the key was then on too few disks, or if there was no such round.
+// ReplicatedAsOf returns when the last status round that a majority replied to began, by the monotonic clock. ok is false
+// if there was none, or if the newest version of the key was held by less than a majority.
 func (r *Replica) ReplicatedAsOf(key string) (began time.Duration, ok bool) {
 	r.inspect(func(m *Machine) { began, ok = m.ReplicatedAsOf(key) })
 	return began, ok
 }
 
-// LastMajority tells when the last round began in which a majority answered, if there was one.
+// LastMajority returns when the last status round that a majority replied to began. ok is false if there was none.
 func (r *Replica) LastMajority() (began time.Duration, ok bool) {
 	r.inspect(func(m *Machine) { began, ok = m.lastMajorityRound, m.heardMajority })
 	return began, ok
 }
 
-// Owner gives the address of a key's owner, where it is a voter, and the term.
+// Owner returns the address of a key's owner and its term. The address is empty if the owner is not a voter.
 func (r *Replica) Owner(key string) (address string, term *wire.Term) {
 	r.inspect(func(m *Machine) {
 		owner, promised := m.Owner(key)
@@ -302,37 +305,37 @@
 	return address, term
 }
 
-// Owns says whether this replica owns a key.
+// Owns reports whether this replica owns a key.
 func (r *Replica) Owns(key string) bool {
 	owner, _ := r.Owner(key)
 	return owner == r.settings.Address
 }
 
-// Copies says how many voters held the newest version of a key when a majority was last heard.
+// Copies returns how many voters held the newest version of a key in the last status round that a majority replied to.
 func (r *Replica) Copies(key string) (copies int) {
 	r.inspect(func(m *Machine) { copies = m.copies[key] })
 	return copies
 }
 
-// Voters gives the voters' addresses, as far as they are known, sorted.
+// Voters returns the known voters' addresses, sorted.
 func (r *Replica) Voters() (addresses []string) {
 	r.inspect(func(m *Machine) { addresses = addressesOf(m.newestMembership()) })
 	return addresses
 }
 
-// HeardWithin says whether the voter at an address was heard lately.
+// HeardWithin reports whether the voter at an address was heard within the given time before now.
 func (r *Replica) HeardWithin(address string, window time.Duration) (heard bool) {
 	r.inspect(func(m *Machine) { heard = m.HeardWithin(address, window) })
 	return heard
 }
 
-// View tells how this replica stands.
+// View returns the state of this replica for operators.
 func (r *Replica) View() (view View) {
 	r.inspect(func(m *Machine) { view = m.View() })
 	return view
 }
 
-// SetSeeds takes other seeds.
+// SetSeeds replaces the seed addresses.
 func (r *Replica) SetSeeds(seeds []string) {
 	r.inspect(func(m *Machine) { m.settings.Seeds = seeds })
 }
--- a/internal/replica/round_test.go
+++ b/internal/replica/round_test.go
@@ -7,8 +7,8 @@
 	"curlewreach/proto/wire"
 )
 
-// replyToAll answers what a machine has asked, and what it asks then, in the name of its voters but for one answer that
-// the test changes.
+// replyToAll replies to a machine's requests, and to those that follow, on behalf of the voters. change may modify each
+// reply.
 func replyToAll(m *Machine, membership *wire.Membership, change func(request Request, reply *wire.ReplicaReply)) (results []Result) {
 	for range 20 {
 		out := m.TakeOutput()
@@ -28,18 +28,19 @@
 	return results
 }
 
-// TestReplyOfAnotherIdentityIsNotCounted: at the addresses of b and c there are other replicas now.
+// TestReplyOfAnotherIdentityIsNotCounted lets replicas with other identities reply at the addresses of b and c.
 func TestReplyOfAnotherIdentityIsNotCounted(t *testing.T) {
 	membership := newMembership(1, "a", "b", "c")
 	m := newVoter(membership, "a")
 	m.Change(time.Second, 1, "k", func([]byte) ([]byte, error) { return []byte("one;"), nil })
 	results := replyToAll(m, membership, func(_ Request, reply *wire.ReplicaReply) { reply.From += "/again" })
 	if len(results) != 1 || results[0].Err == nil {
-		t.Fatalf("a change by the votes of strangers ends with %v", results)
+		t.Fatalf("a change with the votes of other identities ends with %v", results)
 	}
 }
 
-// TestStatusOfAnotherGenerationIsNotCounted: a learner that knows generation 1 asks its voters; b is in generation 2.
+// TestStatusOfAnotherGenerationIsNotCounted has a learner that knows generation 1 ask its voters while b is in generation
+// 2 and c has sealed generation 1.
 func TestStatusOfAnotherGenerationIsNotCounted(t *testing.T) {
 	membership := newMembership(1, "a", "b", "c")
 	m := newVoter(membership, "d")
@@ -54,6 +55,6 @@
 		}
 	})
 	if len(results) != 1 || results[0].MajorityReplied {
-		t.Fatalf("a survey across two generations ends with %v", results)
+		t.Fatalf("a quorum read across two generations ends with %v", results)
 	}
 }
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -9,42 +9,42 @@
 	"pgregory.net/rapid"
 )
 
-// action is one kind of thing that a schedule does.
-type action string
+// actionKind is a kind of action in a schedule.
+type actionKind string
 
 const (
-	actCrash         action = "crash"
-	actRestart       action = "restart"
-	actWipe          action = "wipe"
-	actReplace       action = "replace"
-	actNewcomer      action = "newcomer"
-	actLeave         action = "leave"
-	actRemove        action = "remove"
-	actCut           action = "cut"
-	actCutOneWay     action = "cutOneWay"
-	actIsolate       action = "isolate"
-	actHeal          action = "heal"
-	actHealAll       action = "healAll"
-	actPauseProcess  action = "freeze"
-	actResumeProcess action = "thaw"
-	actFillDisk      action = "full"
-	actFreeDisk      action = "roomAgain"
-	actConditions    action = "weather"
-	actChange        action = "change"
-	actRead          action = "read"
-	actSurvey        action = "survey"
+	actCrash         actionKind = "crash"
+	actRestart       actionKind = "restart"
+	actWipe          actionKind = "wipe"
+	actReplace       actionKind = "replace"
+	actNewcomer      actionKind = "newcomer"
+	actLeave         actionKind = "leave"
+	actRemove        actionKind = "remove"
+	actCut           actionKind = "cut"
+	actCutOneWay     actionKind = "cutOneWay"
+	actIsolate       actionKind = "isolate"
+	actHeal          actionKind = "heal"
+	actHealAll       actionKind = "healAll"
+	actPauseProcess  actionKind = "freeze"
+	actResumeProcess actionKind = "thaw"
+	actFillDisk      actionKind = "full"
+	actFreeDisk      actionKind = "roomAgain"
+	actConditions    actionKind = "weather"
+	actChange        actionKind = "change"
+	actRead          actionKind = "read"
+	actSurvey        actionKind = "survey"
 )
 
-// actions are weighed by how often they stand here.
-var actions = []action{
+// actions lists the kinds to draw from; a repeated one is drawn more often.
+var actions = []actionKind{
 	actChange, actChange, actChange, actChange, actRead, actRead, actSurvey, actSurvey,
 	actCrash, actCrash, actRestart, actRestart, actWipe, actReplace, actNewcomer, actLeave, actRemove, actCut, actCutOneWay,
 	actIsolate, actHeal, actHealAll, actHealAll, actPauseProcess, actResumeProcess, actResumeProcess, actFillDisk, actFreeDisk, actConditions,
 }
 
-// step is one action of a schedule and the pause after it. Numbers are taken modulo what there is.
+// step is one action of a schedule and the delay after it. Node and Other are taken modulo the number of choices.
 type step struct {
-	Do    action
+	Do    actionKind
 	Node  int
 	Other int
 	Delay int // in milliseconds
@@ -52,7 +52,7 @@
 
 func (s step) String() string { return fmt.Sprintf("{%s, %d, %d, %d}", s.Do, s.Node, s.Other, s.Delay) }
 
-// schedule is a system and what befalls it.
+// schedule is a system and the sequence of requests and faults it is exposed to.
 type schedule struct {
 	Seed          uint64
 	InitialVoters int
@@ -65,14 +65,14 @@
 	for _, each := range s.Steps {
 		steps = append(steps, "\t"+each.String()+",")
 	}
-	return fmt.Sprintf("seed %d, %d founders, calm %d ms\n%s", s.Seed, s.InitialVoters, s.Warmup, strings.Join(steps, "\n"))
+	return fmt.Sprintf("seed %d, %d initial voters, warmup %d ms\n%s", s.Seed, s.InitialVoters, s.Warmup, strings.Join(steps, "\n"))
 }
 
 const (
 	maxSteps      = 40
 	maxNodes      = 10
 	maxStepDelay  = 1200
-	maxSaveMillis = 300 // of a message or a save in bad weather
+	maxSaveMillis = 300 // maximum random delay of a save
 )
 
 var stepGenerator = rapid.Custom(func(t *rapid.T) step {
@@ -93,33 +93,33 @@
 	}
 })
 
-// scheduleRun is a schedule under way.
+// scheduleRun is the execution of a schedule.
 type scheduleRun struct {
 	schedule            schedule
 	sim                 *simulation
 	history             *history
 	clients             [2]*client
 	newcomers           int
-	bootstrapDiskLosses int           // disks lost before the first start was over
+	bootstrapDiskLosses int           // disks lost before the bootstrap finished
 	healedAt            time.Duration // when the last fault ended
-	recoveryTime        time.Duration // how long after that all was well; 0: not yet
+	recoveryTime        time.Duration // time from then until the system had recovered; 0 before that
 }
 
 func newScheduleRun(s schedule) *scheduleRun {
-	var founders []string
+	var addresses []string
 	for i := range s.InitialVoters {
-		founders = append(founders, fmt.Sprintf("%c:1", 'a'+i))
+		addresses = append(addresses, fmt.Sprintf("%c:1", 'a'+i))
 	}
-	sim := newSimulation(s.Seed, founders[:3]...)
+	sim := newSimulation(s.Seed, addresses[:3]...)
 	r := &scheduleRun{schedule: s, sim: sim, history: &history{sim: sim}}
 	for i := range r.clients {
 		r.clients[i] = &client{known: map[string]string{}}
 	}
-	sim.bootstrap(founders...)
+	sim.bootstrap(addresses...)
 	return r
 }
 
-// run plays the schedule, heals all, and says what went wrong, or "".
+// run executes the schedule, ends all faults, and returns a description of the first problem, or "".
 func (r *scheduleRun) run() string {
 	sim := r.sim
 	sim.run(time.Duration(r.schedule.Warmup)*time.Millisecond, nil)
@@ -135,8 +135,8 @@
 	if sim.check.failure != "" {
 		return sim.check.failure
 	}
-	if wrong := r.history.checkLinearizable(); wrong != "" {
-		return wrong
+	if violation := r.history.checkLinearizable(); violation != "" {
+		return violation
 	}
 	return problem
 }
@@ -145,7 +145,7 @@
 	return r.sim.nodes[r.sim.names[number%len(r.sim.names)]]
 }
 
-// perform does one step, as far as it fits the state of things.
+// perform executes one step if it is possible in the current state.
 func (r *scheduleRun) perform(s step) {
 	sim, n := r.sim, r.node(s.Node)
 	other := r.node(s.Other)
@@ -210,31 +210,31 @@
 	}
 }
 
-// bootstrapped says whether the first start is over: until then a seed's address can't go for good, since all others wait
-// for it.
+// bootstrapped reports whether the bootstrap has finished. Until then a seed must not be removed for good, because the
+// other replicas wait for all seeds.
 func (r *scheduleRun) bootstrapped() bool {
 	first := r.sim.check.generations[1]
 	return first != nil && r.sim.check.isFullyInstalled(first)
 }
 
-// crash ends a process; if its disk holds nothing yet, that is the loss of a disk.
-func (r *scheduleRun) crash(n *node, saveLands bool) {
+// crash stops a process. If nothing is on its disk yet, this counts as the loss of a disk.
+func (r *scheduleRun) crash(n *node, saveCompletes bool) {
 	if n.machine == nil || n.disk == nil && !r.mayLoseDisk(n) {
 		return
 	}
 	if n.disk == nil {
 		r.bootstrapDiskLosses++
 	}
-	r.sim.crash(n.address, saveLands)
+	r.sim.crash(n.address, saveCompletes)
 }
 
-// mayLoseDisk says whether the system must bear the loss of a disk.
+// mayLoseDisk reports whether the system must tolerate the loss of a disk.
 func (r *scheduleRun) mayLoseDisk(n *node) bool {
 	if n.removed {
 		return false
 	}
 	if !r.bootstrapped() {
-		return r.bootstrapDiskLosses < (len(r.sim.seeds)-1)/2 // the seeds alone found
+		return r.bootstrapDiskLosses < (len(r.sim.seeds)-1)/2 // only the seeds form the first generation
 	}
 	id := n.diskState().GetId()
 	return id == "" || !r.sim.check.isActiveVoter(id) || r.sim.check.isLost(id) || r.sim.check.toleratesDiskLoss()
@@ -246,7 +246,7 @@
 	}
 }
 
-// wipe has a machine lose its disk and start again at once, to find its way by the living.
+// wipe erases a replica's disk and restarts it at once, so that it rejoins through the others.
 func (r *scheduleRun) wipe(n *node) {
 	if r.mayLoseDisk(n) {
 		if !r.bootstrapped() {
@@ -264,7 +264,8 @@
 	}
 }
 
-// startEmpty starts a machine without a disk, with seeds that aren't gone once a seed of the first start is.
+// startEmpty starts a replica with an empty disk. Once one of the original seeds has been removed, its seeds are all
+// addresses that have not been removed.
 func (r *scheduleRun) startEmpty(address string) {
 	sim := r.sim
 	before := sim.seeds
@@ -283,12 +284,12 @@
 }
 
 const (
-	// recoveryBound is how long after the last fault every voter takes changes and no learner is needed any more.
+	// recoveryBound is the time limit, after the last fault, until all voters accept changes and no learner is needed.
 	recoveryBound = 4 * time.Second
 	probeKey      = "probe"
 )
 
-// recover ends all faults, and demands that all is well in time.
+// recover ends all faults and requires that the system recovers in time.
 func (r *scheduleRun) recover() string {
 	sim := r.sim
 	clear(sim.cuts)
@@ -304,7 +305,7 @@
 	}
 	r.healedAt = sim.now
 	if !sim.run(recoveryBound, r.recovered) {
-		return fmt.Sprintf("%v after all is healed: %s", recoveryBound, r.recoveryProblem())
+		return fmt.Sprintf("%v after the last fault: %s", recoveryBound, r.recoveryProblem())
 	}
 	r.recoveryTime = sim.now - r.healedAt
 	for _, voter := range sim.check.newestMembership.Voters {
@@ -319,13 +320,13 @@
 	return ""
 }
 
-// recovered says whether every voter of the newest generation runs and holds it, and no learner is needed.
+// recovered reports whether every voter of the newest generation runs and has entered it, and no learner is needed.
 func (r *scheduleRun) recovered() bool { return r.recoveryProblem() == "" }
 
 func (r *scheduleRun) recoveryProblem() string {
 	newest := r.sim.check.newestMembership
 	if newest == nil {
-		return "nothing is founded"
+		return "there is no first generation"
 	}
 	missing, learners := "", 0
 	for _, voter := range newest.Voters {
@@ -345,10 +346,10 @@
 	if missing != "" && learners == 0 && r.sim.nodes[missing[strings.Index(missing, "@")+1:]].machine == nil {
 		return ""
 	}
-	return fmt.Sprintf("%s is no voter of %s, though %d learners are there", missing, describeIDs(newest), learners)
+	return fmt.Sprintf("voter %q of %s has not entered it; %d learners remain", missing, describeIDs(newest), learners)
 }
 
-// probe demands that a change is taken at a voter in time.
+// probe requires that a voter accepts a change in time.
 func (r *scheduleRun) probe(address string) string {
 	sim := r.sim
 	if sim.nodes[address].machine == nil {
@@ -367,10 +368,10 @@
 		}
 	}
 	if voterByAddress(sim.check.newestMembership, address) == nil {
-		return "" // it was replaced meanwhile: it had been silent until the faults ended
+		return "" // replaced meanwhile, because it had been silent until the faults ended
 	}
 	if !done {
-		return "no change is taken at " + address + " after all is healed"
+		return address + " accepts no change after the last fault"
 	}
 	return ""
 }
--- a/internal/replica/simulation_test.go
+++ b/internal/replica/simulation_test.go
@@ -12,7 +12,7 @@
 	"curlewreach/proto/wire"
 )
 
-// The durations of the simulated replicas.
+// Time limits and delays of the simulated replicas.
 const (
 	simRequestTimeout = 400 * time.Millisecond
 	simStatusInterval = 250 * time.Millisecond
@@ -24,13 +24,13 @@
 	simMessageDelay   = time.Millisecond
 )
 
-// event is something that happens at a moment of the simulated time.
+// event is a callback that is scheduled for a simulated time.
 type event struct {
 	at    time.Duration
 	order int
 	run   func()
-	id    string // of messages and saves: names it among all of a run, whatever the order
-	node  string // whom it concerns
+	id    string // of messages and saves: unique within a run and independent of the order of events
+	node  string // address of the affected node
 }
 
 // eventQueue is a heap of events, the earliest first.
@@ -50,46 +50,46 @@
 	return popped
 }
 
-// node is one address with its disk and, while it runs, its machine.
+// node is an address with its disk and, while its process runs, its machine.
 type node struct {
 	sim         *simulation
 	address     string
-	machine     *Machine // nil while it is down
-	incarnation int      // rises with each stop, so that events of an earlier process are told apart
-	disk        []byte   // the last durable state; nil where there is none
+	machine     *Machine // nil while the process is down
+	incarnation int      // incremented with each stop, to drop the events of an earlier process
+	disk        []byte   // last durable state; nil if there is none
 	saving      *Save
 	diskFull    bool     // saves fail
-	paused      bool     // inputs and ticks wait
-	pending     []func() // inputs that wait for the thaw
-	removed     bool     // the disk is gone and the address won't come back
+	paused      bool     // inputs and ticks are held back
+	pending     []func() // inputs held back until the process resumes
+	removed     bool     // the disk is lost and the address does not come back
 	observed    observedState
 }
 
-// conditions says what the network and the disks do by chance.
+// conditions configures the random faults of the network and the disks.
 type conditions struct {
 	lossPercent      int
 	duplicatePercent int
-	failPercent      int           // of the saves
-	maxDelay         time.Duration // of one message
+	failPercent      int           // of saves
+	maxDelay         time.Duration // per message
 	maxSave          time.Duration
 }
 
-// message is one request or reply on its way.
+// message is a request or reply in transit.
 type message struct {
 	from, to string
 	request  *wire.ReplicaRequest
 	reply    *wire.ReplicaReply // nil for a request
 	id       string
-	onLost   func() // runs where the world is explored and the message can't arrive
+	onLost   func() // called during exploration if the message cannot arrive
 }
 
-// delivery says what becomes of a message.
+// delivery decides what happens to a message.
 type delivery struct {
 	lost  bool
 	delay time.Duration
 }
 
-// simulation runs machines over a simulated network and simulated disks, without real time.
+// simulation runs machines over a simulated network, simulated disks and a simulated clock.
 type simulation struct {
 	now        time.Duration
 	order      int
@@ -99,11 +99,11 @@
 	random     *rand.Rand
 	seeds      []string
 	target     int
-	cuts       map[[2]string]bool // from, to
+	cuts       map[[2]string]bool // blocked links, as {from, to}
 	conditions conditions
-	// intercept, where set, decides about each message in place of the weather.
+	// intercept, if set, decides about each message in place of conditions.
 	intercept func(message) delivery
-	// saveDelay, where set, decides how long a save takes.
+	// saveDelay, if set, returns the duration of a save.
 	saveDelay func(*node) time.Duration
 
 	lastID     int
@@ -111,18 +111,18 @@
 	calls      map[uint64]*call
 	lastTicket uint64
 	tickets    map[uint64]func(Result)
-	exploring  bool // no time passes, and what can't arrive is known to be lost at once
+	exploring  bool // no time passes, and a message that cannot arrive is reported as lost at once
 
 	check *checker
 	log   func(string, ...any)
 }
 
-// call is a request that a machine has been handed and not yet answered.
+// call is a request that a machine has received and not answered yet.
 type call struct {
 	to          *node
 	incarnation int
 	request     *wire.ReplicaRequest
-	sealed      bool // the receiver had told before that it has sealed the request's generation
+	sealed      bool // the receiver had already reported that it sealed the request's generation
 	reply       func(*wire.ReplicaReply)
 }
 
@@ -142,11 +142,11 @@
 	}
 }
 
-func (sim *simulation) after(span time.Duration, run func()) { sim.schedule(span, "", "", run) }
+func (sim *simulation) after(duration time.Duration, run func()) { sim.schedule(duration, "", "", run) }
 
-func (sim *simulation) schedule(span time.Duration, label, node string, run func()) {
+func (sim *simulation) schedule(duration time.Duration, id, node string, run func()) {
 	sim.order++
-	heap.Push(&sim.events, event{sim.now + span, sim.order, run, label, node})
+	heap.Push(&sim.events, event{sim.now + duration, sim.order, run, id, node})
 }
 
 // step runs the next event.
@@ -156,9 +156,9 @@
 	next.run()
 }
 
-// run lets a span of time pass, or less once done says so or a check has failed.
-func (sim *simulation) run(span time.Duration, done func() bool) bool {
-	until := sim.now + span
+// run advances the time by a duration, or until done returns true or a check fails. It returns the last result of done.
+func (sim *simulation) run(duration time.Duration, done func() bool) bool {
+	until := sim.now + duration
 	for len(sim.events) > 0 && sim.events[0].at <= until && sim.check.failure == "" {
 		if done != nil && done() {
 			return true
@@ -174,8 +174,8 @@
 	return fmt.Sprintf("i%03d", sim.lastID)
 }
 
-// start runs the process of an address from what its disk holds.
-func (sim *simulation) start(address string, founding bool) *node {
+// start starts the process of an address with the state on its disk.
+func (sim *simulation) start(address string, bootstrap bool) *node {
 	n := sim.nodes[address]
 	if n == nil {
 		n = &node{sim: sim, address: address}
@@ -185,7 +185,7 @@
 	n.incarnation++
 	n.observed = observedState{}
 	n.machine = NewMachine(Settings{
-		Address: address, Seeds: slices.Clone(sim.seeds), Bootstrap: founding, TargetVoters: sim.target, StatusInterval: simStatusInterval, VoterTimeout: simVoterTimeout,
+		Address: address, Seeds: slices.Clone(sim.seeds), Bootstrap: bootstrap, TargetVoters: sim.target, StatusInterval: simStatusInterval, VoterTimeout: simVoterTimeout,
 		RecommitAfter: simRecommitAfter, BootstrapWait: simBootstrapWait, NewID: sim.newID,
 		RecordEvent: func(what, subject, detail string) {
 			sim.log("%v %s: %s %s %s", sim.now, address, what, subject, detail)
@@ -195,7 +195,7 @@
 	return n
 }
 
-// diskState reads the disk; nil where it holds nothing.
+// diskState decodes the state on disk; it returns nil if there is none.
 func (n *node) diskState() *wire.ReplicaState {
 	if n.disk == nil {
 		return nil
@@ -207,7 +207,7 @@
 	return state
 }
 
-// write puts a state on the disk.
+// write stores a state on the disk.
 func (n *node) write(state *wire.ReplicaState) {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
@@ -217,27 +217,27 @@
 	n.sim.check.checkWrite(n, state)
 }
 
-// crash ends the process; a save in flight ends either way.
-func (sim *simulation) crash(address string, saveLands bool) {
+// crash stops the process. A save in progress reaches the disk if saveCompletes is set.
+func (sim *simulation) crash(address string, saveCompletes bool) {
 	n := sim.nodes[address]
 	if n.machine == nil {
 		return
 	}
-	if n.saving != nil && saveLands && !n.diskFull {
+	if n.saving != nil && saveCompletes && !n.diskFull {
 		n.write(n.saving.State)
 	}
 	n.incarnation++
 	n.machine, n.saving, n.paused, n.pending = nil, nil, false, nil
 }
 
-// wipe ends the process and empties the disk.
+// wipe stops the process and erases its disk.
 func (sim *simulation) wipe(address string) {
 	sim.crash(address, false)
 	sim.check.recordDiskLoss(sim.nodes[address])
 	sim.nodes[address].disk = nil
 }
 
-// remove ends an address for good.
+// remove stops an address permanently.
 func (sim *simulation) remove(address string) {
 	sim.wipe(address)
 	sim.nodes[address].removed = true
@@ -246,7 +246,7 @@
 func (sim *simulation) cut(from, to string)  { sim.cuts[[2]string{from, to}] = true }
 func (sim *simulation) heal(from, to string) { delete(sim.cuts, [2]string{from, to}) }
 
-// isolate cuts an address off from some others, both ways.
+// isolate blocks the links between an address and others in both directions.
 func (sim *simulation) isolate(address string, others ...string) {
 	for _, other := range others {
 		sim.cut(address, other)
@@ -254,7 +254,7 @@
 	}
 }
 
-// reconnect ends isolate.
+// reconnect reverts isolate.
 func (sim *simulation) reconnect(address string, others ...string) {
 	for _, other := range others {
 		sim.heal(address, other)
@@ -268,7 +268,7 @@
 	}
 }
 
-// resume handles what came meanwhile, all at once.
+// resume ends a pause and processes all held-back inputs at once.
 func (sim *simulation) resume(address string) {
 	n := sim.nodes[address]
 	if !n.paused {
@@ -277,16 +277,16 @@
 	n.paused = false
 	pending := n.pending
 	n.pending = nil
-	life := n.incarnation
-	for _, each := range pending {
-		n.input(life, each)
+	incarnation := n.incarnation
+	for _, input := range pending {
+		n.input(incarnation, input)
 	}
 }
 
-// input hands something to the machine, or keeps it for the thaw.
-func (n *node) input(life int, deliver func()) {
+// input passes an input to the machine, or holds it back while the process is paused.
+func (n *node) input(incarnation int, deliver func()) {
 	switch {
-	case n.incarnation != life || n.machine == nil:
+	case n.incarnation != incarnation || n.machine == nil:
 	case n.paused:
 		n.pending = append(n.pending, deliver)
 	default:
@@ -295,17 +295,17 @@
 	}
 }
 
-func (n *node) tick(life int) {
-	if n.incarnation != life {
+func (n *node) tick(incarnation int) {
+	if n.incarnation != incarnation {
 		return
 	}
-	n.input(life, func() {
+	n.input(incarnation, func() {
 		n.machine.Tick(n.sim.now)
-		n.sim.after(simTick, func() { n.tick(life) })
+		n.sim.after(simTick, func() { n.tick(incarnation) })
 	})
 }
 
-// flush does what the machine wants done.
+// flush carries out the machine's output.
 func (n *node) flush() {
 	sim := n.sim
 	out := n.machine.TakeOutput()
@@ -328,11 +328,11 @@
 }
 
 func (n *node) save(save *Save) {
-	sim, life := n.sim, n.incarnation
+	sim, incarnation := n.sim, n.incarnation
 	n.saving = save
-	label := fmt.Sprintf("save %s/%d/%d", n.address, life, save.Number)
-	sim.schedule(sim.drawSaveDelay(n), label, n.address, func() {
-		if n.incarnation != life {
+	id := fmt.Sprintf("save %s/%d/%d", n.address, incarnation, save.Number)
+	sim.schedule(sim.drawSaveDelay(n), id, n.address, func() {
+		if n.incarnation != incarnation {
 			return
 		}
 		n.saving = nil
@@ -340,7 +340,7 @@
 		if ok || !n.diskFull && sim.chance(50) {
 			n.write(save.State)
 		}
-		n.input(life, func() { n.machine.HandleSaved(sim.now, save.Number, ok) })
+		n.input(incarnation, func() { n.machine.HandleSaved(sim.now, save.Number, ok) })
 	})
 }
 
@@ -351,16 +351,16 @@
 	return simSaveDelay + sim.randomDuration(sim.conditions.maxSave)
 }
 
-func (sim *simulation) randomDuration(most time.Duration) time.Duration {
-	if most <= 0 {
+func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(sim.random.Int64N(int64(most)))
+	return time.Duration(sim.random.Int64N(int64(limit)))
 }
 
 func (sim *simulation) chance(percent int) bool { return percent > 0 && sim.random.IntN(100) < percent }
 
-// transmit takes a message over the network; deliver may run never, once or twice.
+// transmit sends a message over the network; deliver may run never, once or twice.
 func (sim *simulation) transmit(m message, deliver func()) {
 	if sim.intercept != nil {
 		if v := sim.intercept(m); !v.lost {
@@ -390,33 +390,33 @@
 }
 
 func (sim *simulation) send(n *node, request Request) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	sim.check.checkAccept(n, request.Payload)
 	answered := false
 	finish := func(reply *wire.ReplicaReply) {
 		if !answered {
 			answered = true
-			n.input(life, func() { n.machine.HandleReply(sim.now, request.ID, reply) })
+			n.input(incarnation, func() { n.machine.HandleReply(sim.now, request.ID, reply) })
 		}
 	}
 	sim.after(simRequestTimeout, func() { finish(nil) })
 	received := roundTripEncoding(request.Payload)
 	lost := func() { finish(nil) }
-	label := fmt.Sprintf("%s/%d/%d", n.address, life, request.ID)
-	sim.transmit(message{from: n.address, to: request.To, request: received, id: "ask " + label, onLost: lost}, func() {
+	id := fmt.Sprintf("%s/%d/%d", n.address, incarnation, request.ID)
+	sim.transmit(message{from: n.address, to: request.To, request: received, id: "ask " + id, onLost: lost}, func() {
 		if to := sim.nodes[request.To]; sim.exploring && (to == nil || to.machine == nil) {
 			lost()
 			return
 		}
 		sim.receive(request.To, received, func(reply *wire.ReplicaReply) {
 			decoded := roundTripEncoding(reply)
-			response := message{from: request.To, to: n.address, request: received, reply: decoded, id: "answer " + label, onLost: lost}
+			response := message{from: request.To, to: n.address, request: received, reply: decoded, id: "answer " + id, onLost: lost}
 			sim.transmit(response, func() { finish(decoded) })
 		})
 	})
 }
 
-// roundTripEncoding gives the message as its receiver decodes it.
+// roundTripEncoding returns a message as its receiver decodes it.
 func roundTripEncoding[M proto.Message](sent M) M {
 	encoded, err := proto.Marshal(sent)
 	if err != nil {
@@ -448,7 +448,7 @@
 	call.reply(answer.Reply)
 }
 
-// ask opens a ticket on a machine; done runs with its result, unless the process ends before.
+// ask opens a ticket on a machine. done is called with its result, unless the process stops before.
 func (sim *simulation) ask(address string, start func(m *Machine, ticket uint64), done func(Result)) {
 	n := sim.nodes[address]
 	if n == nil || n.machine == nil {
@@ -460,10 +460,10 @@
 	n.input(n.incarnation, func() { start(n.machine, ticket) })
 }
 
-// restart runs a stopped process again, from what its disk holds.
+// restart starts a stopped process again with the state on its disk.
 func (sim *simulation) restart(address string) { sim.start(address, false) }
 
-// request opens a change that puts a value, whatever the old one was.
+// request opens a change that sets a value unconditionally.
 func (sim *simulation) request(address, key, value string, done func(Result)) {
 	sim.ask(address, func(m *Machine, ticket uint64) {
 		m.Change(sim.now, ticket, key, func([]byte) ([]byte, error) { return []byte(value), nil })
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// pauseIntervals of Watch without a tick is taken for a standstill: what was unheard meanwhile counts for nothing.
+	// pauseIntervals is how many status intervals without a tick count as a pause of this process. Silence of other
+	// replicas during a pause is not held against them.
 	pauseIntervals = 3
-	// responsiveRounds is how many status rounds a voter may be silent before a round no longer waits for it.
+	// responsiveRounds is how many status rounds a voter may be silent before a status round no longer waits for it.
 	responsiveRounds = 2
-	// seedPollRounds is how many status rounds pass between two looks at seeds that are no voters.
+	// seedPollRounds is how many status rounds pass between two polls of seeds that are not voters.
 	seedPollRounds = 8
 )
 
-// quorumRead waits for a majority of voters that answered a question asked since it was opened.
+// quorumRead is a ticket that waits for a majority of voters to reply to a request sent after it was opened.
 type quorumRead struct {
 	ticket uint64
 	key    string
 }
 
-// QuorumRead gives the newest chosen version of a key by a round of questions that begins now.
+// QuorumRead returns the newest chosen version of a key by a status round that starts now.
 func (m *Machine) QuorumRead(now time.Duration, ticket uint64, key string) {
 	m.now = now
 	m.startStatusRound([]*quorumRead{{ticket, key}})
 	m.runDeferred()
 }
 
-// pollMembers runs once in each Watch: a status round and, where this replica has no vote or hardly hears the voters,
-// a search for others.
+// pollMembers runs once per StatusInterval. It starts a status round and, if this replica has no vote or hears too few
+// voters, looks for members at other addresses.
 func (m *Machine) pollMembers() {
 	m.statusRounds++
 	if !m.isVoter() || m.statusRounds%seedPollRounds == 0 && m.isIsolated() {
@@ -40,8 +41,8 @@
 	m.startStatusRound(nil)
 }
 
-// startStatusRound asks all members what they hold. Where none are known its surveys fail at once, without a question
-// to anybody: callers ask again within moments, and only watchMembers bounds how often the seeds are asked.
+// startStatusRound asks all members for their registers. If no members are known, its reads fail at once and no request
+// is sent: callers retry within moments, so only pollMembers may decide how often the seeds are asked.
 func (m *Machine) startStatusRound(reads []*quorumRead) {
 	members := m.newestMembership()
 	if members == nil {
@@ -56,7 +57,7 @@
 	})
 }
 
-// isIsolated says whether most of the voters have been silent.
+// isIsolated reports whether less than a majority of the voters has been heard within VoterTimeout.
 func (m *Machine) isIsolated() bool {
 	heard := 0
 	for _, voter := range m.newestMembership().Voters {
@@ -67,12 +68,12 @@
 	return heard < majority(m.newestMembership())
 }
 
-// sinceHeard is for how long a replica went unheard while this one ran.
+// sinceHeard returns how long a replica has been silent, counted from this process's last pause at the earliest.
 func (m *Machine) sinceHeard(id string) time.Duration {
 	return m.now - max(m.lastHeard[id], m.uninterruptedSince)
 }
 
-// acceptedVersions lists the versions on this replica, by key.
+// acceptedVersions returns the versions accepted by this replica, by key.
 func (m *Machine) acceptedVersions() map[string]*wire.Version {
 	have := map[string]*wire.Version{}
 	for key, register := range m.state.Registers {
@@ -83,7 +84,7 @@
 	return have
 }
 
-// newStatusRequest asks for the registers, naming the versions that need not be sent again.
+// newStatusRequest requests the registers. It names the versions held here, so that their values are not sent again.
 func (m *Machine) newStatusRequest(have map[string]*wire.Version) *wire.ReplicaRequest {
 	known := map[string]*wire.Version{}
 	for key, version := range have {
@@ -94,7 +95,7 @@
 	}}}
 }
 
-// observeStatus takes what one reply tells of a newer generation.
+// observeStatus enters a newer generation that a reply describes, if this replica is one of its voters.
 func (m *Machine) observeStatus(reply *wire.ReplicaReply, have map[string]*wire.Version) {
 	if reply == nil {
 		return
@@ -108,8 +109,8 @@
 	}
 }
 
-// resignIfReplaced gives up the vote once a majority of a newer generation, without this replica, holds it on disk.
-// Until then the next generation may have to be installed again from what is held here.
+// resignIfReplaced gives up the vote once a majority of a newer generation without this replica has that generation on
+// disk. Until then the newer generation may have to be installed again from the registers held here.
 func (m *Machine) resignIfReplaced(r *round) {
 	newer := r.membership
 	if !m.isVoter() || newer.Generation <= m.generation() || voterByID(newer, m.state.Id) != nil {
@@ -121,7 +122,7 @@
 	}
 }
 
-// restoreValues puts back the values that a reply left out because the question named their versions.
+// restoreValues fills in the values that a reply omitted because the request named their versions.
 func restoreValues(received map[string]*wire.Register, have map[string]*wire.Version) map[string]*wire.Register {
 	registers := map[string]*wire.Register{}
 	for key, register := range received {
@@ -130,7 +131,7 @@
 	return registers
 }
 
-// restoreValue puts back the value of a version that is known here.
+// restoreValue fills in the value of a version that is known here.
 func restoreValue(received, known *wire.Version) *wire.Version {
 	if received != nil && known != nil && compareVersions(received, known) == 0 {
 		return known
@@ -138,7 +139,7 @@
 	return received
 }
 
-// learnMembership remembers the newest membership heard of.
+// learnMembership records the newest membership reported by another replica.
 func (m *Machine) learnMembership(membership *wire.Membership) {
 	if membership.GetGeneration() <= m.newestMembership().GetGeneration() {
 		return
@@ -148,7 +149,7 @@
 	m.saveKnownAddresses(membership)
 }
 
-// saveKnownAddresses keeps the voters' addresses on disk, to find them after a restart with other seeds.
+// saveKnownAddresses saves the voters' addresses, so that they are found after a restart with other seeds.
 func (m *Machine) saveKnownAddresses(membership *wire.Membership) {
 	addresses := addressesOf(membership)
 	if slices.Equal(addresses, m.state.Known) {
@@ -166,7 +167,8 @@
 	return addresses
 }
 
-// evaluateStatusRound ends a round once a majority has answered and each key's newest version is on a majority.
+// evaluateStatusRound runs after each reply. The round's result is reported once a majority has replied, each key's
+// newest version is held by a majority and all responsive voters have replied, or once all voters have replied.
 func (m *Machine) evaluateStatusRound(r *round, began time.Duration, have map[string]*wire.Version, reads []*quorumRead) {
 	majorityReplied := r.granted() >= majority(r.membership)
 	if !majorityReplied && !r.complete() {
@@ -200,7 +202,8 @@
 	}
 }
 
-// awaitsResponsiveVoter says whether a voter that was heard lately has not replied yet. It may hold a version that nobody else has.
+// awaitsResponsiveVoter reports whether a recently heard voter has not replied yet. It may hold a version that no other
+// voter has.
 func (m *Machine) awaitsResponsiveVoter(r *round) bool {
 	return slices.ContainsFunc(r.membership.Voters, func(voter *wire.Replica) bool {
 		_, replied := r.replies[voter.Id]
@@ -217,14 +220,14 @@
 	return true
 }
 
-// failQuorumReads ends surveys that can't be answered.
+// failQuorumReads fails reads that cannot be answered.
 func (m *Machine) failQuorumReads(reads []*quorumRead, version *wire.Version) {
 	for _, each := range reads {
 		m.output.Results = append(m.output.Results, Result{Ticket: each.ticket, Version: version, Err: errNotVoter})
 	}
 }
 
-// newest gives each key's highest version among the replies, and whether a majority holds just that.
+// newest returns each key's newest version among the replies, and whether it has the votes of a majority.
 func (r *round) newest(have map[string]*wire.Version) (newest map[string]*wire.Version, onMajority map[string]bool) {
 	newest, onMajority = map[string]*wire.Version{}, map[string]bool{}
 	for _, reply := range r.replies {
@@ -243,8 +246,8 @@
 	return newest, onMajority
 }
 
-// countVotes counts the replies that hold a version as a vote for it. A copy that was installed, or taken over, under a
-// higher promise is none: a version of that higher term may stand elsewhere.
+// countVotes counts the replies that are a vote for a version. A copy that was installed, or adopted, under a higher
+// promise is not a vote: another voter may hold a version of that higher term.
 func (r *round) countVotes(key string, version *wire.Version) int {
 	return r.count(func(reply *wire.ReplicaReply) bool {
 		held := reply.Registers[key]
@@ -261,8 +264,8 @@
 	})
 }
 
-// adoptChosen keeps the versions that a majority holds. The membership register is left to those who change it: its
-// versions mean something in their own generation only.
+// adoptChosen stores the versions that a majority holds. The membership register is left to the reconfiguration, because
+// its versions have a meaning only in their own generation.
 func (m *Machine) adoptChosen(newest map[string]*wire.Version, onMajority map[string]bool) {
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
 		if key == membershipKey || !onMajority[key] {
@@ -273,8 +276,9 @@
 	}
 }
 
-// recordUpToDate notes that no version chosen before the round began is newer than the chosen one known here: a majority
-// answered, every earlier majority shares a voter with it, and the newest version among its replies is chosen.
+// recordUpToDate records for each key held by a majority that no version chosen before the round began is newer than the
+// chosen one known here: a majority replied, it overlaps with every earlier majority, and the newest version among its
+// replies is chosen.
 func (m *Machine) recordUpToDate(began time.Duration, onMajority map[string]bool) {
 	for key, chosen := range onMajority {
 		if chosen && key != membershipKey {
@@ -283,14 +287,14 @@
 	}
 }
 
-// ChosenAsOf gives the newest version of a key known to be chosen, and a moment before which no newer one was chosen.
-// known is false if there was no round yet that could tell.
+// ChosenAsOf returns the newest version of a key known to be chosen, and a time before which no newer one was chosen.
+// known is false if no round has established such a time yet.
 func (m *Machine) ChosenAsOf(key string) (version *wire.Version, asOf time.Duration, known bool) {
 	asOf, known = m.upToDateAt[key]
 	return m.chosen[key], asOf, known
 }
 
-// storeChosen takes a chosen version into this replica's own registers.
+// storeChosen stores a chosen version in this replica's own register.
 func (m *Machine) storeChosen(key string, version *wire.Version) {
 	held := m.register(key)
 	if held.Accepted != nil && compareVersions(version, held.Accepted) <= 0 {
@@ -302,7 +306,7 @@
 	m.setRegister(key, &wire.Register{Promised: higherTerm(held.Promised, version.Term), Accepted: version})
 }
 
-// recordReplication notes which keys stand on too few disks, and since when.
+// recordReplication records which keys' newest versions are held by less than a majority, and since when.
 func (m *Machine) recordReplication(newest map[string]*wire.Version, onMajority map[string]bool) {
 	m.heardMajority = true
 	for key := range newest {
@@ -314,7 +318,7 @@
 	}
 }
 
-// recommitUnderReplicated reads a key under a new term if its newest version has long been on too few disks.
+// recommitUnderReplicated reads a key under a new term if its newest version has been under-replicated for RecommitAfter.
 func (m *Machine) recommitUnderReplicated() {
 	if !m.isVoter() {
 		return
@@ -329,14 +333,14 @@
 	}
 }
 
-// rankDelay keeps voters from doing the same at the same moment.
+// rankDelay returns a delay by this voter's rank, so that the voters do not all start the same work at once.
 func (m *Machine) rankDelay() time.Duration {
 	rank := slices.IndexFunc(m.newestMembership().GetVoters(), func(voter *wire.Replica) bool { return voter.Id == m.state.Id })
 	return time.Duration(max(rank, 0)) * m.settings.StatusInterval
 }
 
-// ReplicatedAsOf tells when the last round began in which a majority answered; ok is false if the newest version of the
-// key was then on too few disks, or if there was no such round.
+// ReplicatedAsOf returns when the last status round that a majority replied to began. ok is false if there was none, or if
+// the newest version of the key was held by less than a majority.
 func (m *Machine) ReplicatedAsOf(key string) (began time.Duration, ok bool) {
 	_, found := m.underReplicated[key]
 	return m.lastMajorityRound, m.heardMajority && !found
--- a/internal/replica/terms.go
+++ b/internal/replica/terms.go
@@ -11,12 +11,12 @@
 	return cmp.Or(cmp.Compare(a.GetNumber(), b.GetNumber()), cmp.Compare(a.GetOwner(), b.GetOwner()))
 }
 
-// compareVersions orders versions by term, then by serial. No two different values share both.
+// compareVersions orders versions by term, then by serial. Two versions that compare equal have the same value.
 func compareVersions(a, b *wire.Version) int {
 	return cmp.Or(compareTerms(a.GetTerm(), b.GetTerm()), cmp.Compare(a.GetSerial(), b.GetSerial()))
 }
 
-// newerVersion gives the higher of two versions; either may be nil.
+// newerVersion returns the newer of two versions; either may be nil.
 func newerVersion(a, b *wire.Version) *wire.Version {
 	if b == nil || a != nil && compareVersions(a, b) >= 0 {
 		return a
@@ -24,7 +24,7 @@
 	return b
 }
 
-// higherTerm gives the higher of two terms; either may be nil.
+// higherTerm returns the higher of two terms; either may be nil.
 func higherTerm(a, b *wire.Term) *wire.Term {
 	if b == nil || a != nil && compareTerms(a, b) >= 0 {
 		return a
@@ -32,7 +32,7 @@
 	return b
 }
 
-// withoutValue is the same version for a reader that has its value.
+// withoutValue returns a version without its value, for a receiver that already has it.
 func withoutValue(version *wire.Version) *wire.Version {
 	return &wire.Version{Term: version.Term, Serial: version.Serial}
 }
--- a/internal/replica/view.go
+++ b/internal/replica/view.go
@@ -8,29 +8,30 @@
 	"curlewreach/proto/wire"
 )
 
-// LearnerView tells of a replica without a vote, as a voter sees it.
+// LearnerView describes a replica without a vote, as seen by a voter.
 type LearnerView struct {
 	Replica  *wire.Replica
 	CaughtUp bool
 }
 
-// View is what an operator may see of a replica.
+// View is the state of a replica as shown to operators.
 type View struct {
 	ID string
-	// Membership is the newest membership known; nil before any is.
+	// Membership is the newest membership known, or nil.
 	Membership *wire.Membership
-	// Generation is the one that this replica votes in, 0 if in none.
+	// Generation is the generation that this replica votes in, or 0.
 	Generation uint64
 	Sealed     bool
 	CaughtUp   bool
 	Learners   []LearnerView
-	// SinceHeard tells by address how long ago each voter was last heard.
+	// SinceHeard is the time since each voter was last heard, by address.
 	SinceHeard map[string]time.Duration
-	// TolerableLosses is how many more voters may be lost before no majority is left.
+	// TolerableLosses is how many of the voters heard recently may still be lost without losing the majority. It is negative
+	// if there is no majority.
 	TolerableLosses int
 }
 
-// View tells how this replica stands.
+// View returns the state of this replica for operators.
 func (m *Machine) View() View {
 	view := View{
 		ID: m.state.Id, Membership: m.newestMembership(), Generation: m.generation(), Sealed: m.state.Next != nil,
@@ -57,7 +58,7 @@
 	return view
 }
 
-// HeardWithin says whether the voter at an address was heard lately.
+// HeardWithin reports whether the voter at an address was heard within the given time before now.
 func (m *Machine) HeardWithin(address string, window time.Duration) bool {
 	voter := voterByAddress(m.newestMembership(), address)
 	if voter == nil {
