--- a/internal/replica/acceptor.go
+++ b/internal/replica/acceptor.go
@@ -65,7 +65,7 @@
 }
 
 // advertisedMembership returns the newest membership that replies may carry: one reported by another replica or one on
-// the local disk. A generation that is not on disk yet may still be lost; for the first one, nobody else has it.
+// the local disk. A first generation that is not on disk yet may still be lost.
 func (m *Machine) advertisedMembership() *wire.Membership {
 	if m.durable.Membership.GetGeneration() >= m.learnedMembership.GetGeneration() {
 		return m.durable.Membership
--- a/internal/replica/quorum_read_test.go
+++ b/internal/replica/quorum_read_test.go
@@ -109,8 +109,8 @@
 	m.HandleRequest(time.Second, 2, &wire.ReplicaRequest{From: "a", Address: "a", Generation: 2, Ask: &wire.ReplicaRequest_Confirm{
 		Confirm: &wire.ConfirmAsk{Key: "k"},
 	}})
-	for _, answer := range m.TakeOutput().Responses {
-		if answer.Call == 2 && answer.Reply.Standing == wire.Standing_GRANTED {
+	for _, response := range m.TakeOutput().Responses {
+		if response.Call == 2 && response.Reply.Standing == wire.Standing_GRANTED {
 			t.Fatal("a term is confirmed in a generation that is not on disk")
 		}
 	}
--- a/internal/replica/replacement_test.go
+++ b/internal/replica/replacement_test.go
@@ -64,6 +64,8 @@
 	return sim
 }
 
+// TestSequentialReplacementOfAllVoters removes the oldest voter nine times and lets a new replica replace it. No change may
+// be lost.
 func TestSequentialReplacementOfAllVoters(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", 2*time.Second)
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -25,19 +25,19 @@
 	actIsolate       actionKind = "isolate"
 	actHeal          actionKind = "heal"
 	actHealAll       actionKind = "healAll"
-	actPauseProcess  actionKind = "freeze"
-	actResumeProcess actionKind = "thaw"
-	actFillDisk      actionKind = "full"
-	actFreeDisk      actionKind = "roomAgain"
-	actConditions    actionKind = "weather"
+	actPauseProcess  actionKind = "pause"
+	actResumeProcess actionKind = "resume"
+	actFillDisk      actionKind = "fillDisk"
+	actFreeDisk      actionKind = "freeDisk"
+	actConditions    actionKind = "conditions"
 	actChange        actionKind = "change"
 	actRead          actionKind = "read"
-	actSurvey        actionKind = "survey"
+	actQuorumRead    actionKind = "quorumRead"
 )
 
 // actions lists the kinds to draw from; a repeated one is drawn more often.
 var actions = []actionKind{
-	actChange, actChange, actChange, actChange, actRead, actRead, actSurvey, actSurvey,
+	actChange, actChange, actChange, actChange, actRead, actRead, actQuorumRead, actQuorumRead,
 	actCrash, actCrash, actRestart, actRestart, actWipe, actReplace, actNewcomer, actLeave, actRemove, actCut, actCutOneWay,
 	actIsolate, actHeal, actHealAll, actHealAll, actPauseProcess, actResumeProcess, actResumeProcess, actFillDisk, actFreeDisk, actConditions,
 }
@@ -80,15 +80,15 @@
 		Do:    rapid.SampledFrom(actions).Draw(t, "do"),
 		Node:  rapid.IntRange(0, maxNodes-1).Draw(t, "node"),
 		Other: rapid.IntRange(0, 63).Draw(t, "other"),
-		Delay: rapid.OneOf(rapid.IntRange(0, 20), rapid.IntRange(0, maxStepDelay)).Draw(t, "pause"),
+		Delay: rapid.OneOf(rapid.IntRange(0, 20), rapid.IntRange(0, maxStepDelay)).Draw(t, "delay"),
 	}
 })
 
 var scheduleGenerator = rapid.Custom(func(t *rapid.T) schedule {
 	return schedule{
 		Seed:          rapid.Uint64Range(0, 1<<20).Draw(t, "seed"),
-		InitialVoters: rapid.IntRange(3, 7).Draw(t, "founders"),
-		Warmup:        rapid.SampledFrom([]int{2500, 2500, 2500, 0, 1000}).Draw(t, "calm"),
+		InitialVoters: rapid.IntRange(3, 7).Draw(t, "initialVoters"),
+		Warmup:        rapid.SampledFrom([]int{2500, 2500, 2500, 0, 1000}).Draw(t, "warmup"),
 		Steps:         rapid.SliceOfN(stepGenerator, 0, maxSteps).Draw(t, "steps"),
 	}
 })
@@ -195,7 +195,7 @@
 		r.history.change(client, n.address, key, s.Other/4%4 == 0)
 	case actRead:
 		r.history.read(client, n.address, key, false)
-	case actSurvey:
+	case actQuorumRead:
 		r.history.read(client, n.address, key, true)
 	}
 }
--- a/internal/replica/simulation_test.go
+++ b/internal/replica/simulation_test.go
@@ -83,7 +83,7 @@
 	onLost   func() // called during exploration if the message cannot arrive
 }
 
-// delivery decides what happens to a message.
+// delivery is the decision about what happens to a message.
 type delivery struct {
 	lost  bool
 	delay time.Duration
@@ -322,8 +322,8 @@
 	for _, request := range out.Requests {
 		sim.send(n, request)
 	}
-	for _, answer := range out.Responses {
-		sim.reply(answer)
+	for _, response := range out.Responses {
+		sim.reply(response)
 	}
 }
 
@@ -392,10 +392,10 @@
 func (sim *simulation) send(n *node, request Request) {
 	incarnation := n.incarnation
 	sim.check.checkAccept(n, request.Payload)
-	answered := false
+	finished := false
 	finish := func(reply *wire.ReplicaReply) {
-		if !answered {
-			answered = true
+		if !finished {
+			finished = true
 			n.input(incarnation, func() { n.machine.HandleReply(sim.now, request.ID, reply) })
 		}
 	}
@@ -441,11 +441,11 @@
 	})
 }
 
-func (sim *simulation) reply(answer Response) {
-	call := sim.calls[answer.Call]
-	delete(sim.calls, answer.Call)
-	sim.check.checkReply(call, answer.Reply)
-	call.reply(answer.Reply)
+func (sim *simulation) reply(response Response) {
+	call := sim.calls[response.Call]
+	delete(sim.calls, response.Call)
+	sim.check.checkReply(call, response.Reply)
+	call.reply(response.Reply)
 }
 
 // ask opens a ticket on a machine. done is called with its result, unless the process stops before.
