--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -346,7 +346,7 @@
 	if missing != "" && learners == 0 && r.sim.nodes[missing[strings.Index(missing, "@")+1:]].machine == nil {
 		return ""
 	}
-	return fmt.Sprintf("voter %q of %s has not entered it; %d learners remain", missing, describeIDs(newest), learners)
+	return fmt.Sprintf("missing voter %q in %s; %d learners left", missing, describeIDs(newest), learners)
 }
 
 // probe requires that a voter accepts a change in time.
