--- a/internal/controlplane/sampling.go
+++ b/internal/controlplane/sampling.go
@@ -78,7 +78,7 @@
 	lastRun := -time.Hour
 	for s.Err() == nil {
 		configuration, state := l.server.configuration.Load().head.GetConfiguration(), l.server.learning.Load().state
-		if configuration == nil || !l.core.replica.Votes() {
+		if configuration == nil || !l.core.replica.IsVoter() {
 			base.Await(s, ratioOf(l.server.params.Load().InForce, 1.0/idleChecks))
 			continue
 		}
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -60,7 +60,7 @@
 	if began, ok := c.replica.LastMajority(); ok {
 		view.ReachedMs = base.Milliseconds(now - began)
 	}
-	if began, ok := c.replica.Settled(ConfigurationKey); ok {
+	if began, ok := c.replica.ReplicatedAsOf(ConfigurationKey); ok {
 		view.AgreedMs = proto.Uint64(base.Milliseconds(now - began))
 	}
 	view.Owner, _ = c.replica.Owner(ConfigurationKey)
@@ -71,11 +71,11 @@
 // addMembers adds the voters, the learners that are catching up and the registers' state to a view.
 func (m *Server) addMembers(c *core, view *wire.ControllerView) {
 	replicaView := c.replica.View()
-	view.Generation, view.Sealed, view.Spare = replicaView.Members.GetGeneration(), replicaView.Sealed, int32(replicaView.Spare)
+	view.Generation, view.Sealed, view.Spare = replicaView.Membership.GetGeneration(), replicaView.Sealed, int32(replicaView.TolerableLosses)
 	switch {
 	case replicaView.Generation > 0:
 		view.Phase = voting
-	case replicaView.Members != nil:
+	case replicaView.Membership != nil:
 		view.Phase = catchingUp
 	}
 	for _, voter := range c.replica.Voters() {
--- a/internal/replica/checker_test.go
+++ b/internal/replica/checker_test.go
@@ -11,108 +11,108 @@
 	"curlewreach/proto/wire"
 )
 
-// checker watches a world for what must never happen.
+// checker verifies the safety properties of a simulation while it runs.
 type checker struct {
-	world       *world
-	failure     string
-	generations map[uint64]*wire.Membership
-	newest      *wire.Membership   // of generations
-	abandoned   []*wire.Membership // first generations that were never on a majority of disks
-	chosen      map[string][]*wire.Version
-	chosenAt    map[string][]time.Duration       // when each of chosen was first known to some replica
-	versions    map[string][]byte                // value by key, term and serial
-	owners      map[string]string                // process by key and term
-	promised    map[string]map[string]*wire.Term // highest granted, by identity and generation, then by key
-	seals       map[string]bool                  // by identity and generation
-	installed   map[string]uint64                // the highest generation that an identity held durably
-	losses      []loss
+	sim              *simulation
+	failure          string
+	generations      map[uint64]*wire.Membership
+	newestMembership *wire.Membership   // newest of generations
+	abandoned        []*wire.Membership // first generations that a majority never held on disk
+	chosen           map[string][]*wire.Version
+	chosenAt         map[string][]time.Duration       // when each version in chosen first became known to a replica
+	versions         map[string][]byte                // value by key, term and serial
+	termOwners       map[string]string                // process by key and term
+	promised         map[string]map[string]*wire.Term // highest granted term, by identity and generation, then by key
+	seals            map[string]bool                  // by identity and generation
+	installed        map[string]uint64                // highest generation that an identity had on disk
+	diskLosses       []diskLoss
 }
 
-// loss is a disk of a voter that is gone and not yet made up for.
-type loss struct {
+// diskLoss is the lost disk of a voter.
+type diskLoss struct {
 	id         string
 	generation uint64
 }
 
-// nodeView is what was last seen of a node, to look only at what changed.
-type nodeView struct {
+// observedState is what was last seen of a node, used to check only what changed.
+type observedState struct {
 	state, durable *wire.ReplicaState
 	learned        *wire.Membership
 	chosen         map[string]*wire.Version
-	freshAt        map[string]time.Duration
+	upToDateAt     map[string]time.Duration
 }
 
-func newChecker(w *world) *checker {
+func newChecker(sim *simulation) *checker {
 	return &checker{
-		world: w, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, chosenAt: map[string][]time.Duration{}, versions: map[string][]byte{},
-		owners: map[string]string{}, promised: map[string]map[string]*wire.Term{}, seals: map[string]bool{}, installed: map[string]uint64{},
+		sim: sim, generations: map[uint64]*wire.Membership{}, chosen: map[string][]*wire.Version{}, chosenAt: map[string][]time.Duration{}, versions: map[string][]byte{},
+		termOwners: map[string]string{}, promised: map[string]map[string]*wire.Term{}, seals: map[string]bool{}, installed: map[string]uint64{},
 	}
 }
 
 func (c *checker) fail(format string, details ...any) {
 	if c.failure == "" {
-		c.failure = fmt.Sprintf("%v: ", c.world.now) + fmt.Sprintf(format, details...)
+		c.failure = fmt.Sprintf("%v: ", c.sim.now) + fmt.Sprintf(format, details...)
 	}
 }
 
-// observe looks at a machine after each input.
+// observe checks a machine after each input.
 func (c *checker) observe(n *node) {
 	m := n.machine
-	if m.state != n.seen.state {
-		n.seen.state = m.state
-		c.knowSaved(n, m.state.Membership)
-		c.knowMembership(n, m.state.Next)
+	if m.state != n.observed.state {
+		n.observed.state = m.state
+		c.checkSavedMembership(n, m.state.Membership)
+		c.checkMembership(n, m.state.Next)
 	}
-	if m.durable != n.seen.durable {
-		n.seen.durable = m.durable
-		c.knowMembership(n, m.durable.Membership)
+	if m.durable != n.observed.durable {
+		n.observed.durable = m.durable
+		c.checkMembership(n, m.durable.Membership)
 	}
-	if m.learned != n.seen.learned {
-		n.seen.learned = m.learned
-		c.knowMembership(n, m.learned)
+	if m.learnedMembership != n.observed.learned {
+		n.observed.learned = m.learnedMembership
+		c.checkMembership(n, m.learnedMembership)
 	}
-	if n.seen.chosen == nil {
-		n.seen.chosen = map[string]*wire.Version{}
+	if n.observed.chosen == nil {
+		n.observed.chosen = map[string]*wire.Version{}
 	}
 	for key, version := range m.chosen {
-		if n.seen.chosen[key] != version {
-			n.seen.chosen[key] = version
-			c.knowChosen(n, key, version)
+		if n.observed.chosen[key] != version {
+			n.observed.chosen[key] = version
+			c.checkChosen(n, key, version)
 		}
 	}
-	c.observeFresh(n)
+	c.checkUpToDate(n)
 }
 
-// observeFresh demands that a replica which claims to know the newest version as of some moment has missed none that
-// any replica knew to be chosen before.
-func (c *checker) observeFresh(n *node) {
-	for key, asOf := range n.machine.freshAt {
-		if seen, known := n.seen.freshAt[key]; known && seen == asOf {
+// checkUpToDate requires that a replica which claims to know the newest version as of some time has missed no version
+// that any replica knew to be chosen before that time.
+func (c *checker) checkUpToDate(n *node) {
+	for key, asOf := range n.machine.upToDateAt {
+		if seen, known := n.observed.upToDateAt[key]; known && seen == asOf {
 			continue
 		}
-		if n.seen.freshAt == nil {
-			n.seen.freshAt = map[string]time.Duration{}
+		if n.observed.upToDateAt == nil {
+			n.observed.upToDateAt = map[string]time.Duration{}
 		}
-		n.seen.freshAt[key] = asOf
+		n.observed.upToDateAt[key] = asOf
 		held := n.machine.chosen[key]
 		for i, version := range c.chosen[key] {
 			if c.chosenAt[key][i] < asOf && (held == nil || compareVersions(held, version) < 0) {
-				c.fail("%s claims to know %s as of %v, but misses %q %v, chosen at %v", n.address, key, asOf, version.Value, version.Term, c.chosenAt[key][i])
+				c.fail("%s claims to have the newest version of %s as of %v, but lacks %q %v, chosen at %v", n.address, key, asOf, version.Value, version.Term, c.chosenAt[key][i])
 			}
 		}
 	}
 }
 
-// knowSaved takes a membership that may not be saved, or be saved without its founder's knowledge. A first generation
-// counts only once its founder goes by it: the founder may try again, with others.
-func (c *checker) knowSaved(n *node, membership *wire.Membership) {
+// checkSavedMembership checks a membership that is being saved and may not reach the disk. The first generation is
+// left out: it counts only once its leader uses it, because the leader may create another one after a failed save.
+func (c *checker) checkSavedMembership(n *node, membership *wire.Membership) {
 	if membership.GetGeneration() > 1 {
-		c.knowMembership(n, membership)
+		c.checkMembership(n, membership)
 	}
 }
 
-// knowMembership demands that a generation has one membership, without a voter twice and with none too few.
-func (c *checker) knowMembership(n *node, membership *wire.Membership) {
+// checkMembership requires that a generation has one membership only, and checks its voters.
+func (c *checker) checkMembership(n *node, membership *wire.Membership) {
 	m := n.machine
 	if membership == nil {
 		return
@@ -124,49 +124,50 @@
 	if c.isAbandoned(membership) && m.state.Membership != membership {
 		return
 	}
-	if known != nil && !c.abandon(known) {
-		c.fail("%s knows %s, which was %s", n.address, describeIDs(membership), describeIDs(known))
+	if known != nil && !c.tryAbandon(known) {
+		c.fail("%s knows %s, which differs from %s", n.address, describeIDs(membership), describeIDs(known))
 		return
 	}
 	c.generations[membership.Generation] = membership
-	if membership.Generation >= c.newest.GetGeneration() {
-		c.newest = membership
+	if membership.Generation >= c.newestMembership.GetGeneration() {
+		c.newestMembership = membership
 	}
 	c.checkVoters(membership)
 }
 
-// checkVoters demands that no voter stands twice, that each identity was on a disk, and that there are none too few.
+// checkVoters requires that no voter is listed twice, that each identity was on a disk, and that there are not fewer
+// voters than in the first generation.
 func (c *checker) checkVoters(membership *wire.Membership) {
 	ids, addresses := map[string]bool{}, map[string]bool{}
 	for _, voter := range membership.Voters {
 		if ids[voter.Id] || addresses[voter.Address] {
-			c.fail("%s has a voter twice", describeIDs(membership))
+			c.fail("%s lists a voter twice", describeIDs(membership))
 		}
 		ids[voter.Id], addresses[voter.Address] = true, true
 	}
 	for _, voter := range membership.Voters {
 		if _, known := c.installed[voter.Id]; !known {
-			c.fail("%s names %s, an identity that was on no disk", describeIDs(membership), voter.Id)
+			c.fail("%s contains %s, an identity that was never on a disk", describeIDs(membership), voter.Id)
 		}
-		c.neverBack(voter.Id, membership.Generation)
+		c.checkNotReadmitted(voter.Id, membership.Generation)
 	}
 	if first := c.generations[1]; first != nil && len(membership.Voters) < len(first.Voters) {
-		c.fail("%s has fewer voters than the first", describeIDs(membership))
+		c.fail("%s has fewer voters than the first generation", describeIDs(membership))
 	}
 }
 
-// abandon drops a first generation that no majority holds and whose founder's disk is gone: it decided nothing, and
-// will decide nothing. Who has heard of it may remember it, but mustn't vote in it.
-func (c *checker) abandon(first *wire.Membership) bool {
-	held, founderLost := 0, false
+// tryAbandon drops a first generation that no voter holds on its disk and of which a voter has lost its disk: it
+// has decided nothing and never will. Replicas may still remember it but must not vote in it. It reports whether it was dropped.
+func (c *checker) tryAbandon(first *wire.Membership) bool {
+	held, diskLost := 0, false
 	for _, voter := range first.Voters {
 		lost := c.isLost(voter.Id)
-		founderLost = founderLost || lost
+		diskLost = diskLost || lost
 		if c.installed[voter.Id] > 0 && !lost {
 			held++
 		}
 	}
-	if first.Generation != 1 || !founderLost || held > 0 {
+	if first.Generation != 1 || !diskLost || held > 0 {
 		return false
 	}
 	c.abandoned = append(c.abandoned, first)
@@ -182,16 +183,16 @@
 	return false
 }
 
-// neverBack demands that an identity that was replaced is no voter again.
-func (c *checker) neverBack(id string, generation uint64) {
+// checkNotReadmitted requires that a replaced identity never becomes a voter again.
+func (c *checker) checkNotReadmitted(id string, generation uint64) {
 	left := false
 	for earlier := generation - 1; earlier > 0; earlier-- {
 		switch membership := c.generations[earlier]; {
 		case membership == nil:
-		case voterWith(membership, id) == nil:
+		case voterByID(membership, id) == nil:
 			left = true
 		case left:
-			c.fail("%s is a voter of generation %d again, after it was replaced", id, generation)
+			c.fail("%s is a voter of generation %d again after it was replaced", id, generation)
 		}
 	}
 }
@@ -204,8 +205,8 @@
 	return fmt.Sprintf("generation %d of %s", membership.GetGeneration(), strings.Join(voters, " "))
 }
 
-// knowChosen demands that of two chosen versions the older is an ancestor of the newer: values are lists of changes.
-func (c *checker) knowChosen(n *node, key string, version *wire.Version) {
+// checkChosen requires that of two chosen versions the newer extends the older. Values are lists of changes.
+func (c *checker) checkChosen(n *node, key string, version *wire.Version) {
 	if key == membershipKey {
 		return
 	}
@@ -215,43 +216,43 @@
 			older, newer = newer, older
 		}
 		if !bytes.HasPrefix(newer.Value, older.Value) {
-			c.fail("%s takes %s=%q %v for chosen, but so was %q %v", n.address, key, version.Value, version.Term, other.Value, other.Term)
+			c.fail("%s considers %s=%q %v chosen, but the conflicting %q %v was chosen too", n.address, key, version.Value, version.Term, other.Value, other.Term)
 		}
 		if compareVersions(other, version) == 0 {
 			return
 		}
 	}
 	c.chosen[key] = append(c.chosen[key], version)
-	c.chosenAt[key] = append(c.chosenAt[key], c.world.now)
+	c.chosenAt[key] = append(c.chosenAt[key], c.sim.now)
 }
 
-// sent demands that a term and serial stand for one value, and a term for one owner's process.
-func (c *checker) sent(n *node, request *wire.ReplicaRequest) {
+// checkAccept requires that a term and serial stand for one value only, and that a term is used by one process only.
+func (c *checker) checkAccept(n *node, request *wire.ReplicaRequest) {
 	ask := request.GetAccept()
 	if ask == nil {
 		return
 	}
-	owner := termName(request, ask.Version.Term)
-	process := fmt.Sprintf("%s/%d", n.address, n.life)
-	if known, ok := c.owners[owner]; ok && known != process {
-		c.fail("the term %s was used by %s and %s", owner, known, process)
+	term := termKey(request, ask.Version.Term)
+	process := fmt.Sprintf("%s/%d", n.address, n.incarnation)
+	if known, ok := c.termOwners[term]; ok && known != process {
+		c.fail("the term %s was used by %s and %s", term, known, process)
 	}
-	c.owners[owner] = process
+	c.termOwners[term] = process
 	version := ask.Version
 	if ask.Base != nil {
 		base := &wire.Version{Term: ask.Base.Term, Serial: ask.Base.Serial}
-		base.Value = c.versions[versionName(request, base)]
-		version = wholeVersion(ask, base)
+		base.Value = c.versions[versionKey(request, base)]
+		version = resolveVersion(ask, base)
 	}
-	name := versionName(request, version)
+	name := versionKey(request, version)
 	if known, ok := c.versions[name]; ok && !bytes.Equal(known, version.Value) {
-		c.fail("the version %s is both %q and %q", name, known, version.Value)
+		c.fail("the version %s has two values, %q and %q", name, known, version.Value)
 	}
 	c.versions[name] = version.Value
 }
 
-// termName names a term of a key. The register of the membership begins anew with each generation.
-func termName(request *wire.ReplicaRequest, term *wire.Term) string {
+// termKey identifies a term of a key. The membership register starts anew in each generation.
+func termKey(request *wire.ReplicaRequest, term *wire.Term) string {
 	key := request.GetAccept().Key
 	if key == membershipKey {
 		key = fmt.Sprint(key, request.Generation)
@@ -259,17 +260,17 @@
 	return fmt.Sprintf("%s/%d/%s", key, term.GetNumber(), term.GetOwner())
 }
 
-func versionName(request *wire.ReplicaRequest, version *wire.Version) string {
-	return fmt.Sprintf("%s/%d", termName(request, version.Term), version.Serial)
+func versionKey(request *wire.ReplicaRequest, version *wire.Version) string {
+	return fmt.Sprintf("%s/%d", termKey(request, version.Term), version.Serial)
 }
 
 func (c *checker) hasSealed(n *node, generation uint64) bool {
 	return c.seals[fmt.Sprintf("%s/%d", n.machine.durable.Id, generation)]
 }
 
-// answered demands of a granted vote that its giver is a voter that holds the generation durably, hasn't sealed it
-// before it was asked, and hasn't promised a higher term.
-func (c *checker) answered(call *call, reply *wire.ReplicaReply) {
+// checkReply requires that the sender of a granted vote is a voter, holds the generation on disk and has not sealed it
+// before the request, and records the promise that the vote implies.
+func (c *checker) checkReply(call *call, reply *wire.ReplicaReply) {
 	if reply.Standing != wire.Standing_GRANTED {
 		return
 	}
@@ -280,55 +281,55 @@
 	case *wire.ReplicaRequest_Seal:
 		c.seals[name] = true
 	case *wire.ReplicaRequest_Promise:
-		c.voted(call, reply, generation)
-		c.promise(name, ask.Promise.Key, ask.Promise.Term)
+		c.checkVote(call, reply, generation)
+		c.recordPromise(name, ask.Promise.Key, ask.Promise.Term)
 	case *wire.ReplicaRequest_Accept:
-		c.voted(call, reply, generation)
-		c.promise(name, ask.Accept.Key, ask.Accept.Version.Term)
+		c.checkVote(call, reply, generation)
+		c.recordPromise(name, ask.Accept.Key, ask.Accept.Version.Term)
 	case *wire.ReplicaRequest_Confirm:
-		c.voted(call, reply, generation)
+		c.checkVote(call, reply, generation)
 	}
 }
 
-// voted checks the right to a vote.
-func (c *checker) voted(call *call, reply *wire.ReplicaReply, generation uint64) {
+// checkVote checks that the sender of a reply was entitled to vote.
+func (c *checker) checkVote(call *call, reply *wire.ReplicaReply, generation uint64) {
 	if reply.Generation != generation {
-		c.fail("%s votes in generation %d by a reply of generation %d", reply.From, generation, reply.Generation)
+		c.fail("%s votes in generation %d with a reply of generation %d", reply.From, generation, reply.Generation)
 	}
 	if call.sealed {
 		c.fail("%s votes in generation %d, which it has sealed", reply.From, generation)
 	}
-	if voterWith(c.generations[generation], reply.From) == nil {
-		c.fail("%s votes in %s", reply.From, describeIDs(c.generations[generation]))
+	if voterByID(c.generations[generation], reply.From) == nil {
+		c.fail("%s votes in %s without being one of its voters", reply.From, describeIDs(c.generations[generation]))
 	}
-	// An identity that has been resigned meanwhile is no longer on the disk.
+	// An identity that was given up in the meantime is no longer on the disk.
 	if durable := call.to.diskState(); durable.GetId() == reply.From && durable.GetMembership().GetGeneration() < generation {
 		c.fail("%s votes in generation %d with %s on its disk", reply.From, generation, describeIDs(durable.GetMembership()))
 	}
 }
 
-// promise remembers the highest term that was granted.
-func (c *checker) promise(name, key string, term *wire.Term) {
+// recordPromise records the highest term that was granted.
+func (c *checker) recordPromise(name, key string, term *wire.Term) {
 	if c.promised[name] == nil {
 		c.promised[name] = map[string]*wire.Term{}
 	}
-	c.promised[name][key] = higher(c.promised[name][key], term)
+	c.promised[name][key] = higherTerm(c.promised[name][key], term)
 }
 
-// wrote demands that a disk holds every promise that was told in the same generation.
-func (c *checker) wrote(n *node, state *wire.ReplicaState) {
+// checkWrite requires that a state written to disk contains every promise granted in the same generation.
+func (c *checker) checkWrite(n *node, state *wire.ReplicaState) {
 	generation := state.Membership.GetGeneration()
-	c.knowSaved(n, state.Membership)
+	c.checkSavedMembership(n, state.Membership)
 	c.checkMembershipRegister(n, state)
 	c.installed[state.Id] = max(c.installed[state.Id], generation)
 	for key, term := range c.promised[fmt.Sprintf("%s/%d", state.Id, generation)] {
 		if generation > 0 && compareTerms(state.Registers[key].GetPromised(), term) < 0 {
-			c.fail("%s told that it promised %v for %s and writes %v", n.address, term, key, state.Registers[key].GetPromised())
+			c.fail("%s granted a promise of %v for %s but saves %v", n.address, term, key, state.Registers[key].GetPromised())
 		}
 	}
 }
 
-// checkMembershipRegister demands that the register of the membership holds what should follow this generation.
+// checkMembershipRegister requires that the membership register holds the generation after the state's own.
 func (c *checker) checkMembershipRegister(n *node, state *wire.ReplicaState) {
 	version := state.Registers[membershipKey].GetAccepted()
 	if version == nil || state.Membership == nil {
@@ -336,36 +337,36 @@
 	}
 	next := &wire.Membership{}
 	if err := proto.Unmarshal(version.Value, next); err != nil || next.Generation != state.Membership.Generation+1 {
-		c.fail("%s in generation %d holds %s for the next", n.address, state.Membership.Generation, describeIDs(next))
+		c.fail("%s in generation %d holds %s as the next generation", n.address, state.Membership.Generation, describeIDs(next))
 	}
 }
 
-// lostDisk counts a disk whose voter is gone.
-func (c *checker) lostDisk(n *node) {
-	if id := n.diskState().GetId(); id != "" && c.counts(id) {
-		c.losses = append(c.losses, loss{id, c.newest.GetGeneration()})
+// recordDiskLoss records the loss of a voter's disk.
+func (c *checker) recordDiskLoss(n *node) {
+	if id := n.diskState().GetId(); id != "" && c.isActiveVoter(id) {
+		c.diskLosses = append(c.diskLosses, diskLoss{id, c.newestMembership.GetGeneration()})
 	}
 }
 
-// counts says whether an identity is a voter of the newest generation, or of an earlier one that isn't over.
-func (c *checker) counts(id string) bool {
-	if c.newest == nil {
+// isActiveVoter reports whether an identity is a voter of the newest generation or of an earlier one still in use.
+func (c *checker) isActiveVoter(id string) bool {
+	if c.newestMembership == nil {
 		return true
 	}
-	for generation := c.newest.Generation; generation > 0; generation-- {
+	for generation := c.newestMembership.Generation; generation > 0; generation-- {
 		membership := c.generations[generation]
-		if voterWith(membership, id) != nil {
+		if voterByID(membership, id) != nil {
 			return true
 		}
-		if membership != nil && c.complete(membership) {
+		if membership != nil && c.isFullyInstalled(membership) {
 			return false
 		}
 	}
 	return false
 }
 
-// complete says whether every voter of a membership holds it durably, but for those whose disks are gone.
-func (c *checker) complete(membership *wire.Membership) bool {
+// isFullyInstalled reports whether every voter of a membership that still has its disk holds the membership on it.
+func (c *checker) isFullyInstalled(membership *wire.Membership) bool {
 	for _, voter := range membership.Voters {
 		if c.installed[voter.Id] < membership.Generation && !c.isLost(voter.Id) {
 			return false
@@ -375,7 +376,7 @@
 }
 
 func (c *checker) isLost(id string) bool {
-	for _, each := range c.losses {
+	for _, each := range c.diskLosses {
 		if each.id == id {
 			return true
 		}
@@ -383,30 +384,30 @@
 	return false
 }
 
-// outstanding counts the voters whose disks are gone and that no later generation has made up for.
-func (c *checker) outstanding() int {
+// unrepairedLosses counts the voters with lost disks that no later generation has replaced.
+func (c *checker) unrepairedLosses() int {
 	count := 0
-	for _, each := range c.losses {
-		madeUp := false
+	for _, each := range c.diskLosses {
+		repaired := false
 		for generation, membership := range c.generations {
-			madeUp = madeUp || generation >= each.generation && voterWith(membership, each.id) == nil && c.complete(membership)
+			repaired = repaired || generation >= each.generation && voterByID(membership, each.id) == nil && c.isFullyInstalled(membership)
 		}
-		if !madeUp {
+		if !repaired {
 			count++
 		}
 	}
 	return count
 }
 
-// tolerates says whether one more disk may be lost: by the smallest generation that isn't over.
-func (c *checker) tolerates() bool {
-	voters := len(c.newest.Voters)
-	for generation := c.newest.Generation; generation > 0; generation-- {
+// toleratesDiskLoss reports whether one more disk may be lost, judged by the smallest generation still in use.
+func (c *checker) toleratesDiskLoss() bool {
+	voters := len(c.newestMembership.Voters)
+	for generation := c.newestMembership.Generation; generation > 0; generation-- {
 		membership := c.generations[generation]
 		voters = min(voters, len(membership.GetVoters()))
-		if membership != nil && c.complete(membership) {
+		if membership != nil && c.isFullyInstalled(membership) {
 			break
 		}
 	}
-	return c.outstanding() < (voters-1)/2
+	return c.unrepairedLosses() < (voters-1)/2
 }
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -1,10 +1,11 @@
-// Package replica keeps registers on a set of replicas that is itself agreed.
+// Package replica implements a replicated key-value register store whose set of voters can be changed at run time.
 //
-// Each key is a register with one owner at a time, chosen by a rising term: the owner has a version on a
-// majority of disks before it counts. The voters belong to a generation; the next generation is a value that a
-// majority of the present one chooses, after which the present one is sealed, its registers are gathered from a
-// majority, and installed on the voters of the next. Machine holds all of it apart from I/O; Replica runs a
-// Machine with a real clock, disk and network.
+// Each key is a register with one owner at a time. An owner acquires the key under a term higher than all earlier
+// ones, and a version that it writes is chosen once a majority of voters has it on disk (Paxos with a distinguished
+// proposer). The voters form a numbered generation. The next generation is itself a value that a majority of the
+// current one chooses; a majority of the current generation is then sealed, so that it accepts nothing more, and its
+// registers are merged and installed on the voters of the next. Machine implements the protocol without I/O; Replica
+// runs a Machine with a real clock, disk and network.
 package replica
 
 import (
@@ -15,179 +16,180 @@
 	"curlewreach/proto/wire"
 )
 
-// Settings are what a Machine is told at its start. Durations are ratios of the bounds in the product's settings.
+// Settings configures a Machine. The durations are derived from the time limits in the product's configuration.
 type Settings struct {
-	// Address is where the other replicas reach this one.
+	// Address is where other replicas reach this one.
 	Address string
-	// Seeds are addresses of other replicas, as the settings name them.
+	// Seeds are the configured addresses of other replicas.
 	Seeds []string
-	// Founding says that the whole system starts for the first time.
-	Founding bool
-	// Target is the least number of voters wanted, where there are machines for it.
-	Target int
-	// Watch is the pause between two status rounds.
-	Watch time.Duration
-	// Silence is how long a voter may go unheard before a learner takes its place.
-	Silence time.Duration
-	// Patience is how long a version may stay on too few disks before it is read under a new term.
-	Patience time.Duration
-	// FoundingWait is how long the founder lists who asks.
-	FoundingWait time.Duration
-	// NewID draws an identity that no replica had before.
+	// Bootstrap is true if the whole system starts for the first time.
+	Bootstrap bool
+	// TargetVoters is the minimum number of voters wanted, if that many replicas are available.
+	TargetVoters int
+	// StatusInterval is the time between two status rounds.
+	StatusInterval time.Duration
+	// VoterTimeout is how long a voter may be silent before a learner may replace it.
+	VoterTimeout time.Duration
+	// RecommitAfter is how long the newest version of a key may be held by less than a majority before the key is read,
+	// and its version thereby written again, under a new term.
+	RecommitAfter time.Duration
+	// BootstrapWait is how long the bootstrap leader collects join requests before it creates the first generation.
+	BootstrapWait time.Duration
+	// NewID returns an identity that no replica has had before.
 	NewID func() string
-	// Note records what happened; it may be nil.
-	Note func(what, subject, detail string)
+	// RecordEvent records an event; it may be nil.
+	RecordEvent func(what, subject, detail string)
 }
 
-// Request is a question to another replica; its answer comes back through Answered.
+// Request is a request to another replica. Its reply is passed to HandleReply.
 type Request struct {
-	ID  uint64
-	To  string
-	Ask *wire.ReplicaRequest
+	ID      uint64
+	To      string
+	Payload *wire.ReplicaRequest
 }
 
-// Answer belongs to a question that came in through Receive.
-type Answer struct {
+// Response answers the call that was passed to HandleRequest.
+type Response struct {
 	Call  uint64
 	Reply *wire.ReplicaReply
 }
 
-// Result ends a ticket of Change, Read, Survey or Leave.
+// Result completes the ticket of a Change, Read, QuorumRead or Leave.
 type Result struct {
 	Ticket uint64
-	// Version is the newest chosen version known.
+	// Version is the newest version known to be chosen.
 	Version *wire.Version
-	// Agreed says that a majority of voters answered since the ticket was opened.
-	Agreed bool
-	// Settled says that Version is the newest chosen one as of some moment since the ticket was opened.
-	Settled bool
-	// Err is why the ticket failed. With Settled, it is the error that the change gave on that version.
+	// MajorityReplied is true if a majority of voters replied after the ticket was opened.
+	MajorityReplied bool
+	// UpToDate is true if Version was the newest chosen version at some moment after the ticket was opened.
+	UpToDate bool
+	// Err is why the ticket failed. If UpToDate is set, it is the error that the change function returned for Version.
 	Err error
 }
 
-// Save asks for a state to be made durable; the outcome comes back through Saved.
+// Save asks the caller to write State to disk. The outcome is passed to HandleSaved.
 type Save struct {
 	Number uint64
 	State  *wire.ReplicaState
 }
 
-// Output is what a Machine wants done.
+// Output lists what the caller of a Machine has to carry out.
 type Output struct {
-	Save     *Save
-	Requests []Request
-	Answers  []Answer
-	Results  []Result
-	// Chosen is set when a newer version of some key is known to be chosen.
-	Chosen bool
-	// Members is set when the membership or the generation known has changed.
-	Members bool
+	Save      *Save
+	Requests  []Request
+	Responses []Response
+	Results   []Result
+	// ChosenChanged is true if a newer version of some key became known to be chosen.
+	ChosenChanged bool
+	// MembershipChanged is true if the known membership, or this replica's own generation, changed.
+	MembershipChanged bool
 }
 
-// Machine is the state machine of one replica. It isn't safe for concurrent use.
-// States are never changed in place, so that a saved or sent one stays as it was.
+// Machine is the state machine of one replica. It is not safe for concurrent use.
+// Its states are replaced and never modified in place, so a state that was handed out for saving or sending stays valid.
 type Machine struct {
 	settings Settings
 	now      time.Duration
-	out      Output
+	output   Output
 
-	state          *wire.ReplicaState // the newest, perhaps not yet on disk
-	durable        *wire.ReplicaState // the last one known to be on disk
-	number         uint64             // of state
-	saving         *Save              // handed out and not yet answered
-	saved          uint64             // number of durable
+	state          *wire.ReplicaState // newest state, possibly not yet on disk
+	durable        *wire.ReplicaState // last state known to be on disk
+	stateNumber    uint64             // version number of state
+	saving         *Save              // handed out, outcome not yet known
+	durableNumber  uint64             // version number of durable
 	pendingReplies []pendingReply
 
-	lastRequest uint64
-	waiting     map[uint64]func(*wire.ReplicaReply)
-	local       []func()
+	lastRequest     uint64
+	pendingRequests map[uint64]func(*wire.ReplicaReply)
+	deferred        []func()
 
-	learned     *wire.Membership // the newest membership heard of
-	chosen      map[string]*wire.Version
-	owned       map[string]*ownership
-	highest     map[string]uint64        // highest term number used here, by key
-	heard       map[string]time.Duration // by identity
-	steadySince time.Duration            // since when this replica has run without a standstill
-	tickedAt    time.Duration
-	nextStatus  time.Duration
-	unsettled   map[string]time.Duration
-	copies      map[string]int      // of each key's newest version, as last seen
-	learners    map[string]*learner // by identity
-	rounds      uint64
-	confirmed   bool                     // a majority has been heard since this replica started, or joined its generation
-	majorityAt  time.Duration            // when the last round began that a majority answered
-	freshAt     map[string]time.Duration // by key: when the last round began that found no version newer than the chosen one
-	pulling     bool
-	reconfig    reconfiguration
-	founding    foundingState
-	leave       []uint64
-	leaving     bool
+	learnedMembership  *wire.Membership // newest membership reported by another replica
+	chosen             map[string]*wire.Version
+	proposers          map[string]*proposer
+	highestTerm        map[string]uint64        // highest term number seen here, by key
+	lastHeard          map[string]time.Duration // by identity
+	uninterruptedSince time.Duration            // start of the current period without a process pause
+	lastTick           time.Duration
+	nextStatusRound    time.Duration
+	underReplicated    map[string]time.Duration
+	copies             map[string]int      // voters that held each key's newest version in the last status round
+	learners           map[string]*learner // by identity
+	statusRounds       uint64
+	heardMajority      bool                     // a majority has replied since this replica started or entered its generation
+	lastMajorityRound  time.Duration            // start of the last status round that a majority replied to
+	upToDateAt         map[string]time.Duration // by key: start of the last round that showed the chosen version known here to be the newest
+	fetchingState      bool
+	reconfig           reconfiguration
+	bootstrap          bootstrapState
+	leaveTickets       []uint64
+	leaving            bool
 }
 
-// pendingReply waits until the state that it speaks of is on disk.
+// pendingReply is a callback that waits until the state with the given number is on disk.
 type pendingReply struct {
-	number  uint64
-	deliver func(saved bool)
+	number   uint64
+	complete func(saved bool)
 }
 
-// NewMachine starts from the state on disk, or from nil where there is none to go by.
+// NewMachine returns a machine that starts from the given state on disk; state is nil if there is none.
 func NewMachine(settings Settings, state *wire.ReplicaState, now time.Duration) *Machine {
-	if settings.Note == nil {
-		settings.Note = func(string, string, string) {}
+	if settings.RecordEvent == nil {
+		settings.RecordEvent = func(string, string, string) {}
 	}
 	m := &Machine{
-		settings: settings, now: now, steadySince: now, tickedAt: now, nextStatus: now,
-		waiting: map[uint64]func(*wire.ReplicaReply){}, chosen: map[string]*wire.Version{}, owned: map[string]*ownership{},
-		highest: map[string]uint64{}, heard: map[string]time.Duration{}, unsettled: map[string]time.Duration{}, freshAt: map[string]time.Duration{},
+		settings: settings, now: now, uninterruptedSince: now, lastTick: now, nextStatusRound: now,
+		pendingRequests: map[uint64]func(*wire.ReplicaReply){}, chosen: map[string]*wire.Version{}, proposers: map[string]*proposer{},
+		highestTerm: map[string]uint64{}, lastHeard: map[string]time.Duration{}, underReplicated: map[string]time.Duration{}, upToDateAt: map[string]time.Duration{},
 		copies: map[string]int{}, learners: map[string]*learner{},
 	}
-	m.founding.since = now
+	m.bootstrap.since = now
 	if state == nil {
 		state = &wire.ReplicaState{}
 	}
-	m.state, m.durable, m.learned = state, state, state.Membership
+	m.state, m.durable, m.learnedMembership = state, state, state.Membership
 	m.ensureIdentity()
 	return m
 }
 
-// ensureIdentity gives a disk that has none its identity.
+// ensureIdentity draws a new identity if the state has none.
 func (m *Machine) ensureIdentity() {
 	if m.state.Id != "" {
 		return
 	}
-	m.change(func(next *wire.ReplicaState) {
+	m.updateState(func(next *wire.ReplicaState) {
 		next.Id = m.settings.NewID()
-		if m.settings.Founding {
-			next.Founding = m.foundingSeeds()
+		if m.settings.Bootstrap {
+			next.Founding = m.bootstrapSeeds()
 		}
 	})
 }
 
-// change replaces the state by a changed copy, to be saved.
-func (m *Machine) change(edit func(next *wire.ReplicaState)) {
-	before := m.state
+// updateState replaces the state by a modified copy, which will be saved.
+func (m *Machine) updateState(edit func(next *wire.ReplicaState)) {
+	current := m.state
 	next := &wire.ReplicaState{
-		Id: before.Id, Membership: before.Membership, Next: before.Next,
-		Registers: maps.Clone(before.Registers), Known: before.Known, Founding: before.Founding,
+		Id: current.Id, Membership: current.Membership, Next: current.Next,
+		Registers: maps.Clone(current.Registers), Known: current.Known, Founding: current.Founding,
 	}
 	if next.Registers == nil {
 		next.Registers = map[string]*wire.Register{}
 	}
 	edit(next)
 	m.state = next
-	m.number++
+	m.stateNumber++
 }
 
-// whenSaved runs deliver once the present state is on disk, or with false if it can't be saved.
-func (m *Machine) whenSaved(deliver func(saved bool)) {
-	if m.number == m.saved {
-		m.local = append(m.local, func() { deliver(true) })
+// afterSave runs complete with true once the current state is on disk, or with false if saving it fails.
+func (m *Machine) afterSave(complete func(saved bool)) {
+	if m.stateNumber == m.durableNumber {
+		m.deferred = append(m.deferred, func() { complete(true) })
 		return
 	}
-	m.pendingReplies = append(m.pendingReplies, pendingReply{m.number, deliver})
+	m.pendingReplies = append(m.pendingReplies, pendingReply{m.stateNumber, complete})
 }
 
-// Saved tells how saving a state ended. After a failure the replica goes on from the last state saved.
-func (m *Machine) Saved(now time.Duration, number uint64, ok bool) {
+// HandleSaved takes the outcome of a Save. If it failed, the replica continues from the last state on disk.
+func (m *Machine) HandleSaved(now time.Duration, number uint64, ok bool) {
 	m.now = now
 	if m.saving == nil || number != m.saving.Number {
 		return
@@ -195,62 +197,62 @@
 	state := m.saving.State
 	m.saving = nil
 	if ok {
-		m.saved, m.durable = number, state
+		m.durableNumber, m.durable = number, state
 	} else {
-		m.settings.Note("disk-trouble", "", "the state could not be saved")
-		m.rollBack()
+		m.settings.RecordEvent("disk-trouble", "", "the state could not be saved")
+		m.rollback()
 	}
-	waiting := m.pendingReplies
+	replies := m.pendingReplies
 	m.pendingReplies = nil
-	for _, each := range waiting {
+	for _, each := range replies {
 		if ok && each.number > number {
 			m.pendingReplies = append(m.pendingReplies, each)
 			continue
 		}
-		m.local = append(m.local, func() { each.deliver(ok) })
+		m.deferred = append(m.deferred, func() { each.complete(ok) })
 	}
-	m.drain()
+	m.runDeferred()
 }
 
-// rollBack forgets what was not saved. Nobody was told of it: every answer waits for its save.
-func (m *Machine) rollBack() {
+// rollback discards the changes that were not saved. No other replica has seen them, because replies wait for the save.
+func (m *Machine) rollback() {
 	m.state = m.durable
-	m.number++
-	m.saved = m.number
+	m.stateNumber++
+	m.durableNumber = m.stateNumber
 	m.ensureIdentity()
-	for _, key := range slices.Sorted(maps.Keys(m.owned)) {
-		o := m.owned[key]
-		if o.term != nil && compareTerms(m.register(key).Promised, o.term) != 0 {
-			o.stepDown(errDisk)
+	for _, key := range slices.Sorted(maps.Keys(m.proposers)) {
+		p := m.proposers[key]
+		if p.term != nil && compareTerms(m.register(key).Promised, p.term) != 0 {
+			p.stepDown(errDiskWrite)
 		}
 	}
 }
 
-// drain runs what this replica owes itself.
-func (m *Machine) drain() {
-	for len(m.local) > 0 {
-		next := m.local[0]
-		m.local = m.local[1:]
+// runDeferred runs the queued callbacks, including those that they queue in turn.
+func (m *Machine) runDeferred() {
+	for len(m.deferred) > 0 {
+		next := m.deferred[0]
+		m.deferred = m.deferred[1:]
 		next()
 	}
 }
 
-// Take hands out what is to be done since the last call.
-func (m *Machine) Take() Output {
-	out := m.out
-	m.out = Output{}
-	if m.saving == nil && m.number != m.saved {
-		m.saving = &Save{Number: m.number, State: m.state}
+// TakeOutput returns, and clears, what is to be carried out since the last call.
+func (m *Machine) TakeOutput() Output {
+	out := m.output
+	m.output = Output{}
+	if m.saving == nil && m.stateNumber != m.durableNumber {
+		m.saving = &Save{Number: m.stateNumber, State: m.state}
 		out.Save = m.saving
 	}
 	return out
 }
 
-// Answered gives the reply to a request, or nil if none came in time.
-func (m *Machine) Answered(now time.Duration, request uint64, reply *wire.ReplicaReply) {
+// HandleReply takes the reply to a request; reply is nil if none arrived in time.
+func (m *Machine) HandleReply(now time.Duration, request uint64, reply *wire.ReplicaReply) {
 	m.now = now
-	handle := m.waiting[request]
-	delete(m.waiting, request)
+	handle := m.pendingRequests[request]
+	delete(m.pendingRequests, request)
 	if handle == nil {
 		return
 	}
@@ -258,64 +260,64 @@
 		m.observeReply(reply)
 	}
 	handle(reply)
-	m.drain()
+	m.runDeferred()
 }
 
-// observeReply notes what every reply tells: that its sender is there, and which membership it knows.
+// observeReply records what every reply carries: that its sender is alive, and the membership that it knows.
 func (m *Machine) observeReply(reply *wire.ReplicaReply) {
 	if reply.From != "" {
-		m.heard[reply.From] = m.now
+		m.lastHeard[reply.From] = m.now
 	}
-	m.learn(reply.Membership)
+	m.learnMembership(reply.Membership)
 	if reply.Standing == wire.Standing_FENCED || reply.Standing == wire.Standing_BEHIND {
-		m.nextStatus = min(m.nextStatus, m.now+m.settings.Watch/4)
+		m.nextStatusRound = min(m.nextStatusRound, m.now+m.settings.StatusInterval/4)
 	}
 }
 
-// Tick lets time pass; it is called several times in each Watch.
+// Tick advances the clock. It must be called several times per StatusInterval.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
-	if now-m.tickedAt > standstillRatio*m.settings.Watch {
-		m.steadySince = now
-		m.settings.Note("standstill", "", "this replica stood still")
+	if now-m.lastTick > pauseIntervals*m.settings.StatusInterval {
+		m.uninterruptedSince = now
+		m.settings.RecordEvent("standstill", "", "this replica was paused")
 	}
-	m.tickedAt = now
+	m.lastTick = now
 	if m.durable.Id == "" {
 		return
 	}
-	if now >= m.nextStatus {
-		m.nextStatus = now + m.settings.Watch
-		m.watchMembers()
+	if now >= m.nextStatusRound {
+		m.nextStatusRound = now + m.settings.StatusInterval
+		m.pollMembers()
 	}
-	m.found()
-	m.forgetLearners()
+	m.advanceBootstrap()
+	m.expireLearners()
 	m.reconfigure()
-	m.recommitStale()
-	m.drain()
+	m.recommitUnderReplicated()
+	m.runDeferred()
 }
 
-// send sends a question to one replica; handle gets its reply, or nil.
-func (m *Machine) send(to string, ask *wire.ReplicaRequest, handle func(*wire.ReplicaReply)) {
-	ask.From, ask.Address, ask.Generation = m.state.Id, m.settings.Address, m.generation()
+// send sends a request to one replica; handle gets its reply, or nil if none arrived in time.
+func (m *Machine) send(to string, request *wire.ReplicaRequest, handle func(*wire.ReplicaReply)) {
+	request.From, request.Address, request.Generation = m.state.Id, m.settings.Address, m.generation()
 	if to == m.settings.Address {
-		m.handle(ask, handle)
+		m.dispatch(request, handle)
 		return
 	}
 	m.lastRequest++
-	m.waiting[m.lastRequest] = handle
-	m.out.Requests = append(m.out.Requests, Request{ID: m.lastRequest, To: to, Ask: ask})
+	m.pendingRequests[m.lastRequest] = handle
+	m.output.Requests = append(m.output.Requests, Request{ID: m.lastRequest, To: to, Payload: request})
 }
 
-// Receive takes a question of another replica; its answer comes out of Take under the same call number.
-func (m *Machine) Receive(now time.Duration, call uint64, ask *wire.ReplicaRequest) {
+// HandleRequest takes a request of another replica. TakeOutput returns its response under the same call number.
+func (m *Machine) HandleRequest(now time.Duration, call uint64, request *wire.ReplicaRequest) {
 	m.now = now
-	m.handle(ask, func(reply *wire.ReplicaReply) {
-		m.out.Answers = append(m.out.Answers, Answer{Call: call, Reply: reply})
+	m.dispatch(request, func(reply *wire.ReplicaReply) {
+		m.output.Responses = append(m.output.Responses, Response{Call: call, Reply: reply})
 	})
-	m.drain()
+	m.runDeferred()
 }
 
-// generation is that of the voters that this replica belongs to, or has heard of.
+// generation returns the number of the generation that this replica votes in, or 0 if it has no vote.
 func (m *Machine) generation() uint64 {
 	if m.state.Membership != nil {
 		return m.state.Membership.Generation
@@ -323,13 +325,13 @@
 	return 0
 }
 
-// votes says whether this replica has a vote in its generation.
-func (m *Machine) votes() bool { return m.state.Membership != nil }
+// isVoter reports whether this replica has a vote in its generation.
+func (m *Machine) isVoter() bool { return m.state.Membership != nil }
 
-// members is the newest membership that this replica knows of; it may be nil.
-func (m *Machine) members() *wire.Membership {
-	if m.state.Membership != nil && m.state.Membership.Generation >= m.learned.GetGeneration() {
+// newestMembership returns the newest membership that this replica knows of; it may be nil.
+func (m *Machine) newestMembership() *wire.Membership {
+	if m.state.Membership != nil && m.state.Membership.Generation >= m.learnedMembership.GetGeneration() {
 		return m.state.Membership
 	}
-	return m.learned
+	return m.learnedMembership
 }
--- a/internal/replica/owner_test.go
+++ b/internal/replica/owner_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// TestRefusalNeedsMajority: a owns the key and is cut off; b takes over and changes it. A change at a that compares with
-// the value must not be refused by the old one.
+// TestRefusalNeedsMajority isolates a, the owner of the key, while b takes the key over and changes it. A compare-and-set
+// change at a must not be rejected on the basis of the outdated value.
 func TestRefusalNeedsMajority(t *testing.T) {
-	w := newFoundedWorld(t, "a:1", "b:1", "c:1")
-	w.mustChange(t, "a:1", "k", "one;", time.Second)
-	w.isolate("a:1", "b:1", "c:1")
-	w.mustChange(t, "b:1", "k", "one;two;", 2*time.Second)
-	var refused Result
-	w.ask("a:1", func(m *Machine, ticket uint64) {
-		m.Change(w.now, ticket, "k", func(old []byte) ([]byte, error) { return nil, errMismatch })
-	}, func(result Result) { refused = result })
-	w.run(2*time.Second, nil)
-	if errors.Is(refused.Err, errMismatch) {
-		t.Fatal("a replica that is cut off refuses a change by an old value")
+	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
+	sim.mustChange(t, "a:1", "k", "one;", time.Second)
+	sim.isolate("a:1", "b:1", "c:1")
+	sim.mustChange(t, "b:1", "k", "one;two;", 2*time.Second)
+	var outcome Result
+	sim.ask("a:1", func(m *Machine, ticket uint64) {
+		m.Change(sim.now, ticket, "k", func(old []byte) ([]byte, error) { return nil, errMismatch })
+	}, func(result Result) { outcome = result })
+	sim.run(2*time.Second, nil)
+	if errors.Is(outcome.Err, errMismatch) {
+		t.Fatal("an isolated replica rejects a change on the basis of an outdated value")
 	}
 }
