--- a/internal/dataplane/callgraph/doc.go
+++ b/internal/dataplane/callgraph/doc.go
@@ -1,3 +1,3 @@
-// Package callgraph derives spans from the requests that a node relays, finds the request that a call of the upstream beside the
-// node belongs to, and learns which routes upstreams call.
+// Package callgraph creates spans for the requests that a node forwards to its upstream, attributes the calls
+// that the upstream makes to these requests, and detects which routes upstreams call.
 package callgraph
--- a/internal/dataplane/callgraph/tracker.go
+++ b/internal/dataplane/callgraph/tracker.go
@@ -11,74 +11,84 @@
 )
 
 const (
-	// deadlineSlack is by how much the deadline of a call may differ from that of the request which it belongs to.
-	deadlineSlack = 4 * time.Millisecond
-	// fewestAlone is how many requests of a route must have run alone before it is concluded which calls they make.
-	fewestAlone = 10
+	// deadlineTolerance is the largest difference between the deadline of a call and that of the request
+	// which it belongs to.
+	deadlineTolerance = 4 * time.Millisecond
+	// minSoloRequests is the number of requests of a route that must have run alone before it is concluded
+	// which routes they call.
+	minSoloRequests = 10
 )
 
-// Request is a request at the upstream beside this node.
+// Request is a request that the local upstream processes.
 type Request struct {
-	way    forwarding.Metadata
-	began  time.Duration
-	until  time.Duration
-	span   string
-	trace  string
-	parent string
-	calls  []stretch
-	unsure bool
-	kept   bool
-	shared bool
-	made   map[string]bool
+	metadata  forwarding.Metadata
+	startedAt time.Duration
+	// deadline is the time by which the request must be answered.
+	deadline     time.Duration
+	spanID       string
+	traceID      string
+	parentSpanID string
+	// calls holds the times of the calls attributed to the request, calledRoutes their routes.
+	calls []interval
+	// uncertain is set if a call may belong to this request or to another one.
+	uncertain bool
+	// sampled is set if the span is to be recorded.
+	sampled bool
+	// overlapped is set if another request was in flight at the same time.
+	overlapped   bool
+	calledRoutes map[string]bool
 }
 
-// callPattern is which calls the requests of a route made that ran alone.
+// callPattern counts the requests of a route that ran alone, in total and by the routes that they called.
 type callPattern struct {
-	alone int
-	calls map[string]int
+	soloRequests int
+	// requestsByCallee counts the requests that called a route, by that route.
+	requestsByCallee map[string]int
 }
 
-// stretch is a span of time.
-type stretch struct{ from, to time.Duration }
+// interval is a period between two readings of the monotonic clock.
+type interval struct{ from, to time.Duration }
 
-// Tracker derives spans from the requests at the upstream beside this node, and finds the request that each call of the
-// upstream belongs to. It is safe for concurrent use.
+// Tracker creates spans for the requests that the local upstream processes, and finds the request that each
+// call of the upstream belongs to. It is safe for concurrent use.
 type Tracker struct {
 	scope    base.Scope
 	node     string
-	keeper   *tracing.Keeper
-	push     func(*wire.Span)
+	sampler  *tracing.Keeper
+	pushSpan func(*wire.Span)
 	mu       sync.Mutex
 	inFlight map[*Request]bool
+	// patterns holds the call pattern of each route.
 	patterns map[string]*callPattern
 }
 
-// NewTracker returns a tracker that hands the spans to push which the keeper samples.
-func NewTracker(s base.Scope, node string, keeper *tracing.Keeper, push func(*wire.Span)) *Tracker {
-	return &Tracker{scope: s, node: node, keeper: keeper, push: push, inFlight: map[*Request]bool{}, patterns: map[string]*callPattern{}}
+// NewTracker returns a tracker that passes the sampled spans to pushSpan.
+func NewTracker(s base.Scope, node string, sampler *tracing.Keeper, pushSpan func(*wire.Span)) *Tracker {
+	return &Tracker{scope: s, node: node, sampler: sampler, pushSpan: pushSpan, inFlight: map[*Request]bool{}, patterns: map[string]*callPattern{}}
 }
 
-// Begin notes that a request is written to the upstream.
-func (t *Tracker) Begin(way forwarding.Metadata, until, left time.Duration) *Request {
-	f := &Request{way: way, began: t.scope.Clock.Mono(), until: until, span: t.scope.Rand.Name(6)}
-	f.trace, f.parent = cutTrace(way.Trace)
-	if f.trace == "" {
-		f.trace = f.span
+// Begin records that a request is about to be written to the upstream.
+func (t *Tracker) Begin(metadata forwarding.Metadata, deadline, timeLeft time.Duration) *Request {
+	r := &Request{metadata: metadata, startedAt: t.scope.Clock.Mono(), deadline: deadline, spanID: t.scope.Rand.Name(6)}
+	r.traceID, r.parentSpanID = splitTrace(metadata.Trace)
+	if r.traceID == "" {
+		r.traceID = r.spanID
 	}
-	f.kept = way.Sampled && t.keeper.Keep(way.Service+"/"+way.Route)
+	r.sampled = metadata.Sampled && t.sampler.Keep(metadata.Service+"/"+metadata.Route)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.inFlight[f] = true
+	t.inFlight[r] = true
 	if len(t.inFlight) > 1 {
-		for each := range t.inFlight {
-			each.shared = true
+		for other := range t.inFlight {
+			other.overlapped = true
 		}
 	}
-	return f
+	return r
 }
 
-// cutTrace reads a trace and the parent span in it.
-func cutTrace(text string) (trace, parent string) {
+// splitTrace splits a trace header value into the trace ID and the ID of the parent span, which may be
+// missing.
+func splitTrace(text string) (traceID, parentSpanID string) {
 	for i := range len(text) {
 		if text[i] == '.' {
 			return text[:i], text[i+1:]
@@ -87,106 +97,109 @@
 	return text, ""
 }
 
-// mayCall tells whether requests of a route may make calls of another: yes until ten that ran alone made none.
-func (t *Tracker) mayCall(parent, child string) bool {
-	h := t.patterns[parent]
-	return h == nil || h.alone < fewestAlone || h.calls[child] > 0
+// mayCall reports whether requests of parentRoute may call calledRoute. That is assumed unless
+// minSoloRequests that ran alone have made no such call. t.mu must be held.
+func (t *Tracker) mayCall(parentRoute, calledRoute string) bool {
+	pattern := t.patterns[parentRoute]
+	return pattern == nil || pattern.soloRequests < minSoloRequests || pattern.requestsByCallee[calledRoute] > 0
 }
 
-// Parent finds the request that a call of the upstream belongs to: the only one running whose route makes such calls, or
-// whose deadline the call shares where that is what binds. With several nothing is guessed: all of them are marked unsure.
-func (t *Tracker) Parent(route string, until time.Duration, binding bool) string {
+// FindParent returns the trace and span of the request that a call of the upstream belongs to; "" if that is
+// not certain. It considers the requests in flight whose route may make such calls; if deadlineInherited is
+// set, which says that the call's deadline follows from that of its request, only those with a matching
+// deadline. If several match it does not guess, but marks all of them uncertain.
+func (t *Tracker) FindParent(route string, deadline time.Duration, deadlineInherited bool) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fits []*Request
-	for f := range t.inFlight {
-		if off := f.until - until; t.mayCall(f.way.Route, route) && (!binding || off > -deadlineSlack && off < deadlineSlack+forwarding.DeadlineMargin) {
-			fits = append(fits, f)
+	var candidates []*Request
+	for r := range t.inFlight {
+		if difference := r.deadline - deadline; t.mayCall(r.metadata.Route, route) && (!deadlineInherited || difference > -deadlineTolerance && difference < deadlineTolerance+forwarding.DeadlineMargin) {
+			candidates = append(candidates, r)
 		}
 	}
-	if len(fits) == 1 {
-		parent := fits[0]
-		if parent.made == nil {
-			parent.made = map[string]bool{}
+	if len(candidates) == 1 {
+		parent := candidates[0]
+		if parent.calledRoutes == nil {
+			parent.calledRoutes = map[string]bool{}
 		}
-		parent.made[route] = true
-		return parent.trace + "." + parent.span
+		parent.calledRoutes[route] = true
+		return parent.traceID + "." + parent.spanID
 	}
-	for _, f := range fits {
-		f.unsure = true
+	for _, r := range candidates {
+		r.uncertain = true
 	}
 	return ""
 }
 
-// EndCall notes how long a call of a request took.
-func (t *Tracker) EndCall(trace string, from, to time.Duration) {
-	_, span := cutTrace(trace)
-	if span == "" {
+// RecordCall records the time that a call took, for the request with the span in trace.
+func (t *Tracker) RecordCall(trace string, from, to time.Duration) {
+	_, spanID := splitTrace(trace)
+	if spanID == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for f := range t.inFlight {
-		if f.span == span {
-			f.calls = append(f.calls, stretch{from, to})
+	for r := range t.inFlight {
+		if r.spanID == spanID {
+			r.calls = append(r.calls, interval{from, to})
 			return
 		}
 	}
 }
 
-// End notes that a request is over and makes its span; status 0 makes none.
-func (t *Tracker) End(f *Request, instance *wire.Instance, status int) {
+// End records that a request has ended and creates its span if it is sampled; a status of 0 creates none.
+func (t *Tracker) End(r *Request, instance *wire.Instance, status int) {
 	t.mu.Lock()
-	if !t.inFlight[f] {
+	if !t.inFlight[r] {
 		t.mu.Unlock()
 		return
 	}
-	delete(t.inFlight, f)
-	if !f.shared {
-		h := t.patterns[f.way.Route]
-		if h == nil {
-			h = &callPattern{calls: map[string]int{}}
-			t.patterns[f.way.Route] = h
+	delete(t.inFlight, r)
+	if !r.overlapped {
+		pattern := t.patterns[r.metadata.Route]
+		if pattern == nil {
+			pattern = &callPattern{requestsByCallee: map[string]int{}}
+			t.patterns[r.metadata.Route] = pattern
 		}
-		h.alone++
-		for child := range f.made {
-			h.calls[child]++
+		pattern.soloRequests++
+		for calledRoute := range r.calledRoutes {
+			pattern.requestsByCallee[calledRoute]++
 		}
 	}
 	t.mu.Unlock()
-	if !f.kept || status == 0 {
+	if !r.sampled || status == 0 {
 		return
 	}
 	now := t.scope.Clock.Mono()
-	took := now - f.began
+	duration := now - r.startedAt
 	span := &wire.Span{
-		Trace: f.trace, Id: f.span, Parent: f.parent, Service: f.way.Service, Route: f.way.Route, Node: t.node, Seat: instance.GetId(),
-		StartedUs: t.scope.Clock.Wall().Add(-took).UnixMicro(), DurationUs: uint64(took.Microseconds()),
-		SelfUs: uint64((took - covered(f.calls, f.began, now)).Microseconds()), Status: uint32(status), Tags: map[string]string{"zone": instance.GetZone()},
+		Trace: r.traceID, Id: r.spanID, Parent: r.parentSpanID, Service: r.metadata.Service, Route: r.metadata.Route, Node: t.node, Seat: instance.GetId(),
+		StartedUs: t.scope.Clock.Wall().Add(-duration).UnixMicro(), DurationUs: uint64(duration.Microseconds()),
+		SelfUs: uint64((duration - coveredTime(r.calls, r.startedAt, now)).Microseconds()), Status: uint32(status), Tags: map[string]string{"zone": instance.GetZone()},
 	}
-	if f.unsure {
+	if r.uncertain {
 		span.Tags[tracing.UncertainTag] = "true"
 	}
-	t.push(span)
+	t.pushSpan(span)
 }
 
-// covered is how much of a span of time the stretches cover.
-func covered(inner []stretch, from, to time.Duration) (sum time.Duration) {
-	at := from
+// coveredTime returns how much of the time between from and to the intervals cover.
+func coveredTime(intervals []interval, from, to time.Duration) (total time.Duration) {
+	coveredUntil := from
 	for {
 		next := -1
-		for i, each := range inner {
-			if each.to > at && (next < 0 || each.from < inner[next].from) {
+		for i, each := range intervals {
+			if each.to > coveredUntil && (next < 0 || each.from < intervals[next].from) {
 				next = i
 			}
 		}
 		if next < 0 {
-			return sum
+			return total
 		}
-		start, end := max(inner[next].from, at), min(inner[next].to, to)
+		start, end := max(intervals[next].from, coveredUntil), min(intervals[next].to, to)
 		if end > start {
-			sum += end - start
+			total += end - start
 		}
-		at = inner[next].to
+		coveredUntil = intervals[next].to
 	}
 }
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -1,5 +1,5 @@
-// Package controlclient is a node's side of the control plane: which control machines it asks, how it learns of the newest
-// configuration within the in-force bound, and what it tells them of itself.
+// Package controlclient implements a node's side of the control plane: it selects the controllers to poll,
+// learns of new configurations within the in-force bound and reports the node's status.
 package controlclient
 
 import (
@@ -15,74 +15,78 @@
 	"curlewreach/proto/wire"
 )
 
-// DefaultContactRatio is the contact bound where none is set, as a ratio of the in-force bound.
+// DefaultContactRatio is the ratio of the default contact bound to the in-force bound.
 const DefaultContactRatio = 1.5
 
-// Settings are a client's bounds and the control machines that it asks first.
+// Settings holds the time bounds of a client and the addresses of its first controllers.
 type Settings struct {
-	// InForce is the longest time from the acknowledgement of a configuration until it is in force here.
+	// InForce is the in-force bound: the longest time from the acknowledgement of a configuration until it is
+	// in force on this node.
 	InForce time.Duration
-	// Contact is the longest time without word of a majority while one can be reached.
+	// Contact is the contact bound: the longest time without contact to a controller that has a majority,
+	// while one can be reached.
 	Contact time.Duration
-	// Seeds are addresses of control machines.
+	// Seeds are the addresses of the controllers to try first.
 	Seeds []string
 }
 
-// Hooks are what a client needs of its node. All are called by several goroutines.
+// Hooks connects a client to its node. The functions are called from several goroutines.
 type Hooks struct {
-	// Status returns what the node tells of itself; its number rises with every change.
+	// Status returns the status that the node reports. Its number increases with every change.
 	Status func() *wire.NodeStatus
-	// Observed takes what a control machine knows of peers; whole if it replaces all that this one said before.
-	Observed func(address string, whole bool, observations []*wire.Observation)
-	// Forgotten takes the address of a control machine that is asked no longer.
-	Forgotten func(address string)
-	// Sampling takes the sampling probabilities that control machines hand out.
+	// ApplyObservations receives what the controller at address reports about peers. If full is set, the
+	// report replaces all that this controller has reported before.
+	ApplyObservations func(address string, full bool, observations []*wire.Observation)
+	// RemoveController receives the address of a controller that is no longer polled.
+	RemoveController func(address string)
+	// Sampling receives the sampling probabilities that controllers distribute.
 	Sampling *tracing.Keeper
 }
 
-// Client asks control machines on behalf of a node. It is safe for concurrent use.
+// Client polls controllers on behalf of a node. It is safe for concurrent use.
 type Client struct {
 	scope            base.Scope
 	settings         Settings
 	hooks            Hooks
 	http             *http.Client
-	refreshHTTP      *http.Client // so that a refresh never waits behind a poll's connection
+	refreshHTTP      *http.Client // separate, so that a refresh never waits for a connection used by a poll
 	startedAt        time.Duration
 	confirmationWait time.Duration
 	directory        *directory
 	table            atomic.Pointer[config.Table]
 	isConfirmed      atomic.Bool
-	hinted           base.Broadcast
+	hintReceived     base.Broadcast
 	tasks            base.Group
 
-	mu            sync.Mutex
-	candidate     *wire.Configuration // newer than the one in force, waiting to be confirmed
-	fingerprinted fingerprinted
-	freshness     configFreshness
-	controllers   map[string]*controlPoll
+	mu                sync.Mutex
+	candidate         *wire.Configuration // newer than the one in force, not yet confirmed; nil if there is none
+	newestFingerprint cachedFingerprint
+	freshness         configFreshness
+	polls             map[string]*controllerPoll
 }
 
-// New returns a client that asks nobody before Run. Polls go by httpClient.
+// New returns a client that sends nothing before Run is called. Polls use httpClient; refreshes use
+// connections of their own.
 func New(s base.Scope, settings Settings, httpClient *http.Client, hooks Hooks) *Client {
 	now := s.Clock.Mono()
 	return &Client{
 		scope: s, settings: settings, hooks: hooks, http: httpClient,
-		refreshHTTP: httpserver.NewClientWithin(s, base.Ratio(settings.InForce, refreshDialRatio)),
-		startedAt:   now, confirmationWait: base.Ratio(settings.Contact, patienceRatio),
-		directory:   newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
-		freshness:   newConfigFreshness(settings.InForce, now),
-		controllers: map[string]*controlPoll{},
+		refreshHTTP: httpserver.NewClientWithin(s, base.Ratio(settings.InForce, refreshDialTimeoutRatio)),
+		startedAt:   now, confirmationWait: base.Ratio(settings.Contact, confirmationWaitRatio),
+		directory: newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
+		freshness: newConfigFreshness(settings.InForce, now),
+		polls:     map[string]*controllerPoll{},
 	}
 }
 
-// DialPatience is how long a node waits for a connection to a control machine, given the contact bound.
-func DialPatience(contact time.Duration) time.Duration { return base.Ratio(contact, dialPatience) }
+// DialTimeout returns how long a node waits for a connection to a controller, given the contact bound.
+func DialTimeout(contact time.Duration) time.Duration { return base.Ratio(contact, dialTimeoutRatio) }
 
-// Run asks control machines until the scope ends.
+// Run polls controllers until the scope ends.
 func (c *Client) Run(s base.Scope) {
 	c.tasks.Go(func() { c.maintainPolls(s) })
 	c.tasks.Go(func() { c.serveUnconfirmed(s) })
-	c.tasks.Go(func() { c.keepFresh(s) })
+	c.tasks.Go(func() { c.runRefreshes(s) })
 	c.tasks.Wait()
 }
 
@@ -100,8 +104,9 @@
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.directory.setSeeds(seeds) }
 
-// Live lists the control machines that answer, and the others that are known.
-func (c *Client) Live() (live, rest []string) { return c.directory.live() }
+// Responsive returns the addresses of the controllers that have replied recently, and of the others that are
+// known. If any controller has a majority, those that lag count among the others.
+func (c *Client) Responsive() (responsive, others []string) { return c.directory.responsive() }
 
-// Polled lists the control machines that are polled now, for operators.
+// Polled returns the controllers that are polled at present, for operators.
 func (c *Client) Polled() []*wire.ControlView { return c.directory.view() }
--- a/internal/dataplane/controlclient/configuration.go
+++ b/internal/dataplane/controlclient/configuration.go
@@ -6,23 +6,25 @@
 	"curlewreach/proto/wire"
 )
 
-// confirmationRatio is the part of the in-force bound for which a confirmation holds, from the sending of the question on by
-// this node's steady clock: whatever stood still meanwhile, no configuration acknowledged before the question is missed, and
-// those acknowledged since are younger than that.
-const confirmationRatio = 0.5
+// confirmationTTLRatio is the fraction of the in-force bound for which a confirmation is valid, counted on
+// this node's monotonic clock from the time the request was sent. A confirmation covers every configuration
+// acknowledged before the request; those acknowledged since are younger than this, no matter how long a
+// process was suspended in between.
+const confirmationTTLRatio = 0.5
 
-// Confirmed tells whether a majority has confirmed the configuration in force since this node started.
+// Confirmed reports whether a majority has confirmed the configuration in force since this node started.
 func (c *Client) Confirmed() bool { return c.isConfirmed.Load() }
 
-// known is the newest serial this node holds, in force or waiting to be confirmed.
-func (c *Client) known() uint64 {
+// newestSerial returns the highest serial of the configuration in force and the candidate.
+func (c *Client) newestSerial() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(c.Serial(), c.candidate.GetSerial())
 }
 
-// held is the newest configuration this node holds, in force or waiting to be confirmed; nil if there is none.
-func (c *Client) held() *wire.Configuration {
+// newestConfiguration returns the candidate if it is newer than the configuration in force, otherwise the one
+// in force; nil if there is neither.
+func (c *Client) newestConfiguration() *wire.Configuration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.candidate.GetSerial() > c.Serial() {
@@ -34,29 +36,30 @@
 	return nil
 }
 
-// fingerprinted is a configuration with its fingerprint, which takes a while to work out.
-type fingerprinted struct {
+// cachedFingerprint holds a configuration and its fingerprint, which is expensive to compute.
+type cachedFingerprint struct {
 	configuration *wire.Configuration
 	fingerprint   uint64
 }
 
-// fingerprintOf returns the fingerprint of a configuration held here, and remembers that of the newest one.
-func (c *Client) fingerprintOf(held *wire.Configuration) uint64 {
+// fingerprintOf returns the fingerprint of a configuration and caches the last one computed.
+func (c *Client) fingerprintOf(configuration *wire.Configuration) uint64 {
 	c.mu.Lock()
-	known := c.fingerprinted
+	cached := c.newestFingerprint
 	c.mu.Unlock()
-	if known.configuration == held {
-		return known.fingerprint
+	if cached.configuration == configuration {
+		return cached.fingerprint
 	}
-	fingerprint := config.Fingerprint(held)
+	fingerprint := config.Fingerprint(configuration)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fingerprinted = fingerprinted{held, fingerprint}
+	c.newestFingerprint = cachedFingerprint{configuration, fingerprint}
 	return fingerprint
 }
 
-// Adopt takes a configuration. A node without a confirmed one keeps an unconfirmed configuration aside, and serves it only when its
-// patience is over. Serials only rise.
+// Adopt puts a configuration in force if its serial is higher than that of the one in force; a confirmed
+// configuration with an equal serial only confirms the one in force. While no configuration is in force, an
+// unconfirmed one is held back as the candidate until it is confirmed or the wait for a confirmation is over.
 func (c *Client) Adopt(next *wire.Configuration, isConfirmed bool) {
 	if next == nil {
 		return
@@ -74,7 +77,8 @@
 	}
 }
 
-// confirmSerial takes the word that a majority holds nothing newer than a serial this node holds.
+// confirmSerial applies the confirmation that a majority holds no configuration newer than the given serial.
+// It has no effect unless this node holds the configuration with that serial.
 func (c *Client) confirmSerial(serial uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,21 +91,23 @@
 	}
 }
 
-// correct replaces an unconfirmed configuration by an older confirmed one. Control machines hand out only what a majority had
-// accepted, so it happens only after more disks were lost than is tolerated. The question was asked with the configuration in
-// hand: a majority read after it would have found that configuration, had it ever been in force.
-func (c *Client) correct(next *wire.Configuration, asked uint64) {
+// revertToConfirmed replaces an unconfirmed configuration by an older, confirmed one. Controllers send only
+// configurations that a majority had accepted, so this happens only after more disks were lost than is
+// tolerated. requestedSerial is the serial stated in the request and must still be the newest held here: the
+// majority read came after the request and would have found that configuration, had it ever been in force.
+func (c *Client) revertToConfirmed(next *wire.Configuration, requestedSerial uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if next == nil || c.Confirmed() || asked != max(c.Serial(), c.candidate.GetSerial()) {
+	if next == nil || c.Confirmed() || requestedSerial != max(c.Serial(), c.candidate.GetSerial()) {
 		return
 	}
-	c.scope.Log.Warn("going back to the confirmed configuration", "serial", next.Serial, "from", asked)
+	c.scope.Log.Warn("going back to the confirmed configuration", "serial", next.Serial, "from", requestedSerial)
 	c.scope.Record("configuration-corrected", "", "an unconfirmed configuration was never in force")
 	c.activate(next, true)
 }
 
-// serveUnconfirmed puts the configuration kept aside in force once the node's patience is over.
+// serveUnconfirmed puts the candidate in force once the wait for a confirmation is over, unless another
+// configuration is in force by then.
 func (c *Client) serveUnconfirmed(s base.Scope) {
 	base.Await(s, c.confirmationWait)
 	c.mu.Lock()
@@ -111,12 +117,13 @@
 	}
 }
 
-// confirmationWaitOver tells whether this node has waited long enough for a confirmation to serve without one.
+// confirmationWaitOver reports whether this node has waited long enough for a confirmation to serve an
+// unconfirmed configuration.
 func (c *Client) confirmationWaitOver() bool {
 	return c.scope.Clock.Mono()-c.startedAt >= c.confirmationWait
 }
 
-// activate puts a configuration in force; c.mu is held.
+// activate puts a configuration in force. c.mu must be held.
 func (c *Client) activate(next *wire.Configuration, isConfirmed bool) {
 	c.table.Store(config.NewTable(next))
 	c.candidate = nil
@@ -127,7 +134,7 @@
 	}
 }
 
-// markConfirmed notes that a majority has confirmed the configuration in force; c.mu is held.
+// markConfirmed records that a majority has confirmed the configuration in force. c.mu must be held.
 func (c *Client) markConfirmed() {
 	if c.isConfirmed.Swap(true) {
 		return
--- a/internal/dataplane/controlclient/directory.go
+++ b/internal/dataplane/controlclient/directory.go
@@ -13,58 +13,78 @@
 )
 
 const (
-	pollsMost = 3  // control machines asked at once
-	knownMost = 64 // control machines remembered
+	// maxPolls is the number of controllers polled at the same time, maxEntries the number remembered.
+	maxPolls   = 3
+	maxEntries = 64
 
 	// Ratios of the contact bound.
-	lagRatio        = 0.5  // a majority heard longer ago than that makes a control machine a laggard
-	silencePatience = 0.5  // patience with a silent one
-	hurryPatience   = 0.25 // the same while this node has no confirmed configuration
-	searchRatio     = 0.25 // pause between two looks at who is asked
-	hurrySearch     = 1.0 / 16
-	patienceRatio   = 0.5 // a node without a confirmed configuration waits so long before it serves an unconfirmed one
-	dialPatience    = 0.5 // a connection that does not come up
 
+	// lagThresholdRatio is the time without contact to a majority after which a controller counts as lagging.
+	lagThresholdRatio = 0.5
+	// silenceTimeoutRatio is how long a polled controller may be silent before it is replaced;
+	// unconfirmedSilenceTimeoutRatio is the same while this node has no confirmed configuration.
+	silenceTimeoutRatio            = 0.5
+	unconfirmedSilenceTimeoutRatio = 0.25
+	// reviewIntervalRatio is the interval between reviews of which controllers are polled;
+	// unconfirmedReviewIntervalRatio is the same while this node has no confirmed configuration.
+	reviewIntervalRatio            = 0.25
+	unconfirmedReviewIntervalRatio = 1.0 / 16
+	// confirmationWaitRatio is how long a node without a confirmed configuration waits before it serves an
+	// unconfirmed one.
+	confirmationWaitRatio = 0.5
+	// dialTimeoutRatio is how long a node waits for a connection to a controller.
+	dialTimeoutRatio = 0.5
+
+	// never is the time of an event that has not happened.
 	never = -time.Duration(1 << 62)
 )
 
-// controlMachine is what a node knows of one control machine. All times are by the node's steady clock.
-type controlMachine struct {
-	listed    time.Duration // a list last named it
-	chosen    time.Duration // the node last began to ask it
-	answered  time.Duration // it last answered
-	majority  time.Duration // it last heard a majority, as far as it told
-	refreshed time.Duration // the node last asked it beyond its polls
-	polled    bool
+// controllerState is what a node knows of one controller. All times are readings of the node's monotonic
+// clock.
+type controllerState struct {
+	// listedAt is when a list of controllers last named it.
+	listedAt time.Duration
+	// pollStartedAt is when the node last started to poll it.
+	pollStartedAt time.Duration
+	// repliedAt is when it last replied.
+	repliedAt time.Duration
+	// majorityAt is when it last heard from a majority, as far as it has reported.
+	majorityAt time.Duration
+	// refreshedAt is when the node last sent it a refresh.
+	refreshedAt time.Duration
+	polled      bool
 }
 
-// directory knows the control machines that a node was told of and decides which of them it asks: those that heard a
-// majority latest. Its size is bounded; seeds are always in it.
+// directory holds the known controllers and decides which of them to poll, preferring those that heard from a
+// majority most recently. Entries beyond maxEntries are evicted; seeds and polled controllers never are.
 type directory struct {
-	clock   base.Clock
-	rand    *random.Source
-	contact time.Duration
-	mu      sync.Mutex
-	seeds   []string
-	entries map[string]*controlMachine
-	newest  time.Duration // when the newest list came
-	// unanswered counts the control machines given up as silent since any last answered: where all are slow to answer,
-	// giving up one after the other ends what they are about to say.
-	unanswered int
+	clock        base.Clock
+	rand         *random.Source
+	contactBound time.Duration
+	mu           sync.Mutex
+	seeds        []string
+	entries      map[string]*controllerState
+	// newestListAt is when the newest list of controllers arrived.
+	newestListAt time.Duration
+	// silentReplaced counts the controllers replaced as silent since any last replied. If all are slow to
+	// reply, replacing one after the other cancels the replies that they are about to send, so silenceTimeout
+	// grows with this count.
+	silentReplaced int
 }
 
+// newDirectory returns a directory of the seeds.
 func newDirectory(clock base.Clock, rand *random.Source, contact time.Duration, seeds []string) *directory {
-	d := &directory{clock: clock, rand: rand, contact: contact, entries: map[string]*controlMachine{}, newest: never}
+	d := &directory{clock: clock, rand: rand, contactBound: contact, entries: map[string]*controllerState{}, newestListAt: never}
 	d.setSeeds(seeds)
 	return d
 }
 
-// ratioOfContact returns a ratio of the contact bound.
+// ratioOfContact returns the given ratio of the contact bound.
 func (d *directory) ratioOfContact(ratio float64) time.Duration {
-	return base.Ratio(d.contact, ratio)
+	return base.Ratio(d.contactBound, ratio)
 }
 
-// setSeeds takes the seeds of changed settings.
+// setSeeds replaces the seeds.
 func (d *directory) setSeeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,124 +92,130 @@
 	for _, address := range seeds {
 		d.entry(address)
 	}
-	d.trim()
+	d.evict()
 }
 
-// entry returns what is known of an address, a new entry if nothing is.
-func (d *directory) entry(address string) *controlMachine {
-	at := d.entries[address]
-	if at == nil {
-		at = &controlMachine{listed: never, chosen: never, answered: never, majority: never, refreshed: never}
-		d.entries[address] = at
+// entry returns the entry of an address and adds one if there is none. d.mu must be held, as for the other
+// methods below that do not lock it.
+func (d *directory) entry(address string) *controllerState {
+	entry := d.entries[address]
+	if entry == nil {
+		entry = &controllerState{listedAt: never, pollStartedAt: never, repliedAt: never, majorityAt: never, refreshedAt: never}
+		d.entries[address] = entry
 	}
-	return at
+	return entry
 }
 
-// trim forgets those that no list has named for the longest time.
-func (d *directory) trim() {
-	if len(d.entries) <= knownMost {
+// evict removes entries beyond maxEntries, those listed least recently first. Polled controllers and seeds
+// stay.
+func (d *directory) evict() {
+	if len(d.entries) <= maxEntries {
 		return
 	}
-	spare := slices.DeleteFunc(slices.Collect(maps.Keys(d.entries)), func(address string) bool {
+	evictable := slices.DeleteFunc(slices.Collect(maps.Keys(d.entries)), func(address string) bool {
 		return d.entries[address].polled || slices.Contains(d.seeds, address)
 	})
-	slices.SortFunc(spare, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.entries[a].listed, d.entries[b].listed), cmp.Compare(a, b))
+	slices.SortFunc(evictable, func(a, b string) int {
+		return cmp.Or(cmp.Compare(d.entries[a].listedAt, d.entries[b].listedAt), cmp.Compare(a, b))
 	})
-	for _, address := range spare[:min(len(spare), len(d.entries)-knownMost)] {
+	for _, address := range evictable[:min(len(evictable), len(d.entries)-maxEntries)] {
 		delete(d.entries, address)
 	}
 }
 
-// recordAnswer folds in an answer: how long ago its sender heard a majority, and whom it lists. The list of one that lags
-// counts only while nobody is known to have a majority.
-func (d *directory) recordAnswer(address string, majorityMs *uint64, list []string) {
+// recordReply records a reply: how long ago its sender heard from a majority (nil if never), and the
+// controllers that it lists. The list of a lagging controller is ignored if any controller is known to have a
+// majority.
+func (d *directory) recordReply(address string, majorityMs *uint64, listed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
-	at := d.entry(address)
-	at.answered, d.unanswered = now, 0
+	entry := d.entry(address)
+	entry.repliedAt, d.silentReplaced = now, 0
 	if majorityMs != nil {
-		at.majority = max(at.majority, now-time.Duration(min(*majorityMs, 1<<40))*time.Millisecond)
+		entry.majorityAt = max(entry.majorityAt, now-time.Duration(min(*majorityMs, 1<<40))*time.Millisecond)
 	}
-	if len(list) == 0 || d.lags(at, now) && d.knowsMajority(now) {
+	if len(listed) == 0 || d.lags(entry, now) && d.knowsMajority(now) {
 		return
 	}
-	d.newest = now
-	for _, each := range list[:min(len(list), knownMost)] {
-		d.entry(each).listed = now
+	d.newestListAt = now
+	for _, other := range listed[:min(len(listed), maxEntries)] {
+		d.entry(other).listedAt = now
 	}
-	d.trim()
+	d.evict()
 }
 
-// lags tells whether a control machine last heard a majority too long ago.
-func (d *directory) lags(at *controlMachine, now time.Duration) bool {
-	return now-at.majority > d.ratioOfContact(lagRatio)
+// lags reports whether a controller last heard from a majority too long ago.
+func (d *directory) lags(entry *controllerState, now time.Duration) bool {
+	return now-entry.majorityAt > d.ratioOfContact(lagThresholdRatio)
 }
 
-// knowsMajority says whether any control machine is known to have a majority.
+// knowsMajority reports whether any controller is known to have a majority.
 func (d *directory) knowsMajority(now time.Duration) bool {
-	for _, at := range d.entries {
-		if !d.lags(at, now) {
+	for _, entry := range d.entries {
+		if !d.lags(entry, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// choose decides whom to begin and whom to cease asking; it replaces one at most each time. In a hurry, while the node
-// has no confirmed configuration, it is less patient.
-func (d *directory) choose(hurry bool) (start, stop []string) {
+// selectPolls returns the controllers to start and to stop polling. It first fills free places and otherwise
+// replaces at most one controller per call. While the node has no confirmed configuration, which unconfirmed
+// says, controllers are replaced sooner.
+func (d *directory) selectPolls(unconfirmed bool) (start, stop []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
-	for asked := d.asked(); asked < pollsMost; asked++ {
-		next := d.next(now)
+	for polled := d.countPolled(); polled < maxPolls; polled++ {
+		next := d.nextCandidate(now)
 		if next == "" {
 			return start, nil
 		}
-		d.begin(next, now)
+		d.startPoll(next, now)
 		start = append(start, next)
 	}
 	if len(start) > 0 {
 		return start, nil
 	}
-	worst := d.chooseReplaced(now, hurry)
-	next := d.next(now)
-	if worst == "" || next == "" {
+	replaced := d.selectForReplacement(now, unconfirmed)
+	next := d.nextCandidate(now)
+	if replaced == "" || next == "" {
 		return nil, nil
 	}
-	if now-d.entries[worst].last() > d.patience(hurry) {
-		d.unanswered++
+	if now-d.entries[replaced].lastActiveAt() > d.silenceTimeout(unconfirmed) {
+		d.silentReplaced++
 	}
-	d.entries[worst].polled = false
-	d.begin(next, now)
-	return []string{next}, []string{worst}
+	d.entries[replaced].polled = false
+	d.startPoll(next, now)
+	return []string{next}, []string{replaced}
 }
 
-// begin notes that an address is polled from now on.
-func (d *directory) begin(address string, now time.Duration) {
-	d.entries[address].chosen, d.entries[address].polled = now, true
+// startPoll records that a controller is polled from now on.
+func (d *directory) startPoll(address string, now time.Duration) {
+	d.entries[address].pollStartedAt, d.entries[address].polled = now, true
 }
 
-// asked counts the control machines polled now.
-func (d *directory) asked() (count int) {
-	for _, at := range d.entries {
-		if at.polled {
+// countPolled returns the number of controllers polled at present.
+func (d *directory) countPolled() (count int) {
+	for _, entry := range d.entries {
+		if entry.polled {
 			count++
 		}
 	}
 	return count
 }
 
-// next picks the one not asked for the longest time, out of the newest lists; out of all that are known, the seeds
-// too, while nobody is known to have a majority.
-func (d *directory) next(now time.Duration) string {
-	guided := d.knowsMajority(now)
+// nextCandidate selects the controller to poll next: the one whose polling started the longest ago, of equal
+// ones the one listed most recently, of equal ones a random one. If any controller is known to have a
+// majority, only controllers of recent lists are eligible; otherwise all known ones are, including the seeds.
+// It returns "" if there is none.
+func (d *directory) nextCandidate(now time.Duration) string {
+	majorityKnown := d.knowsMajority(now)
 	var candidates []string
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
-		at := d.entries[address]
-		if !at.polled && (!guided || d.newest-at.listed <= d.contact) {
+		entry := d.entries[address]
+		if !entry.polled && (!majorityKnown || d.newestListAt-entry.listedAt <= d.contactBound) {
 			candidates = append(candidates, address)
 		}
 	}
@@ -199,113 +225,116 @@
 	start := d.rand.IntN(len(candidates))
 	candidates = append(candidates[start:], candidates[:start]...)
 	return slices.MinFunc(candidates, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.entries[a].chosen, d.entries[b].chosen), cmp.Compare(d.entries[b].listed, d.entries[a].listed))
+		return cmp.Or(cmp.Compare(d.entries[a].pollStartedAt, d.entries[b].pollStartedAt), cmp.Compare(d.entries[b].listedAt, d.entries[a].listedAt))
 	})
 }
 
-// chooseRefresh picks whom to ask beyond the polls: of those that heard a majority lately, or of all where none did, the
-// one asked so the longest time ago. It returns "" if nobody is known.
-func (d *directory) chooseRefresh() string {
+// selectForRefresh selects the controller to send the next refresh to, the one refreshed the longest ago. If
+// any controller is known to have a majority, only such controllers are eligible, and those of recent lists
+// that have not reported on a majority yet; otherwise all are. It returns "" if no controller is known.
+func (d *directory) selectForRefresh() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
-	guided := d.knowsMajority(now)
-	chosen := ""
+	majorityKnown := d.knowsMajority(now)
+	selected := ""
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
-		at := d.entries[address]
-		eligible := !guided || !d.lags(at, now) || at.majority == never && d.newest-at.listed <= d.contact
-		if eligible && (chosen == "" || d.beforeInRefresh(at, d.entries[chosen])) {
-			chosen = address
+		entry := d.entries[address]
+		eligible := !majorityKnown || !d.lags(entry, now) || entry.majorityAt == never && d.newestListAt-entry.listedAt <= d.contactBound
+		if eligible && (selected == "" || d.refreshesBefore(entry, d.entries[selected])) {
+			selected = address
 		}
 	}
-	if chosen != "" {
-		d.entries[chosen].refreshed = now
+	if selected != "" {
+		d.entries[selected].refreshedAt = now
 	}
-	return chosen
+	return selected
 }
 
-// beforeInRefresh orders control machines for a refresh: the one not asked so for longer first, then the one that heard a
-// majority later.
-func (d *directory) beforeInRefresh(a, b *controlMachine) bool {
-	return cmp.Or(cmp.Compare(a.refreshed, b.refreshed), cmp.Compare(b.majority, a.majority)) < 0
+// refreshesBefore reports whether a is to be sent a refresh before b: the one refreshed longer ago goes
+// first, then the one that heard from a majority more recently.
+func (d *directory) refreshesBefore(a, b *controllerState) bool {
+	return cmp.Or(cmp.Compare(a.refreshedAt, b.refreshedAt), cmp.Compare(b.majorityAt, a.majorityAt)) < 0
 }
 
-// chooseReplaced names one to cease asking: the one silent for the longest time, else one that lags behind, as long as another
-// one that answers is left.
-func (d *directory) chooseReplaced(now time.Duration, hurry bool) string {
-	patience := d.patience(hurry)
-	silent, laggard, answering := "", "", 0
+// selectForReplacement returns the polled controller to replace: the one silent for the longest time beyond
+// the timeout; if none is silent, the one that lags most, provided that another polled controller replies. It
+// returns "" if all are to stay.
+func (d *directory) selectForReplacement(now time.Duration, unconfirmed bool) string {
+	timeout := d.silenceTimeout(unconfirmed)
+	longestSilent, lagging, replying := "", "", 0
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
-		at := d.entries[address]
+		entry := d.entries[address]
 		switch {
-		case !at.polled:
-		case now-at.last() > patience:
-			if silent == "" || at.last() < d.entries[silent].last() {
-				silent = address
+		case !entry.polled:
+		case now-entry.lastActiveAt() > timeout:
+			if longestSilent == "" || entry.lastActiveAt() < d.entries[longestSilent].lastActiveAt() {
+				longestSilent = address
 			}
-		case at.answered >= at.chosen:
-			answering++
-			if d.lags(at, now) && (hurry || now-at.chosen > patience) && (laggard == "" || at.majority < d.entries[laggard].majority) {
-				laggard = address
+		case entry.repliedAt >= entry.pollStartedAt:
+			replying++
+			if d.lags(entry, now) && (unconfirmed || now-entry.pollStartedAt > timeout) && (lagging == "" || entry.majorityAt < d.entries[lagging].majorityAt) {
+				lagging = address
 			}
 		}
 	}
 	switch {
-	case silent != "":
-		return silent
-	case answering > 1:
-		return laggard
+	case longestSilent != "":
+		return longestSilent
+	case replying > 1:
+		return lagging
 	}
 	return ""
 }
 
-// patience is how long a control machine may be silent before another is asked in its place. It doubles with each one
-// given up while none at all answers, up to the contact bound.
-func (d *directory) patience(hurry bool) time.Duration {
-	patience := d.ratioOfContact(silencePatience)
-	if hurry {
-		patience = d.ratioOfContact(hurryPatience)
+// silenceTimeout returns how long a controller may be silent before it is replaced. It doubles with every
+// maxPolls controllers replaced as silent without a reply from any, up to the contact bound.
+func (d *directory) silenceTimeout(unconfirmed bool) time.Duration {
+	timeout := d.ratioOfContact(silenceTimeoutRatio)
+	if unconfirmed {
+		timeout = d.ratioOfContact(unconfirmedSilenceTimeoutRatio)
 	}
-	for range d.unanswered / pollsMost {
-		patience = min(2*patience, d.contact)
+	for range d.silentReplaced / maxPolls {
+		timeout = min(2*timeout, d.contactBound)
 	}
-	return patience
+	return timeout
 }
 
-// last is when a control machine last answered, or else when polling it began.
-func (at *controlMachine) last() time.Duration { return max(at.chosen, at.answered) }
+// lastActiveAt returns when a controller last replied or its polling started, whichever is later.
+func (s *controllerState) lastActiveAt() time.Duration { return max(s.pollStartedAt, s.repliedAt) }
 
-// live lists those that answer, the ones with a majority only where there are such; rest lists the others that are known.
-func (d *directory) live() (live, rest []string) {
+// responsive returns the controllers that have replied recently; if any is known to have a majority, without
+// those that lag. others are the remaining ones that are polled or in a recent list.
+func (d *directory) responsive() (responsive, others []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
-	guided := d.knowsMajority(now)
+	majorityKnown := d.knowsMajority(now)
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
-		at := d.entries[address]
+		entry := d.entries[address]
 		switch {
-		case now-at.answered <= d.ratioOfContact(silencePatience) && !(guided && d.lags(at, now)):
-			live = append(live, address)
-		case at.polled || d.newest-at.listed <= d.contact:
-			rest = append(rest, address)
+		case now-entry.repliedAt <= d.ratioOfContact(silenceTimeoutRatio) && !(majorityKnown && d.lags(entry, now)):
+			responsive = append(responsive, address)
+		case entry.polled || d.newestListAt-entry.listedAt <= d.contactBound:
+			others = append(others, address)
 		}
 	}
-	return live, rest
+	return responsive, others
 }
 
-// view lists the control machines polled now, for operators.
+// view returns the controllers polled at present, for operators.
 func (d *directory) view() (views []*wire.ControlView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Mono()
 	for _, address := range slices.Sorted(maps.Keys(d.entries)) {
-		at := d.entries[address]
-		if !at.polled {
+		entry := d.entries[address]
+		if !entry.polled {
 			continue
 		}
-		view := &wire.ControlView{Address: address, SilenceMs: base.Milliseconds(now - at.last())}
-		if at.majority > never {
-			age := base.Milliseconds(now - at.majority)
+		view := &wire.ControlView{Address: address, SilenceMs: base.Milliseconds(now - entry.lastActiveAt())}
+		if entry.majorityAt > never {
+			age := base.Milliseconds(now - entry.majorityAt)
 			view.MajorityMs = &age
 		}
 		views = append(views, view)
--- a/internal/dataplane/controlclient/freshness_test.go
+++ b/internal/dataplane/controlclient/freshness_test.go
@@ -12,124 +12,125 @@
 	"curlewreach/proto/wire"
 )
 
-// provenNode starts a node beside three control machines whose answers tell as of when they are the newest.
-func (s *stand) provenNode() (all []*standControl, n *node) {
-	all = s.controls(3)
+// startNodeWithFreshness starts a node and three controllers whose replies state their freshness.
+func (s *testbed) startNodeWithFreshness() (all []*fakeController, n *testNode) {
+	all = s.startControllers(3)
 	for _, c := range all {
-		c.set(func() { c.ages = true })
+		c.update(func() { c.reportsFreshness = true })
 	}
-	n = s.node(1, addresses(all))
+	n = s.startNode(1, addresses(all))
 	s.Until(time.Second, n.Confirmed)
 	return all, n
 }
 
-var _ = ginkgo.Describe("asking beyond the polls", func() {
-	begun := 10 * time.Second
-	fresh := func() *configFreshness {
-		f := newConfigFreshness(inForce, begun)
+var _ = ginkgo.Describe("refreshes", func() {
+	start := 10 * time.Second
+	newFreshness := func() *configFreshness {
+		f := newConfigFreshness(inForce, start)
 		return &f
 	}
 
-	ginkgo.DescribeTable("given what is known, the next refresh is due", func(prepare func(f *configFreshness), now, due time.Duration) {
-		f := fresh()
+	ginkgo.DescribeTable("given the proofs, hints and refreshes so far, the next refresh is due", func(prepare func(f *configFreshness), now, due time.Duration) {
+		f := newFreshness()
 		prepare(f)
-		Expect(f.nextRefresh(5, begun+now)).To(Equal(begun + due))
+		Expect(f.nextRefreshAt(5, start+now)).To(Equal(start + due))
 	},
-		ginkgo.Entry("half the in-force bound after the node began", func(*configFreshness) {}, time.Duration(0), time.Second),
-		ginkgo.Entry("half the in-force bound after the last proof", func(f *configFreshness) { f.proven(begun + 300*time.Millisecond) }, time.Duration(0), 1300*time.Millisecond),
-		ginkgo.Entry("no earlier for an older proof", func(f *configFreshness) {
-			f.proven(begun + 300*time.Millisecond)
-			f.proven(begun + 200*time.Millisecond)
+		ginkgo.Entry("half the in-force bound after the node started", func(*configFreshness) {}, time.Duration(0), time.Second),
+		ginkgo.Entry("half the in-force bound after the latest proof", func(f *configFreshness) { f.recordCurrent(start + 300*time.Millisecond) }, time.Duration(0), 1300*time.Millisecond),
+		ginkgo.Entry("no earlier after an older proof", func(f *configFreshness) {
+			f.recordCurrent(start + 300*time.Millisecond)
+			f.recordCurrent(start + 200*time.Millisecond)
 		}, time.Duration(0), 1300*time.Millisecond),
-		ginkgo.Entry("soon after a peer's hint", func(f *configFreshness) { f.hint(7, begun+100*time.Millisecond) }, 100*time.Millisecond, 250*time.Millisecond),
-		ginkgo.Entry("as usual after a hint at what is in force", func(f *configFreshness) { f.hint(5, begun+100*time.Millisecond) }, 100*time.Millisecond, time.Second),
-		ginkgo.Entry("as usual once a hint has not been borne out for long", func(f *configFreshness) {
-			f.hint(7, begun)
-			f.proven(begun + 2*time.Second)
+		ginkgo.Entry("soon after a peer's hint of a newer configuration", func(f *configFreshness) { f.recordHint(7, start+100*time.Millisecond) }, 100*time.Millisecond, 250*time.Millisecond),
+		ginkgo.Entry("as usual after a hint of the configuration in force", func(f *configFreshness) { f.recordHint(5, start+100*time.Millisecond) }, 100*time.Millisecond, time.Second),
+		ginkgo.Entry("as usual once a hint has expired", func(f *configFreshness) {
+			f.recordHint(7, start)
+			f.recordCurrent(start + 2*time.Second)
 		}, 2*time.Second, 3*time.Second),
-		ginkgo.Entry("a pause after the last one", func(f *configFreshness) { f.begin(begun + 1100*time.Millisecond) }, 1100*time.Millisecond, 1250*time.Millisecond),
-		ginkgo.Entry("later and later while none brings anything", func(f *configFreshness) {
+		ginkgo.Entry("one interval after the last refresh", func(f *configFreshness) { f.beginRefresh(start + 1100*time.Millisecond) }, 1100*time.Millisecond, 1250*time.Millisecond),
+		ginkgo.Entry("with backoff while refreshes bring no progress", func(f *configFreshness) {
 			for range 6 {
-				f.begin(begun + 2*time.Second)
+				f.beginRefresh(start + 2*time.Second)
 			}
 		}, 2*time.Second, 2600*time.Millisecond),
-		ginkgo.Entry("half the in-force bound later at most", func(f *configFreshness) {
+		ginkgo.Entry("at most half the in-force bound after the last refresh", func(f *configFreshness) {
 			for range 60 {
-				f.begin(begun + 2*time.Second)
+				f.beginRefresh(start + 2*time.Second)
 			}
 		}, 2*time.Second, 3*time.Second),
 	)
 
-	ginkgo.It("lets three be in flight at most", func() {
-		f := fresh()
-		Expect([]bool{f.begin(begun), f.begin(begun), f.begin(begun), f.begin(begun)}).To(Equal([]bool{true, true, true, false}))
+	ginkgo.It("allows at most three in flight", func() {
+		f := newFreshness()
+		Expect([]bool{f.beginRefresh(start), f.beginRefresh(start), f.beginRefresh(start), f.beginRefresh(start)}).To(Equal([]bool{true, true, true, false}))
 	})
 
-	story("given three control machines whose answers to polls all hang, when a newer configuration is acknowledged, then it is in force within the bound by further questions, on connections of their own", func(s *stand) {
-		all := s.controls(3)
-		n := s.node(1, addresses(all))
+	spec("given three controllers whose replies to polls hang, when a newer configuration is acknowledged, then refreshes on separate connections bring it in force within the bound", func(s *testbed) {
+		all := s.startControllers(3)
+		n := s.startNode(1, addresses(all))
 		s.Until(time.Second, n.Confirmed)
 		time.Sleep(3 * time.Second)
 		for _, c := range all {
-			c.set(func() { c.freeze, c.serial = time.Minute, 7 })
+			c.update(func() { c.nextReplyDelay, c.serial = time.Minute, 7 })
 		}
 		Expect(s.Until(10*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 3*inForce/4))
 	})
 
-	story("given nobody with a majority, when the in-force bound is over, then the node serves on and says that it is in doubt, and asks with growing pauses", func(s *stand) {
-		all, n := s.provenNode()
+	spec("given no controller with a majority, when the in-force bound has passed, then the node keeps serving, reports its configuration as stale and refreshes with backoff", func(s *testbed) {
+		all, n := s.startNodeWithFreshness()
 		time.Sleep(3 * time.Second)
-		Expect(n.IsStale(n.Age())).To(BeFalse())
-		Expect(n.Age()).To(BeNumerically("<", inForce/2))
-		cutOff(all...)
+		Expect(n.IsStale(n.ConfigurationAge())).To(BeFalse())
+		Expect(n.ConfigurationAge()).To(BeNumerically("<", inForce/2))
+		removeMajority(all...)
 		time.Sleep(20 * time.Second)
 		Expect(n.Ready()).To(BeTrue())
-		Expect(n.IsStale(n.Age())).To(BeTrue())
-		Expect(n.Age()).To(BeNumerically("~", 20*time.Second, 700*time.Millisecond))
+		Expect(n.IsStale(n.ConfigurationAge())).To(BeTrue())
+		Expect(n.ConfigurationAge()).To(BeNumerically("~", 20*time.Second, 700*time.Millisecond))
 		for _, c := range all {
-			c.set(func() { c.refreshed = 0 })
+			c.update(func() { c.refreshes = 0 })
 		}
 		time.Sleep(10 * time.Second)
 		refreshes := 0
 		for _, c := range all {
-			c.set(func() { refreshes += c.refreshed })
+			c.update(func() { refreshes += c.refreshes })
 		}
 		Expect(refreshes).To(And(BeNumerically(">", 5), BeNumerically("<=", 11)))
 		for _, c := range all {
-			c.set(func() { c.confirmed = true })
+			c.update(func() { c.hasMajority = true })
 		}
 		time.Sleep(time.Second)
-		Expect(n.IsStale(n.Age())).To(BeFalse())
+		Expect(n.IsStale(n.ConfigurationAge())).To(BeFalse())
 	})
 
-	story("given a calm fleet, when minutes pass, then nobody is asked beyond the polls", func(s *stand) {
-		all, _ := s.provenNode()
+	spec("given working controllers and an unchanged configuration, when minutes pass, then no refreshes are sent", func(s *testbed) {
+		all, _ := s.startNodeWithFreshness()
 		time.Sleep(2 * time.Minute)
 		for _, c := range all {
-			c.set(func() { Expect(c.refreshed).To(BeZero()) })
+			c.update(func() { Expect(c.refreshes).To(BeZero()) })
 		}
 	})
 })
 
-// TestProofNeverReachesBeyondTheMajorityRound draws when a round of questions began, when a question was sent and
-// came, how long it was held, how long the answer stood still before it was sent and how long it was under way: the
-// proof that a node takes from it never lies after the beginning of that round.
+// TestProofNeverReachesBeyondTheMajorityRound guards against proofs of freshness that are too new when a
+// process is suspended. It draws when a request was sent and received, how long it was held, how long the
+// controller was suspended between the clock readings for HeldMs and FreshMs, and the age of the majority
+// round. The proof that a node derives must never be later than the start of that round.
 func TestProofNeverReachesBeyondTheMajorityRound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		span := func(label string, most time.Duration) time.Duration {
+		drawDuration := func(label string, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, label))
 		}
-		sent := span("sent", time.Minute)
-		came := sent + span("under way to the control machine", 3*time.Second)
-		made := came + span("held", 3*time.Second)
-		looked := made + span("standstill between the two looks at the clock", 3*time.Second)
-		round := max(looked-span("age of the round", 10*time.Second), 0)
-		heldMs, ageMs := uint64((made-came)/time.Millisecond), uint64((looked-round)/time.Millisecond)+1
-		n := &Client{freshness: newConfigFreshness(inForce, 0)}
-		n.isConfirmed.Store(true)
-		n.proveFresh(&wire.PollReply{FreshMs: proto.Uint64(ageMs), HeldMs: heldMs}, sent)
-		if n.freshness.asOf > round {
-			t.Fatalf("proven as of %v, but the round began at %v", n.freshness.asOf, round)
+		sentAt := drawDuration("request sent", time.Minute)
+		receivedAt := sentAt + drawDuration("time to the controller", 3*time.Second)
+		heldUntil := receivedAt + drawDuration("held", 3*time.Second)
+		freshnessReadAt := heldUntil + drawDuration("suspension between the two clock readings", 3*time.Second)
+		roundStartedAt := max(freshnessReadAt-drawDuration("age of the round", 10*time.Second), 0)
+		heldMs, ageMs := uint64((heldUntil-receivedAt)/time.Millisecond), uint64((freshnessReadAt-roundStartedAt)/time.Millisecond)+1
+		client := &Client{freshness: newConfigFreshness(inForce, 0)}
+		client.isConfirmed.Store(true)
+		client.recordFreshness(&wire.PollReply{FreshMs: proto.Uint64(ageMs), HeldMs: heldMs}, sentAt)
+		if client.freshness.currentAsOf > roundStartedAt {
+			t.Fatalf("proven as of %v, but the round started at %v", client.freshness.currentAsOf, roundStartedAt)
 		}
 	})
 }
--- a/internal/dataplane/controlclient/polls.go
+++ b/internal/dataplane/controlclient/polls.go
@@ -13,218 +13,231 @@
 )
 
 const (
-	// LongestPollHold is how long a control machine may at most hold a poll that it has no news for.
-	LongestPollHold = 600 * time.Millisecond
-	// pollSlack is how long beyond the hold an answer may take, twice that and the hold if it brings a configuration. It is
-	// no ratio of the in-force bound: a poll that is ended early on a thin link begins anew and brings nothing at all, and
-	// keepFresh makes up for one that hangs.
-	pollSlack = 500 * time.Millisecond
+	// MaxPollWait is the longest time for which a controller may hold a poll that it has no news for.
+	MaxPollWait = 600 * time.Millisecond
+	// pollTimeoutMargin is how long a reply may take beyond the wait; the sum of both is doubled if the poll
+	// fetches a configuration. It is not a ratio of the in-force bound, since a poll that is cancelled early
+	// on a slow link starts over and never completes. runRefreshes compensates for a poll that hangs.
+	pollTimeoutMargin = 500 * time.Millisecond
 )
 
 // Ratios of the in-force bound.
 const (
-	pollHoldRatio  = 0.3
-	pollPauseRatio = 0.075 // after a failed poll
-	fetchLeadRatio = 0.1   // others leave a fetch to the one that began it for so long
+	// pollWaitRatio is how long a controller may hold a poll that it has no news for.
+	pollWaitRatio = 0.3
+	// pollRetryDelayRatio is the delay after a failed poll.
+	pollRetryDelayRatio = 0.075
+	// fetchHeadStartRatio is how long other polls and refreshes leave a fetch to the one that has started it.
+	fetchHeadStartRatio = 0.1
 )
 
-// controlPoll is the polling of one control machine; the client's mu guards it, but for its client.
-type controlPoll struct {
-	address    string
-	client     wireconnect.MoorClient
-	controller string
-	registry   uint64
-	wants      bool
-	asked      time.Duration
-	cancel     context.CancelFunc
-	stop       context.CancelFunc
+// controllerPoll is the polling of one controller. The client's mu guards its fields, except for client.
+type controllerPoll struct {
+	address string
+	client  wireconnect.MoorClient
+	// controllerID is the controller's name for itself and registryVersion the version of its observations,
+	// both from its last reply; requests state them.
+	controllerID    string
+	registryVersion uint64
+	// fetching is set if the current poll, or the next one, is to fetch a configuration.
+	fetching bool
+	// startedAt is when the current poll started.
+	startedAt time.Duration
+	// cancelRequest cancels the current poll, stop ends the polling of this controller.
+	cancelRequest context.CancelFunc
+	stop          context.CancelFunc
 }
 
-// poll asks a control machine once; again says that it has a newer configuration that is still to be fetched.
-func (c *Client) poll(s base.Scope, p *controlPoll, wants bool) (again bool) {
+// poll sends one poll to a controller. newer reports that the controller has a newer configuration that is
+// still to be fetched.
+func (c *Client) poll(s base.Scope, p *controllerPoll, fetch bool) (newer bool) {
 	confirm := !c.Confirmed()
 	inForce := c.settings.InForce
-	wait := min(LongestPollHold, base.Ratio(inForce, pollHoldRatio))
+	wait := min(MaxPollWait, base.Ratio(inForce, pollWaitRatio))
 	if confirm {
-		wait = min(wait, base.Ratio(inForce, confirmationRatio/2))
+		wait = min(wait, base.Ratio(inForce, confirmationTTLRatio/2))
 	}
-	most := wait + pollSlack
-	if wants {
-		most *= 2
+	timeout := wait + pollTimeoutMargin
+	if fetch {
+		timeout *= 2
 	}
-	ctx, cancel := context.WithTimeout(s, most)
+	ctx, cancel := context.WithTimeout(s, timeout)
 	defer cancel()
 	c.mu.Lock()
-	p.cancel, p.wants, p.asked = cancel, wants, s.Clock.Mono()
+	p.cancelRequest, p.fetching, p.startedAt = cancel, fetch, s.Clock.Mono()
 	c.mu.Unlock()
-	ask, held := c.pollRequest(wants)
-	ask.Confirm, ask.Controller, ask.Registry, ask.WaitMs = confirm, p.controller, p.registry, uint64(wait.Milliseconds())
-	asked := s.Clock.Mono()
-	reply, err := p.client.Hail(ctx, connect.NewRequest(ask))
+	request, current := c.newPollRequest(fetch)
+	request.Confirm, request.Controller, request.Registry, request.WaitMs = confirm, p.controllerID, p.registryVersion, uint64(wait.Milliseconds())
+	sentAt := s.Clock.Mono()
+	response, err := p.client.Hail(ctx, connect.NewRequest(request))
 	if err != nil {
-		if s.Err() == nil && c.hooks.Status().Number == ask.NodeStatus.Number {
-			base.Await(s, base.Ratio(inForce, pollPauseRatio))
+		if s.Err() == nil && c.hooks.Status().Number == request.NodeStatus.Number {
+			base.Await(s, base.Ratio(inForce, pollRetryDelayRatio))
 		}
 		return false
 	}
-	m := reply.Msg
-	c.hooks.Observed(p.address, m.Whole || m.Controller != p.controller, m.Observations)
+	reply := response.Msg
+	c.hooks.ApplyObservations(p.address, reply.Whole || reply.Controller != p.controllerID, reply.Observations)
 	c.mu.Lock()
-	p.controller, p.registry = m.Controller, m.Registry // the controller is read by other polls, in mayFetch
+	p.controllerID, p.registryVersion = reply.Controller, reply.Registry // other polls read controllerID in fetchInProgress
 	c.mu.Unlock()
-	if m.Odds != nil {
-		if fault := c.hooks.Sampling.Load(m.Odds); fault != nil {
+	if reply.Odds != nil {
+		if fault := c.hooks.Sampling.Load(reply.Odds); fault != nil {
 			c.scope.Log.Warn("odds rejected", "reason", fault.Reason)
 		}
 	}
-	c.applyPollReply(ask, held, m, asked)
-	c.directory.recordAnswer(p.address, m.MajorityMs, m.Controllers)
-	return m.Configuration == nil && m.Serial > c.known()
+	c.applyPollReply(request, current, reply, sentAt)
+	c.directory.recordReply(p.address, reply.MajorityMs, reply.Controllers)
+	return reply.Configuration == nil && reply.Serial > c.newestSerial()
 }
 
-// pollRequest asks by what this node holds. Where the configuration is wanted it returns the one held as well, from which
-// a change in the answer leads on.
-func (c *Client) pollRequest(wants bool) (ask *wire.PollRequest, held *wire.Configuration) {
-	ask = &wire.PollRequest{NodeStatus: c.hooks.Status(), Wants: wants, Odds: c.hooks.Sampling.Serial(), Unpacks: true}
-	if !wants {
-		ask.Serial = c.known()
-		return ask, nil
+// newPollRequest returns a request that states the newest configuration held here. If fetch is set, it also
+// returns that configuration, which a change in the reply applies to.
+func (c *Client) newPollRequest(fetch bool) (request *wire.PollRequest, current *wire.Configuration) {
+	request = &wire.PollRequest{NodeStatus: c.hooks.Status(), Wants: fetch, Odds: c.hooks.Sampling.Serial(), Unpacks: true}
+	if !fetch {
+		request.Serial = c.newestSerial()
+		return request, nil
 	}
-	held = c.held()
-	ask.Serial = held.GetSerial()
-	if held != nil {
-		ask.Fingerprint = c.fingerprintOf(held)
+	current = c.newestConfiguration()
+	request.Serial = current.GetSerial()
+	if current != nil {
+		request.Fingerprint = c.fingerprintOf(current)
 	}
-	return ask, held
+	return request, current
 }
 
-// unpack puts a configuration that came compressed, or as a change from the one held, in its usual place in the answer.
-func unpack(m *wire.PollReply, held *wire.Configuration) error {
+// unpack replaces a compressed configuration, or a compressed change to the current one, by the resulting
+// configuration in the reply.
+func unpack(reply *wire.PollReply, current *wire.Configuration) error {
 	switch {
-	case m.PackedChange != nil:
+	case reply.PackedChange != nil:
 		change := &wire.ConfigurationChange{}
-		if err := config.Unpack(m.PackedChange, change); err != nil {
+		if err := config.Unpack(reply.PackedChange, change); err != nil {
 			return err
 		}
-		m.Configuration = config.Apply(held, change)
-	case m.PackedConfiguration != nil:
-		whole := &wire.Configuration{}
-		if err := config.Unpack(m.PackedConfiguration, whole); err != nil {
+		reply.Configuration = config.Apply(current, change)
+	case reply.PackedConfiguration != nil:
+		configuration := &wire.Configuration{}
+		if err := config.Unpack(reply.PackedConfiguration, configuration); err != nil {
 			return err
 		}
-		m.Configuration = whole
+		reply.Configuration = configuration
 	}
-	m.PackedChange, m.PackedConfiguration = nil, nil
+	reply.PackedChange, reply.PackedConfiguration = nil, nil
 	return nil
 }
 
-// applyPollReply takes what an answer says of the configuration. A confirmation that was long under way proves nothing any more.
-func (c *Client) applyPollReply(ask *wire.PollRequest, held *wire.Configuration, m *wire.PollReply, sent time.Duration) {
-	if err := unpack(m, held); err != nil {
-		c.scope.Log.Warn("configuration can't be read", "serial", m.Serial, "error", err)
+// applyPollReply applies what a reply says about the configuration. A confirmation is ignored if it is older
+// than confirmationTTLRatio allows.
+func (c *Client) applyPollReply(request *wire.PollRequest, current *wire.Configuration, reply *wire.PollReply, sentAt time.Duration) {
+	if err := unpack(reply, current); err != nil {
+		c.scope.Log.Warn("configuration can't be read", "serial", reply.Serial, "error", err)
 		return
 	}
-	defer c.proveFresh(m, sent)
-	took := c.scope.Clock.Mono() - sent
-	isConfirmed := m.Confirmed && ask.Confirm && took <= base.Ratio(c.settings.InForce, confirmationRatio)
-	if isConfirmed && m.Serial < ask.Serial {
-		c.correct(m.Configuration, ask.Serial)
+	defer c.recordFreshness(reply, sentAt)
+	elapsed := c.scope.Clock.Mono() - sentAt
+	isConfirmed := reply.Confirmed && request.Confirm && elapsed <= base.Ratio(c.settings.InForce, confirmationTTLRatio)
+	if isConfirmed && reply.Serial < request.Serial {
+		c.revertToConfirmed(reply.Configuration, request.Serial)
 		return
 	}
-	c.Adopt(m.Configuration, isConfirmed)
-	if isConfirmed && m.Serial == ask.Serial {
-		c.confirmSerial(m.Serial)
+	c.Adopt(reply.Configuration, isConfirmed)
+	if isConfirmed && reply.Serial == request.Serial {
+		c.confirmSerial(reply.Serial)
 	}
 }
 
-// runPolls polls one control machine again and again until the scope ends.
-func (c *Client) runPolls(s base.Scope, p *controlPoll) {
-	wants := false
+// runPolls polls one controller repeatedly until the scope ends.
+func (c *Client) runPolls(s base.Scope, p *controllerPoll) {
+	fetch := false
 	for s.Err() == nil {
 		confirmed := c.Confirmed()
-		wants = c.poll(s, p, wants || !confirmed) && c.mayFetch(s, p)
+		fetch = c.poll(s, p, fetch || !confirmed) && c.shouldFetch(s, p)
 		if !confirmed {
-			base.Await(s, c.fetchLead()/4)
+			base.Await(s, c.fetchHeadStart()/4)
 		}
 	}
 }
 
-// mayFetch tells whether this caller is to fetch the newer configuration; while another that answers just began to, it gives that one a moment.
-func (c *Client) mayFetch(s base.Scope, p *controlPoll) bool {
+// shouldFetch reports whether p is to fetch the newer configuration. If another fetch has just started, it
+// waits for the head start and reports whether nothing newer has arrived by then.
+func (c *Client) shouldFetch(s base.Scope, p *controllerPoll) bool {
 	c.mu.Lock()
 	serial := max(c.Serial(), c.candidate.GetSerial())
-	busy := c.fetchUnderWay(p, s.Clock.Mono())
+	busy := c.fetchInProgress(p, s.Clock.Mono())
 	if !busy {
-		p.wants = true
+		p.fetching = true
 	}
 	c.mu.Unlock()
 	if !busy {
 		return true
 	}
-	base.Await(s, c.fetchLead())
-	return c.known() == serial
+	base.Await(s, c.fetchHeadStart())
+	return c.newestSerial() == serial
 }
 
-// fetchUnderWay says whether somebody but p began to fetch a configuration a moment ago; c.mu is held.
-func (c *Client) fetchUnderWay(p *controlPoll, now time.Duration) bool {
-	if now-c.freshness.fetched < c.fetchLead() {
+// fetchInProgress reports whether a refresh, or a poll other than p of a controller that has replied before,
+// has started to fetch a configuration within the head start. c.mu must be held.
+func (c *Client) fetchInProgress(p *controllerPoll, now time.Duration) bool {
+	if now-c.freshness.fetchStartedAt < c.fetchHeadStart() {
 		return true
 	}
-	for _, other := range c.controllers {
-		if other != p && other.wants && other.controller != "" && now-other.asked < c.fetchLead() {
+	for _, other := range c.polls {
+		if other != p && other.fetching && other.controllerID != "" && now-other.startedAt < c.fetchHeadStart() {
 			return true
 		}
 	}
 	return false
 }
 
-// fetchLead is how long others leave a fetch to the one that began it.
-func (c *Client) fetchLead() time.Duration {
-	return base.Ratio(c.settings.InForce, fetchLeadRatio)
+// fetchHeadStart returns how long a fetch is left to the poll or refresh that has started it.
+func (c *Client) fetchHeadStart() time.Duration {
+	return base.Ratio(c.settings.InForce, fetchHeadStartRatio)
 }
 
-// maintainPolls keeps asking those control machines that the directory chooses.
+// maintainPolls keeps polling the controllers that the directory selects, until the scope ends.
 func (c *Client) maintainPolls(s base.Scope) {
 	for s.Err() == nil {
-		c.choosePolls()
-		pause := searchRatio
+		c.updatePolls()
+		intervalRatio := reviewIntervalRatio
 		if !c.Confirmed() {
-			pause = hurrySearch
+			intervalRatio = unconfirmedReviewIntervalRatio
 		}
-		base.Await(s, c.directory.ratioOfContact(pause))
+		base.Await(s, c.directory.ratioOfContact(intervalRatio))
 	}
 }
 
-// choosePolls begins and ends polls as the directory decides.
-func (c *Client) choosePolls() {
-	start, stop := c.directory.choose(!c.Confirmed())
+// updatePolls starts and stops polls as the directory selects.
+func (c *Client) updatePolls() {
+	start, stop := c.directory.selectPolls(!c.Confirmed())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, address := range stop {
-		if p := c.controllers[address]; p != nil {
+		if p := c.polls[address]; p != nil {
 			p.stop()
-			delete(c.controllers, address)
-			c.hooks.Forgotten(address)
+			delete(c.polls, address)
+			c.hooks.RemoveController(address)
 			c.scope.Log.Info("control machine given up", "address", address)
 		}
 	}
 	for _, address := range start {
 		s, stop := c.scope.WithCancel()
-		p := &controlPoll{address: address, client: wireconnect.NewMoorClient(c.http, "http://"+address), stop: stop}
-		c.controllers[address] = p
+		p := &controllerPoll{address: address, client: wireconnect.NewMoorClient(c.http, "http://"+address), stop: stop}
+		c.polls[address] = p
 		c.scope.Record("asking", address, "")
 		c.tasks.Go(func() { c.runPolls(s, p) })
 	}
 }
 
-// StatusChanged ends the polls under way, so that control machines hear at once what this node has to tell. Fetches go
-// on.
+// StatusChanged cancels the polls under way, so that new ones report the node's changed status at once. Polls
+// that fetch a configuration go on.
 func (c *Client) StatusChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range c.controllers {
-		if p.cancel != nil && !p.wants {
-			p.cancel()
+	for _, p := range c.polls {
+		if p.cancelRequest != nil && !p.fetching {
+			p.cancelRequest()
 		}
 	}
 }
--- a/internal/dataplane/controlclient/suite_test.go
+++ b/internal/dataplane/controlclient/suite_test.go
@@ -16,7 +16,7 @@
 	simulation.RunSpecs(t, "control client")
 }
 
-// Bounds of the nodes that a stand starts.
+// Bounds of the nodes that a testbed starts.
 const (
 	inForce = 2 * time.Second
 	contact = 3 * time.Second
@@ -24,36 +24,38 @@
 
 const books = "books"
 
-var noControllers = []string{"10.9.0.1:7005"}
+// absentController is the address of a controller that is not started.
+var absentController = []string{"10.9.0.1:7005"}
 
-// stand is a simulation on which nodes and control machines are set up.
-type stand struct{ *simulation.Simulation }
+// testbed is a simulation with nodes and controllers.
+type testbed struct{ *simulation.Simulation }
 
-func story(text string, tell func(s *stand)) {
-	simulation.It(text, func(s *simulation.Simulation) { tell(&stand{s}) })
+// spec adds a spec that runs on a testbed.
+func spec(text string, test func(s *testbed)) {
+	simulation.It(text, func(s *simulation.Simulation) { test(&testbed{s}) })
 }
 
-// node is as much of a node as speaks to control machines.
-type node struct {
+// testNode is the part of a node that communicates with controllers.
+type testNode struct {
 	*Client
 	sink *tracing.Sink
 }
 
-// Ready tells whether a configuration is in force.
-func (n *node) Ready() bool { return n.Table() != nil }
+// Ready reports whether a configuration is in force.
+func (n *testNode) Ready() bool { return n.Table() != nil }
 
-// node starts a node.
-func (s *stand) node(i int, seeds []string) *node {
+// startNode starts a node that stops at the end of the spec.
+func (s *testbed) startNode(i int, seeds []string) *testNode {
 	name, ip := fmt.Sprint("app-", i), fmt.Sprintf("10.9.1.%d", i)
 	scope, cancel := s.Scope(ip).WithCancel()
 	status := func() *wire.NodeStatus {
 		return &wire.NodeStatus{Node: name, Incarnation: "one", Number: 1, Inward: ip + ":7002", Zone: "a", Service: books}
 	}
-	web := httpserver.NewClientWithin(scope, DialPatience(contact))
-	n := &node{Client: New(scope, Settings{InForce: inForce, Contact: contact, Seeds: seeds}, web, Hooks{
-		Status: status, Observed: func(string, bool, []*wire.Observation) {}, Forgotten: func(string) {}, Sampling: tracing.NewKeeper(scope.Rand),
+	httpClient := httpserver.NewClientWithin(scope, DialTimeout(contact))
+	n := &testNode{Client: New(scope, Settings{InForce: inForce, Contact: contact, Seeds: seeds}, httpClient, Hooks{
+		Status: status, ApplyObservations: func(string, bool, []*wire.Observation) {}, RemoveController: func(string) {}, Sampling: tracing.NewKeeper(scope.Rand),
 	})}
-	n.sink = tracing.NewSink(scope, web, n.Live, 512)
+	n.sink = tracing.NewSink(scope, httpClient, n.Responsive, 512)
 	var tasks base.Group
 	tasks.Go(func() { n.Run(scope) })
 	tasks.Go(func() { n.sink.Run(scope, time.Second) })
@@ -64,6 +66,6 @@
 	return n
 }
 
-func aConfiguration(serial uint64) *wire.Configuration {
+func testConfiguration(serial uint64) *wire.Configuration {
 	return simulation.Configuration(serial, books)
 }
--- a/internal/dataplane/delivery.go
+++ b/internal/dataplane/delivery.go
@@ -73,7 +73,7 @@
 	now := n.scope.Clock.Mono()
 	rank := way.Rank
 	if caller := d.message.Header.Get(n.headers.Caller); caller != "" {
-		if d.further = n.callers.Further(way.Route, caller, n.peers.NodesByService(n.params.Zone)); d.further {
+		if d.further = n.callers.RecordCall(way.Route, caller, n.peers.NodesByService(n.params.Zone)); d.further {
 			rank = min(rank, admission.MaxUrgentRank)
 		}
 	}
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -49,7 +49,7 @@
 	}
 	view.Peers, view.Controllers = n.peers.View()
 	view.Confirmed, view.Polled = n.control.Confirmed(), n.control.Polled()
-	age := n.control.Age()
+	age := n.control.ConfigurationAge()
 	view.ConfigAgeMs, view.ConfigStale = base.Milliseconds(age), n.control.IsStale(age)
 	for what, count := range n.counts.All() {
 		view.Counts[what] = count.Load()
