--- a/internal/dataplane/controlclient/freshness.go
+++ b/internal/dataplane/controlclient/freshness.go
@@ -57,7 +57,7 @@
 	refreshedAt time.Duration
 	// fetchStartedAt is when a refresh last started to fetch a configuration.
 	fetchStartedAt time.Duration
-	// unproductive counts the refreshes since the last progress.
+	// unproductive counts the refreshes since the last proof or the last new hint.
 	unproductive int
 	// inFlight counts the refreshes in flight.
 	inFlight int
