--- a/internal/dataplane/client_server.go
+++ b/internal/dataplane/client_server.go
@@ -119,7 +119,7 @@
 	defer stop()
 	defer call.finish()
 	call.run(w, r.Context())
-	n.callTracker.EndCall(call.metadata.Trace, c.startedAt, call.now())
+	n.callTracker.RecordCall(call.metadata.Trace, c.startedAt, call.now())
 	n.recordDuration(call)
 }
 
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -170,7 +170,7 @@
 		b.Run(fmt.Sprint("flying=", inFlight), func(b *testing.B) {
 			defer reportCPUTime(b)()
 			for b.Loop() {
-				tracker.Parent("route-1", time.Hour, false)
+				tracker.FindParent("route-1", time.Hour, false)
 				tracker.End(tracker.Begin(metadata, time.Hour, time.Second), &wire.Instance{Id: "i"}, 200)
 			}
 		})
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -52,7 +52,7 @@
 	}
 	view.Peers, view.Controllers = n.peers.View()
 	view.Confirmed, view.Polled = n.controlClient.Confirmed(), n.controlClient.Polled()
-	age := n.controlClient.Age()
+	age := n.controlClient.ConfigurationAge()
 	view.ConfigAgeMs, view.ConfigStale = base.Milliseconds(age), n.controlClient.IsStale(age)
 	for outcome, count := range n.outcomeCounts.All() {
 		view.Counts[outcome] = count.Load()
