--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,7 +1,8 @@
-// Package bundle holds the configuration of a fleet of listed machines: one
-// numbered, signed bundle of machines, shares, services, routes and tracing
-// params. It checks one, applies a change, signs and verifies, cuts out what a
-// node needs, and matches requests. docs/bundle.md has the ways weighed.
+// Package bundle implements the configuration of a fleet of listed machines: a
+// numbered, signed bundle of machines, shares, services, routes and tracing params.
+// It validates bundles, applies changes, signs and verifies, extracts the slice that
+// a node needs, and matches requests to routes. docs/bundle.md compares the
+// alternatives that were considered.
 package bundle
 
 import (
@@ -13,7 +14,7 @@
 	"curlewreach/proto/wire"
 )
 
-// Bundle is an indexed bundle, or a node's slice of one. It doesn't change.
+// Bundle is an indexed bundle, or a node's slice of one. It is immutable.
 type Bundle struct {
 	Serial   uint64
 	Sealed   *wire.Sealed
@@ -21,31 +22,31 @@
 	machines map[string]*wire.Machine
 	services map[string]*wire.Service
 	shares   map[string]*wire.Share
-	owners   map[string]string
-	tree     *tree
+	groups   map[string]string
+	routes   *routeTree
 }
 
-// Way is where a request leads: a route, its service, and the group whose share
-// it counts against.
-type Way struct {
+// RouteMatch is the route of a request, its service, and the group whose share the
+// request counts against.
+type RouteMatch struct {
 	Service *wire.Service
 	Route   *wire.Route
 	Group   string
 }
 
-// Identifier returns "service/route", unique in the bundle.
-func (w Way) Identifier() string { return w.Service.Name + "/" + w.Route.Name }
+// Identifier returns "service/route", which is unique in the bundle.
+func (m RouteMatch) Identifier() string { return m.Service.Name + "/" + m.Route.Name }
 
-// Deadline returns the time a request of the route may take.
-func (w Way) Deadline() time.Duration { return w.Route.GetDeadline().AsDuration() }
+// Deadline returns the time that a request of the route may take.
+func (m RouteMatch) Deadline() time.Duration { return m.Route.GetDeadline().AsDuration() }
 
-// Index indexes an opened bundle or slice. Both arguments must not be changed
+// Index indexes a decoded bundle or slice. Neither argument may be modified
 // afterwards.
 func Index(sealed *wire.Sealed, raw *wire.Bundle) *Bundle {
 	b := &Bundle{
 		Serial: raw.Serial, Sealed: sealed, Raw: raw,
 		machines: map[string]*wire.Machine{}, services: map[string]*wire.Service{},
-		shares: map[string]*wire.Share{}, owners: map[string]string{}, tree: newTree(),
+		shares: map[string]*wire.Share{}, groups: map[string]string{}, routes: newRouteTree(),
 	}
 	for _, machine := range raw.GetCommon().GetMachines() {
 		b.machines[machine.Name] = machine
@@ -53,21 +54,21 @@
 	for _, share := range raw.GetCommon().GetShares() {
 		b.shares[share.Group] = share
 		for _, service := range share.Services {
-			b.owners[service] = share.Group
+			b.groups[service] = share.Group
 		}
 	}
 	for _, service := range raw.Services {
 		b.services[service.Name] = service
 		for _, route := range service.Routes {
-			if segments, ok := split(route.Path); ok {
-				b.tree.add(route.Method, segments, service.Name+"/"+route.Name, service, route)
+			if segments, ok := splitPath(route.Path); ok {
+				b.routes.add(route.Method, segments, service.Name+"/"+route.Name, service, route)
 			}
 		}
 	}
 	return b
 }
 
-// Tracing returns the tracing params.
+// Tracing returns the tracing params, or nil if there are none.
 func (b *Bundle) Tracing() *wire.Tracing { return b.Raw.GetCommon().GetTracing() }
 
 // Machine returns a machine by its name, or nil.
@@ -76,90 +77,95 @@
 // Service returns a service by its name, or nil.
 func (b *Bundle) Service(name string) *wire.Service { return b.services[name] }
 
-// Share returns a group's share, or nil.
+// Share returns the share of a group, or nil.
 func (b *Bundle) Share(group string) *wire.Share { return b.shares[group] }
 
-// Machines iterates over all machines in the bundle's order.
+// Machines iterates over the machines in the order of the bundle.
 func (b *Bundle) Machines() iter.Seq[*wire.Machine] {
 	return slices.Values(b.Raw.GetCommon().GetMachines())
 }
 
-// Vanes returns the number of application machines.
-func (b *Bundle) Vanes() int { return vanes(b.Raw) }
+// ApplicationMachines returns the number of application machines.
+func (b *Bundle) ApplicationMachines() int { return countApplicationMachines(b.Raw) }
 
-// Match finds the route of a request. Checked bundles have at most one.
-func (b *Bundle) Match(method, path string) (Way, bool) {
-	segments, ok := split(path)
+// Match returns the route of a request by method and path, and whether there is
+// one. In a bundle that passed Check at most one route matches.
+func (b *Bundle) Match(method, path string) (RouteMatch, bool) {
+	segments, ok := splitPath(path)
 	if !ok {
-		return Way{}, false
+		return RouteMatch{}, false
 	}
-	found := b.tree.find(method, segments)
+	found := b.routes.find(method, segments)
 	if found == nil {
-		return Way{}, false
+		return RouteMatch{}, false
 	}
-	return b.way(found.service, found.route), true
+	return b.routeMatch(found.service, found.route), true
 }
 
-// Way finds a route by its service and name.
-func (b *Bundle) Way(service, route string) (Way, bool) {
+// Route returns a route by its service and name, and whether it exists.
+func (b *Bundle) Route(service, route string) (RouteMatch, bool) {
 	found := b.services[service]
 	for _, candidate := range found.GetRoutes() {
 		if candidate.Name == route {
-			return b.way(found, candidate), true
+			return b.routeMatch(found, candidate), true
 		}
 	}
-	return Way{}, false
+	return RouteMatch{}, false
 }
 
-// Names reports whether the identifier is a route of the bundle.
-func (b *Bundle) Names(identifier string) bool {
+// HasRoute reports whether the bundle has the route with the identifier
+// "service/route".
+func (b *Bundle) HasRoute(identifier string) bool {
 	service, route, _ := strings.Cut(identifier, "/")
-	_, known := b.Way(service, route)
+	_, known := b.Route(service, route)
 	return known
 }
 
-func (b *Bundle) way(service *wire.Service, route *wire.Route) Way {
+// routeMatch returns the match for a route. Its group is the route's own or, if that
+// is empty, the one whose share lists the service.
+func (b *Bundle) routeMatch(service *wire.Service, route *wire.Route) RouteMatch {
 	group := route.Group
 	if group == "" {
-		group = b.owners[service.Name]
+		group = b.groups[service.Name]
 	}
-	return Way{Service: service, Route: route, Group: group}
+	return RouteMatch{Service: service, Route: route, Group: group}
 }
 
-// Holes returns what a path has in place of the placeholders of the route's
-// template, by their names.
-func (b *Bundle) Holes(way Way, path string) map[string]string {
-	template, _ := split(way.Route.Path)
-	segments, _ := split(path)
-	holes := map[string]string{}
+// PathParams returns the path's segments that match placeholders in the template of
+// the route, by the names of the placeholders.
+func (b *Bundle) PathParams(match RouteMatch, path string) map[string]string {
+	template, _ := splitPath(match.Route.Path)
+	segments, _ := splitPath(path)
+	params := map[string]string{}
 	for i, segment := range template {
-		if hole(segment) && i < len(segments) {
-			holes[segment[1:len(segment)-1]] = segments[i]
+		if isPlaceholder(segment) && i < len(segments) {
+			params[segment[1:len(segment)-1]] = segments[i]
 		}
 	}
-	return holes
+	return params
 }
 
-// Concerns returns which services a node needs to know: those with an instance
-// beside it (seated), those these call further, and those that the machine's
-// own visitors call, which are all if it lists none.
-func (b *Bundle) Concerns(node string, seated []string) func(service string) bool {
+// NeededServices returns a function that reports whether a node needs to know a
+// service: one with an instance beside the node, one that these instances call in
+// turn, or one listed in the machine's calls. A node that is not in the bundle, or
+// whose machine lists no calls, needs all services.
+func (b *Bundle) NeededServices(node string, instances []string) func(service string) bool {
 	machine := b.machines[node]
-	wanted := map[string]bool{}
+	needed := map[string]bool{}
 	add := func(name string) {
-		wanted[name] = true
+		needed[name] = true
 		for _, route := range b.services[name].GetRoutes() {
 			for _, further := range route.Further {
-				wanted[further.Service] = true
+				needed[further.Service] = true
 			}
 		}
 	}
-	for _, name := range seated {
+	for _, name := range instances {
 		add(name)
 	}
 	for _, name := range machine.GetCalls() {
-		wanted[name] = true
+		needed[name] = true
 	}
-	every := machine == nil || len(machine.Calls) == 0
-	return func(service string) bool { return every || wanted[service] }
+	all := machine == nil || len(machine.Calls) == 0
+	return func(service string) bool { return all || needed[service] }
 }
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -22,27 +22,29 @@
 	ginkgo.RunSpecs(t, "bundle")
 }
 
-var limits = UsualLimits(6 * time.Second)
+var limits = DefaultLimits(6 * time.Second)
 
-func example(name string) *wire.Bundle {
+// loadExample returns the bundle of an example folder with serial 1 and defaults.
+func loadExample(name string) *wire.Bundle {
 	body, err := os.ReadFile("../../examples/" + name + "/bundle.json")
 	Expect(err).NotTo(HaveOccurred())
 	b := &wire.Bundle{}
 	Expect(protojson.Unmarshal(body, b)).To(Succeed())
 	b.Serial = 1
-	Normalise(b, limits)
+	SetDefaults(b, limits)
 	return b
 }
 
-func keys(seed byte) (ed25519.PrivateKey, Trust) {
+// testKey returns a private key determined by the seed, and the trust in it.
+func testKey(seed byte) (ed25519.PrivateKey, Trust) {
 	key := ed25519.NewKeyFromSeed(append(make([]byte, 31), seed))
 	trust, err := NewTrust([]string{base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey))})
 	Expect(err).NotTo(HaveOccurred())
 	return key, trust
 }
 
-func signed(b *wire.Bundle, key ed25519.PrivateKey) *wire.Sealed {
-	sealed, err := Pack(b)
+func encodeAndSign(b *wire.Bundle, key ed25519.PrivateKey) *wire.Sealed {
+	sealed, err := Encode(b)
 	Expect(err).NotTo(HaveOccurred())
 	Sign(sealed, key)
 	return sealed
@@ -50,14 +52,14 @@
 
 var _ = ginkgo.Describe("a bundle", func() {
 	ginkgo.It("given the examples, when checked, then they pass", func() {
-		Expect(Check(example("library"), limits)).To(BeNil())
-		Expect(Check(example("gauge"), limits)).To(BeNil())
+		Expect(Check(loadExample("library"), limits)).To(BeNil())
+		Expect(Check(loadExample("gauge"), limits)).To(BeNil())
 	})
 
-	ginkgo.DescribeTable("given one thing wrong, when checked, then it is bounced with its kind and path",
-		func(kind base.Kind, path string, spoil func(*wire.Bundle)) {
-			b := example("library")
-			spoil(b)
+	ginkgo.DescribeTable("given a bundle with one fault, when checked, then it is rejected with the fault's kind and path",
+		func(kind base.Kind, path string, corrupt func(*wire.Bundle)) {
+			b := loadExample("library")
+			corrupt(b)
 			fault := Check(b, limits)
 			Expect(fault).NotTo(BeNil())
 			Expect(fault.Kind).To(Equal(kind), fault.Error())
@@ -75,42 +77,42 @@
 		ginkgo.Entry("machine calls no service", base.DanglingReference, "common.machines[4].calls[0]", func(b *wire.Bundle) { b.Common.Machines[4].Calls = []string{"ghost"} }),
 		ginkgo.Entry("route twice", base.Duplicate, "services[0].routes[1].name", func(b *wire.Bundle) { b.Services[0].Routes[1].Name = "search" }),
 		ginkgo.Entry("overlapping templates", base.Overlapping, "services[1].routes[2].path", func(b *wire.Bundle) { b.Services[1].Routes[2].Path = "/catalogue/{any}" }),
-		ginkgo.Entry("overlapping holes", base.Overlapping, "services[1].routes[2].path", func(b *wire.Bundle) { b.Services[1].Routes[2].Path = "/{any}/shelf/{n}" }),
-		ginkgo.Entry("further call to nowhere", base.DanglingReference, "services[1].routes[0].further[0]", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Route = "ghost" }),
+		ginkgo.Entry("overlapping placeholders", base.Overlapping, "services[1].routes[2].path", func(b *wire.Bundle) { b.Services[1].Routes[2].Path = "/{any}/shelf/{n}" }),
+		ginkgo.Entry("further call to an unknown route", base.DanglingReference, "services[1].routes[0].further[0]", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Route = "ghost" }),
 		ginkgo.Entry("bad key field", base.OutOfRange, "services[1].routes[0].further[0].keys[0].parent", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Keys[0].Parent = "cookie:x" }),
-		ginkgo.Entry("deadline past the grace", base.OutOfRange, "services[0].routes[0].deadline", func(b *wire.Bundle) { b.Services[0].Routes[0].Deadline = durationpb.New(5100 * time.Millisecond) }),
+		ginkgo.Entry("deadline beyond the grace period", base.OutOfRange, "services[0].routes[0].deadline", func(b *wire.Bundle) { b.Services[0].Routes[0].Deadline = durationpb.New(5100 * time.Millisecond) }),
 		ginkgo.Entry("too many repeats", base.OutOfRange, "services[0].repeats", func(b *wire.Bundle) { b.Services[0].Repeats = 0.3 }),
-		ginkgo.Entry("odds that could be zero", base.OutOfRange, "common.tracing.epsilon", func(b *wire.Bundle) { b.Common.Tracing.Epsilon = -1 }),
+		ginkgo.Entry("sampling probabilities that could be zero", base.OutOfRange, "common.tracing.epsilon", func(b *wire.Bundle) { b.Common.Tracing.Epsilon = -1 }),
 		ginkgo.Entry("unknown utility", base.OutOfRange, "common.tracing.utility", func(b *wire.Bundle) { b.Common.Tracing.Utility = "luck" }),
 	)
 
-	ginkgo.It("given too many routes, when checked, then it is bounced as too large", func() {
-		b := example("library")
-		few := limits
-		few.Routes = 3
-		Expect(Check(b, few).Kind).To(Equal(base.TooLarge))
+	ginkgo.It("given too many routes, when checked, then it is rejected as too large", func() {
+		b := loadExample("library")
+		lowLimits := limits
+		lowLimits.Routes = 3
+		Expect(Check(b, lowLimits).Kind).To(Equal(base.TooLarge))
 	})
 
-	ginkgo.It("given a signed bundle, when sliced, then the slice verifies by itself and holds only its parts", func() {
-		key, trust := keys(1)
-		sealed := signed(example("library"), key)
-		b := Index(sealed, example("library"))
+	ginkgo.It("given a signed bundle, when sliced, then the slice verifies and has only the needed parts", func() {
+		key, trust := testKey(1)
+		sealed := encodeAndSign(loadExample("library"), key)
+		b := Index(sealed, loadExample("library"))
 		b.Machine("app-1").Calls = []string{"catalogue"}
-		slice := Slice(sealed, b.Concerns("app-1", nil))
+		slice := Slice(sealed, b.NeededServices("app-1", nil))
 		Expect(slice.Parts).To(HaveLen(2))
 		_, fault := trust.Verify(slice)
 		Expect(fault).To(BeNil())
-		raw, fault := Open(slice)
+		raw, fault := Decode(slice)
 		Expect(fault).To(BeNil())
 		Expect(raw.Services).To(HaveLen(1))
-		Expect(Slice(sealed, b.Concerns("app-1", []string{"lending"})).Parts).To(HaveLen(3), "a seat's further calls concern it")
+		Expect(Slice(sealed, b.NeededServices("app-1", []string{"lending"})).Parts).To(HaveLen(3), "the further calls of an instance are needed as well")
 	})
 
-	ginkgo.DescribeTable("given a seal that was touched, when verified, then it is refused",
-		func(kind base.Kind, touch func(*wire.Sealed)) {
-			key, trust := keys(1)
-			sealed := proto.Clone(signed(example("library"), key)).(*wire.Sealed)
-			touch(sealed)
+	ginkgo.DescribeTable("given a sealed bundle that was tampered with, when verified, then it is rejected",
+		func(kind base.Kind, tamper func(*wire.Sealed)) {
+			key, trust := testKey(1)
+			sealed := proto.Clone(encodeAndSign(loadExample("library"), key)).(*wire.Sealed)
+			tamper(sealed)
 			_, fault := trust.Verify(sealed)
 			Expect(fault).NotTo(BeNil())
 			Expect(fault.Kind).To(Equal(kind))
@@ -121,28 +123,28 @@
 		ginkgo.Entry("a changed part", base.Malformed, func(s *wire.Sealed) { s.Parts[1].Body[9] ^= 1 }),
 		ginkgo.Entry("a part twice", base.Malformed, func(s *wire.Sealed) { s.Parts = append(s.Parts, s.Parts[1]) }),
 		ginkgo.Entry("a part not listed", base.Malformed, func(s *wire.Sealed) { s.Parts = append(s.Parts, &wire.Part{Name: "service/x"}) }),
-		ginkgo.Entry("a key nobody trusts", base.Untrusted, func(s *wire.Sealed) {
-			other, _ := keys(2)
+		ginkgo.Entry("an untrusted key", base.Untrusted, func(s *wire.Sealed) {
+			other, _ := testKey(2)
 			Sign(s, other)
 		}),
 	)
 
-	ginkgo.It("given a small change, when applied, then only that differs", func() {
-		before := example("library")
+	ginkgo.It("given a small change, when applied, then only the changed items differ", func() {
+		before := loadExample("library")
 		after := Apply(before, &wire.Change{
 			Shares: []*wire.Share{{Group: "librarians", Carried: 2, Watched: 2}}, DropMachines: []string{"app-12"},
 		})
-		Expect(Difference(before, after)).To(ConsistOf("~ share librarians", "- machine app-12"))
-		Expect(Difference(before, before)).To(BeEmpty())
+		Expect(Diff(before, after)).To(ConsistOf("~ share librarians", "- machine app-12"))
+		Expect(Diff(before, before)).To(BeEmpty())
 	})
 
-	ginkgo.It("given templates, when requests are matched, then holes are filled and others are not found", func() {
-		b := Index(nil, example("library"))
-		way, known := b.Match("GET", "/catalogue/shelf/42")
+	ginkgo.It("given path templates, when requests are matched, then path params are returned and unknown paths are not found", func() {
+		b := Index(nil, loadExample("library"))
+		match, known := b.Match("GET", "/catalogue/shelf/42")
 		Expect(known).To(BeTrue())
-		Expect(way.Identifier()).To(Equal("catalogue/shelf"))
-		Expect(way.Group).To(Equal("patrons"))
-		Expect(b.Holes(way, "/catalogue/shelf/42")).To(Equal(map[string]string{"card": "42"}))
+		Expect(match.Identifier()).To(Equal("catalogue/shelf"))
+		Expect(match.Group).To(Equal("patrons"))
+		Expect(b.PathParams(match, "/catalogue/shelf/42")).To(Equal(map[string]string{"card": "42"}))
 		_, known = b.Match("POST", "/catalogue/shelf/42")
 		Expect(known).To(BeFalse())
 		_, known = b.Match("GET", "/catalogue")
--- a/internal/bundle/change.go
+++ b/internal/bundle/change.go
@@ -9,8 +9,8 @@
 	"curlewreach/proto/wire"
 )
 
-// Apply returns the bundle that a change leads to. The current one is left as
-// it is.
+// Apply returns the bundle that results from a change. The current one is not
+// modified.
 func Apply(current *wire.Bundle, change *wire.Change) *wire.Bundle {
 	b := proto.Clone(current).(*wire.Bundle)
 	if b.Common == nil {
@@ -28,9 +28,11 @@
 	return b
 }
 
-func merge[T any](current, put []T, drop []string, name func(T) string) []T {
-	merged := slices.DeleteFunc(slices.Clone(current), func(item T) bool { return slices.Contains(drop, name(item)) })
-	for _, item := range put {
+// merge returns the current items without the removed ones, with changed items
+// replaced by name and new ones appended. A name both removed and changed is appended.
+func merge[T any](current, changed []T, removed []string, name func(T) string) []T {
+	merged := slices.DeleteFunc(slices.Clone(current), func(item T) bool { return slices.Contains(removed, name(item)) })
+	for _, item := range changed {
 		at := slices.IndexFunc(merged, func(other T) bool { return name(other) == name(item) })
 		if at >= 0 {
 			merged[at] = item
@@ -41,16 +43,15 @@
 	return merged
 }
 
-// Difference returns a line for each item added (+), changed (~) or dropped
-// (-).
-func Difference(before, after *wire.Bundle) []string {
+// Diff returns one line for each item that was added (+), changed (~) or removed (-).
+func Diff(before, after *wire.Bundle) []string {
 	var lines []string
-	lines = append(lines, compare("machine", before.GetCommon().GetMachines(), after.GetCommon().GetMachines(), func(m *wire.Machine) string { return m.Name })...)
-	lines = append(lines, compare("share", before.GetCommon().GetShares(), after.GetCommon().GetShares(), func(s *wire.Share) string { return s.Group })...)
+	lines = append(lines, diffItems("machine", before.GetCommon().GetMachines(), after.GetCommon().GetMachines(), func(m *wire.Machine) string { return m.Name })...)
+	lines = append(lines, diffItems("share", before.GetCommon().GetShares(), after.GetCommon().GetShares(), func(s *wire.Share) string { return s.Group })...)
 	if !proto.Equal(before.GetCommon().GetTracing(), after.GetCommon().GetTracing()) {
 		lines = append(lines, "~ tracing")
 	}
-	lines = append(lines, compare("service", before.GetServices(), after.GetServices(), func(s *wire.Service) string { return s.Name })...)
+	lines = append(lines, diffItems("service", before.GetServices(), after.GetServices(), func(s *wire.Service) string { return s.Name })...)
 	routes := func(b *wire.Bundle) []*wire.Route {
 		var all []*wire.Route
 		for _, service := range b.GetServices() {
@@ -62,28 +63,29 @@
 		}
 		return all
 	}
-	return append(lines, compare("route", routes(before), routes(after), func(r *wire.Route) string { return r.Name })...)
+	return append(lines, diffItems("route", routes(before), routes(after), func(r *wire.Route) string { return r.Name })...)
 }
 
-func compare[T proto.Message](what string, before, after []T, name func(T) string) []string {
+// diffItems returns the lines of Diff for the items of one kind.
+func diffItems[T proto.Message](kind string, before, after []T, name func(T) string) []string {
 	var lines []string
 	old := map[string]T{}
 	for _, item := range before {
 		old[name(item)] = item
 	}
 	for _, item := range after {
-		prior, had := old[name(item)]
+		previous, existed := old[name(item)]
 		switch {
-		case !had:
-			lines = append(lines, fmt.Sprintf("+ %s %s", what, name(item)))
-		case !proto.Equal(prior, item):
-			lines = append(lines, fmt.Sprintf("~ %s %s", what, name(item)))
+		case !existed:
+			lines = append(lines, fmt.Sprintf("+ %s %s", kind, name(item)))
+		case !proto.Equal(previous, item):
+			lines = append(lines, fmt.Sprintf("~ %s %s", kind, name(item)))
 		}
 		delete(old, name(item))
 	}
 	for _, item := range before {
-		if _, left := old[name(item)]; left {
-			lines = append(lines, fmt.Sprintf("- %s %s", what, name(item)))
+		if _, remains := old[name(item)]; remains {
+			lines = append(lines, fmt.Sprintf("- %s %s", kind, name(item)))
 		}
 	}
 	return lines
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -11,10 +11,13 @@
 	"curlewreach/proto/wire"
 )
 
+// FuzzBundle checks that a bundle accepted by Check is unchanged after it is encoded
+// and decoded, that its routes match their own templates, and that its tracing params
+// are usable.
 func FuzzBundle(f *testing.F) {
 	RegisterTestingT(f)
 	for _, name := range []string{"library", "gauge"} {
-		body, err := protojson.Marshal(example(name))
+		body, err := protojson.Marshal(loadExample(name))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -23,94 +26,98 @@
 	f.Add([]byte(`{"common":{"machines":[{"name":"a","address":"1.2.3.4:5","zone":"a"}],"tracing":{"sample":"NaN","budget":"Infinity","epsilon":-0.0}}}`))
 	f.Add([]byte(`{"services":[{"name":"a","routes":[{"name":"r","path":"/{x}/{y}","deadline":"-1s"},{"name":"r","path":"/"}]}]}`))
 	f.Add([]byte(`{"forsaken":["a","a"],"common":{"shares":[{"group":"g","carried":1e308,"watched":-1}]}}`))
-	limits := UsualLimits(6 * time.Second)
+	limits := DefaultLimits(6 * time.Second)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		b := &wire.Bundle{}
 		if protojson.Unmarshal(body, b) != nil {
 			return
 		}
-		Normalise(b, limits)
+		SetDefaults(b, limits)
 		if Check(b, limits) != nil {
 			return
 		}
-		sealed, err := Pack(b)
+		sealed, err := Encode(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, fault := Open(sealed)
+		opened, fault := Decode(sealed)
 		if fault != nil {
 			t.Fatal(fault)
 		}
 		if !proto.Equal(b, opened) {
-			t.Fatal("a bundle that passed its checks changed on the way")
+			t.Fatal("a valid bundle changed by encoding and decoding")
 		}
-		matchesItself(t, b, Index(sealed, opened))
-		if tracing := b.Common.Tracing; !lawful(tracing) {
-			t.Fatalf("unlawful tracing passed: %v", tracing)
+		checkSelfMatch(t, b, Index(sealed, opened))
+		if tracing := b.Common.Tracing; !validTracing(tracing) {
+			t.Fatalf("invalid tracing params passed: %v", tracing)
 		}
 	})
 }
 
-// lawful reports whether nodes can work with the tracing params.
-func lawful(t *wire.Tracing) bool {
+// validTracing reports whether the tracing params are usable by nodes.
+func validTracing(t *wire.Tracing) bool {
 	return t.Epsilon > 0 && t.Epsilon <= 1 && t.Budget >= 1 && t.Sample > 0
 }
 
-// matchesItself fails the test if a route's own template is matched by another route.
-func matchesItself(t *testing.T, b *wire.Bundle, index *Bundle) {
+// checkSelfMatch fails the test if a route's own template is matched by another route.
+func checkSelfMatch(t *testing.T, b *wire.Bundle, index *Bundle) {
 	for _, service := range b.Services {
 		for _, route := range service.Routes {
-			way, known := index.Match(route.Method, route.Path)
-			if known && (way.Service.Name != service.Name || way.Route.Name != route.Name) {
-				t.Fatalf("%s matched %s", route.Path, way.Identifier())
+			match, known := index.Match(route.Method, route.Path)
+			if known && (match.Service.Name != service.Name || match.Route.Name != route.Name) {
+				t.Fatalf("%s matched %s", route.Path, match.Identifier())
 			}
 		}
 	}
 }
 
+// FuzzSealed checks that no bytes decode to a bundle that verifies with another
+// manifest than the signed one, and that whatever decodes can be indexed and changed.
 func FuzzSealed(f *testing.F) {
 	RegisterTestingT(f)
-	key, trust := keys(1)
-	sealed := signed(example("library"), key)
-	whole, err := proto.Marshal(sealed)
+	key, trust := testKey(1)
+	sealed := encodeAndSign(loadExample("library"), key)
+	encoded, err := proto.Marshal(sealed)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		got := &wire.Sealed{}
-		if proto.Unmarshal(raw, got) != nil {
+		received := &wire.Sealed{}
+		if proto.Unmarshal(raw, received) != nil {
 			return
 		}
-		manifest, fault := trust.Verify(got)
-		opened, _ := Open(got)
-		if fault == nil && string(got.Manifest) != string(sealed.Manifest) {
-			t.Fatalf("verified what was never signed: serial %d", manifest.Serial)
+		manifest, fault := trust.Verify(received)
+		opened, _ := Decode(received)
+		if fault == nil && string(received.Manifest) != string(sealed.Manifest) {
+			t.Fatalf("verified a manifest that was not signed: serial %d", manifest.Serial)
 		}
 		if opened != nil {
-			Index(got, opened)
+			Index(received, opened)
 			Apply(opened, &wire.Change{DropServices: []string{"lending"}, Machines: opened.GetCommon().GetMachines()})
 		}
 	})
 }
 
+// FuzzMatch checks that matching any method and path doesn't panic and returns a
+// route of that method.
 func FuzzMatch(f *testing.F) {
 	RegisterTestingT(f)
-	sealed, err := Pack(example("library"))
+	sealed, err := Encode(loadExample("library"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	opened, _ := Open(sealed)
+	opened, _ := Decode(sealed)
 	index := Index(sealed, opened)
 	for _, path := range []string{"/catalogue/search", "/lending/borrow/7", "//", "/%2e%2e/lending", "/lending/borrow/", "\xff"} {
 		f.Add("GET", path)
 	}
 	f.Fuzz(func(t *testing.T, method, path string) {
-		way, known := index.Match(method, path)
-		if known && (way.Route.Method != method || way.Service == nil) {
-			t.Fatalf("%s %s matched %s %s", method, path, way.Route.Method, way.Route.Path)
+		match, known := index.Match(method, path)
+		if known && (match.Route.Method != method || match.Service == nil) {
+			t.Fatalf("%s %s matched %s %s", method, path, match.Route.Method, match.Route.Path)
 		}
 	})
 }
--- a/internal/bundle/seal.go
+++ b/internal/bundle/seal.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// domain begins what is signed, so that a signature made for another
-	// purpose doesn't fit.
-	domain = "curlewreach bundle\n"
-	// commonPart names the part with machines, shares and tracing params.
-	commonPart = "common"
-	// servePart begins the name of a service's part.
-	servePart = "service/"
+	// signatureDomain is prepended to the manifest before signing, so that a
+	// signature made for another purpose is not valid for a bundle.
+	signatureDomain = "curlewreach bundle\n"
+	// commonPartName is the name of the part with machines, shares and tracing params.
+	commonPartName = "common"
+	// servicePartPrefix precedes the service's name in the name of its part.
+	servicePartPrefix = "service/"
 )
 
-// Pack encodes a bundle in parts under a manifest with their SHA-256 digests.
-// It isn't signed yet.
-func Pack(b *wire.Bundle) (*wire.Sealed, error) {
+// Encode encodes a bundle as parts with a manifest of their SHA-256 digests. The
+// result is not signed. The encoding is deterministic.
+func Encode(b *wire.Bundle) (*wire.Sealed, error) {
 	manifest := &wire.Manifest{Serial: b.Serial, Base: b.Base, Forsaken: b.Forsaken}
 	sealed := &wire.Sealed{}
 	add := func(name string, message proto.Message) error {
@@ -39,11 +39,11 @@
 		sealed.Parts = append(sealed.Parts, &wire.Part{Name: name, Body: body})
 		return nil
 	}
-	if err := add(commonPart, b.Common); err != nil {
+	if err := add(commonPartName, b.Common); err != nil {
 		return nil, err
 	}
 	for _, service := range b.Services {
-		if err := add(servePart+service.Name, service); err != nil {
+		if err := add(servicePartPrefix+service.Name, service); err != nil {
 			return nil, err
 		}
 	}
@@ -52,24 +52,23 @@
 	return sealed, err
 }
 
-// Sign signs the manifest.
+// Sign signs the manifest with an Ed25519 key and sets the signer to its key id.
 func Sign(sealed *wire.Sealed, key ed25519.PrivateKey) {
-	sealed.Signature = ed25519.Sign(key, append([]byte(domain), sealed.Manifest...))
-	sealed.Signer = Signer(key.Public().(ed25519.PublicKey))
+	sealed.Signature = ed25519.Sign(key, append([]byte(signatureDomain), sealed.Manifest...))
+	sealed.Signer = KeyID(key.Public().(ed25519.PublicKey))
 }
 
-// Signer returns the short name of a public key: the first 8 bytes of its
-// SHA-256 as hexadecimal digits.
-func Signer(key ed25519.PublicKey) string {
+// KeyID returns the short identifier of a public key: the first 8 bytes of its
+// SHA-256 digest in hexadecimal.
+func KeyID(key ed25519.PublicKey) string {
 	digest := sha256.Sum256(key)
 	return hex.EncodeToString(digest[:8])
 }
 
-// Trust holds the public keys whose signatures are accepted, by their short
-// names.
+// Trust holds the public keys whose signatures are accepted, by key id.
 type Trust map[string]ed25519.PublicKey
 
-// NewTrust returns the trust in public keys given as base64.
+// NewTrust returns a Trust with the given Ed25519 public keys in base64.
 func NewTrust(keys []string) (Trust, error) {
 	trust := Trust{}
 	for _, text := range keys {
@@ -77,14 +76,14 @@
 		if err != nil || len(raw) != ed25519.PublicKeySize {
 			return nil, errors.Errorf("%q is not a public key", text)
 		}
-		trust[Signer(raw)] = raw
+		trust[KeyID(raw)] = raw
 	}
 	return trust, nil
 }
 
-// Verify checks signature and digests, and returns the manifest. The error is
-// of kind Unsigned, Untrusted or Malformed. Parts may be missing, as in a
-// slice, but none may be altered or added.
+// Verify checks the signature and the digests, and returns the manifest. A fault is
+// of kind Unsigned, Untrusted or Malformed. Parts may be missing, as in a slice, but
+// none may be altered or added.
 func (t Trust) Verify(sealed *wire.Sealed) (*wire.Manifest, *base.Fault) {
 	if len(sealed.GetSignature()) == 0 {
 		return nil, base.NewFault(base.Unsigned, "sealed.signature", "the manifest is not signed")
@@ -93,47 +92,49 @@
 	if !ok {
 		return nil, base.NewFault(base.Untrusted, "sealed.signer", "signer %q is not trusted here", sealed.Signer)
 	}
-	if !ed25519.Verify(key, append([]byte(domain), sealed.Manifest...), sealed.Signature) {
+	if !ed25519.Verify(key, append([]byte(signatureDomain), sealed.Manifest...), sealed.Signature) {
 		return nil, base.NewFault(base.Untrusted, "sealed.signature", "the signature does not fit the manifest")
 	}
-	return digests(sealed)
+	return verifyDigests(sealed)
 }
 
-func digests(sealed *wire.Sealed) (*wire.Manifest, *base.Fault) {
+// verifyDigests decodes the manifest and checks that each part is listed there with
+// its digest, and occurs only once.
+func verifyDigests(sealed *wire.Sealed) (*wire.Manifest, *base.Fault) {
 	manifest := &wire.Manifest{}
 	if err := proto.Unmarshal(sealed.Manifest, manifest); err != nil {
 		return nil, base.NewFault(base.Malformed, "sealed.manifest", "%s", err)
 	}
-	listed := map[string][]byte{}
+	expected := map[string][]byte{}
 	for _, part := range manifest.Parts {
-		listed[part.Name] = part.Digest
+		expected[part.Name] = part.Digest
 	}
 	for _, part := range sealed.Parts {
 		digest := sha256.Sum256(part.Body)
-		if !bytes.Equal(listed[part.Name], digest[:]) {
+		if !bytes.Equal(expected[part.Name], digest[:]) {
 			return nil, base.NewFault(base.Malformed, "sealed.parts", "part %q does not fit the manifest", part.Name)
 		}
-		delete(listed, part.Name)
+		delete(expected, part.Name)
 	}
 	return manifest, nil
 }
 
-// Whole reports whether no part is missing. The digests must have been
-// verified.
-func Whole(sealed *wire.Sealed, manifest *wire.Manifest) bool {
+// IsComplete reports whether no part of the manifest is missing. The digests must
+// have been verified before.
+func IsComplete(sealed *wire.Sealed, manifest *wire.Manifest) bool {
 	return len(sealed.Parts) == len(manifest.Parts)
 }
 
-// Open decodes the parts after checking their digests, but not the signature.
-// The error is of kind Malformed.
-func Open(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
-	manifest, fault := digests(sealed)
+// Decode decodes the parts after checking their digests; it doesn't check the
+// signature. A fault is of kind Malformed.
+func Decode(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
+	manifest, fault := verifyDigests(sealed)
 	if fault != nil {
 		return nil, fault
 	}
 	b := &wire.Bundle{Serial: manifest.Serial, Base: manifest.Base, Forsaken: manifest.Forsaken}
 	for _, part := range sealed.Parts {
-		if part.Name == commonPart {
+		if part.Name == commonPartName {
 			b.Common = &wire.Common{}
 			if err := proto.Unmarshal(part.Body, b.Common); err != nil {
 				return nil, base.NewFault(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
@@ -144,7 +145,7 @@
 		if err := proto.Unmarshal(part.Body, service); err != nil {
 			return nil, base.NewFault(base.Malformed, "sealed.parts", "%s: %s", part.Name, err)
 		}
-		if servePart+service.Name != part.Name {
+		if servicePartPrefix+service.Name != part.Name {
 			return nil, base.NewFault(base.Malformed, "sealed.parts", "part %q holds service %q", part.Name, service.Name)
 		}
 		b.Services = append(b.Services, service)
@@ -155,20 +156,20 @@
 	return b, nil
 }
 
-// Slice returns a bundle with the common part and the services of concern only.
-// Its signature still holds.
-func Slice(sealed *wire.Sealed, concerns func(service string) bool) *wire.Sealed {
+// Slice returns a bundle with the common part and the needed services only. Its
+// signature remains valid, because only the manifest is signed.
+func Slice(sealed *wire.Sealed, needed func(service string) bool) *wire.Sealed {
 	slice := &wire.Sealed{Manifest: sealed.Manifest, Signature: sealed.Signature, Signer: sealed.Signer}
 	for _, part := range sealed.Parts {
-		if part.Name == commonPart || concerns(part.Name[len(servePart):]) {
+		if part.Name == commonPartName || needed(part.Name[len(servicePartPrefix):]) {
 			slice.Parts = append(slice.Parts, part)
 		}
 	}
 	return slice
 }
 
-// Digest returns the first 8 bytes of the manifest's SHA-256 as hexadecimal
-// digits, or "" for nil.
+// Digest returns the first 8 bytes of the manifest's SHA-256 digest in hexadecimal,
+// or "" for nil.
 func Digest(sealed *wire.Sealed) string {
 	if sealed == nil {
 		return ""
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
+	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Hex(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newConfigurationReads()}
 	m.started = s.Clock.Mono()
 	m.params.Store(p)
 	m.view.Store(newView(nil, nil))
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -76,7 +76,7 @@
 	}
 	c.replica = replica.New(s, settings, store, state, m.client, ratioOf(p.Ack, roundRatio))
 	c.traces = tracing.OpenStore(s, min(int(p.MemoryMb)*spansEachMb, spansMost))
-	c.traces.FollowPeers(c.otherTraceStores)
+	c.traces.SetPeerFunc(c.otherTraceStores)
 	_, c.votes = c.replica.Handler()
 	_, c.spans = tracing.Handler(c.traces)
 	return c, nil
--- a/internal/dataplane/client_server.go
+++ b/internal/dataplane/client_server.go
@@ -35,7 +35,7 @@
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 	n.countOutcome(string(kind))
-	httpserver.Reply(w, status, map[string]string{"kind": string(kind), "reason": reason})
+	httpserver.ReplyJSON(w, status, map[string]string{"kind": string(kind), "reason": reason})
 }
 
 // clientRequest is what a request of a client, or of the upstream beside this node, tells before its body is read.
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -37,7 +37,7 @@
 	// Forgotten takes the address of a control machine that is asked no longer.
 	Forgotten func(address string)
 	// Sampling takes the sampling probabilities that control machines hand out.
-	Sampling *tracing.Keeper
+	Sampling *tracing.Sampler
 }
 
 // Client asks control machines on behalf of a node. It is safe for concurrent use.
@@ -67,7 +67,7 @@
 	now := s.Clock.Mono()
 	return &Client{
 		scope: s, settings: settings, hooks: hooks, http: httpClient,
-		refreshHTTP: httpserver.NewClientWithin(s, base.Ratio(settings.InForce, refreshDialRatio)),
+		refreshHTTP: httpserver.NewClientWithDialTimeout(s, base.Ratio(settings.InForce, refreshDialRatio)),
 		startedAt:   now, confirmationWait: base.Ratio(settings.Contact, patienceRatio),
 		directory:   newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
 		freshness:   newConfigFreshness(settings.InForce, now),
--- a/internal/dataplane/controlclient/polls.go
+++ b/internal/dataplane/controlclient/polls.go
@@ -73,7 +73,7 @@
 	p.controller, p.registry = m.Controller, m.Registry // the controller is read by other polls, in mayFetch
 	c.mu.Unlock()
 	if m.Odds != nil {
-		if fault := c.hooks.Sampling.Load(m.Odds); fault != nil {
+		if fault := c.hooks.Sampling.Update(m.Odds); fault != nil {
 			c.scope.Log.Warn("odds rejected", "reason", fault.Reason)
 		}
 	}
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -88,8 +88,8 @@
 	fences              *fencing.Fences
 	further             base.Table[bool]
 	calls               *callgraph.Tracker
-	keeper              *tracing.Keeper
-	sink                *tracing.Sink
+	keeper              *tracing.Sampler
+	sink                *tracing.Exporter
 	control             *controlclient.Client
 	stopping            atomic.Bool
 	closed              atomic.Bool
@@ -165,11 +165,11 @@
 func newNode(s base.Scope, p *wire.NodeParams, speech forwarding.HeaderNames) *Node {
 	force, contact := p.InForce.AsDuration(), p.Contact.AsDuration()
 	n := &Node{
-		scope: s, params: p, headers: speech.Canonical(), incarnation: s.Rand.Name(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithin(s, controlclient.DialPatience(contact)),
+		scope: s, params: p, headers: speech.Canonical(), incarnation: s.Rand.Hex(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithDialTimeout(s, controlclient.DialPatience(contact)),
 		peerConnections:     connection.NewPool(s.Net, s.Clock, peerIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
 		instanceConnections: connection.NewPool(s.Net, s.Clock, upstreamIdle, base.Ratio(force, dialRatio), base.Ratio(force, silentRatio)),
 		peers:               balancer.NewTable(s.Clock, p.Name, absenceSlack), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
-		bodies: admission.NewBodyMemory(p.MemoryMb), link: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), keeper: tracing.NewKeeper(s.Rand), callers: callgraph.NewCallers(),
+		bodies: admission.NewBodyMemory(p.MemoryMb), link: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), keeper: tracing.NewSampler(s.Rand), callers: callgraph.NewCallers(),
 	}
 	n.peers.LocalLoad = n.loadReport
 	n.fences = fencing.New(s, fencing.Settings{Incarnation: n.incarnation, InForce: force, MemoryMb: p.MemoryMb, RequestIDHeader: n.headers.RequestID}, n.countOutcome)
@@ -177,8 +177,8 @@
 	n.control = controlclient.New(s, controlclient.Settings{InForce: force, Contact: contact, Seeds: p.Seeds}, n.client, controlclient.Hooks{
 		Status: n.nodeStatus, Observed: n.peers.ApplyObservations, Forgotten: n.peers.RemoveController, Sampling: n.keeper,
 	})
-	n.sink = tracing.NewSink(s, n.client, n.control.Live, spansBound)
-	n.calls = callgraph.NewTracker(s, p.Name, n.keeper, n.sink.Push)
+	n.sink = tracing.NewExporter(s, n.client, n.control.Live, spansBound)
+	n.calls = callgraph.NewTracker(s, p.Name, n.keeper, n.sink.Enqueue)
 	n.clients = connection.NewClientConnections(s.Clock, force, n.clientIdle)
 	return n
 }
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -161,7 +161,7 @@
 func BenchmarkPathTies(b *testing.B) {
 	s := benchScope(b)
 	for _, flying := range []int{1, 16, 256} {
-		ties := callgraph.NewTracker(s, "node", tracing.NewKeeper(s.Rand), func(*wire.Span) {})
+		ties := callgraph.NewTracker(s, "node", tracing.NewSampler(s.Rand), func(*wire.Span) {})
 		way := forwarding.Metadata{Service: "service-0", Route: "route-0", Sampled: true}
 		for i := range flying {
 			ties.Begin(way, time.Duration(i+2)*time.Hour, time.Second)
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,3 +1,3 @@
-// Package httpserver opens the HTTP servers of a process and the operators' pages on them, and makes the clients for calls
-// between processes.
+// Package httpserver provides the HTTP servers of a process, the diagnostic pages on
+// them, and the HTTP clients for calls between processes.
 package httpserver
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// headerWait is how long a client may take over a request's header, so
-	// that silent connections don't pile up.
-	headerWait = 10 * time.Second
-	// idleConns is how many idle connections a client keeps to one process, so
-	// that calls made at a time find one open.
-	idleConns = 64
-	// idleWait is how long an idle connection is kept, so that calls made every
-	// few seconds find it open.
-	idleWait = 30 * time.Second
+	// headerTimeout is the time a client has to send a request's header. It keeps
+	// silent connections from accumulating.
+	headerTimeout = 10 * time.Second
+	// maxIdleConns is the number of idle connections that a client keeps to one
+	// process, so that concurrent calls find an open one.
+	maxIdleConns = 64
+	// idleTimeout is how long a client keeps an idle connection, so that calls made
+	// every few seconds find it open.
+	idleTimeout = 30 * time.Second
 )
 
-// Server is an HTTP server and its listener.
+// Server is an HTTP server with its listener.
 type Server struct {
 	server   *http.Server
 	listener net.Listener
 	tasks    base.Group
-	inFlight atomic.Int64 // requests whose handler is at work
+	inFlight atomic.Int64 // requests whose handler is running
 }
 
 const (
-	// calmLooks in a row that find no request in flight, lookPause apart, end a
-	// server that quits.
-	calmLooks = 3
-	lookPause = 20 * time.Millisecond
+	// CloseWhenIdle closes a server after idleChecks consecutive checks,
+	// idleCheckInterval apart, that find no request in flight.
+	idleChecks        = 3
+	idleCheckInterval = 20 * time.Millisecond
 )
 
-// Serve listens at the address and serves it. Requests outlive the scope: a
-// server ends by Shutdown or Close.
+// Serve listens at the address and serves requests with the handler. The end of the
+// scope cancels neither the server nor its requests: it runs until Shutdown,
+// CloseWhenIdle or Close.
 func Serve(s base.Scope, address string, handler http.Handler) (*Server, error) {
 	return ServeWith(s, address, handler, func(*http.Server) {})
 }
 
-// ServeWith is Serve with a server that set changes before it serves.
-func ServeWith(s base.Scope, address string, handler http.Handler, set func(*http.Server)) (*Server, error) {
+// ServeWith is like Serve, but calls configure on the HTTP server before it serves.
+func ServeWith(s base.Scope, address string, handler http.Handler, configure func(*http.Server)) (*Server, error) {
 	listener, err := s.Net.Listen(address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen %s", address)
@@ -57,10 +58,10 @@
 	server := &Server{listener: listener, server: &http.Server{
 		Handler:           handler,
 		BaseContext:       func(net.Listener) context.Context { return context.WithoutCancel(parent) },
-		ReadHeaderTimeout: headerWait,
+		ReadHeaderTimeout: headerTimeout,
 		ErrorLog:          s.Log.StandardLogger(nil),
 	}}
-	set(server.server)
+	configure(server.server)
 	inner := server.server.Handler
 	server.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		server.inFlight.Add(1)
@@ -71,37 +72,37 @@
 	return server, nil
 }
 
-// Address returns the address that the server listens at, with the port that
-// was chosen if port 0 was asked for.
+// Address returns the address that the server listens at, with the actual port if
+// port 0 was requested.
 func (d *Server) Address() string { return d.listener.Addr().String() }
 
-// Shutdown stops listening and waits for the requests in flight until ctx ends,
-// then breaks what is left.
+// Shutdown stops listening, waits for the requests in flight until ctx ends, and
+// then closes all connections.
 func (d *Server) Shutdown(ctx context.Context) {
 	_ = d.server.Shutdown(ctx)
 	d.Close()
 }
 
-// CloseWhenIdle stops listening, waits until no request is in flight, at most until the
-// scope ends, and closes all connections. Unlike Shutdown it doesn't wait for
-// connections on which no request has come, which a client may have dialled in
-// advance: Shutdown gives those five seconds.
+// CloseWhenIdle stops listening, waits until no request is in flight, at most until
+// the scope ends, and closes all connections. Unlike Shutdown it doesn't wait for
+// connections without a request yet, which a client may have dialled in advance:
+// Shutdown waits five seconds for those.
 func (d *Server) CloseWhenIdle(s base.Scope) {
 	d.CloseListener()
-	for calm := 0; calm < calmLooks && s.Err() == nil; calm++ {
-		base.Await(s, lookPause)
+	for idle := 0; idle < idleChecks && s.Err() == nil; idle++ {
+		base.Await(s, idleCheckInterval)
 		if d.inFlight.Load() > 0 {
-			calm = -1
+			idle = -1
 		}
 	}
 	d.Close()
 }
 
-// DisableKeepAlives makes the server close each connection after the answer in flight. New
-// connections are still taken.
+// DisableKeepAlives makes the server close each connection after its current
+// response. New connections are still accepted.
 func (d *Server) DisableKeepAlives() { d.server.SetKeepAlivesEnabled(false) }
 
-// CloseListener closes the listener and leaves the open connections.
+// CloseListener closes the listener. Open connections stay open.
 func (d *Server) CloseListener() { _ = d.listener.Close() }
 
 // Close closes the listener and all connections at once.
@@ -110,43 +111,44 @@
 	d.tasks.Wait()
 }
 
-// NewClient returns an HTTP client for calls between the project's own processes
-// over the scope's network.
-func NewClient(s base.Scope) *http.Client { return NewClientWithin(s, longestDial) }
+// NewClient returns an HTTP client for calls between processes of the mesh over the
+// scope's network.
+func NewClient(s base.Scope) *http.Client { return NewClientWithDialTimeout(s, defaultDialTimeout) }
 
-// NewClientWithin returns such a client that gives a connection up unless it comes up
-// in time. A transport goes on dialling after the call that wanted the connection
-// has ended: without such a bound each call to a dark machine leaves a dial behind.
-func NewClientWithin(s base.Scope, longest time.Duration) *http.Client {
+// NewClientWithDialTimeout is like NewClient with a timeout for establishing a
+// connection. A transport keeps dialling after the call that needed the connection
+// has ended; without the timeout each call to an unreachable machine would leave a
+// pending dial behind.
+func NewClientWithDialTimeout(s base.Scope, dialTimeout time.Duration) *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, longest)
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		return s.Net.Dial(ctx, network, address)
 	}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
-		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idleWait,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-// Reply answers with a status and a value as JSON.
-func Reply(w http.ResponseWriter, status int, body any) {
+// ReplyJSON writes a response with the status and the body encoded as JSON.
+func ReplyJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// HandlerOptions returns the connect option of our servers: answers under compressFrom
-// are sent as they are.
+// HandlerOptions returns the connect option for all handlers: responses smaller than
+// minCompressBytes are not compressed.
 func HandlerOptions() connect.Option {
-	return connect.WithOptions(connect.WithCompressMinBytes(compressFrom))
+	return connect.WithOptions(connect.WithCompressMinBytes(minCompressBytes))
 }
 
-// compressFrom is the size in bytes from which answers are compressed: below,
-// the bytes saved are worth less than the time.
-const compressFrom = 64 << 10
+// minCompressBytes is the size in bytes from which responses are compressed. For
+// smaller ones the bytes saved are worth less than the time spent.
+const minCompressBytes = 64 << 10
 
-// longestDial is how long a connection may take to come up.
-const longestDial = 3 * time.Second
+// defaultDialTimeout is the time that NewClient allows for establishing a connection.
+const defaultDialTimeout = 3 * time.Second
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -16,12 +16,12 @@
 }
 
 var _ = ginkgo.Describe("metrics", func() {
-	ginkgo.It("given spells of several lengths, when they are told, then each step counts those up to it", func() {
+	ginkgo.It("given durations of several lengths, when they are scraped, then each bucket counts those up to its bound", func() {
 		h := &Histogram{}
 		for _, d := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 30 * time.Millisecond, time.Minute} {
 			h.Add(d)
 		}
-		page := scrape(func(samples *Samples) { samples.AddHistogram("x", "spells", h, Labels{"kind": `a"b\`}) })
+		page := scrape(func(samples *Samples) { samples.AddHistogram("x", "durations", h, Labels{"kind": `a"b\`}) })
 		for _, line := range []string{
 			`x_bucket{kind="a\"b\\",le="0.005"} 2`, `x_bucket{kind="a\"b\\",le="0.05"} 3`, `x_bucket{kind="a\"b\\",le="5"} 3`,
 			`x_bucket{kind="a\"b\\",le="+Inf"} 4`, `x_sum{kind="a\"b\\"} 60.036`, `x_count{kind="a\"b\\"} 4`,
@@ -30,17 +30,17 @@
 		}
 	})
 
-	ginkgo.It("given samples of a metric and a flag, when they are scraped, then each stands with its labels under one header", func() {
+	ginkgo.It("given samples of a counter and a flag, when they are scraped, then the samples of a metric share one header and keep their labels", func() {
 		page := scrape(func(samples *Samples) {
 			samples.Add("x_total", Counter, "things", 3, Labels{"kind": "a"})
 			samples.Add("x_total", Counter, "things", 4, Labels{"kind": "b"})
-			samples.Add("y", Gauge, "a flag", Bool(true), nil)
+			samples.Add("y", Gauge, "a flag", BoolValue(true), nil)
 		})
 		Expect(page).To(Equal("# HELP x_total things\n# TYPE x_total counter\nx_total{kind=\"a\"} 3\nx_total{kind=\"b\"} 4\n# HELP y a flag\n# TYPE y gauge\ny 1\n"))
 	})
 })
 
-// scrape returns the page that a collector makes.
+// scrape returns the metrics page with the samples that collect adds.
 func scrape(collect func(*Samples)) string {
 	w := httptest.NewRecorder()
 	Handler(collect).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
--- a/internal/placement/check.go
+++ b/internal/placement/check.go
@@ -1,5 +1,6 @@
-// Package placement works out which machines the replicas of services may run
-// on, given capacities and rules, by a pseudo-Boolean solver. It moves nothing.
+// Package placement computes an assignment of service replicas to machines that
+// satisfies capacities and placement rules, with a pseudo-Boolean solver. It doesn't
+// deploy or move anything.
 package placement
 
 import (
@@ -14,34 +15,33 @@
 
 // The kinds of rules.
 const (
-	// Spread divides a service's replicas among the zones as evenly as can be.
+	// Spread distributes the replicas of each service evenly over the zones.
 	Spread = "spread"
 	// Apart allows at most one of the services on a machine.
 	Apart = "apart"
-	// Together puts all of the services wherever one of them is.
+	// Together requires all of the services on each machine that has one of them.
 	Together = "together"
-	// Pinned allows the services only on the machines listed.
+	// Pinned allows the services only on the listed machines.
 	Pinned = "pinned"
-	// Most bounds how many of the services a machine may have: on those listed,
-	// or on any if none is.
-	Most = "most"
+	// MaxPerMachine limits how many of the services may run on each listed machine,
+	// or on every machine if none is listed.
+	MaxPerMachine = "most"
 )
 
 const (
-	// mostSeats bounds the variables that the solver decides, machines times
-	// services, so that it ends within seconds.
-	mostSeats = 20000
-	// mostReplicas bounds the replicas of one service.
-	mostReplicas = 1000
-	// mostWeight bounds weights and capacities, so that their sums stay far
-	// from overflow.
-	mostWeight = 1 << 20
+	// maxVariables limits the number of the solver's variables, machines times
+	// services, so that it finishes within seconds.
+	maxVariables = 20000
+	// maxReplicas limits the replicas of one service.
+	maxReplicas = 1000
+	// maxWeight limits weights and capacities, so that their sums don't overflow.
+	maxWeight = 1 << 20
 )
 
-// Check returns validation.Errors with the first fault of each field of the
-// plan, by the field's path, or nil if there is none.
+// Check validates a plan. It returns validation.Errors with the first fault of each
+// field by the field's path, or nil if the plan is valid.
 func Check(plan *wire.PerchPlan) error {
-	c := &check{faults: validation.Errors{}, machines: map[string]bool{}, services: map[string]bool{}}
+	c := &checker{faults: validation.Errors{}, machines: map[string]bool{}, services: map[string]bool{}}
 	for i, machine := range plan.Machines {
 		c.machine(fmt.Sprintf("machines[%d]", i), machine)
 	}
@@ -54,8 +54,8 @@
 	if len(plan.Services) == 0 {
 		c.add("services", errors.New("none is listed"))
 	}
-	if len(plan.Machines)*len(plan.Services) > mostSeats {
-		c.add("services", errors.Errorf("machines times services is over %d", mostSeats))
+	if len(plan.Machines)*len(plan.Services) > maxVariables {
+		c.add("services", errors.Errorf("machines times services exceeds %d", maxVariables))
 	}
 	for i, rule := range plan.Rules {
 		c.rule(fmt.Sprintf("rules[%d]", i), rule)
@@ -63,19 +63,21 @@
 	return c.faults.Filter()
 }
 
-// check collects the faults of a plan and the names it has met.
-type check struct {
+// checker collects the faults of a plan and the names declared so far.
+type checker struct {
 	faults             validation.Errors
 	machines, services map[string]bool
 }
 
-func (c *check) add(path string, err error) {
+// add records a fault unless the field already has one.
+func (c *checker) add(path string, err error) {
 	if err != nil && c.faults[path] == nil {
 		c.faults[path] = err
 	}
 }
 
-func (c *check) once(seen map[string]bool, path, name string) {
+// uniqueName checks that a name is valid and not yet in seen, and adds it there.
+func (c *checker) uniqueName(seen map[string]bool, path, name string) {
 	c.add(path, validation.Validate(name, validation.Required, base.IsName))
 	if seen[name] {
 		c.add(path, errors.Errorf("%q is named twice", name))
@@ -83,20 +85,20 @@
 	seen[name] = true
 }
 
-func (c *check) machine(path string, machine *wire.PerchMachine) {
-	c.once(c.machines, path+".name", machine.Name)
+func (c *checker) machine(path string, machine *wire.PerchMachine) {
+	c.uniqueName(c.machines, path+".name", machine.Name)
 	c.add(path+".zone", validation.Validate(machine.Zone, validation.Required, base.IsName))
-	c.add(path+".capacity", validation.Validate(machine.Capacity, validation.Required, validation.Max(uint32(mostWeight))))
+	c.add(path+".capacity", validation.Validate(machine.Capacity, validation.Required, validation.Max(uint32(maxWeight))))
 }
 
-func (c *check) service(path string, service *wire.PerchService) {
-	c.once(c.services, path+".name", service.Name)
-	c.add(path+".replicas", validation.Validate(service.Replicas, validation.Required, validation.Max(uint32(mostReplicas))))
-	c.add(path+".weight", validation.Validate(service.Weight, validation.Required, validation.Max(uint32(mostWeight))))
+func (c *checker) service(path string, service *wire.PerchService) {
+	c.uniqueName(c.services, path+".name", service.Name)
+	c.add(path+".replicas", validation.Validate(service.Replicas, validation.Required, validation.Max(uint32(maxReplicas))))
+	c.add(path+".weight", validation.Validate(service.Weight, validation.Required, validation.Max(uint32(maxWeight))))
 }
 
-func (c *check) rule(path string, rule *wire.PerchRule) {
-	c.add(path+".kind", validation.Validate(rule.Kind, validation.Required, validation.In(Spread, Apart, Together, Pinned, Most)))
+func (c *checker) rule(path string, rule *wire.PerchRule) {
+	c.add(path+".kind", validation.Validate(rule.Kind, validation.Required, validation.In(Spread, Apart, Together, Pinned, MaxPerMachine)))
 	for i, name := range rule.Services {
 		if !c.services[name] {
 			c.add(fmt.Sprintf("%s.services[%d]", path, i), errors.Errorf("no service %q", name))
@@ -107,11 +109,11 @@
 			c.add(fmt.Sprintf("%s.machines[%d]", path, i), errors.Errorf("no machine %q", name))
 		}
 	}
-	least := map[string]int{Spread: 1, Apart: 2, Together: 2, Pinned: 1, Most: 1}[rule.Kind]
-	if len(rule.Services) < least {
-		c.add(path+".services", errors.Errorf("%s names at least %d", rule.Kind, least))
+	minServices := map[string]int{Spread: 1, Apart: 2, Together: 2, Pinned: 1, MaxPerMachine: 1}[rule.Kind]
+	if len(rule.Services) < minServices {
+		c.add(path+".services", errors.Errorf("%s needs at least %d services", rule.Kind, minServices))
 	}
 	if rule.Kind == Pinned && len(rule.Machines) == 0 {
-		c.add(path+".machines", errors.New("pinned to none"))
+		c.add(path+".machines", errors.New("pinned needs at least one machine"))
 	}
 }
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -10,232 +10,240 @@
 	"curlewreach/proto/wire"
 )
 
-// Seat is one replica's place. A machine holds at most one replica of a
-// service.
-type Seat struct{ Service, Machine, Zone string }
-
-// demand is one requirement of a plan, by a name for people. A barred one can't
-// be met whatever the others are.
-type demand struct {
-	name   string
-	lines  []solver.PBConstr
-	barred bool
-}
-
-// board numbers the solver's variables: whether a service has a replica on a
-// machine.
-type board struct {
-	plan *wire.PerchPlan
-	seat map[string]map[string]int
-}
-
-// Solve returns a placement that meets the whole plan, or else a minimal set of
-// demands that clash: dropping any one of them resolves it. The plan must have
-// passed Check.
-func Solve(plan *wire.PerchPlan) (seats []Seat, clash []string) {
-	b := newBoard(plan)
-	demands := b.demands()
+// Assignment places one replica of a service on a machine. A machine runs at most
+// one replica of a service.
+type Assignment struct{ Service, Machine, Zone string }
+
+// requirement is one requirement of a plan, with a readable name and the solver's
+// constraints for it. An infeasible one can't be met regardless of the others.
+type requirement struct {
+	name        string
+	constraints []solver.PBConstr
+	infeasible  bool
+}
+
+// problem holds a plan and the solver's variables by service and machine. A variable
+// is true if the service has a replica on the machine.
+type problem struct {
+	plan      *wire.PerchPlan
+	variables map[string]map[string]int
+}
+
+// Solve returns assignments that meet all requirements of the plan. If there are
+// none, it returns the names of a minimal set of conflicting requirements, which can
+// be met if any one of them is dropped. The plan must have passed Check.
+func Solve(plan *wire.PerchPlan) (assignments []Assignment, conflict []string) {
+	p := newProblem(plan)
+	requirements := p.requirements()
 	needed := map[int]bool{}
-	for i := range demands {
+	for i := range requirements {
 		needed[i] = true
 	}
-	if model := b.solve(needed); model != nil {
-		return b.seats(model), nil
+	if model := p.solve(needed); model != nil {
+		return p.assignments(model), nil
 	}
-	return nil, b.clash(demands, needed)
+	return nil, p.minimalConflict(requirements, needed)
 }
 
-// newBoard numbers the variables from 1, as the solver's literals are.
-func newBoard(plan *wire.PerchPlan) *board {
-	b := &board{plan: plan, seat: map[string]map[string]int{}}
+// newProblem numbers the variables from 1, like the solver's literals.
+func newProblem(plan *wire.PerchPlan) *problem {
+	p := &problem{plan: plan, variables: map[string]map[string]int{}}
 	next := 0
 	for _, service := range plan.Services {
-		b.seat[service.Name] = map[string]int{}
+		p.variables[service.Name] = map[string]int{}
 		for _, machine := range plan.Machines {
 			next++
-			b.seat[service.Name][machine.Name] = next
+			p.variables[service.Name][machine.Name] = next
 		}
 	}
-	return b
+	return p
 }
 
-// seats returns the placements that are true in a model.
-func (b *board) seats(model []bool) []Seat {
-	var seats []Seat
-	for _, service := range b.plan.Services {
-		for _, machine := range b.plan.Machines {
-			if model[b.seat[service.Name][machine.Name]-1] {
-				seats = append(seats, Seat{service.Name, machine.Name, machine.Zone})
+// assignments returns the assignments whose variables are true in a model.
+func (p *problem) assignments(model []bool) []Assignment {
+	var assignments []Assignment
+	for _, service := range p.plan.Services {
+		for _, machine := range p.plan.Machines {
+			if model[p.variables[service.Name][machine.Name]-1] {
+				assignments = append(assignments, Assignment{service.Name, machine.Name, machine.Zone})
 			}
 		}
 	}
-	return seats
+	return assignments
 }
 
-// clash leaves out each demand in turn, for good if the others still can't be
-// met, and returns the names of those that remain.
-func (b *board) clash(demands []demand, needed map[int]bool) []string {
-	for i := len(demands) - 1; i >= 0; i-- {
+// minimalConflict removes each requirement in turn, permanently if the remaining
+// ones still can't be met, and returns the names of those left.
+func (p *problem) minimalConflict(requirements []requirement, needed map[int]bool) []string {
+	for i := len(requirements) - 1; i >= 0; i-- {
 		needed[i] = false
-		needed[i] = b.solve(needed) != nil
+		needed[i] = p.solve(needed) != nil
 	}
 	var names []string
-	for i, each := range demands {
+	for i, requirement := range requirements {
 		if needed[i] {
-			names = append(names, each.name)
+			names = append(names, requirement.name)
 		}
 	}
 	return names
 }
 
-func (b *board) solve(needed map[int]bool) []bool {
-	var lines []solver.PBConstr
-	for _, service := range b.plan.Services {
-		for _, machine := range b.plan.Machines {
-			at := b.seat[service.Name][machine.Name]
-			lines = append(lines, solver.PropClause(at, -at))
+// solve returns a model that meets the needed requirements, given by index, or nil
+// if there is none.
+func (p *problem) solve(needed map[int]bool) []bool {
+	var constraints []solver.PBConstr
+	for _, service := range p.plan.Services {
+		for _, machine := range p.plan.Machines {
+			variable := p.variables[service.Name][machine.Name]
+			constraints = append(constraints, solver.PropClause(variable, -variable))
 		}
 	}
-	for i, each := range b.demands() {
+	for i, requirement := range p.requirements() {
 		if !needed[i] {
 			continue
 		}
-		if each.barred {
+		if requirement.infeasible {
 			return nil
 		}
-		lines = append(lines, each.lines...)
+		constraints = append(constraints, requirement.constraints...)
 	}
-	engine := solver.New(solver.ParsePBConstrs(lines))
-	if engine.Solve() != solver.Sat {
+	pbSolver := solver.New(solver.ParsePBConstrs(constraints))
+	if pbSolver.Solve() != solver.Sat {
 		return nil
 	}
-	return engine.Model()
+	return pbSolver.Model()
 }
 
-func (b *board) on(service string, wanted func(*wire.PerchMachine) bool) (seats []int) {
-	for _, machine := range b.plan.Machines {
-		if wanted(machine) {
-			seats = append(seats, b.seat[service][machine.Name])
+// serviceVariables returns the variables of a service on the accepted machines.
+func (p *problem) serviceVariables(service string, accept func(*wire.PerchMachine) bool) (variables []int) {
+	for _, machine := range p.plan.Machines {
+		if accept(machine) {
+			variables = append(variables, p.variables[service][machine.Name])
 		}
 	}
-	return seats
+	return variables
 }
 
-func anywhere(*wire.PerchMachine) bool { return true }
+func anyMachine(*wire.PerchMachine) bool { return true }
 
-func (b *board) demands() []demand {
-	var demands []demand
+// requirements returns the requirements of the plan: the replicas of each service,
+// the capacity of each machine, and the rules.
+func (p *problem) requirements() []requirement {
+	var requirements []requirement
 	replicas := map[string]int{}
-	for _, service := range b.plan.Services {
+	for _, service := range p.plan.Services {
 		replicas[service.Name] = int(service.Replicas)
-		seats := b.on(service.Name, anywhere)
-		each := demand{name: fmt.Sprintf("%d of %s", service.Replicas, service.Name)}
-		if int(service.Replicas) > len(seats) {
-			each.barred = true
+		variables := p.serviceVariables(service.Name, anyMachine)
+		required := requirement{name: fmt.Sprintf("%d of %s", service.Replicas, service.Name)}
+		if int(service.Replicas) > len(variables) {
+			required.infeasible = true
 		} else {
-			each.lines = exactly(seats, int(service.Replicas))
+			required.constraints = exactly(variables, int(service.Replicas))
 		}
-		demands = append(demands, each)
+		requirements = append(requirements, required)
 	}
-	for _, machine := range b.plan.Machines {
-		var seats, weights []int
-		for _, service := range b.plan.Services {
-			seats, weights = append(seats, b.seat[service.Name][machine.Name]), append(weights, int(service.Weight))
+	for _, machine := range p.plan.Machines {
+		var variables, weights []int
+		for _, service := range p.plan.Services {
+			variables, weights = append(variables, p.variables[service.Name][machine.Name]), append(weights, int(service.Weight))
 		}
-		demands = append(demands, demand{
-			name: fmt.Sprintf("capacity %d of %s", machine.Capacity, machine.Name), lines: []solver.PBConstr{solver.LtEq(seats, weights, int(machine.Capacity))},
+		requirements = append(requirements, requirement{
+			name: fmt.Sprintf("capacity %d of %s", machine.Capacity, machine.Name), constraints: []solver.PBConstr{solver.LtEq(variables, weights, int(machine.Capacity))},
 		})
 	}
-	for i, rule := range b.plan.Rules {
+	for i, rule := range p.plan.Rules {
 		name := fmt.Sprintf("rules[%d] %s %s", i, rule.Kind, strings.Join(append(rule.Services, rule.Machines...), " "))
-		demands = append(demands, demand{name: name, lines: b.rule(rule, replicas)})
+		requirements = append(requirements, requirement{name: name, constraints: p.ruleConstraints(rule, replicas)})
 	}
-	return demands
+	return requirements
 }
 
-func exactly(seats []int, count int) []solver.PBConstr {
-	return []solver.PBConstr{atMost(seats, count), solver.AtLeast(seats, count)}
+// exactly returns the constraints that count of the variables are true.
+func exactly(variables []int, count int) []solver.PBConstr {
+	return []solver.PBConstr{atMost(variables, count), solver.AtLeast(variables, count)}
 }
 
-func atMost(seats []int, count int) solver.PBConstr {
-	weights := make([]int, len(seats))
+// atMost returns the constraint that at most count of the variables are true.
+func atMost(variables []int, count int) solver.PBConstr {
+	weights := make([]int, len(variables))
 	for i := range weights {
 		weights[i] = 1
 	}
-	return solver.LtEq(append([]int{}, seats...), weights, count)
+	return solver.LtEq(append([]int{}, variables...), weights, count)
 }
 
-// rule returns the constraints of a rule.
-func (b *board) rule(rule *wire.PerchRule, replicas map[string]int) []solver.PBConstr {
+// ruleConstraints returns the solver's constraints for a rule.
+func (p *problem) ruleConstraints(rule *wire.PerchRule, replicas map[string]int) []solver.PBConstr {
 	switch rule.Kind {
 	case Spread:
-		return b.spread(rule, replicas)
+		return p.spread(rule, replicas)
 	case Apart:
-		return b.most(rule, 1)
+		return p.limitPerMachine(rule, 1)
 	case Together:
-		return b.together(rule)
+		return p.together(rule)
 	case Pinned:
-		return b.pinned(rule)
-	case Most:
-		return b.most(rule, int(rule.Most))
+		return p.pinned(rule)
+	case MaxPerMachine:
+		return p.limitPerMachine(rule, int(rule.Most))
 	}
 	return nil
 }
 
-// spread bounds a service's replicas in each zone by its even part, rounded up.
-func (b *board) spread(rule *wire.PerchRule, replicas map[string]int) (lines []solver.PBConstr) {
+// spread limits the replicas of a service in each zone to its replicas divided by
+// the number of zones, rounded up.
+func (p *problem) spread(rule *wire.PerchRule, replicas map[string]int) (constraints []solver.PBConstr) {
 	zones := map[string]bool{}
-	for _, machine := range b.plan.Machines {
+	for _, machine := range p.plan.Machines {
 		zones[machine.Zone] = true
 	}
 	for _, service := range rule.Services {
 		for zone := range zones {
-			within := b.on(service, func(m *wire.PerchMachine) bool { return m.Zone == zone })
-			lines = append(lines, atMost(within, (replicas[service]+len(zones)-1)/len(zones)))
+			inZone := p.serviceVariables(service, func(m *wire.PerchMachine) bool { return m.Zone == zone })
+			constraints = append(constraints, atMost(inZone, (replicas[service]+len(zones)-1)/len(zones)))
 		}
 	}
-	return lines
+	return constraints
 }
 
-// most bounds the rule's services on each machine. Only a rule of kind Most
-// may be limited to some machines.
-func (b *board) most(rule *wire.PerchRule, count int) (lines []solver.PBConstr) {
-	everywhere := rule.Kind != Most || len(rule.Machines) == 0
-	for _, machine := range b.plan.Machines {
+// limitPerMachine limits the number of the rule's services on each machine to count.
+// Only a rule of kind MaxPerMachine may be restricted to the machines that it lists.
+func (p *problem) limitPerMachine(rule *wire.PerchRule, count int) (constraints []solver.PBConstr) {
+	everywhere := rule.Kind != MaxPerMachine || len(rule.Machines) == 0
+	for _, machine := range p.plan.Machines {
 		if everywhere || slices.Contains(rule.Machines, machine.Name) {
-			lines = append(lines, atMost(b.of(rule.Services, machine), count))
+			constraints = append(constraints, atMost(p.machineVariables(rule.Services, machine), count))
 		}
 	}
-	return lines
+	return constraints
 }
 
-// together lets each service on a machine imply the next one of the rule, and
-// the last the first.
-func (b *board) together(rule *wire.PerchRule) (lines []solver.PBConstr) {
-	for _, machine := range b.plan.Machines {
-		seats := b.of(rule.Services, machine)
-		for i := range seats {
-			lines = append(lines, solver.PropClause(-seats[i], seats[(i+1)%len(seats)]))
+// together makes each of the rule's services on a machine imply the next one, and the
+// last one the first.
+func (p *problem) together(rule *wire.PerchRule) (constraints []solver.PBConstr) {
+	for _, machine := range p.plan.Machines {
+		variables := p.machineVariables(rule.Services, machine)
+		for i := range variables {
+			constraints = append(constraints, solver.PropClause(-variables[i], variables[(i+1)%len(variables)]))
 		}
 	}
-	return lines
+	return constraints
 }
 
-// pinned excludes all machines but those of the rule.
-func (b *board) pinned(rule *wire.PerchRule) (lines []solver.PBConstr) {
+// pinned excludes the rule's services from all machines that it doesn't list.
+func (p *problem) pinned(rule *wire.PerchRule) (constraints []solver.PBConstr) {
 	for _, service := range rule.Services {
-		for _, seat := range b.on(service, func(m *wire.PerchMachine) bool { return !slices.Contains(rule.Machines, m.Name) }) {
-			lines = append(lines, solver.PropClause(-seat))
+		for _, variable := range p.serviceVariables(service, func(m *wire.PerchMachine) bool { return !slices.Contains(rule.Machines, m.Name) }) {
+			constraints = append(constraints, solver.PropClause(-variable))
 		}
 	}
-	return lines
+	return constraints
 }
 
-// of returns the variables of the services on a machine.
-func (b *board) of(services []string, machine *wire.PerchMachine) []int {
-	var seats []int
+// machineVariables returns the variables of several services on one machine.
+func (p *problem) machineVariables(services []string, machine *wire.PerchMachine) []int {
+	var variables []int
 	for _, service := range services {
-		seats = append(seats, b.seat[service][machine.Name])
+		variables = append(variables, p.variables[service][machine.Name])
 	}
-	return seats
+	return variables
 }
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -1,4 +1,5 @@
-// Package random is a source of random numbers that simulations seed.
+// Package random provides a source of pseudo-random numbers that simulations can
+// seed for reproducible runs.
 package random
 
 import (
@@ -8,18 +9,18 @@
 	"sync/atomic"
 )
 
-// Source is a generator of pseudo-random numbers (SplitMix64) that is safe for
-// concurrent use. It is not for secrets.
+// Source is a SplitMix64 generator of pseudo-random numbers. It is safe for
+// concurrent use, but not for secrets.
 type Source struct{ state atomic.Uint64 }
 
-// Seeded returns a generator whose sequence the seed fixes.
+// Seeded returns a generator whose sequence is determined by the seed.
 func Seeded(seed uint64) *Source {
 	r := &Source{}
 	r.state.Store(seed)
 	return r
 }
 
-// New returns a generator with a seed from the operating system.
+// New returns a generator seeded with random bytes from the operating system.
 func New() *Source {
 	var seed [8]byte
 	_, _ = crand.Read(seed[:])
@@ -37,12 +38,12 @@
 // Float64 returns a uniform number in [0, 1).
 func (r *Source) Float64() float64 { return float64(r.Uint64()>>11) / (1 << 53) }
 
-// IntN returns a number in [0, n), uniform but for a bias of n in 2^64. n must
-// be positive.
+// IntN returns a number in [0, n), uniform except for a modulo bias of at most n in
+// 2^64. n must be positive.
 func (r *Source) IntN(n int) int { return int(r.Uint64() % uint64(n)) }
 
-// Name returns size random bytes as hexadecimal digits.
-func (r *Source) Name(size int) string {
+// Hex returns size random bytes as hexadecimal digits.
+func (r *Source) Hex(size int) string {
 	raw := make([]byte, 0, size+8)
 	for len(raw) < size {
 		raw = binary.BigEndian.AppendUint64(raw, r.Uint64())
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -48,7 +48,7 @@
 
 // New prepares a replica; state is what the store held at its opening, or nil. A request may take round.
 func New(s base.Scope, settings Settings, store Store, state *wire.ReplicaState, web *http.Client, round time.Duration) *Replica {
-	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Name(identityLength) }
+	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Hex(identityLength) }
 	settings.Note = s.Record
 	return &Replica{
 		scope: s, settings: settings, round: round, store: store, http: web, saves: make(chan *Save, 1),
--- a/internal/testing/judge/history.go
+++ b/internal/testing/judge/history.go
@@ -136,7 +136,7 @@
 // Signed notes a bundle that an operator handed in under a submission.
 func (h *History) Signed(submission string, sealed *wire.Sealed) {
 	row := signed{digest: bundle.Digest(sealed), body: whole(sealed)}
-	if raw, fault := bundle.Open(sealed); fault == nil {
+	if raw, fault := bundle.Decode(sealed); fault == nil {
 		row.base, row.bundle = raw.Base, bundle.Index(sealed, raw)
 	}
 	h.mu.Lock()
--- a/internal/testing/standin/upstream.go
+++ b/internal/testing/standin/upstream.go
@@ -124,7 +124,7 @@
 	u.cancel = cancel
 	u.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 16}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /mime/counts", func(w http.ResponseWriter, r *http.Request) { httpserver.Reply(w, http.StatusOK, u.Counts()) })
+	mux.HandleFunc("GET /mime/counts", func(w http.ResponseWriter, r *http.Request) { httpserver.ReplyJSON(w, http.StatusOK, u.Counts()) })
 	mux.HandleFunc("PUT /mime/fault/{fault}", func(w http.ResponseWriter, r *http.Request) { u.SetFault(Fault(r.PathValue("fault"))) })
 	mux.HandleFunc("PUT /mime/leave", func(w http.ResponseWriter, r *http.Request) { u.Leave() })
 	mux.HandleFunc("/", u.serve)
--- a/internal/testing/standin/visitors.go
+++ b/internal/testing/standin/visitors.go
@@ -51,7 +51,7 @@
 		if s.Err() != nil {
 			break
 		}
-		id := fmt.Sprintf("%s-%d-%s", v.Name, count, s.Rand.Name(4))
+		id := fmt.Sprintf("%s-%d-%s", v.Name, count, s.Rand.Hex(4))
 		habit := v.pick(s.Rand.Float64())
 		v.crew.Go(func() { v.History.Called(v.Ask(s, habit, id)) })
 	}
--- a/internal/tracing/learner.go
+++ b/internal/tracing/learner.go
@@ -1,8 +1,9 @@
-// Package tracing decides which calls are recorded in detail. Nodes record
-// spans, core machines store them, a learner estimates which spans tell most
-// about latency, and nodes draw from its odds. The learner follows "An Online
-// Probabilistic Distributed Tracing System" (arXiv 2405.15645), below the
-// paper; docs/design.md tells what was changed.
+// Package tracing implements adaptive sampling of distributed traces. Nodes
+// record spans and control machines store them. A learner estimates which
+// routes contribute most to the variation of latency and computes a sampling
+// probability for each; nodes sample requests by these probabilities. The
+// learner follows "An Online Probabilistic Distributed Tracing System" (arXiv
+// 2405.15645), called the paper below; docs/design.md lists the differences.
 package tracing
 
 import (
@@ -18,76 +19,79 @@
 	"curlewreach/proto/wire"
 )
 
-// Measure computes a span's utility from its self times in microseconds (the
-// paper, III-A).
-type Measure func(selves []float64) float64
+// UtilityFunc computes the utility of a route from the self times of its spans
+// in microseconds (the paper, III-A).
+type UtilityFunc func(selfTimes []float64) float64
 
-// Measures are the utilities that a configuration may name. The paper's choice
-// is the variance.
-var Measures = map[string]Measure{
-	"variance":  func(selves []float64) float64 { return stat.Variance(selves, nil) },
-	"deviation": func(selves []float64) float64 { return stat.StdDev(selves, nil) },
-	"mean":      func(selves []float64) float64 { return stat.Mean(selves, nil) },
+// UtilityFuncs holds the utility functions by the names that a configuration may
+// use. The paper uses the variance.
+var UtilityFuncs = map[string]UtilityFunc{
+	"variance":  func(selfTimes []float64) float64 { return stat.Variance(selfTimes, nil) },
+	"deviation": func(selfTimes []float64) float64 { return stat.StdDev(selfTimes, nil) },
+	"mean":      func(selfTimes []float64) float64 { return stat.Mean(selfTimes, nil) },
 }
 
-// fewestSelves is the least number of self times that has a variance.
-const fewestSelves = 2
+// minSelfTimes is the minimum number of self times for which a variance is defined.
+const minSelfTimes = 2
 
-// UncertainTag marks a span whose self time can't be told, as its further calls
-// couldn't be tied to it. Such spans count, but nothing is learned from their
-// self time.
+// UncertainTag marks a span whose self time is unknown because its nested calls
+// could not be attributed to it. Such spans are counted as samples, but their
+// self time is not used for learning.
 const UncertainTag = "uncertain"
 
-// The sides of a call that record a span.
+// The values of a span's side: which node recorded the span, and for what.
 const (
-	// FarSide is the node beside the upstream. Only its spans are learned from.
-	FarSide = ""
-	// NearSide is the node beside the caller: one span a request.
-	NearSide = "near"
-	// AttemptSide is the node beside the caller: one span an attempt.
+	// UpstreamSide is the node beside the upstream. Only its spans are used for learning.
+	UpstreamSide = ""
+	// CallerSide is the node beside the caller, which records one span per request.
+	CallerSide = "near"
+	// AttemptSide is the node beside the caller, which also records one span per attempt.
 	AttemptSide = "attempt"
 )
 
-// Identifier returns what a belief is about: the span's service and route.
+// Identifier returns "service/route" of a span, the key of beliefs and sampling
+// probabilities.
 func Identifier(span *wire.Span) string { return span.Service + "/" + span.Route }
 
-type source struct{ rand *random.Source }
+// randSource adapts random.Source to the random source of gonum's distributions.
+type randSource struct{ rand *random.Source }
 
-func (s source) Uint64() uint64 { return s.rand.Uint64() }
+func (s randSource) Uint64() uint64 { return s.rand.Uint64() }
 
-// Utilities returns the utility of each identifier by its spans' self times,
-// and how many spans it has. Identifiers with too few self times have no
-// utility.
-func Utilities(spans []*wire.Span, measure Measure) (utilities map[string]float64, counts map[string]uint64) {
-	selves := map[string][]float64{}
+// Utilities returns the utility of each identifier, computed from its spans'
+// self times, and the number of its spans. Identifiers with fewer than
+// minSelfTimes self times get no utility.
+func Utilities(spans []*wire.Span, utilityOf UtilityFunc) (utilities map[string]float64, counts map[string]uint64) {
+	selfTimes := map[string][]float64{}
 	counts = map[string]uint64{}
 	for _, span := range spans {
 		identifier := Identifier(span)
 		counts[identifier]++
 		if span.Tags[UncertainTag] == "" {
-			selves[identifier] = append(selves[identifier], float64(span.SelfUs))
+			selfTimes[identifier] = append(selfTimes[identifier], float64(span.SelfUs))
 		}
 	}
 	utilities = map[string]float64{}
-	for identifier, sample := range selves {
-		if len(sample) < fewestSelves {
+	for identifier, sample := range selfTimes {
+		if len(sample) < minSelfTimes {
 			continue
 		}
-		if utility := measure(sample); !math.IsNaN(utility) {
+		if utility := utilityOf(sample); !math.IsNaN(utility) {
 			utilities[identifier] = utility
 		}
 	}
 	return utilities, counts
 }
 
-// Learn makes one cycle of learning (the paper, III-B): it updates the prior's
-// beliefs by a batch of spans and draws new odds from them. Only identifiers
-// that named accepts are kept. The prior is not changed.
-func Learn(prior *wire.Learning, spans []*wire.Span, tracing *wire.Tracing, rand *random.Source, named func(identifier string) bool) *wire.Learning {
-	spans = slices.DeleteFunc(slices.Clone(spans), func(span *wire.Span) bool { return span.Side != FarSide || !named(Identifier(span)) })
-	utilities, counts := Utilities(spans, Measures[tracing.GetUtility()])
-	beliefs := carryOver(prior, counts, named)
-	updateAll(beliefs, utilities, tracing)
+// Learn runs one learning cycle (the paper, III-B): it updates the prior's
+// beliefs with a batch of spans and computes new sampling probabilities from
+// them. Beliefs and spans whose identifier isKnown rejects are dropped. The
+// prior is not modified.
+func Learn(prior *wire.Learning, spans []*wire.Span, settings *wire.Tracing, rand *random.Source, isKnown func(identifier string) bool) *wire.Learning {
+	spans = slices.DeleteFunc(slices.Clone(spans), func(span *wire.Span) bool { return span.Side != UpstreamSide || !isKnown(Identifier(span)) })
+	utilities, counts := Utilities(spans, UtilityFuncs[settings.GetUtility()])
+	beliefs := nextBeliefs(prior, counts, isKnown)
+	updateBeliefs(beliefs, utilities, settings)
 	learning := &wire.Learning{
 		Holder: prior.GetHolder(), Cycle: prior.GetCycle() + 1, Correlations: Correlate(spans),
 		Beliefs: slices.SortedFunc(maps.Values(beliefs), func(a, b *wire.Belief) int { return cmp.Compare(a.Identifier, b.Identifier) }),
@@ -95,24 +99,25 @@
 	if len(learning.Correlations) == 0 {
 		learning.Correlations = prior.GetCorrelations()
 	}
-	odds := Odds(learning.Beliefs, tracing, rand)
-	learning.Odds = &wire.Odds{Serial: prior.GetOdds().GetSerial() + 1, Epsilon: tracing.GetEpsilon(), Table: odds}
+	probabilities := SamplingProbabilities(learning.Beliefs, settings, rand)
+	learning.Odds = &wire.Odds{Serial: prior.GetOdds().GetSerial() + 1, Epsilon: settings.GetEpsilon(), Table: probabilities}
 	for _, belief := range learning.Beliefs {
-		belief.Odds = odds[belief.Identifier]
+		belief.Odds = probabilities[belief.Identifier]
 	}
 	return learning
 }
 
-// carryOver returns copies of the prior's beliefs in named identifiers, and
-// new ones for identifiers seen for the first time, with the spans counted.
-func carryOver(prior *wire.Learning, counts map[string]uint64, named func(identifier string) bool) map[string]*wire.Belief {
+// nextBeliefs returns copies of the prior's beliefs for known identifiers, and
+// new beliefs for identifiers seen for the first time, with the span counts
+// added. A belief that is not valid starts again from the uniform prior.
+func nextBeliefs(prior *wire.Learning, counts map[string]uint64, isKnown func(identifier string) bool) map[string]*wire.Belief {
 	beliefs := map[string]*wire.Belief{}
 	for _, old := range prior.GetBeliefs() {
-		if !named(old.Identifier) {
+		if !isKnown(old.Identifier) {
 			continue
 		}
 		belief := newBelief(old.Identifier, old.Samples)
-		if lawful(old) {
+		if validBelief(old) {
 			belief.Alpha, belief.Beta, belief.Mean, belief.Utility = old.Alpha, old.Beta, old.Mean, old.Utility
 		}
 		belief.Samples += counts[old.Identifier]
@@ -126,14 +131,15 @@
 	return beliefs
 }
 
-// newBelief returns the uniform prior Beta(1, 1) without a moving average yet.
+// newBelief returns a belief with the uniform prior Beta(1, 1). Its moving
+// average is NaN until the first update.
 func newBelief(identifier string, samples uint64) *wire.Belief {
 	return &wire.Belief{Identifier: identifier, Alpha: 1, Beta: 1, Mean: math.NaN(), Samples: samples}
 }
 
-// updateAll updates the beliefs by utilities normalised by the largest of the
-// batch. If that is 0 nothing is learned.
-func updateAll(beliefs map[string]*wire.Belief, utilities map[string]float64, tracing *wire.Tracing) {
+// updateBeliefs updates the beliefs with the utilities of a batch, normalised by
+// the largest one. If the largest is 0, the beliefs stay unchanged.
+func updateBeliefs(beliefs map[string]*wire.Belief, utilities map[string]float64, settings *wire.Tracing) {
 	largest := 0.0
 	for _, utility := range utilities {
 		largest = max(largest, utility)
@@ -142,73 +148,75 @@
 		return
 	}
 	for identifier, utility := range utilities {
-		update(beliefs[identifier], utility/largest, tracing.GetMemory(), tracing.GetEvidence())
+		updateBelief(beliefs[identifier], utility/largest, settings.GetMemory(), settings.GetEvidence())
 		beliefs[identifier].Utility = utility
 	}
 }
 
-// lawful reports whether a belief can have come from learning; the sampler
-// fails on others.
-func lawful(belief *wire.Belief) bool {
-	shaped := belief.Alpha >= 1 && belief.Beta >= 1 && belief.Alpha+belief.Beta < math.MaxFloat32
-	return shaped && !(belief.Mean < 0) && !(belief.Mean > 1)
+// validBelief reports whether a belief can be the result of learning. Drawing
+// from the Beta distribution fails for other parameters.
+func validBelief(belief *wire.Belief) bool {
+	validShape := belief.Alpha >= 1 && belief.Beta >= 1 && belief.Alpha+belief.Beta < math.MaxFloat32
+	return validShape && !(belief.Mean < 0) && !(belief.Mean > 1)
 }
 
-// update adds a normalised utility to a belief (the paper, equations 1 and 2):
-// alpha grows by the moving average, in which the newest batch has the weight
-// memory, and beta by its complement. Evidence over the prior is scaled back
-// to most, if that is above 0, so that a change is still learned later on.
-func update(belief *wire.Belief, normal, memory, most float64) {
+// updateBelief adds a normalised utility to a belief (the paper, equations 1 and
+// 2): alpha grows by the exponential moving average, in which the newest batch
+// has the given weight, and beta by 1 minus that average. If maxEvidence is above
+// 0, the evidence beyond the prior is scaled down to it, so that old beliefs
+// still adapt when latencies change.
+func updateBelief(belief *wire.Belief, utility, weight, maxEvidence float64) {
 	if math.IsNaN(belief.Mean) {
-		belief.Mean = normal
+		belief.Mean = utility
 	} else {
-		belief.Mean += memory * (normal - belief.Mean)
+		belief.Mean += weight * (utility - belief.Mean)
 	}
 	belief.Alpha += belief.Mean
 	belief.Beta += 1 - belief.Mean
-	if evidence := belief.Alpha + belief.Beta - 2; most > 0 && evidence > most {
-		belief.Alpha = 1 + (belief.Alpha-1)*most/evidence
-		belief.Beta = 1 + (belief.Beta-1)*most/evidence
+	if evidence := belief.Alpha + belief.Beta - 2; maxEvidence > 0 && evidence > maxEvidence {
+		belief.Alpha = 1 + (belief.Alpha-1)*maxEvidence/evidence
+		belief.Beta = 1 + (belief.Beta-1)*maxEvidence/evidence
 	}
 }
 
-// Odds approximates for each belief the probability that its utility is at or
-// above the configured percentile of all, by Monte Carlo draws (the paper's
-// ABS, III-B), and raises it to the floor epsilon.
-func Odds(beliefs []*wire.Belief, tracing *wire.Tracing, rand *random.Source) map[string]float64 {
-	draws := int(tracing.GetDraws())
-	picked := make([]int, len(beliefs))
-	row := make([]float64, len(beliefs))
-	ordered := make([]float64, len(beliefs))
+// SamplingProbabilities estimates, by Monte Carlo draws, the probability of each
+// belief that its utility is at or above the configured percentile of all
+// utilities (the paper's ABS, III-B). Results below epsilon are raised to epsilon.
+func SamplingProbabilities(beliefs []*wire.Belief, settings *wire.Tracing, rand *random.Source) map[string]float64 {
+	draws := int(settings.GetDraws())
+	reached := make([]int, len(beliefs))
+	values := make([]float64, len(beliefs))
+	sorted := make([]float64, len(beliefs))
 	for range draws {
 		for i, belief := range beliefs {
-			row[i] = distuv.Beta{Alpha: belief.Alpha, Beta: belief.Beta, Src: source{rand}}.Rand()
+			values[i] = distuv.Beta{Alpha: belief.Alpha, Beta: belief.Beta, Src: randSource{rand}}.Rand()
 		}
-		copy(ordered, row)
-		slices.Sort(ordered)
-		bar := percentile(ordered, tracing.GetPercentile())
-		for i, value := range row {
-			if value >= bar {
-				picked[i]++
+		copy(sorted, values)
+		slices.Sort(sorted)
+		threshold := percentile(sorted, settings.GetPercentile())
+		for i, value := range values {
+			if value >= threshold {
+				reached[i]++
 			}
 		}
 	}
-	odds := make(map[string]float64, len(beliefs))
+	probabilities := make(map[string]float64, len(beliefs))
 	for i, belief := range beliefs {
-		odds[belief.Identifier] = max(float64(picked[i])/float64(draws), tracing.GetEpsilon())
+		probabilities[belief.Identifier] = max(float64(reached[i])/float64(draws), settings.GetEpsilon())
 	}
-	return odds
+	return probabilities
 }
 
-// percentile interpolates linearly between the two nearest ranks.
-func percentile(ordered []float64, p float64) float64 {
-	if len(ordered) == 0 {
+// percentile returns the p-quantile (p from 0 to 1) of sorted values, with linear
+// interpolation between the two nearest ranks, or 0 for no values.
+func percentile(sorted []float64, p float64) float64 {
+	if len(sorted) == 0 {
 		return 0
 	}
-	at := p * float64(len(ordered)-1)
-	low := int(at)
-	if low+1 >= len(ordered) {
-		return ordered[len(ordered)-1]
+	position := p * float64(len(sorted)-1)
+	lower := int(position)
+	if lower+1 >= len(sorted) {
+		return sorted[len(sorted)-1]
 	}
-	return ordered[low] + (at-float64(low))*(ordered[low+1]-ordered[low])
+	return sorted[lower] + (position-float64(lower))*(sorted[lower+1]-sorted[lower])
 }
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -19,107 +19,108 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// traceFolder is the folder, in the process's data folder, of the store's
-// files.
-const traceFolder = "traces"
+// storeFolder is the folder of the store's files, relative to the data folder of
+// the process.
+const storeFolder = "traces"
 
-// mostFiles is the most files that the store keeps, one for each interval in
-// which spans came.
-const mostFiles = 64
+// maxFiles is the maximum number of files that the store keeps. It writes one for
+// each interval in which spans arrived.
+const maxFiles = 64
 
-// Store keeps the newest spans on a core machine, in memory and in files.
+// Store keeps the newest spans on a control machine, in memory and in files.
 type Store struct {
-	scope       base.Scope
-	bound       int
-	incarnation string
-	mu          sync.Mutex
-	spans       deque.Deque[*wire.Span]
-	first       uint64
-	fresh       []*wire.Span
-	number      uint64
-	owed        deque.Deque[*wire.Batch]
-	peers       func() []wireconnect.LensClient
-}
-
-// OpenStore returns a store of at most bound spans, with those that the disk
-// still holds. Files that can't be read are deleted.
-func OpenStore(s base.Scope, bound int) *Store {
-	store := &Store{scope: s, bound: bound, incarnation: s.Rand.Name(6)}
-	_ = s.Disk.MakeFolder(traceFolder)
-	names, _ := s.Disk.List(traceFolder)
+	scope         base.Scope
+	capacity      int
+	incarnation   string // changes with each start, as span numbers start again
+	mu            sync.Mutex
+	spans         deque.Deque[*wire.Span]
+	firstIndex    uint64       // number of the oldest span in memory
+	unflushed     []*wire.Span // spans that are not yet in a file
+	fileNumber    uint64
+	pendingCopies deque.Deque[*wire.Batch] // batches that a peer is to store as well
+	peers         func() []wireconnect.LensClient
+}
+
+// OpenStore returns a store of at most capacity spans, loaded with the spans
+// still on disk. Files that can't be read or decoded are deleted.
+func OpenStore(s base.Scope, capacity int) *Store {
+	store := &Store{scope: s, capacity: capacity, incarnation: s.Rand.Hex(6)}
+	_ = s.Disk.MakeFolder(storeFolder)
+	names, _ := s.Disk.List(storeFolder)
 	slices.Sort(names)
 	for _, name := range names {
-		raw, err := s.Disk.Read(traceFolder + "/" + name)
+		raw, err := s.Disk.Read(storeFolder + "/" + name)
 		batch := &wire.Batch{}
 		if err != nil || proto.Unmarshal(raw, batch) != nil {
-			_ = s.Disk.Remove(traceFolder + "/" + name)
+			_ = s.Disk.Remove(storeFolder + "/" + name)
 			continue
 		}
 		for _, span := range batch.Spans {
-			store.push(span)
+			store.appendSpan(span)
 		}
-		_, _ = fmt.Sscanf(name, "%016x", &store.number)
+		_, _ = fmt.Sscanf(name, "%016x", &store.fileNumber)
 	}
 	return store
 }
 
-func (t *Store) push(span *wire.Span) {
+func (t *Store) appendSpan(span *wire.Span) {
 	t.spans.PushBack(span)
-	if t.spans.Len() > t.bound {
+	if t.spans.Len() > t.capacity {
 		t.spans.PopFront()
-		t.first++
+		t.firstIndex++
 	}
 }
 
-// Add stores spans. They are on disk after the next Flush.
+// Add stores spans in memory. The next Flush writes them to disk.
 func (t *Store) Add(spans []*wire.Span) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, span := range spans {
-		t.push(span)
+		t.appendSpan(span)
 	}
-	t.fresh = append(t.fresh, spans...)
-	if over := len(t.fresh) - t.bound; over > 0 {
-		t.fresh = t.fresh[over:]
+	t.unflushed = append(t.unflushed, spans...)
+	if over := len(t.unflushed) - t.capacity; over > 0 {
+		t.unflushed = t.unflushed[over:]
 	}
 }
 
-// Peers sets the other core machines, which get the copies that this one keeps
-// for them. It is called once, before Run.
-func (t *Store) Peers(web *http.Client, addresses []string) {
+// SetPeers sets the addresses of the other control machines, to which this store
+// passes copies of batches. It must be called before Run.
+func (t *Store) SetPeers(client *http.Client, addresses []string) {
 	var clients []wireconnect.LensClient
 	for _, address := range addresses {
-		clients = append(clients, wireconnect.NewLensClient(web, "http://"+address))
+		clients = append(clients, wireconnect.NewLensClient(client, "http://"+address))
 	}
-	t.FollowPeers(func() []wireconnect.LensClient { return clients })
+	t.SetPeerFunc(func() []wireconnect.LensClient { return clients })
 }
 
-// FollowPeers names the other stores by a function that is asked each time, as they may change.
-// It must be called before Run.
-func (t *Store) FollowPeers(peers func() []wireconnect.LensClient) { t.peers = peers }
+// SetPeerFunc sets a function that returns the current other stores. It is called
+// before each delivery, because the peers may change. It must be set before Run.
+func (t *Store) SetPeerFunc(peers func() []wireconnect.LensClient) { t.peers = peers }
 
-func (t *Store) others() []wireconnect.LensClient {
+func (t *Store) currentPeers() []wireconnect.LensClient {
 	if t.peers == nil {
 		return nil
 	}
 	return t.peers()
 }
 
-// Run writes files and delivers copies at each interval until the scope ends.
-func (t *Store) Run(s base.Scope, every time.Duration) {
-	base.Tick(s, every, func(base.Scope) {
+// Run flushes the store and delivers pending copies at each interval until the
+// scope ends.
+func (t *Store) Run(s base.Scope, interval time.Duration) {
+	base.Tick(s, interval, func(base.Scope) {
 		t.Flush()
-		t.handOver(s, every)
+		t.deliverCopies(s, interval)
 	})
 }
 
-func (t *Store) owe(batch *wire.Batch) {
+func (t *Store) queueCopy(batch *wire.Batch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.owed.PushBack(batch)
-	if t.owed.Len() > owedMost {
-		t.owed.PopFront()
-		t.scope.Record("copy-lost", "", "a mate was away for too long")
+	t.pendingCopies.PushBack(batch)
+	if t.pendingCopies.Len() > maxPendingBatches {
+		t.pendingCopies.PopFront()
+		t.scope.Record("copy-lost", "", "too many copies pending: no peer accepts them")
 	}
 }
 
@@ -127,79 +128,81 @@
 func (t *Store) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.spans.Len() + len(t.fresh)
+	return t.spans.Len() + len(t.unflushed)
 }
 
-// Owed returns how many batches are held for other core machines.
-func (t *Store) Owed() int {
+// PendingCopies returns the number of batches that wait to be copied to a peer.
+func (t *Store) PendingCopies() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.owed.Len()
+	return t.pendingCopies.Len()
 }
 
-func (t *Store) handOver(s base.Scope, every time.Duration) {
-	for t.Owed() > 0 {
+// deliverCopies sends the pending copies, oldest first, each to the first peer
+// that accepts it. It stops at the first copy that no peer accepts.
+func (t *Store) deliverCopies(s base.Scope, timeout time.Duration) {
+	for t.PendingCopies() > 0 {
 		t.mu.Lock()
-		batch := t.owed.Front()
+		batch := t.pendingCopies.Front()
 		t.mu.Unlock()
-		if !slices.ContainsFunc(t.others(), func(peer wireconnect.LensClient) bool {
-			return keep(s, peer, &wire.KeepRequest{Batch: batch}, every)
+		if !slices.ContainsFunc(t.currentPeers(), func(peer wireconnect.LensClient) bool {
+			return sendBatch(s, peer, &wire.KeepRequest{Batch: batch}, timeout)
 		}) {
 			return
 		}
 		t.mu.Lock()
-		if t.owed.Len() > 0 && t.owed.Front() == batch {
-			t.owed.PopFront()
+		if t.pendingCopies.Len() > 0 && t.pendingCopies.Front() == batch {
+			t.pendingCopies.PopFront()
 		}
 		t.mu.Unlock()
 		t.scope.Record("handed-over", "spans", batch.Id)
 	}
 }
 
-// Flush writes the spans that came since the last call to a file, and removes
-// the oldest files beyond mostFiles. A failure is noted and the spans stay in
-// memory only.
+// Flush writes the spans added since the last call to a file and removes the
+// oldest files beyond maxFiles. A write error is recorded in the journal; these
+// spans then exist in memory only.
 func (t *Store) Flush() {
 	t.mu.Lock()
-	fresh := t.fresh
-	t.fresh = nil
-	t.number++
-	number := t.number
+	spans := t.unflushed
+	t.unflushed = nil
+	t.fileNumber++
+	fileNumber := t.fileNumber
 	t.mu.Unlock()
-	if len(fresh) == 0 {
+	if len(spans) == 0 {
 		return
 	}
-	raw, err := proto.Marshal(&wire.Batch{Spans: fresh})
+	raw, err := proto.Marshal(&wire.Batch{Spans: spans})
 	if err == nil {
-		err = storage.WriteAtomically(t.scope.Disk, fmt.Sprintf("%s/%016x", traceFolder, number), raw)
+		err = storage.WriteAtomically(t.scope.Disk, fmt.Sprintf("%s/%016x", storeFolder, fileNumber), raw)
 	}
 	if err != nil {
 		t.scope.Record("trace-lost", "", err.Error())
 		return
 	}
-	names, _ := t.scope.Disk.List(traceFolder)
+	names, _ := t.scope.Disk.List(storeFolder)
 	slices.Sort(names)
-	for len(names) > mostFiles {
-		_ = t.scope.Disk.Remove(traceFolder + "/" + names[0])
+	for len(names) > maxFiles {
+		_ = t.scope.Disk.Remove(storeFolder + "/" + names[0])
 		names = names[1:]
 	}
 }
 
-// Recent returns at most limit spans that came after the number given, and the
-// number of the last of them.
+// Recent returns at most limit spans that were added after the span with the
+// given number, and the number of the last one returned.
 func (t *Store) Recent(after uint64, limit int) ([]*wire.Span, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	after = max(after, t.first)
+	after = max(after, t.firstIndex)
 	var spans []*wire.Span
-	for i := int(after - t.first); i < t.spans.Len() && len(spans) < limit; i++ {
+	for i := int(after - t.firstIndex); i < t.spans.Len() && len(spans) < limit; i++ {
 		spans = append(spans, t.spans.At(i))
 		after++
 	}
 	return spans, after
 }
 
-// Trace returns all spans held of a trace.
+// Trace returns the spans of a trace that are still in memory.
 func (t *Store) Trace(trace string) []*wire.Span {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,27 +215,29 @@
 	return spans
 }
 
-type server struct{ store *Store }
+// storeService implements the RPC service of a store.
+type storeService struct{ store *Store }
 
-// Handler returns the path and handler of the store's service.
+// Handler returns the path and the HTTP handler of the store's RPC service.
 func Handler(t *Store) (string, http.Handler) {
-	return wireconnect.NewLensHandler(server{t}, httpserver.HandlerOptions())
+	return wireconnect.NewLensHandler(storeService{t}, httpserver.HandlerOptions())
 }
 
-func (v server) Keep(_ context.Context, request *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error) {
+// Keep stores a batch, or queues it for a peer if the caller asks for a copy.
+func (v storeService) Keep(_ context.Context, request *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error) {
 	if request.Msg.Copy {
-		v.store.owe(request.Msg.Batch)
+		v.store.queueCopy(request.Msg.Batch)
 		return connect.NewResponse(&wire.KeepReply{}), nil
 	}
 	v.store.Add(request.Msg.GetBatch().GetSpans())
 	return connect.NewResponse(&wire.KeepReply{}), nil
 }
 
-func (v server) Recent(_ context.Context, request *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error) {
+func (v storeService) Recent(_ context.Context, request *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error) {
 	spans, after := v.store.Recent(request.Msg.After, int(request.Msg.Limit))
 	return connect.NewResponse(&wire.RecentReply{Spans: spans, After: after, Incarnation: v.store.incarnation}), nil
 }
 
-func (v server) Trace(_ context.Context, request *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error) {
+func (v storeService) Trace(_ context.Context, request *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error) {
 	return connect.NewResponse(&wire.TraceReply{Spans: v.store.Trace(request.Msg.Trace)}), nil
 }
--- a/internal/tracing/tags_test.go
+++ b/internal/tracing/tags_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = ginkgo.Describe("tag correlations", func() {
-	ginkgo.It("given one seat that is slow, when tags are correlated with latency, then that tag stands out and no other does", func() {
+	ginkgo.It("given one slow instance, when tags are correlated with latency, then only the tag that tells it from the others is reported", func() {
 		rand := random.Seeded(5)
 		var spans []*wire.Span
 		for i := range 200 {
@@ -19,11 +19,11 @@
 			}
 			spans = append(spans, span)
 		}
-		found := Correlate(spans)
-		Expect(found).To(HaveLen(2))
-		Expect(found[0].R * found[1].R).To(BeNumerically("<", -0.8))
-		for _, each := range found {
-			Expect(each.Tag).To(HavePrefix("seat="))
+		correlations := Correlate(spans)
+		Expect(correlations).To(HaveLen(2))
+		Expect(correlations[0].R * correlations[1].R).To(BeNumerically("<", -0.8))
+		for _, correlation := range correlations {
+			Expect(correlation.Tag).To(HavePrefix("seat="))
 		}
 		Expect(Correlate(spans[:10])).To(BeEmpty())
 	})
