--- a/internal/tracing/convergence_test.go
+++ b/internal/tracing/convergence_test.go
@@ -11,12 +11,10 @@
 	"curlewreach/proto/wire"
 )
 
-// trialResult holds when a trial passed 0.9 for the slow route, and again after
-// the latency moved to another route (-1 for never), the share of calls recorded
-// until then, and the rank of the slow route's probability.
-// trialResult holds when a trial passed 0.9 for the slow route, and again after
-// the latency moved to another route (-1 for never), the share of calls recorded
-// until then, and the rank of the slow route's probability.
+// trialResult holds the cycles until the probability of the first slow route, and
+// later of the second one, passed 0.9 (-1 for never). recordedShare is the share of
+// calls recorded before the change, and rank the rank of the first slow route's
+// probability at that time.
 type trialResult struct {
 	cyclesToFind, cyclesToFollow int
 	recordedShare                float64
--- a/internal/tracing/suite_test.go
+++ b/internal/tracing/suite_test.go
@@ -11,7 +11,6 @@
 	"curlewreach/proto/wire"
 )
 
-// suite is the test that runs the specs, for specs that need a *testing.T.
 // suite is the test that runs the specs, for specs that need a *testing.T.
 var suite *testing.T
 
