--- a/internal/controlplane/learn.go
+++ b/internal/controlplane/learn.go
@@ -72,7 +72,7 @@
 	cycled := -time.Hour
 	for s.Err() == nil {
 		configuration, learned := l.server.view.Load().head.GetConfiguration(), l.server.learning.Load().said
-		if configuration == nil || !l.core.replica.Votes() {
+		if configuration == nil || !l.core.replica.IsVoter() {
 			base.Await(s, ratioOf(l.server.params.Load().InForce, 1.0/shortestCycles))
 			continue
 		}
--- a/internal/controlplane/propose_test.go
+++ b/internal/controlplane/propose_test.go
@@ -153,7 +153,7 @@
 		Expect(f.within(4*time.Second, func() bool {
 			same, settled := 0, f.controllers[0].server.view.Load()
 			for _, k := range f.controllers {
-				if held := k.server.core.Load().replica.Held(ConfigurationKey); proto.Equal(held, settled.entry) {
+				if held := k.server.core.Load().replica.Accepted(ConfigurationKey); proto.Equal(held, settled.entry) {
 					same++
 				}
 				if !k.server.Settled() || k.server.view.Load().serial() != settled.serial() {
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -59,7 +59,7 @@
 	if began, ok := c.replica.LastMajority(); ok {
 		view.ReachedMs = base.Milliseconds(now - began)
 	}
-	if began, ok := c.replica.Settled(ConfigurationKey); ok {
+	if began, ok := c.replica.ReplicatedAsOf(ConfigurationKey); ok {
 		view.AgreedMs = proto.Uint64(base.Milliseconds(now - began))
 	}
 	view.Owner, _ = c.replica.Owner(ConfigurationKey)
@@ -70,11 +70,11 @@
 // showMembers tells who votes, who is catching up and what a further loss would cost.
 func (m *Server) showMembers(c *core, view *wire.ControllerView) {
 	seen := c.replica.View()
-	view.Generation, view.Sealed, view.Spare = seen.Members.GetGeneration(), seen.Sealed, int32(seen.Spare)
+	view.Generation, view.Sealed, view.Spare = seen.Membership.GetGeneration(), seen.Sealed, int32(seen.TolerableLosses)
 	switch {
 	case seen.Generation > 0:
 		view.Phase = founded
-	case seen.Members != nil:
+	case seen.Membership != nil:
 		view.Phase = catchingUp
 	}
 	for _, voter := range c.replica.Voters() {
--- a/internal/dataplane/callgraph/tracker.go
+++ b/internal/dataplane/callgraph/tracker.go
@@ -93,9 +93,9 @@
 	return h == nil || h.alone < fewestAlone || h.calls[child] > 0
 }
 
-// Parent finds the request that a call of the upstream belongs to: the only one running whose route makes such calls, or
+// FindParent finds the request that a call of the upstream belongs to: the only one running whose route makes such calls, or
 // whose deadline the call shares where that is what binds. With several nothing is guessed: all of them are marked unsure.
-func (t *Tracker) Parent(route string, until time.Duration, binding bool) string {
+func (t *Tracker) FindParent(route string, until time.Duration, binding bool) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var fits []*Request
@@ -118,8 +118,8 @@
 	return ""
 }
 
-// EndCall notes how long a call of a request took.
-func (t *Tracker) EndCall(trace string, from, to time.Duration) {
+// RecordCall notes how long a call of a request took.
+func (t *Tracker) RecordCall(trace string, from, to time.Duration) {
 	_, span := cutTrace(trace)
 	if span == "" {
 		return
--- a/internal/dataplane/client_server.go
+++ b/internal/dataplane/client_server.go
@@ -116,7 +116,7 @@
 	defer gone()
 	defer v.finish()
 	v.run(w, r.Context())
-	n.calls.EndCall(v.metadata.Trace, c.began, v.now())
+	n.calls.RecordCall(v.metadata.Trace, c.began, v.now())
 	n.recordDuration(v)
 }
 
--- a/internal/dataplane/controlclient/suite_test.go
+++ b/internal/dataplane/controlclient/suite_test.go
@@ -49,11 +49,11 @@
 	status := func() *wire.NodeStatus {
 		return &wire.NodeStatus{Node: name, Incarnation: "one", Number: 1, Inward: ip + ":7002", Zone: "a", Service: books}
 	}
-	web := httpserver.NewClientWithDialTimeout(scope, DialPatience(contact))
+	web := httpserver.NewClientWithDialTimeout(scope, DialTimeout(contact))
 	n := &node{Client: New(scope, Settings{InForce: inForce, Contact: contact, Seeds: seeds}, web, Hooks{
-		Status: status, Observed: func(string, bool, []*wire.Observation) {}, Forgotten: func(string) {}, Sampling: tracing.NewSampler(scope.Rand),
+		Status: status, ApplyObservations: func(string, bool, []*wire.Observation) {}, RemoveController: func(string) {}, Sampling: tracing.NewSampler(scope.Rand),
 	})}
-	n.sink = tracing.NewExporter(scope, web, n.Live, 512)
+	n.sink = tracing.NewExporter(scope, web, n.Responsive, 512)
 	var tasks base.Group
 	tasks.Go(func() { n.Run(scope) })
 	tasks.Go(func() { n.sink.Run(scope, time.Second) })
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -169,7 +169,7 @@
 		b.Run(fmt.Sprint("flying=", flying), func(b *testing.B) {
 			defer benchCpu(b)()
 			for b.Loop() {
-				ties.Parent("route-1", time.Hour, false)
+				ties.FindParent("route-1", time.Hour, false)
 				ties.End(ties.Begin(way, time.Hour, time.Second), &wire.Instance{Id: "i"}, 200)
 			}
 		})
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -38,18 +38,18 @@
 
 // View tells how this node stands and what it knows.
 func (n *Node) View() *wire.NodeView {
-	instance, gate, _ := n.instance.Now()
+	instance, gate, _ := n.instance.Current()
 	p, w := n.params, gate.Load()
 	view := &wire.NodeView{
 		Node: p.Name, Zone: p.Zone, Service: p.Service, Incarnation: n.incarnation, Serial: n.control.Serial(), Ready: n.Ready(), Stopping: n.stopping.Load(),
-		Instance: instance, InstanceSilenceMs: base.Milliseconds(n.instance.Silence()), BacklogMs: base.Milliseconds(n.link.Backlog()), Odds: n.keeper.Serial(), Inside: n.inFlight.Load(),
+		Instance: instance, InstanceSilenceMs: base.Milliseconds(n.instance.SinceHeartbeat()), BacklogMs: base.Milliseconds(n.link.Backlog()), Odds: n.keeper.Serial(), Inside: n.inFlight.Load(),
 		UpMs:      base.Milliseconds(n.scope.Clock.Mono() - n.startedAt),
 		Gate:      &wire.GateView{Flying: uint32(w.InFlight), Waiting: uint32(w.Waiting), Limit: uint32(w.Limit), HoldMs: uint64(w.ServiceTimeMs), TopMs: uint64(w.UrgentWaitMs), RestMs: uint64(w.NormalWaitMs)},
 		Latencies: n.latencies.View(), RetryBudgets: n.retries.View(), Counts: map[string]uint64{},
 	}
 	view.Peers, view.Controllers = n.peers.View()
 	view.Confirmed, view.Polled = n.control.Confirmed(), n.control.Polled()
-	age := n.control.Age()
+	age := n.control.ConfigurationAge()
 	view.ConfigAgeMs, view.ConfigStale = base.Milliseconds(age), n.control.IsStale(age)
 	for what, count := range n.counts.All() {
 		view.Counts[what] = count.Load()
