--- a/internal/testing/judge/check.go
+++ b/internal/testing/judge/check.go
@@ -1,8 +1,6 @@
-// Package judge judges a history of a fleet of listed machines by the rules
-// that must never be broken. The rules look only at what upstreams, visitors,
-// operators and samplers saw; each tells how many things it judged, so that a
-// run which judged nothing doesn't pass for a good one. docs/proof.md lists the
-// rules.
+// Package judge checks the recorded history of a fleet of listed machines against the mesh's invariants. The rules only
+// use what upstreams, clients, operators and samples of the nodes' state observed. Each rule counts what it checked, so
+// that a run in which a rule had nothing to check isn't mistaken for a pass. docs/proof.md lists the rules.
 package judge
 
 import (
@@ -13,96 +11,97 @@
 
 // The names of the rules.
 const (
-	// RanTwice: no request other than GET runs twice.
-	RanTwice = "ran twice"
-	// NotRun: a request told as not run didn't run.
+	// RunOnce requires that no request other than GET runs twice.
+	RunOnce = "ran twice"
+	// NotRun requires that a request which the mesh reported as not run never ran.
 	NotRun = "not run"
-	// Whole: answers are complete and of the right request.
-	Whole = "whole answers"
-	// Allowed: a request runs only at a service that a signed bundle routes it
-	// to.
-	Allowed = "allowed services"
-	// InForce: a confirmed bundle is in force everywhere in time.
+	// WholeAnswers requires that an answer which a client took as complete is complete and answers its request.
+	WholeAnswers = "whole answers"
+	// AllowedServices requires that a request only runs at a service to which a signed bundle routes it.
+	AllowedServices = "allowed services"
+	// InForce requires that an acknowledged bundle is in force on every node within Bounds.InForce.
 	InForce = "in force"
-	// SlideBack: nobody goes back to an older bundle.
-	SlideBack = "slide back"
-	// OneAck: a submission has one outcome, and a serial number one submission.
-	OneAck = "one ack a base"
-	// BouncedOut: what was refused is never in force.
-	RejectedOut = "bounced stay out"
-	// LeavingOff: a leaving upstream gets no new requests after a while.
-	LeavingOff = "leaving"
-	// Stops: a planned stop breaks no request.
-	Stops = "planned stops"
-	// Repeats: repeats stay within their ratio and allowance.
+	// NoRegression requires that no older bundle is used after a newer one was seen, but for Bounds.RegressionGrace.
+	NoRegression = "slide back"
+	// SingleAck requires that a submission has one final outcome and that a serial number is acknowledged to one
+	// submission only.
+	SingleAck = "one ack a base"
+	// RejectedNotInForce requires that a rejected bundle is never in force, nor one that was never acknowledged.
+	RejectedNotInForce = "bounced stay out"
+	// LeavingUpstreams requires that a leaving upstream gets no new requests after Bounds.LeavingGrace.
+	LeavingUpstreams = "leaving"
+	// PlannedStops requires that no request fails because of a planned stop.
+	PlannedStops = "planned stops"
+	// Repeats requires that repeated arrivals stay within Bounds.RepeatRatio plus the service's allowance.
 	Repeats = "repeats"
-	// ReadBack: the newest confirmed bundle is read back whole after a disk
-	// loss.
-	ReadBack = "read back"
-	// Returns: after a return, service is back in time.
-	Returns = "returns"
+	// Durability requires that core machines have the newest acknowledged bundle unaltered, also after one lost its
+	// disk.
+	Durability = "read back"
+	// Recovery requires that requests are answered again within Bounds.Recovery after all machines are back.
+	Recovery = "returns"
 )
 
-// account is a history being judged by one rule.
-type account struct {
+// ruleCheck is the check of a history against one rule.
+type ruleCheck struct {
 	*History
 	Bounds
 	verdict *Verdict
 }
 
-func (a *account) found(format string, args ...any) {
-	a.verdict.Found = append(a.verdict.Found, fmt.Sprintf(format, args...))
+func (c *ruleCheck) addViolation(format string, args ...any) {
+	c.verdict.Violations = append(c.verdict.Violations, fmt.Sprintf(format, args...))
 }
 
-func (a *account) judged() { a.verdict.Judged++ }
+// addChecked counts one thing that the rule applied to.
+func (c *ruleCheck) addChecked() { c.verdict.Checked++ }
 
-// Check judges the history by all rules and returns a verdict for each.
+// Check checks the history against all rules and returns one verdict per rule. It sorts the history's runs by time.
 func Check(h *History, bounds Bounds) []Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	slices.SortStableFunc(h.runs, func(a, b Run) int { return cmp.Compare(a.At, b.At) })
 	rules := []struct {
 		name  string
-		judge func(*account)
+		check func(*ruleCheck)
 	}{
-		{RanTwice, ranTwice},
-		{NotRun, notRun},
-		{Whole, wholeAnswers},
-		{Allowed, allowedServices},
-		{InForce, inForce},
-		{SlideBack, slideBack},
-		{OneAck, oneAck},
-		{RejectedOut, rejectedOut},
-		{LeavingOff, leavingOff},
-		{Stops, plannedStops},
-		{Repeats, repeats},
-		{ReadBack, readBack},
-		{Returns, returned},
+		{RunOnce, checkRunOnce},
+		{NotRun, checkNotRun},
+		{WholeAnswers, checkWholeAnswers},
+		{AllowedServices, checkAllowedServices},
+		{InForce, checkInForce},
+		{NoRegression, checkNoRegression},
+		{SingleAck, checkSingleAck},
+		{RejectedNotInForce, checkRejectedNotInForce},
+		{LeavingUpstreams, checkLeavingUpstreams},
+		{PlannedStops, checkPlannedStops},
+		{Repeats, checkRepeats},
+		{Durability, checkDurability},
+		{Recovery, checkAllRecoveries},
 	}
 	verdicts := make([]Verdict, len(rules))
 	for i, rule := range rules {
 		verdicts[i].Rule = rule.name
-		rule.judge(&account{h, bounds, &verdicts[i]})
+		rule.check(&ruleCheck{h, bounds, &verdicts[i]})
 	}
 	return verdicts
 }
 
-// Broken returns all violations, each with its rule's name.
-func Broken(verdicts []Verdict) []string {
-	var broken []string
+// Violations returns the violations of all rules, each prefixed with the rule's name.
+func Violations(verdicts []Verdict) []string {
+	var violations []string
 	for _, verdict := range verdicts {
-		for _, each := range verdict.Found {
-			broken = append(broken, verdict.Rule+": "+each)
+		for _, each := range verdict.Violations {
+			violations = append(violations, verdict.Rule+": "+each)
 		}
 	}
-	return broken
+	return violations
 }
 
-// Vacuous returns the rules, of those wanted, that found nothing to judge.
+// Vacuous returns those of the wanted rules that had nothing to check.
 func Vacuous(verdicts []Verdict, wanted ...string) []string {
 	var vacuous []string
 	for _, verdict := range verdicts {
-		if verdict.Judged == 0 && slices.Contains(wanted, verdict.Rule) {
+		if verdict.Checked == 0 && slices.Contains(wanted, verdict.Rule) {
 			vacuous = append(vacuous, verdict.Rule)
 		}
 	}
--- a/internal/testing/judge/history.go
+++ b/internal/testing/judge/history.go
@@ -15,127 +15,129 @@
 	"curlewreach/proto/wire"
 )
 
-type signed struct {
+// signedBundle is a bundle that an operator submitted. The bundle is nil if it couldn't be opened.
+type signedBundle struct {
 	digest string
 	base   uint64
 	body   []byte
 	bundle *bundle.Bundle
 }
 
-// History collects what was seen of a fleet. It is safe for concurrent use.
+// History records what was observed of a fleet. It is safe for concurrent use.
 type History struct {
-	// Spill, if set, takes runs as JSON lines in place of the history.
-	Spill     io.Writer
-	clock     base.Clock
-	mu        sync.Mutex
-	runs      []Run
-	calls     []Call
-	acks      []Ack
-	sent      []Sent
-	dials     []Dial
-	readings  []Reading
-	readbacks []Readback
-	spells    []*Spell
-	returns   []time.Duration
-	signed    map[string]signed
+	// RunLog, if set, receives runs as lines of JSON. They are then not kept in the history.
+	RunLog       io.Writer
+	clock        base.Clock
+	mu           sync.Mutex
+	runs         []Run
+	calls        []Call
+	acks         []Ack
+	sent         []Sent
+	failedDials  []FailedDial
+	samples      []Sample
+	readbacks    []Readback
+	disturbances []*Disturbance
+	returns      []time.Duration
+	signed       map[string]signedBundle
 }
 
-// NewHistory returns an empty history that stamps by the clock.
+// NewHistory returns an empty history that takes timestamps from the clock's monotonic time.
 func NewHistory(clock base.Clock) *History {
-	return &History{clock: clock, signed: map[string]signed{}}
+	return &History{clock: clock, signed: map[string]signedBundle{}}
 }
 
-func note[T any](h *History, rows *[]T, row T) {
+func appendRow[T any](h *History, rows *[]T, row T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	*rows = append(*rows, row)
 }
 
-func snapshot[T any](h *History, rows *[]T) []T {
+func copyRows[T any](h *History, rows *[]T) []T {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]T(nil), *rows...)
 }
 
-// Now returns the clock's reading.
+// Now returns the clock's monotonic time.
 func (h *History) Now() time.Duration { return h.clock.Mono() }
 
-// Ran notes that a request arrived at an upstream. A nil history ignores it.
-func (h *History) Ran(run Run) {
+// RecordRun records the arrival of a request at an upstream, at the current time if run.At is 0. A nil history ignores
+// it.
+func (h *History) RecordRun(run Run) {
 	if h == nil {
 		return
 	}
 	if run.At == 0 {
 		run.At = h.Now()
 	}
-	if h.Spill != nil {
+	if h.RunLog != nil {
 		line, _ := json.Marshal(run)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		_, _ = h.Spill.Write(append(line, '\n'))
+		_, _ = h.RunLog.Write(append(line, '\n'))
 		return
 	}
-	note(h, &h.runs, run)
+	appendRow(h, &h.runs, run)
 }
 
-// Called notes a request as its visitor saw it.
-func (h *History) Called(call Call) { note(h, &h.calls, call) }
+// RecordCall records a request as its client saw it.
+func (h *History) RecordCall(call Call) { appendRow(h, &h.calls, call) }
 
-// Acked notes an outcome as an operator was told it.
-func (h *History) Acked(outcome *wire.Outcome) {
-	note(h, &h.acks, Ack{At: h.Now(), Submission: outcome.GetSubmission(), Verdict: outcome.GetVerdict(), Serial: outcome.GetSerial()})
+// RecordOutcome records the outcome of a submission as reported to an operator.
+func (h *History) RecordOutcome(outcome *wire.Outcome) {
+	appendRow(h, &h.acks, Ack{At: h.Now(), Submission: outcome.GetSubmission(), Verdict: outcome.GetVerdict(), Serial: outcome.GetSerial()})
 }
 
-// Sent notes that a node sent a request under a bundle.
-func (h *History) Sent(sent Sent) { note(h, &h.sent, sent) }
+// RecordSent records that a node sent a request under a bundle.
+func (h *History) RecordSent(sent Sent) { appendRow(h, &h.sent, sent) }
 
-// Dialled notes a failed dial of an attempt.
-func (h *History) Dialled(dial Dial) { note(h, &h.dials, dial) }
+// RecordFailedDial records an attempt that failed to connect.
+func (h *History) RecordFailedDial(failed FailedDial) { appendRow(h, &h.failedDials, failed) }
 
-// Fold takes what concerns the rules out of a node's journal.
-func (h *History) Fold(node, topic, subject, detail string, at time.Duration) {
+// RecordEvent records an event of a node's journal if the rules need it, and ignores it otherwise.
+func (h *History) RecordEvent(node, topic, subject, detail string, at time.Duration) {
 	switch topic {
 	case "handed":
-		_, last, _ := strings.Cut(detail, " under ")
-		serial, _ := strconv.ParseUint(last, 10, 64)
+		_, digits, _ := strings.Cut(detail, " under ")
+		serial, _ := strconv.ParseUint(digits, 10, 64)
 		if serial > 0 {
-			h.Sent(Sent{At: at, Node: node, Serial: serial})
+			h.RecordSent(Sent{At: at, Node: node, Serial: serial})
 		}
 	case "dial-failed":
-		ordinal, _ := strconv.Atoi(detail)
-		h.Dialled(Dial{At: at, Service: subject, Ordinal: ordinal})
+		attempt, _ := strconv.Atoi(detail)
+		h.RecordFailedDial(FailedDial{At: at, Service: subject, Attempt: attempt})
 	}
 }
 
-// Read notes a sample of what a node would serve.
-func (h *History) Read(reading Reading) { note(h, &h.readings, reading) }
+// RecordSample records a sample of a node's state.
+func (h *History) RecordSample(sample Sample) { appendRow(h, &h.samples, sample) }
 
-// ReadBack notes what a disk had of the bundle, or the error.
-func (h *History) ReadBack(disk string, serial uint64, sealed *wire.Sealed, err error) {
-	row := Readback{At: h.Now(), Disk: disk, Serial: serial, Body: whole(sealed)}
+// RecordReadback records the bundle read from a disk, or the error of reading it.
+func (h *History) RecordReadback(disk string, serial uint64, sealed *wire.Sealed, err error) {
+	row := Readback{At: h.Now(), Disk: disk, Serial: serial, Body: marshalSealed(sealed)}
 	if err != nil {
 		row.Reason = err.Error()
 	}
-	note(h, &h.readbacks, row)
+	appendRow(h, &h.readbacks, row)
 }
 
-// Returned notes that all machines are back from now on.
-func (h *History) Returned() { note(h, &h.returns, h.Now()) }
+// RecordReturn records that all machines are back from now on.
+func (h *History) RecordReturn() { appendRow(h, &h.returns, h.Now()) }
 
-// Spell notes the begin of a trouble or a planned stop; end notes its end.
-func (h *History) Spell(node, cause string, planned bool) (end func()) {
-	spell := &Spell{Node: node, Cause: cause, Planned: planned, From: h.Now(), Till: -1}
-	note(h, &h.spells, spell)
+// RecordDisturbance records that a fault or a planned stop begins. The caller calls end when it is over.
+func (h *History) RecordDisturbance(node, cause string, planned bool) (end func()) {
+	disturbance := &Disturbance{Node: node, Cause: cause, Planned: planned, From: h.Now(), Until: -1}
+	appendRow(h, &h.disturbances, disturbance)
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		spell.Till = h.clock.Mono()
+		disturbance.Until = h.clock.Mono()
 	}
 }
 
-// Signed notes a bundle that an operator handed in under a submission.
-func (h *History) Signed(submission string, sealed *wire.Sealed) {
-	row := signed{digest: bundle.Digest(sealed), body: whole(sealed)}
+// RecordSigned records the signed bundle that an operator submits under a submission's ID.
+func (h *History) RecordSigned(submission string, sealed *wire.Sealed) {
+	row := signedBundle{digest: bundle.Digest(sealed), body: marshalSealed(sealed)}
 	if raw, fault := bundle.Open(sealed); fault == nil {
 		row.base, row.bundle = raw.Base, bundle.Index(sealed, raw)
 	}
@@ -144,7 +146,8 @@
 	h.signed[submission] = row
 }
 
-func whole(sealed *wire.Sealed) []byte {
+// marshalSealed returns a deterministic encoding for comparisons, nil for a nil bundle.
+func marshalSealed(sealed *wire.Sealed) []byte {
 	if sealed == nil {
 		return nil
 	}
@@ -152,11 +155,11 @@
 	return body
 }
 
-// Runs returns a copy of the runs so far.
-func (h *History) Runs() []Run { return snapshot(h, &h.runs) }
+// Runs returns a copy of the recorded runs.
+func (h *History) Runs() []Run { return copyRows(h, &h.runs) }
 
-// Calls returns a copy of the calls so far.
-func (h *History) Calls() []Call { return snapshot(h, &h.calls) }
+// Calls returns a copy of the recorded calls.
+func (h *History) Calls() []Call { return copyRows(h, &h.calls) }
 
-// Acks returns a copy of the outcomes so far.
-func (h *History) Acks() []Ack { return snapshot(h, &h.acks) }
+// Acks returns a copy of the recorded outcomes.
+func (h *History) Acks() []Ack { return copyRows(h, &h.acks) }
--- a/internal/testing/judge/rules.go
+++ b/internal/testing/judge/rules.go
@@ -4,63 +4,65 @@
 	"strings"
 )
 
-func ranTwice(a *account) {
+func checkRunOnce(c *ruleCheck) {
 	seen := map[string]bool{}
-	for _, run := range a.runs {
+	for _, run := range c.runs {
 		if run.Method == "GET" {
 			continue
 		}
-		a.judged()
+		c.addChecked()
 		if seen[run.ID] {
-			a.found("%s %s at %s", run.ID, run.Path, run.Seat)
+			c.addViolation("%s %s at %s", run.ID, run.Path, run.Address)
 		}
 		seen[run.ID] = true
 	}
 }
 
-func notRun(a *account) {
+func checkNotRun(c *ruleCheck) {
 	ran := map[string]bool{}
-	for _, run := range a.runs {
+	for _, run := range c.runs {
 		ran[run.ID] = true
 	}
-	for _, call := range a.calls {
+	for _, call := range c.calls {
 		if call.Outcome != "not-run" {
 			continue
 		}
-		a.judged()
+		c.addChecked()
 		if ran[call.ID] {
-			a.found("%s (%s) ran", call.ID, call.Kind)
+			c.addViolation("%s (%s) ran", call.ID, call.Kind)
 		}
 	}
 }
 
-func wholeAnswers(a *account) {
-	for _, call := range a.calls {
+// checkWholeAnswers ignores answers that the client could tell to be incomplete.
+func checkWholeAnswers(c *ruleCheck) {
+	for _, call := range c.calls {
 		if call.Outcome == "" {
-			a.judged()
+			c.addChecked()
 		}
 		if strings.HasPrefix(call.Broken, "not whole") {
-			a.found("%s %s", call.ID, call.Broken)
+			c.addViolation("%s %s", call.ID, call.Broken)
 		}
 	}
 }
 
-func allowedServices(a *account) {
-	for _, run := range a.runs {
-		a.judged()
+// checkAllowedServices checks routes only if any bundle was recorded as signed.
+func checkAllowedServices(c *ruleCheck) {
+	for _, run := range c.runs {
+		c.addChecked()
 		if !strings.HasPrefix(run.Path, "/"+run.Service+"/") {
-			a.found("%s %s reached %s", run.ID, run.Path, run.Service)
+			c.addViolation("%s %s reached %s", run.ID, run.Path, run.Service)
 			continue
 		}
-		named := len(a.signed) == 0
-		for _, row := range a.signed {
-			if row.bundle != nil {
-				way, known := row.bundle.Match(run.Method, run.Path)
-				named = named || known && way.Service.Name == run.Service
+		allowed := len(c.signed) == 0
+		for _, signed := range c.signed {
+			if signed.bundle != nil {
+				route, known := signed.bundle.Match(run.Method, run.Path)
+				allowed = allowed || known && route.Service.Name == run.Service
 			}
 		}
-		if !named {
-			a.found("%s %s: no signed bundle names it", run.ID, run.Path)
+		if !allowed {
+			c.addViolation("%s %s: no signed bundle routes it there", run.ID, run.Path)
 		}
 	}
 }
--- a/internal/testing/judge/rules_config.go
+++ b/internal/testing/judge/rules_config.go
@@ -8,192 +8,196 @@
 	"curlewreach/proto/wire"
 )
 
-func (a *account) taken() []Ack {
-	return slices.DeleteFunc(slices.Clone(a.acks), func(ack Ack) bool { return ack.Verdict != wire.Verdict_TAKEN })
+// acceptedAcks returns the acknowledgements of accepted bundles.
+func (c *ruleCheck) acceptedAcks() []Ack {
+	return slices.DeleteFunc(slices.Clone(c.acks), func(ack Ack) bool { return ack.Verdict != wire.Verdict_TAKEN })
 }
 
-func inForce(a *account) {
-	told := map[string]bool{}
-	for _, ack := range a.taken() {
-		a.ackInForce(ack, told)
+func checkInForce(c *ruleCheck) {
+	reported := map[string]bool{}
+	for _, ack := range c.acceptedAcks() {
+		c.checkAckInForce(ack, reported)
 	}
 }
 
-// ackInForce judges all that happened late after ack. The nodes in told were
-// found to serve nothing.
-func (a *account) ackInForce(ack Ack, told map[string]bool) {
-	late := ack.At + a.InForce
-	for _, run := range a.runs {
-		if run.At > late {
-			a.runInForce(ack, run)
+// checkAckInForce checks everything observed later than Bounds.InForce after ack. The nodes in reported were already
+// reported as not ready.
+func (c *ruleCheck) checkAckInForce(ack Ack, reported map[string]bool) {
+	deadline := ack.At + c.InForce
+	for _, run := range c.runs {
+		if run.At > deadline {
+			c.checkRunInForce(ack, run)
 		}
 	}
-	for _, sent := range a.sent {
-		if sent.At > late && sent.Serial < ack.Serial {
-			a.found("%s sent under %d, %s after %d was acked", sent.Node, sent.Serial, sent.At-ack.At, ack.Serial)
+	for _, sent := range c.sent {
+		if sent.At > deadline && sent.Serial < ack.Serial {
+			c.addViolation("%s sent under %d, %s after %d was acked", sent.Node, sent.Serial, sent.At-ack.At, ack.Serial)
 		}
 	}
-	for _, reading := range a.readings {
-		if reading.At > late {
-			a.readingInForce(ack, reading, told)
+	for _, sample := range c.samples {
+		if sample.At > deadline {
+			c.checkSampleInForce(ack, sample, reported)
 		}
 	}
 }
 
-func (a *account) runInForce(ack Ack, run Run) {
-	a.judged()
+func (c *ruleCheck) checkRunInForce(ack Ack, run Run) {
+	c.addChecked()
 	if run.Serial < ack.Serial {
-		a.found("%s ran under %d, %s after %d was acked", run.ID, run.Serial, run.At-ack.At, ack.Serial)
+		c.addViolation("%s ran under %d, %s after %d was acked", run.ID, run.Serial, run.At-ack.At, ack.Serial)
 	}
 }
 
-// readingInForce judges a sample taken late after ack. That a node serves
-// nothing though all is calm is told once a node.
-func (a *account) readingInForce(ack Ack, reading Reading, told map[string]bool) {
-	a.judged()
+// checkSampleInForce checks a sample taken later than Bounds.InForce after ack. A node that isn't ready although the
+// fleet is undisturbed is reported once. Around another acknowledgement a node may be not ready for a moment, while it
+// takes over the next bundle.
+func (c *ruleCheck) checkSampleInForce(ack Ack, sample Sample, reported map[string]bool) {
+	c.addChecked()
 	switch {
-	case reading.Ready && reading.Serial < ack.Serial:
-		a.found("%s would serve under %d, %s after %d was acked", reading.Node, reading.Serial, reading.At-ack.At, ack.Serial)
-	case reading.Calm && !reading.Ready && !told[reading.Node] && !a.rolling(reading.At):
-		told[reading.Node] = true
-		a.found("%s serves nothing though all is calm, %s after %d was acked", reading.Node, reading.At-ack.At, ack.Serial)
+	case sample.Ready && sample.Serial < ack.Serial:
+		c.addViolation("%s would serve under %d, %s after %d was acked", sample.Node, sample.Serial, sample.At-ack.At, ack.Serial)
+	case sample.Calm && !sample.Ready && !reported[sample.Node] && !c.ackNear(sample.At):
+		reported[sample.Node] = true
+		c.addViolation("%s is not ready although the fleet is undisturbed, %s after %d was acked", sample.Node, sample.At-ack.At, ack.Serial)
 	}
 }
 
-func (a *account) rolling(at time.Duration) bool {
-	return slices.ContainsFunc(a.acks, func(ack Ack) bool { return max(at-ack.At, ack.At-at) <= a.InForce })
+// ackNear reports whether any outcome was reported less than Bounds.InForce before or after a time.
+func (c *ruleCheck) ackNear(at time.Duration) bool {
+	return slices.ContainsFunc(c.acks, func(ack Ack) bool { return max(at-ack.At, ack.At-at) <= c.InForce })
 }
 
-func slideBack(a *account) {
-	seen := newSightings(a.runs)
-	for _, run := range a.runs {
-		a.slid(seen, run.ID+" arrived", run.Serial, run.At)
+func checkNoRegression(c *ruleCheck) {
+	uses := newFirstUses(c.runs)
+	for _, run := range c.runs {
+		c.checkRegression(uses, run.ID+" arrived", run.Serial, run.At)
 	}
-	for _, sent := range a.sent {
-		a.slid(seen, sent.Node+" sent", sent.Serial, sent.At)
+	for _, sent := range c.sent {
+		c.checkRegression(uses, sent.Node+" sent", sent.Serial, sent.At)
 	}
-	for _, reading := range a.readings {
-		if reading.Ready {
-			a.slid(seen, reading.Node+" would serve", reading.Serial, reading.At)
+	for _, sample := range c.samples {
+		if sample.Ready {
+			c.checkRegression(uses, sample.Node+" would serve", sample.Serial, sample.At)
 		}
 	}
 }
 
-// sightings are the serials that upstreams saw, ascending, and when each was
-// first seen.
-type sightings struct {
+// firstUses holds the serial numbers that upstreams saw, in ascending order, and when each was first seen.
+type firstUses struct {
 	first   map[uint64]time.Duration
 	serials []uint64
 }
 
-func newSightings(runs []Run) sightings {
+// newFirstUses expects runs sorted by time.
+func newFirstUses(runs []Run) firstUses {
 	first := map[uint64]time.Duration{}
 	for _, run := range runs {
 		if _, seen := first[run.Serial]; !seen {
 			first[run.Serial] = run.At
 		}
 	}
-	return sightings{first, slices.Sorted(maps.Keys(first))}
+	return firstUses{first, slices.Sorted(maps.Keys(first))}
 }
 
-// slid judges a use of a serial against each newer one seen before it.
-func (a *account) slid(seen sightings, what string, serial uint64, at time.Duration) {
-	for _, newer := range seen.serials {
-		if newer <= serial || at <= seen.first[newer] {
+// checkRegression checks the use of a serial number against each newer one that an upstream saw earlier. The use of the
+// newest one counts as checked too, so that the rule isn't vacuous in a run without late uses.
+func (c *ruleCheck) checkRegression(uses firstUses, subject string, serial uint64, at time.Duration) {
+	for _, newer := range uses.serials {
+		if newer <= serial || at <= uses.first[newer] {
 			continue
 		}
-		a.judged()
-		if at-seen.first[newer] > a.SlideBack {
-			a.found("%s under %d, %s after %d was seen", what, serial, at-seen.first[newer], newer)
+		c.addChecked()
+		if at-uses.first[newer] > c.RegressionGrace {
+			c.addViolation("%s under %d, %s after %d was seen", subject, serial, at-uses.first[newer], newer)
 		}
 	}
-	if len(seen.serials) > 1 && serial == seen.serials[len(seen.serials)-1] {
-		a.judged()
+	if len(uses.serials) > 1 && serial == uses.serials[len(uses.serials)-1] {
+		c.addChecked()
 	}
 }
 
-func oneAck(a *account) {
+func checkSingleAck(c *ruleCheck) {
 	final := map[string]wire.Verdict{}
-	winner := map[uint64]string{}
-	for _, ack := range a.acks {
+	ackedBy := map[uint64]string{}
+	for _, ack := range c.acks {
 		if ack.Submission == "" || ack.Verdict == wire.Verdict_UNKNOWN {
 			continue
 		}
-		a.judged()
-		if prior, known := final[ack.Submission]; known && prior != ack.Verdict {
-			a.found("%s was %s, then %s", ack.Submission, prior, ack.Verdict)
+		c.addChecked()
+		if earlier, known := final[ack.Submission]; known && earlier != ack.Verdict {
+			c.addViolation("%s was %s, then %s", ack.Submission, earlier, ack.Verdict)
 		}
 		final[ack.Submission] = ack.Verdict
 		if ack.Verdict != wire.Verdict_TAKEN {
 			continue
 		}
-		if other, known := winner[ack.Serial]; known && other != ack.Submission {
-			a.found("%s and %s were both acked as %d", other, ack.Submission, ack.Serial)
+		if other, known := ackedBy[ack.Serial]; known && other != ack.Submission {
+			c.addViolation("%s and %s were both acked as %d", other, ack.Submission, ack.Serial)
 		}
-		winner[ack.Serial] = ack.Submission
+		ackedBy[ack.Serial] = ack.Submission
 	}
 }
 
-func rejectedOut(a *account) {
-	if len(a.acks) == 0 {
+func checkRejectedNotInForce(c *ruleCheck) {
+	if len(c.acks) == 0 {
 		return
 	}
-	out, serials := a.outcomes()
-	for _, reading := range a.readings {
-		if submission := out[reading.Digest]; reading.Digest != "" && submission != "" {
-			a.found("%s holds the bounced %s", reading.Node, submission)
+	rejected, serials := c.rejectedAndAcked()
+	for _, sample := range c.samples {
+		if submission := rejected[sample.Digest]; sample.Digest != "" && submission != "" {
+			c.addViolation("%s holds the bundle of the rejected %s", sample.Node, submission)
 		}
 	}
-	for _, run := range a.runs {
+	for _, run := range c.runs {
 		if !serials[run.Serial] {
-			a.found("%s ran under %d, which nobody acked", run.ID, run.Serial)
+			c.addViolation("%s ran under %d, which was never acked", run.ID, run.Serial)
 		}
 	}
 }
 
-// outcomes returns the submissions that were only ever rejected, by digest, and
-// the serials that were or may have been acked.
-func (a *account) outcomes() (out map[string]string, serials map[uint64]bool) {
-	out, serials = map[string]string{}, map[uint64]bool{}
-	in := map[string]bool{}
-	for _, ack := range a.acks {
-		row, known := a.signed[ack.Submission]
+// rejectedAndAcked returns the submissions whose bundles were only ever rejected, by the bundle's digest, and the serial
+// numbers that were or may have been acknowledged.
+func (c *ruleCheck) rejectedAndAcked() (rejected map[string]string, serials map[uint64]bool) {
+	rejected, serials = map[string]string{}, map[uint64]bool{}
+	mayBeInForce := map[string]bool{}
+	for _, ack := range c.acks {
+		signed, known := c.signed[ack.Submission]
 		if ack.Verdict == wire.Verdict_BOUNCED {
-			a.judged()
+			c.addChecked()
 			if known {
-				out[row.digest] = ack.Submission
+				rejected[signed.digest] = ack.Submission
 			}
 			continue
 		}
 		serials[ack.Serial] = true
 		if known {
-			in[row.digest] = true
-			serials[row.base+1] = true
+			mayBeInForce[signed.digest] = true
+			serials[signed.base+1] = true
 		}
 	}
-	maps.DeleteFunc(out, func(digest, _ string) bool { return in[digest] })
-	return out, serials
+	maps.DeleteFunc(rejected, func(digest, _ string) bool { return mayBeInForce[digest] })
+	return rejected, serials
 }
 
-func readBack(a *account) {
-	for _, read := range a.readbacks {
+func checkDurability(c *ruleCheck) {
+	for _, readback := range c.readbacks {
 		newest, submission := uint64(0), ""
-		for _, ack := range a.taken() {
-			if ack.At < read.At && ack.Serial >= newest {
+		for _, ack := range c.acceptedAcks() {
+			if ack.At < readback.At && ack.Serial >= newest {
 				newest, submission = ack.Serial, ack.Submission
 			}
 		}
 		if newest == 0 {
 			continue
 		}
-		a.judged()
+		c.addChecked()
 		switch {
-		case read.Reason != "":
-			a.found("%s: %s", read.Disk, read.Reason)
-		case read.Serial < newest:
-			a.found("%s reads %d, acked was %d", read.Disk, read.Serial, newest)
-		case read.Serial == newest && a.signed[submission].body != nil && string(read.Body) != string(a.signed[submission].body):
-			a.found("%s reads %d not as it was signed", read.Disk, read.Serial)
+		case readback.Reason != "":
+			c.addViolation("%s: %s", readback.Disk, readback.Reason)
+		case readback.Serial < newest:
+			c.addViolation("%s has %d, but %d was acked", readback.Disk, readback.Serial, newest)
+		case readback.Serial == newest && c.signed[submission].body != nil && string(readback.Body) != string(c.signed[submission].body):
+			c.addViolation("%s has %d, but not as it was signed", readback.Disk, readback.Serial)
 		}
 	}
 }
--- a/internal/testing/judge/rules_repeats.go
+++ b/internal/testing/judge/rules_repeats.go
@@ -5,80 +5,82 @@
 	"time"
 )
 
-func (a *account) allowance(service string) float64 {
-	most := 0.0
-	for _, row := range a.signed {
-		if row.bundle != nil {
-			most = max(most, float64(row.bundle.Service(service).GetAllowance()))
+// allowance returns the largest allowance for a service's repeats in any signed bundle.
+func (c *ruleCheck) allowance(service string) float64 {
+	largest := 0.0
+	for _, signed := range c.signed {
+		if signed.bundle != nil {
+			largest = max(largest, float64(signed.bundle.Service(service).GetAllowance()))
 		}
 	}
-	return most
+	return largest
 }
 
+// arrival is the arrival of a request at a service. It is repeated if the request's ID arrived before, at any service.
 type arrival struct {
-	at    time.Duration
-	again bool
+	at       time.Duration
+	repeated bool
 }
 
-// window counts the arrivals at a service within the last span of time.
-type window struct {
-	span          time.Duration
-	arrivals      []arrival
-	firsts, again int
+// slidingWindow counts the first and the repeated arrivals at a service within the last span of time.
+type slidingWindow struct {
+	span               time.Duration
+	arrivals           []arrival
+	distinct, repeated int
 }
 
-func (w *window) count(each arrival, by int) {
-	if each.again {
-		w.again += by
+func (w *slidingWindow) adjust(arrival arrival, change int) {
+	if arrival.repeated {
+		w.repeated += change
 	} else {
-		w.firsts += by
+		w.distinct += change
 	}
 }
 
-func (w *window) add(last arrival) {
+func (w *slidingWindow) add(last arrival) {
 	w.arrivals = append(w.arrivals, last)
-	w.count(last, 1)
+	w.adjust(last, 1)
 	for last.at-w.arrivals[0].at > w.span {
-		w.count(w.arrivals[0], -1)
+		w.adjust(w.arrivals[0], -1)
 		w.arrivals = w.arrivals[1:]
 	}
 }
 
-func repeats(a *account) {
+func checkRepeats(c *ruleCheck) {
 	services := map[string][]arrival{}
 	seen := map[string]bool{}
-	for _, run := range a.runs {
+	for _, run := range c.runs {
 		services[run.Service] = append(services[run.Service], arrival{run.At, seen[run.ID]})
 		seen[run.ID] = true
 	}
-	worst, dials := 0.0, 0
-	for _, dial := range a.dials {
-		if dial.Ordinal > 0 {
-			dials++
+	largestExcess, failedRetries := 0.0, 0
+	for _, dial := range c.failedDials {
+		if dial.Attempt > 0 {
+			failedRetries++
 		}
 	}
 	for service, arrivals := range services {
-		worst = max(worst, a.repeatsOf(service, arrivals))
+		largestExcess = max(largestExcess, c.checkServiceRepeats(service, arrivals))
 	}
-	a.verdict.Remark = fmt.Sprintf("(most above a fifth: %.1f; failed dials of further attempts, not bound: %d)", worst, dials)
+	c.verdict.Note = fmt.Sprintf("(largest excess over the repeat ratio: %.1f; failed dials of further attempts, not bounded: %d)", largestExcess, failedRetries)
 }
 
-// repeatsOf judges a service's arrivals up to the first violation, and returns
-// the most repeats above the ratio.
-func (a *account) repeatsOf(service string, arrivals []arrival) (worst float64) {
-	allowance := a.allowance(service)
-	counted := &window{span: a.Window}
+// checkServiceRepeats checks a service's arrivals up to the first violation and returns the largest number of repeats
+// in excess of the ratio.
+func (c *ruleCheck) checkServiceRepeats(service string, arrivals []arrival) (largestExcess float64) {
+	allowance := c.allowance(service)
+	recent := &slidingWindow{span: c.RepeatWindow}
 	for _, last := range arrivals {
-		if last.again {
-			a.judged()
+		if last.repeated {
+			c.addChecked()
 		}
-		counted.add(last)
-		over := float64(counted.again) - a.Repeats*float64(counted.firsts)
-		worst = max(worst, over)
-		if over > allowance {
-			a.found("%s: %d repeats of %d first requests, allowance %.0f, at %s", service, counted.again, counted.firsts, allowance, last.at)
-			return worst
+		recent.add(last)
+		excess := float64(recent.repeated) - c.RepeatRatio*float64(recent.distinct)
+		largestExcess = max(largestExcess, excess)
+		if excess > allowance {
+			c.addViolation("%s: %d repeats of %d first requests, allowance %.0f, at %s", service, recent.repeated, recent.distinct, allowance, last.at)
+			return largestExcess
 		}
 	}
-	return worst
+	return largestExcess
 }
--- a/internal/testing/judge/rules_stops.go
+++ b/internal/testing/judge/rules_stops.go
@@ -7,120 +7,122 @@
 	"time"
 )
 
-func leavingOff(a *account) {
-	for _, run := range a.runs {
+func checkLeavingUpstreams(c *ruleCheck) {
+	for _, run := range c.runs {
 		if !run.Leaving {
 			continue
 		}
-		a.judged()
-		if run.At-run.Left > a.Leaving {
-			a.found("%s at %s, %s after it said so", run.ID, run.Seat, run.At-run.Left)
+		c.addChecked()
+		if run.At-run.Left > c.LeavingGrace {
+			c.addViolation("%s at %s, %s after it announced leaving", run.ID, run.Address, run.At-run.Left)
 		}
 	}
 }
 
-func (s Spell) overlaps(from, till time.Duration) bool {
-	return s.From <= till && (s.Till < 0 || s.Till >= from)
+// overlaps reports whether the disturbance overlaps a closed interval of time.
+func (d Disturbance) overlaps(from, till time.Duration) bool {
+	return d.From <= till && (d.Until < 0 || d.Until >= from)
 }
 
-func plannedStops(a *account) {
-	for _, call := range a.calls {
-		planned := a.plannedOnly(call)
+// checkPlannedStops checks calls during which there was a planned stop and no other disturbance. A passed deadline or a
+// refused connection is no violation.
+func checkPlannedStops(c *ruleCheck) {
+	for _, call := range c.calls {
+		planned := c.plannedStopDuring(call)
 		if planned == nil {
 			continue
 		}
-		a.judged()
-		midway := call.Outcome == "unknown" && call.Kind != "expired" || call.Broken != "" && !strings.Contains(call.Broken, "refused")
-		if midway {
-			a.found("%s via %s in %s of %s: %s %s %s %s", call.ID, call.Via, planned.Cause, planned.Node, call.Broken, call.Outcome, call.Kind, call.Reason)
+		c.addChecked()
+		interrupted := call.Outcome == "unknown" && call.Kind != "expired" || call.Broken != "" && !strings.Contains(call.Broken, "refused")
+		if interrupted {
+			c.addViolation("%s via %s in %s of %s: %s %s %s %s", call.ID, call.Via, planned.Cause, planned.Node, call.Broken, call.Outcome, call.Kind, call.Reason)
 		}
 	}
 }
 
-// plannedOnly returns the last planned stop during a call, or nil if there was
-// none, or trouble too.
-func (a *account) plannedOnly(call Call) *Spell {
-	var planned *Spell
-	for _, spell := range a.spells {
-		if !spell.overlaps(call.Begun, call.Ended) {
+// plannedStopDuring returns the last planned stop during a call, or nil if there was none or if there was an unplanned
+// disturbance too.
+func (c *ruleCheck) plannedStopDuring(call Call) *Disturbance {
+	var planned *Disturbance
+	for _, disturbance := range c.disturbances {
+		if !disturbance.overlaps(call.Started, call.Ended) {
 			continue
 		}
-		if !spell.Planned {
+		if !disturbance.Planned {
 			return nil
 		}
-		planned = spell
+		planned = disturbance
 	}
 	return planned
 }
 
 const (
-	// stretch is the time over which answers are counted after a return.
-	stretch = time.Second
-	// fewest is the least number of requests in a stretch to judge it by.
-	fewest = 4
+	// recoveryInterval is the length of the intervals in which answers are counted after a return.
+	recoveryInterval = time.Second
+	// minCalls is the number of requests below which an interval isn't checked.
+	minCalls = 4
 )
 
-func returned(a *account) {
-	slowest := time.Duration(0)
-	for i := range a.returns {
-		slowest = max(slowest, a.returnedSince(a.returns[i], a.untilTrouble(i)))
+func checkAllRecoveries(c *ruleCheck) {
+	longest := time.Duration(0)
+	for i := range c.returns {
+		longest = max(longest, c.checkRecovery(c.returns[i], c.nextDisturbance(i)))
 	}
-	a.verdict.Remark = fmt.Sprintf("(a quarter back within %s)", slowest)
+	c.verdict.Note = fmt.Sprintf("(service recovered within %s)", longest)
 }
 
-// untilTrouble returns when the time after a return ends: at the next return
-// or the next trouble.
-func (a *account) untilTrouble(i int) time.Duration {
+// nextDisturbance returns the end of the time to check after a return: the next return or unplanned disturbance.
+func (c *ruleCheck) nextDisturbance(i int) time.Duration {
 	until := time.Duration(math.MaxInt64)
-	if i+1 < len(a.returns) {
-		until = a.returns[i+1]
+	if i+1 < len(c.returns) {
+		until = c.returns[i+1]
 	}
-	for _, spell := range a.spells {
-		if !spell.Planned && spell.From > a.returns[i] {
-			until = min(until, spell.From)
+	for _, disturbance := range c.disturbances {
+		if !disturbance.Planned && disturbance.From > c.returns[i] {
+			until = min(until, disturbance.From)
 		}
 	}
 	return until
 }
 
-// returnedSince judges the stretches between a return and until, and returns
-// the end of the last short one.
-func (a *account) returnedSince(back, until time.Duration) (slowest time.Duration) {
-	asked, got := a.answers(back, until)
-	for at := range asked {
-		if asked[at] < fewest {
+// checkRecovery checks the intervals between a return and until. It returns the end of the last interval in which too
+// few requests were answered, as the time since the return.
+func (c *ruleCheck) checkRecovery(returned, until time.Duration) (lastShort time.Duration) {
+	calls, answered := c.countAnswers(returned, until)
+	for at := range calls {
+		if calls[at] < minCalls {
 			continue
 		}
-		short := float64(got[at]) < a.Quarter*float64(asked[at])
-		since := time.Duration(at) * stretch
+		short := float64(answered[at]) < c.MinAnswered*float64(calls[at])
+		since := time.Duration(at) * recoveryInterval
 		if short {
-			slowest = max(slowest, since+stretch)
+			lastShort = max(lastShort, since+recoveryInterval)
 		}
-		if since >= a.Recovery || !short {
-			a.judged()
+		if since >= c.Recovery || !short {
+			c.addChecked()
 		}
-		if since >= a.Recovery && short {
-			a.found("%s after the return: %d of %d answered", since, got[at], asked[at])
+		if since >= c.Recovery && short {
+			c.addViolation("%s after the return: %d of %d answered", since, answered[at], calls[at])
 		}
 	}
-	return slowest
+	return lastShort
 }
 
-// answers counts, by stretches since a return, the requests begun and those of
-// them that were answered. The last stretch before until is left out.
-func (a *account) answers(back, until time.Duration) (asked, got []int) {
-	for _, call := range a.calls {
-		if call.Begun < back || call.Begun >= until-stretch {
+// countAnswers counts, for each interval since a return, the requests started in it and how many of these were answered.
+// The last recoveryInterval before until is left out.
+func (c *ruleCheck) countAnswers(returned, until time.Duration) (calls, answered []int) {
+	for _, call := range c.calls {
+		if call.Started < returned || call.Started >= until-recoveryInterval {
 			continue
 		}
-		at := int((call.Begun - back) / stretch)
-		for at >= len(asked) {
-			asked, got = append(asked, 0), append(got, 0)
+		at := int((call.Started - returned) / recoveryInterval)
+		for at >= len(calls) {
+			calls, answered = append(calls, 0), append(answered, 0)
 		}
-		asked[at]++
+		calls[at]++
 		if call.Answered() {
-			got[at]++
+			answered[at]++
 		}
 	}
-	return asked, got
+	return calls, answered
 }
--- a/internal/testing/knownred/entry.go
+++ b/internal/testing/knownred/entry.go
@@ -9,36 +9,32 @@
 	"github.com/pkg/errors"
 )
 
-// maxEntries is the number of failing tests that may land at a time. The
-// project's rules set it: a longer list would no longer be mended first.
+// maxEntries is the number of failing tests that may be listed at a time. The project's rules set the limit, because the
+// tests of a longer list would no longer be fixed first.
 const maxEntries = 3
 
-// separator stands between the fields of a line. It is no comma, as the texts
-// of specs contain commas.
+// separator separates the fields of a line. A comma can't, as the texts of specs contain commas.
 const separator = "|"
 
-// Entry is one line of KNOWN-RED.txt: a test that fails for a real fault which
-// is not mended yet.
+// Entry is one line of KNOWN-RED.txt: a test that fails because of a real fault that is not fixed yet.
 type Entry struct {
-	// Test is the full text of one ginkgo spec (the texts of its containers and
-	// its own, joined by single spaces), or a test function as
-	// folder/of/package.TestName.
+	// Test is the full text of one ginkgo spec (the texts of its containers and its own, joined by single spaces), or a
+	// test function in the form folder/of/package.TestName.
 	Test string
-	// Cause says what makes the test fail.
+	// Cause describes why the test fails.
 	Cause string
-	// Issue names the issue under which the fault is mended.
+	// Issue names the issue that tracks the fault.
 	Issue string
 }
 
-// ParseEntries reads the lines "test | cause | issue". Empty lines are
-// ignored. It returns an error if a line lacks a field, if a test stands
-// twice, or if there are more than maxEntries lines.
+// ParseEntries reads lines of the form "test | cause | issue" and ignores empty lines. It returns an error if a line
+// doesn't have three non-empty fields, if a test is listed twice, or if there are more than maxEntries tests.
 func ParseEntries(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	seen := map[string]bool{}
-	lines := bufio.NewScanner(list)
-	for number := 1; lines.Scan(); number++ {
-		line := strings.TrimSpace(lines.Text())
+	scanner := bufio.NewScanner(list)
+	for number := 1; scanner.Scan(); number++ {
+		line := strings.TrimSpace(scanner.Text())
 		if line == "" {
 			continue
 		}
@@ -52,11 +48,11 @@
 		seen[entry.Test] = true
 		entries = append(entries, entry)
 	}
-	if err := lines.Err(); err != nil {
-		return nil, errors.Wrap(err, "reading the list")
+	if err := scanner.Err(); err != nil {
+		return nil, errors.Wrap(err, "read the list")
 	}
 	if len(entries) > maxEntries {
-		return nil, errors.Errorf("%d tests are listed, at most %d may be", len(entries), maxEntries)
+		return nil, errors.Errorf("%d tests are listed, at most %d are allowed", len(entries), maxEntries)
 	}
 	return entries, nil
 }
@@ -75,9 +71,8 @@
 	return Entry{Test: fields[0], Cause: fields[1], Issue: fields[2]}, nil
 }
 
-// Pattern returns the regular expression for ginkgo's --focus and --skip.
-// Ginkgo matches it against the suite's description, a space and the spec's
-// full text, so it is anchored at the end only.
+// Pattern returns the regular expression for ginkgo's --focus and --skip flags. Ginkgo matches it against the suite's
+// description, a space and the spec's full text, so it is anchored at the end only.
 func (e Entry) Pattern() string {
 	return " " + regexp.QuoteMeta(e.Test) + "$"
 }
--- a/internal/testing/knownred/knownred_test.go
+++ b/internal/testing/knownred/knownred_test.go
@@ -23,24 +23,24 @@
 }
 
 var _ = ginkgo.Describe("the list of tests known to fail", func() {
-	ginkgo.It("given lines of three fields, when it is read, then each is an entry and empty lines are none", func() {
+	ginkgo.It("given lines of three fields, when the list is read, then each line gives an entry and empty lines are ignored", func() {
 		entries, err := ParseEntries(strings.NewReader("\n" + listed.Test + " | " + listed.Cause + " | " + listed.Issue + "\n\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entries).To(Equal([]Entry{listed}))
 	})
 
-	ginkgo.It("given an empty list, when it is read, then nothing is skipped and nothing run", func() {
+	ginkgo.It("given an empty list, when the commands run, then no test is skipped and none is run", func() {
 		for _, name := range []string{"skip", "rest", "run"} {
 			var out bytes.Buffer
-			Expect(command(name, nil, strings.NewReader(""), &out)).To(Succeed())
+			Expect(runCommand(name, nil, strings.NewReader(""), &out)).To(Succeed())
 			Expect(out.String()).To(BeEmpty())
 		}
 	})
 
-	ginkgo.DescribeTable("given a list that breaks the rules, when it is read, then it is refused",
+	ginkgo.DescribeTable("given an invalid list, when it is read, then an error is returned and nothing is printed",
 		func(list, reason string) {
 			var out bytes.Buffer
-			Expect(command("skip", nil, strings.NewReader(list), &out)).To(MatchError(ContainSubstring(reason)))
+			Expect(runCommand("skip", nil, strings.NewReader(list), &out)).To(MatchError(ContainSubstring(reason)))
 			Expect(out.String()).To(BeEmpty())
 		},
 		ginkgo.Entry("four tests", "a|b|1\nb|b|1\nc|b|1\nd|b|1\n", "at most 3"),
@@ -50,7 +50,7 @@
 		ginkgo.Entry("a test twice", "a|b|1\na|c|2\n", "listed twice"),
 	)
 
-	ginkgo.It("given an entry, when its pattern is matched, then it takes its own text and no longer or other one", func() {
+	ginkgo.It("given an entry, when its pattern is matched, then it matches its own text and no longer or different one", func() {
 		pattern := regexp.MustCompile(listed.Pattern())
 		Expect(pattern.MatchString("the suite " + listed.Test)).To(BeTrue())
 		Expect(pattern.MatchString("the suite " + listed.Test + " twice")).To(BeFalse())
@@ -58,9 +58,9 @@
 		Expect(pattern.MatchString("the suite " + strings.ReplaceAll(listed.Test, "(late)", "late"))).To(BeFalse())
 	})
 
-	ginkgo.DescribeTable("given a run of the listed test, when it is judged, then its end is told",
+	ginkgo.DescribeTable("given a run of the listed test, when its verdict is read, then it tells whether the test failed",
 		func(state types.SpecState, failed bool, line string) {
-			verdict, err := Judge(listed, []types.Report{reportOf(types.SpecStateFailed, nil, "another"), reportOf(state, []string{"a lease"}, strings.TrimPrefix(listed.Test, "a lease "))})
+			verdict, err := SpecVerdict(listed, []types.Report{reportOf(types.SpecStateFailed, nil, "another"), reportOf(state, []string{"a lease"}, strings.TrimPrefix(listed.Test, "a lease "))})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(verdict.Failed).To(Equal(failed))
 			Expect(verdict.String()).To(HavePrefix(line))
@@ -71,9 +71,9 @@
 		ginkgo.Entry("passed", types.SpecStatePassed, false, "KNOWN RED PASSES, take it off the list: "),
 	)
 
-	ginkgo.DescribeTable("given a run without one result of the listed test, when it is judged, then CI fails",
+	ginkgo.DescribeTable("given a run without exactly one result of the listed test, when its verdict is read, then an error is returned",
 		func(reports ...types.Report) {
-			_, err := Judge(listed, reports)
+			_, err := SpecVerdict(listed, reports)
 			Expect(err).To(MatchError(ContainSubstring("want 1")))
 		},
 		ginkgo.Entry("no such test", reportOf(types.SpecStatePassed, nil, "another")),
--- a/internal/testing/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -1,15 +1,14 @@
-// Command knownred lets CI pass over the tests that KNOWN-RED.txt lists, and
-// over these only. It reads the list from standard input.
+// Command knownred lets CI pass although the tests listed in KNOWN-RED.txt fail, and only these. It reads the list from
+// standard input.
 //
-//	knownred skip           prints the flags by which ginkgo runs all tests but
-//	                        the listed ones, a line each
-//	knownred rest [FLAGS]   runs what ginkgo skips beside them: the other test
-//	                        functions of packages with a listed function
-//	knownred run            runs the listed tests alone and prints how each ended
+//	knownred skip           prints the flags with which ginkgo runs all tests
+//	                        except the listed ones, one per line
+//	knownred rest [FLAGS]   runs the tests that ginkgo skips in addition: the
+//	                        other test functions of packages with a listed one
+//	knownred run            runs only the listed tests and prints their results
 //
-// All exit with 1 if the list is malformed or too long. So does rest if a test
-// fails, and run if a line doesn't name exactly one test; a listed test's own
-// failure is printed and does not change the exit code.
+// All of them exit with status 1 if the list is malformed or too long. rest does so too if a test fails, and run if a
+// line doesn't name exactly one test. The failure of a listed test is printed and doesn't affect the exit status.
 package main
 
 import (
@@ -27,6 +26,7 @@
 	"github.com/pkg/errors"
 )
 
+// reportFile is the name of ginkgo's report in a temporary folder.
 const reportFile = "report.json"
 
 func main() {
@@ -34,46 +34,47 @@
 		fmt.Fprintln(os.Stderr, "usage: knownred skip|rest|run < KNOWN-RED.txt")
 		os.Exit(2)
 	}
-	if err := command(os.Args[1], os.Args[2:], os.Stdin, os.Stdout); err != nil {
+	if err := runCommand(os.Args[1], os.Args[2:], os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "KNOWN-RED.txt:", err)
 		os.Exit(1)
 	}
 }
 
-func command(name string, flags []string, list io.Reader, out io.Writer) error {
+func runCommand(name string, flags []string, list io.Reader, out io.Writer) error {
 	entries, err := ParseEntries(list)
 	if err != nil {
 		return err
 	}
 	switch name {
 	case "skip":
-		return printSkips(entries, out)
+		return printSkipFlags(entries, out)
 	case "rest":
-		return runRest(entries, flags, out)
+		return runOtherTests(entries, flags, out)
 	case "run":
 		return runListed(entries, out)
 	default:
-		return errors.Errorf("no command %q", name)
+		return errors.Errorf("unknown command %q", name)
 	}
 }
 
-// printSkips prints ginkgo's flags.
-func printSkips(entries []Entry, out io.Writer) error {
+// printSkipFlags prints the flags for ginkgo: --skip for each listed spec, --skip-package for each package with a listed
+// test function.
+func printSkipFlags(entries []Entry, out io.Writer) error {
 	for _, entry := range entries {
-		if _, ok := entry.GoTest(); !ok {
+		if _, ok := entry.TestFunction(); !ok {
 			fmt.Fprintln(out, "--skip="+entry.Pattern())
 		}
 	}
-	skipped := goTests(entries)
+	skipped := testsByPackage(entries)
 	if len(skipped) == 0 {
 		return nil
 	}
-	listed, err := exec.Command("go", "list", "./...").Output()
+	packages, err := exec.Command("go", "list", "./...").Output()
 	if err != nil {
-		return errors.Wrap(err, "listing the packages")
+		return errors.Wrap(err, "list the packages")
 	}
 	for _, folder := range slices.Sorted(maps.Keys(skipped)) {
-		if err := checkSkipped(folder, strings.Fields(string(listed))); err != nil {
+		if err := checkSkipMatchesOne(folder, strings.Fields(string(packages))); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, "--skip-package="+folder)
@@ -81,27 +82,27 @@
 	return nil
 }
 
-// runListed runs the listed tests and prints their verdicts.
+// runListed runs the listed tests and prints their results.
 func runListed(entries []Entry, out io.Writer) error {
 	var specs []Entry
 	var verdicts []Verdict
 	for _, entry := range entries {
-		test, ok := entry.GoTest()
+		test, ok := entry.TestFunction()
 		if !ok {
 			specs = append(specs, entry)
 			continue
 		}
-		verdict, err := runGoTest(entry, test, out)
+		verdict, err := runTestFunction(entry, test, out)
 		if err != nil {
 			return err
 		}
 		verdicts = append(verdicts, verdict)
 	}
-	judged, err := runSpecs(specs, out)
+	specVerdicts, err := runSpecs(specs, out)
 	if err != nil {
 		return err
 	}
-	for _, verdict := range append(verdicts, judged...) {
+	for _, verdict := range append(verdicts, specVerdicts...) {
 		fmt.Fprintln(out, verdict)
 	}
 	return nil
@@ -117,7 +118,7 @@
 		return nil, err
 	}
 	for _, entry := range entries {
-		verdict, err := Judge(entry, reports)
+		verdict, err := SpecVerdict(entry, reports)
 		if err != nil {
 			return nil, err
 		}
@@ -126,13 +127,12 @@
 	return verdicts, nil
 }
 
-// runFocused runs ginkgo over the listed tests and returns its reports.
-// Ginkgo's exit code is not looked at: that a listed test fails is expected,
-// and anything else that goes wrong leaves it without a result to judge.
+// runFocused runs the listed specs with ginkgo and returns its reports. Ginkgo's exit status is ignored: listed tests are
+// expected to fail, and any other error leaves a spec without a result, which SpecVerdict reports.
 func runFocused(entries []Entry, out io.Writer) ([]types.Report, error) {
 	dir, err := os.MkdirTemp("", "knownred")
 	if err != nil {
-		return nil, errors.Wrap(err, "a folder for the report")
+		return nil, errors.Wrap(err, "create a folder for the report")
 	}
 	defer os.RemoveAll(dir)
 	args := []string{"tool", "ginkgo", "-p", "--no-color", "--keep-going", "--json-report=" + reportFile, "--output-dir=" + dir}
@@ -143,12 +143,12 @@
 	ginkgo.Stdout, ginkgo.Stderr = out, out
 	var exit *exec.ExitError
 	if err := ginkgo.Run(); err != nil && !errors.As(err, &exit) {
-		return nil, errors.Wrap(err, "starting ginkgo")
+		return nil, errors.Wrap(err, "start ginkgo")
 	}
 	body, err := os.ReadFile(filepath.Join(dir, reportFile))
 	if err != nil {
-		return nil, errors.Wrap(err, "the run left no report")
+		return nil, errors.Wrap(err, "ginkgo wrote no report")
 	}
 	var reports []types.Report
-	return reports, errors.Wrap(json.Unmarshal(body, &reports), "reading the report")
+	return reports, errors.Wrap(json.Unmarshal(body, &reports), "parse the report")
 }
--- a/internal/testing/knownred/verdict.go
+++ b/internal/testing/knownred/verdict.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict is what a run showed of a listed test.
+// Verdict is the result of a listed test.
 type Verdict struct {
 	Entry  Entry
 	Failed bool
@@ -21,10 +21,9 @@
 	return fmt.Sprintf("KNOWN RED PASSES, take it off the list: %s (%s)", v.Entry.Test, v.Entry.Issue)
 }
 
-// Judge looks an entry up in the reports of a run. It returns an error unless
-// exactly one spec of that text ran to an end: a line that names no test, or
-// several, must not pass over anything.
-func Judge(entry Entry, reports []types.Report) (Verdict, error) {
+// SpecVerdict finds the result of an entry's spec in the reports of a run. It returns an error unless exactly one spec
+// with that text passed or failed, so that a line which names no test or several ones fails CI.
+func SpecVerdict(entry Entry, reports []types.Report) (Verdict, error) {
 	verdict := Verdict{Entry: entry}
 	ran := 0
 	for _, report := range reports {
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -216,7 +216,7 @@
 
 var _ = ginkgo.Describe("the trace store", func() {
 	story("given recorded calls, when stored, then each span is on two of three cores and outlives a keel", []uint64{1, 2}, func(f *Fleet) {
-		f.Plan = []standin.Habitual{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Part: 1}}
+		f.Plan = []standin.PlannedRequest{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Weight: 1}}
 		raised(f)
 		f.Visit(40)
 		f.Pass(4 * time.Second)
--- a/internal/testing/namecheck/main.go
+++ b/internal/testing/namecheck/main.go
@@ -1,14 +1,16 @@
-// Command namecheck fails if withdrawn names come back, or if the platform's names leave platform/. It parses the Go
-// files of the folder that it is run in; generated code is left out.
+// Command namecheck fails if a withdrawn name is declared again, or if a name of the platform is used outside platform/
+// and deploy/. It parses all Go files below the current folder except generated code.
 //
 //	namecheck < names.txt
 //
-// names.txt has a line each:
+// Each line of names.txt is empty, a comment that begins with #, or one of:
 //
-//	folder PATH            the folder, with all below it, declares no withdrawn name
-//	withdrawn WORD FIELD'S TERM...  no identifier declared there has the word as one of its parts
-//	keep IDENTIFIER REASON...  this identifier stays for the reason given
-//	platform NAME          no string outside platform/ and deploy/ holds the name
+//	folder PATH                     no withdrawn name may be declared in the folder or below
+//	withdrawn WORD TERM...          no identifier declared there may contain the word; the term replaces it
+//	keep IDENTIFIER REASON...       the identifier is allowed, for the given reason
+//	platform NAME                   no string literal outside platform/ and deploy/ may contain the name
+//
+// It prints one line per violation and exits with status 1 if there are any, and with 2 on other errors.
 package main
 
 import (
@@ -22,7 +24,7 @@
 	"github.com/pkg/errors"
 )
 
-// generatedFolder holds the code that is generated from the schema.
+// generatedFolder holds the code generated from the protobuf schema. It isn't checked.
 const generatedFolder = "proto/wire"
 
 func main() {
@@ -39,7 +41,7 @@
 	}
 }
 
-// check returns what the Go files below a folder break of the rules, sorted.
+// check returns the violations of the rules in the Go files below a folder, sorted.
 func check(root string, list io.Reader) ([]string, error) {
 	rules, err := ReadRules(list)
 	if err != nil {
@@ -52,7 +54,7 @@
 		}
 		name, err := filepath.Rel(root, path)
 		if err != nil {
-			return errors.Wrap(err, "folder")
+			return errors.Wrap(err, "relative path")
 		}
 		name = filepath.ToSlash(name)
 		if entry.IsDir() {
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -84,7 +84,7 @@
 type Fleet struct {
 	Scope         base.Scope
 	Seed          uint64
-	World         *simnet.World
+	World         *simnet.Network
 	Controllers   []*Machine
 	Nodes         []*Machine
 	gone          []*Machine
@@ -112,7 +112,7 @@
 // three zones. No process runs until Raise.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
-	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
+	f.World = simnet.NewNetwork(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return nearby
@@ -170,7 +170,7 @@
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
-	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
+	return f.World.NewScope(f.Seed, name, ip, disk, clock, journal)
 }
 
 // Raise starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
--- a/internal/testing/openfleet/history.go
+++ b/internal/testing/openfleet/history.go
@@ -129,7 +129,7 @@
 	jobs     []*Job
 	sent     []*Sent
 	left     []Departure
-	spells   []*judge.Spell
+	spells   []*judge.Disturbance
 	strays   []string
 	reads    []Readback
 }
@@ -200,9 +200,9 @@
 // Spell records that a disturbance of the named machine begins now; end records that it is over. A planned
 // one is a graceful stop, which excuses no lost request.
 func (h *History) Spell(name, cause string, planned bool) (end func()) {
-	spell := &judge.Spell{Node: name, Cause: cause, Planned: planned, From: h.Now(), Till: -1}
+	spell := &judge.Disturbance{Node: name, Cause: cause, Planned: planned, From: h.Now(), Until: -1}
 	note(h, &h.spells, spell)
-	return func() { h.Mark(func() { spell.Till = h.clock.Mono() }) }
+	return func() { h.Mark(func() { spell.Until = h.clock.Mono() }) }
 }
 
 func digest(parts ...[]byte) string {
--- a/internal/testing/openfleet/hops_test.go
+++ b/internal/testing/openfleet/hops_test.go
@@ -41,7 +41,7 @@
 func (f *Fleet) resetEvery(pause time.Duration, times int) {
 	random := f.rand("resets")
 	for range times {
-		f.World.Reset(f.Nodes[random.IntN(len(f.Nodes))].IP)
+		f.World.ResetConns(f.Nodes[random.IntN(len(f.Nodes))].IP)
 		f.Pass(time.Duration(float64(pause) * (0.5 + random.Float64())))
 	}
 }
--- a/internal/testing/openfleet/judge_test.go
+++ b/internal/testing/openfleet/judge_test.go
@@ -60,7 +60,7 @@
 			plant(h)
 			found := map[string]bool{}
 			for _, verdict := range Check(h) {
-				if len(verdict.Found) > 0 {
+				if len(verdict.Violations) > 0 {
 					found[verdict.Rule] = true
 				}
 			}
@@ -103,15 +103,15 @@
 			h.plant("y", 6*second, 0, nil, &Arrival{At: 6 * second, Missed: true})
 		}),
 		ginkgo.Entry("a break in a stop", Lost, func(h *History) {
-			h.spells = []*judge.Spell{{Node: "n", Planned: true, From: 3 * second, Till: 9 * second}}
+			h.spells = []*judge.Disturbance{{Node: "n", Planned: true, From: 3 * second, Until: 9 * second}}
 			h.plant("x", 4*second, 0, &Told{Broken: "EOF", Read: true}, came(4*second))
 		}),
 		ginkgo.Entry("an answer of one's own while an upstream works, in a stop", Lost, func(h *History) {
-			h.spells = []*judge.Spell{{Node: "n", Planned: true, From: 3 * second, Till: 9 * second}}
+			h.spells = []*judge.Disturbance{{Node: "n", Planned: true, From: 3 * second, Until: 9 * second}}
 			h.plant("x", 4*second, 0, &Told{Status: 502, Read: true}, &Arrival{At: 4 * second, Ran: true, Gone: true})
 		}),
 		ginkgo.Entry("breaks in a stop that were not read, the upstream's own, at the deadline or amid trouble", "", func(h *History) {
-			h.spells = []*judge.Spell{{Node: "n", Planned: true, From: 3 * second, Till: 30 * second}, {Node: "m", From: 20 * second, Till: 21 * second}}
+			h.spells = []*judge.Disturbance{{Node: "n", Planned: true, From: 3 * second, Until: 30 * second}, {Node: "m", From: 20 * second, Until: 21 * second}}
 			h.plant("x", 4*second, 0, &Told{Broken: "EOF"})
 			h.plant("y", 4*second, 0, &Told{Broken: "EOF", Read: true}, &Arrival{At: 4 * second, Ran: true, Broke: true})
 			h.plant("z", 4*second, 0, &Told{Broken: "timeout", Read: true, At: 6 * second}, came(4*second))
--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -54,10 +54,10 @@
 }
 
 func (b *book) found(format string, args ...any) {
-	b.verdict.Found = append(b.verdict.Found, fmt.Sprintf(format, args...))
+	b.verdict.Violations = append(b.verdict.Violations, fmt.Sprintf(format, args...))
 }
 
-func (b *book) judged() { b.verdict.Judged++ }
+func (b *book) judged() { b.verdict.Checked++ }
 
 // Check judges a whole history, rule by rule.
 func Check(h *History) []judge.Verdict {
@@ -215,12 +215,12 @@
 	}
 }
 
-func overlaps(s *judge.Spell, from, till time.Duration) bool {
-	return s.From <= till && (s.Till < 0 || s.Till >= from)
+func overlaps(s *judge.Disturbance, from, till time.Duration) bool {
+	return s.From <= till && (s.Until < 0 || s.Until >= from)
 }
 
 func (b *book) troubled(from, till time.Duration, names ...string) bool {
-	return slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
+	return slices.ContainsFunc(b.spells, func(s *judge.Disturbance) bool {
 		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contact, till)
 	})
 }
@@ -228,7 +228,9 @@
 func lost(b *book) {
 	for id, told := range b.told {
 		ask := b.by[id]
-		at := slices.IndexFunc(b.spells, func(s *judge.Spell) bool { return s.Planned && s.Node == ask.Node && overlaps(s, ask.At, told.At) })
+		at := slices.IndexFunc(b.spells, func(s *judge.Disturbance) bool {
+			return s.Planned && s.Node == ask.Node && overlaps(s, ask.At, told.At)
+		})
 		if at < 0 || b.troubled(ask.At, told.At) {
 			continue
 		}
@@ -238,7 +240,7 @@
 }
 
 // lostAround judges a request that met planned work at its node.
-func (b *book) lostAround(stop *judge.Spell, ask *Ask, told *Told) {
+func (b *book) lostAround(stop *judge.Disturbance, ask *Ask, told *Told) {
 	arrivals, half := b.runs[ask.ID], stop.From+graceBound/2
 	broke := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Broke || a.Ran && a.At < half && a.Ended > half+lossSlack })
 	if broke || told.At >= ask.Until-20*time.Millisecond {
@@ -276,7 +278,7 @@
 // inTouch tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
 // from a contact bound before it until it was answered. Trouble of other nodes is no excuse.
 func (b *book) inTouch(ask *Ask, told *Told) bool {
-	return !slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
+	return !slices.ContainsFunc(b.spells, func(s *judge.Disturbance) bool {
 		concerned := s.Node == ask.Node || strings.HasPrefix(s.Node, corePrefix) || s.Node == allLinks
 		return concerned && !s.Planned && overlaps(s, ask.At-contact, told.At)
 	})
@@ -433,7 +435,7 @@
 		over, share := b.repeatsOf(service, comings[service], asked[service])
 		worst, most = max(worst, over), max(most, share)
 	}
-	b.verdict.Remark = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worst, most)
+	b.verdict.Note = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worst, most)
 }
 
 // comings lists the arrivals at each service, and which of them are repeats.
@@ -536,7 +538,7 @@
 			first = fmt.Sprintf("%s told %d %s", ask.ID, told.Status, told.Kind)
 		}
 	}
-	if many > 5+b.verdict.Judged/500 {
+	if many > 5+b.verdict.Checked/500 {
 		b.found("%d requests denied, like %s", many, first)
 	}
 }
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -123,6 +123,6 @@
 	f.Away()
 	verdicts := Check(f.History)
 	f.tell(verdicts)
-	Expect(judge.Broken(verdicts)).To(BeEmpty(), f.Story)
+	Expect(judge.Violations(verdicts)).To(BeEmpty(), f.Story)
 	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Story)
 }
--- a/internal/testing/racerun/main.go
+++ b/internal/testing/racerun/main.go
@@ -1,6 +1,7 @@
-// Command racerun runs ginkgo under the race detector, with the arguments given to it. The detector's own runtime fails at
-// times in suites that run many goroutines in simulated time ("ThreadSanitizer: CHECK failed"). Such a process has not
-// run its tests to the end, and no test has failed in it; its suite is run again, whole. Any other failure counts at once.
+// Command racerun runs ginkgo under the race detector, with the arguments given to it. The detector's runtime itself
+// sometimes fails in suites that run many goroutines in simulated time ("ThreadSanitizer: CHECK failed"). The process
+// then ends without having run all of its tests, although none failed, and racerun runs the whole suite again. Any other
+// failure makes racerun fail without a retry.
 package main
 
 import (
@@ -11,15 +12,15 @@
 	"os/exec"
 )
 
-// mostRuns bounds how often a suite is run because of the detector.
-const mostRuns = 6
+// maxRuns is the maximum number of runs if the detector keeps failing.
+const maxRuns = 6
 
 func main() {
 	arguments, suites := os.Args[1:], []string{allSuites}
 	for run := 1; ; run++ {
-		code, output := ginkgo(arguments, suites)
-		outcome, again := Judge(code, output, suites)
-		if outcome == DetectorFailed && run < mostRuns {
+		code, output := runGinkgo(arguments, suites)
+		outcome, again := Classify(code, output, suites)
+		if outcome == DetectorFailed && run < maxRuns {
 			fmt.Printf("racerun: run %d: the race detector itself failed; running again: %v\n", run, again)
 			suites = again
 			continue
@@ -31,9 +32,9 @@
 	}
 }
 
-// ginkgo runs the suites and returns its exit code and what it printed, which is passed on as well.
-func ginkgo(arguments, suites []string) (exitCode int, output string) {
-	// Without an interceptor, so that what a process printed last is not lost with it.
+// runGinkgo runs the suites and returns ginkgo's exit code and output. It also copies the output to its own.
+func runGinkgo(arguments, suites []string) (exitCode int, output string) {
+	// Ginkgo's output interceptor is disabled because it would lose the last output of a process that crashes.
 	all := append([]string{"tool", "ginkgo", "-p", "--race", "--keep-going", "--no-color", "--output-interceptor-mode=none"}, arguments...)
 	command := exec.Command("go", append(all, suites...)...)
 	var printed bytes.Buffer
--- a/internal/testing/racerun/outcome_test.go
+++ b/internal/testing/racerun/outcome_test.go
@@ -14,7 +14,7 @@
 	failedTwo    = "There were failures detected in the following suites:\n  fleet ./fleet\n  open ./fleet/open\n\nTest Suite Failed\n"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		code    int
@@ -23,23 +23,23 @@
 		suites  []string
 	}{
 		{"all pass", 0, "Test Suite Passed\n", Passed, nil},
-		{"a detector that fails in one suite", 1, cleanEnd + detectorLine + detectorEnd + failedFleet, DetectorFailed, []string{"./fleet"}},
-		{"a detector that fails in two suites", 1, detectorLine + detectorEnd + detectorLine + detectorEnd + failedTwo, DetectorFailed, []string{"./fleet", "./fleet/open"}},
+		{"the detector fails in one suite", 1, cleanEnd + detectorLine + detectorEnd + failedFleet, DetectorFailed, []string{"./fleet"}},
+		{"the detector fails in two suites", 1, detectorLine + detectorEnd + detectorLine + detectorEnd + failedTwo, DetectorFailed, []string{"./fleet", "./fleet/open"}},
 		{"a race", 1, "WARNING: DATA RACE\n" + detectorEnd + failedFleet, Failed, nil},
-		{"a race beside a detector that fails", 1, "WARNING: DATA RACE\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"a failed spec beside a detector that fails", 1, "• [FAILED] [0.1 seconds]\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"a failed test function beside a detector that fails", 1, "--- FAIL: TestX (0.00s)\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"a panic beside a detector that fails", 1, "panic: x\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"a spec that timed out beside it", 1, "• [TIMEDOUT]\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"another process that failed beside it", 1, "  exit status 2\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
-		{"a process that ended by a race that was not printed", 1, detectorEnd + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a race and a detector failure", 1, "WARNING: DATA RACE\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a failed spec and a detector failure", 1, "• [FAILED] [0.1 seconds]\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a failed test function and a detector failure", 1, "--- FAIL: TestX (0.00s)\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a panic and a detector failure", 1, "panic: x\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a spec that timed out and a detector failure", 1, "• [TIMEDOUT]\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"another failed process and a detector failure", 1, "  exit status 2\n" + detectorLine + detectorEnd + failedFleet, Failed, nil},
+		{"a process that exited because of a race that was not printed", 1, detectorEnd + detectorLine + detectorEnd + failedFleet, Failed, nil},
 		{"a second suite that failed for another reason", 1, detectorLine + detectorEnd + failedTwo, Failed, nil},
-		{"no list of suites", 1, detectorLine + detectorEnd, Failed, nil},
-		{"an exit with no word", 1, failedFleet, Failed, nil},
-		{"a build that failed", 1, "Failed to compile fleet\n" + failedFleet, Failed, nil},
+		{"no list of failed suites", 1, detectorLine + detectorEnd, Failed, nil},
+		{"a failure without a reason", 1, failedFleet, Failed, nil},
+		{"a failed build", 1, "Failed to compile fleet\n" + failedFleet, Failed, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			outcome, suites := Judge(row.code, row.output, []string{allSuites})
+			outcome, suites := Classify(row.code, row.output, []string{allSuites})
 			if outcome != row.outcome || !slices.Equal(suites, row.suites) {
 				t.Errorf("got %v %v, want %v %v; output:\n%s", outcome, suites, row.outcome, row.suites, strings.TrimSpace(row.output))
 			}
@@ -47,12 +47,12 @@
 	}
 }
 
-func TestJudgeOfASingleSuite(t *testing.T) {
+func TestClassifyOfASingleSuite(t *testing.T) {
 	ran := []string{"./fleet"}
-	if outcome, again := Judge(1, detectorLine+detectorEnd+"Test Suite Failed\n", ran); outcome != DetectorFailed || !slices.Equal(again, ran) {
-		t.Errorf("a detector that fails: got %v %v", outcome, again)
+	if outcome, again := Classify(1, detectorLine+detectorEnd+"Test Suite Failed\n", ran); outcome != DetectorFailed || !slices.Equal(again, ran) {
+		t.Errorf("the detector fails: got %v %v", outcome, again)
 	}
-	if outcome, _ := Judge(1, "• [FAILED]\n"+detectorLine+detectorEnd, ran); outcome != Failed {
+	if outcome, _ := Classify(1, "• [FAILED]\n"+detectorLine+detectorEnd, ran); outcome != Failed {
 		t.Errorf("a failed spec: got %v", outcome)
 	}
 }
--- a/internal/testing/simnet/conn.go
+++ b/internal/testing/simnet/conn.go
@@ -8,73 +8,74 @@
 	"time"
 )
 
-type end struct {
-	world    *World
-	serial   int
-	owner    string
-	local    string
-	remote   string
-	in       *pipe
-	out      *pipe
-	once     sync.Once
-	other    *end
-	patience atomic.Int64
-	gone     atomic.Bool
+// conn is one side of a simulated TCP connection.
+type conn struct {
+	network     *Network
+	serial      int    // order of creation
+	owner       string // the process that holds this side
+	local       string
+	remote      string
+	in          *pipe
+	out         *pipe
+	closeOnce   sync.Once
+	peer        *conn
+	peerTimeout atomic.Int64 // nanoseconds, as set by Patience
+	crashed     atomic.Bool  // the owner has crashed
 }
 
-func (e *end) Read(into []byte) (int, error) {
-	n, err := e.in.read(into)
-	e.world.await(e.owner)
+func (c *conn) Read(buffer []byte) (int, error) {
+	n, err := c.in.read(buffer)
+	c.network.waitWhileFrozen(c.owner)
 	if err == syscall.ECONNRESET {
 		err = &net.OpError{Op: "read", Net: "tcp", Err: err}
 	}
 	return n, err
 }
 
-func (e *end) Write(data []byte) (int, error) {
+func (c *conn) Write(data []byte) (int, error) {
 	if len(data) == 0 {
 		return 0, nil
 	}
-	e.world.await(e.owner)
-	if e.gone.Load() {
+	c.network.waitWhileFrozen(c.owner)
+	if c.crashed.Load() {
 		return 0, syscall.ECONNRESET
 	}
-	return e.out.write(e.world.cross(e.out, data))
+	return c.out.write(c.network.swapWrite(c.out, data))
 }
 
-func (e *end) Close() error {
-	e.once.Do(func() {
-		if !e.gone.Load() {
-			e.out.end()
+func (c *conn) Close() error {
+	c.closeOnce.Do(func() {
+		if !c.crashed.Load() {
+			c.out.closeWrite()
 		}
-		e.in.fail(net.ErrClosed)
-		e.world.mu.Lock()
-		delete(e.world.ends, e)
-		e.world.mu.Unlock()
+		c.in.fail(net.ErrClosed)
+		c.network.mu.Lock()
+		delete(c.network.conns, c)
+		c.network.mu.Unlock()
 	})
 	return nil
 }
 
-func (e *end) LocalAddr() net.Addr  { return addr(e.local + ":0") }
-func (e *end) RemoteAddr() net.Addr { return addr(e.remote) }
+func (c *conn) LocalAddr() net.Addr  { return addr(c.local + ":0") }
+func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
 
-func (e *end) SetDeadline(t time.Time) error {
-	_ = e.SetReadDeadline(t)
-	return e.SetWriteDeadline(t)
+func (c *conn) SetDeadline(t time.Time) error {
+	_ = c.SetReadDeadline(t)
+	return c.SetWriteDeadline(t)
 }
 
-func (e *end) SetReadDeadline(t time.Time) error {
-	e.in.mu.Lock()
-	e.in.readBy = t
-	e.in.mu.Unlock()
-	e.in.bell.Notify()
+func (c *conn) SetReadDeadline(t time.Time) error {
+	c.in.mu.Lock()
+	c.in.readDeadline = t
+	c.in.mu.Unlock()
+	c.in.changed.Notify()
 	return nil
 }
 
-func (e *end) SetWriteDeadline(t time.Time) error {
-	e.out.mu.Lock()
-	e.out.writeBy = t
-	e.out.mu.Unlock()
-	e.out.bell.Notify()
+func (c *conn) SetWriteDeadline(t time.Time) error {
+	c.out.mu.Lock()
+	c.out.writeDeadline = t
+	c.out.mu.Unlock()
+	c.out.changed.Notify()
 	return nil
 }
--- a/internal/testing/simnet/disk.go
+++ b/internal/testing/simnet/disk.go
@@ -14,36 +14,38 @@
 	"curlewreach/internal/storage"
 )
 
+// inode is the content of a file. Several directory entries may refer to it while a rename is not synced.
 type inode struct {
-	data   []byte
-	synced []byte
-	solid  bool
+	data       []byte
+	synced     []byte // the content at the last sync
+	everSynced bool
 }
 
-type change struct {
+// entryChange is a change of a directory entry.
+type entryChange struct {
 	name string
-	node *inode
+	node *inode // nil if the entry was removed
 }
 
-// Disk is a disk that loses what wasn't synced at a power loss, and that can
-// fill up, stall, be slow or flip bits. It is safe for concurrent use.
+// Disk is a simulated disk that loses unsynced data in a power loss and that can be made full, stalled, slow or
+// corrupt. It is safe for concurrent use.
 type Disk struct {
 	rand    *random.Source
 	mu      sync.Mutex
-	names   map[string]*inode
-	durable map[string]*inode
-	pending map[string][]change
+	names   map[string]*inode        // as processes see them
+	durable map[string]*inode        // as synced
+	pending map[string][]entryChange // not synced yet, by folder, in order
 	full    bool
-	stalled chan struct{}
-	slow    time.Duration
+	stalled chan struct{} // nil unless stalled; closed when the stall ends
+	latency time.Duration // of each write operation through a Mount
 }
 
-// NewDisk returns an empty disk; what a power loss leaves is drawn from rand.
+// NewDisk returns an empty disk. What a power loss keeps is drawn from rand.
 func NewDisk(rand *random.Source) *Disk {
-	return &Disk{rand: rand, names: map[string]*inode{}, durable: map[string]*inode{}, pending: map[string][]change{}}
+	return &Disk{rand: rand, names: map[string]*inode{}, durable: map[string]*inode{}, pending: map[string][]entryChange{}}
 }
 
-// Wipe loses everything.
+// Wipe deletes everything on the disk.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,14 +54,14 @@
 	clear(d.pending)
 }
 
-// PowerLoss takes away what was not synced. Each name that was made, renamed or removed without a sync of its folder
-// is kept or lost by itself; what was not synced of a file is kept up to some place.
+// PowerLoss drops unsynced data. Each unsynced change of a directory entry is kept or lost independently, with even
+// odds. A file is left as at its last sync, or with a random prefix of its content if it was never synced.
 func (d *Disk) PowerLoss() {
 	d.PowerLossKeeping(func(int) bool { return d.rand.IntN(2) == 0 })
 }
 
-// Unsynced returns the number of changes of names that a loss of power may take away.
-func (d *Disk) Unsynced() int {
+// UnsyncedEntries returns the number of changes of directory entries that a power loss may drop.
+func (d *Disk) UnsyncedEntries() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	total := 0
@@ -69,16 +71,16 @@
 	return total
 }
 
-// PowerLossKeeping is a PowerLoss that keeps the unsynced changes of names, numbered in their order from 0 on within
-// the sorted folders, for which keep is true.
-func (d *Disk) PowerLossKeeping(keep func(unsynced int) bool) {
+// PowerLossKeeping is a PowerLoss in which keep decides which unsynced changes of directory entries are kept. They are
+// numbered from 0, by sorted folders and in their order within a folder.
+func (d *Disk) PowerLossKeeping(keep func(number int) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	number := 0
 	for _, folder := range slices.Sorted(maps.Keys(d.pending)) {
-		for _, each := range d.pending[folder] {
+		for _, change := range d.pending[folder] {
 			if keep(number) {
-				put(d.durable, each)
+				apply(d.durable, change)
 			}
 			number++
 		}
@@ -87,7 +89,7 @@
 	clear(d.names)
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
 		node := d.durable[name]
-		if !node.solid {
+		if !node.everSynced {
 			node.synced = node.data[:d.rand.IntN(len(node.data)+1)]
 		}
 		node.data = slices.Clone(node.synced)
@@ -95,14 +97,14 @@
 	}
 }
 
-// Clone returns a disk of its own with the same content, synced or not.
+// Clone returns an independent copy of the disk with the same content, including what is not synced.
 func (d *Disk) Clone(rand *random.Source) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	nodes := map[*inode]*inode{nil: nil}
 	cloneOf := func(node *inode) *inode {
 		if _, done := nodes[node]; !done {
-			nodes[node] = &inode{data: slices.Clone(node.data), synced: slices.Clone(node.synced), solid: node.solid}
+			nodes[node] = &inode{data: slices.Clone(node.data), synced: slices.Clone(node.synced), everSynced: node.everSynced}
 		}
 		return nodes[node]
 	}
@@ -115,22 +117,22 @@
 		clone.durable[name] = cloneOf(node)
 	}
 	for folder, changes := range d.pending {
-		for _, each := range changes {
-			clone.pending[folder] = append(clone.pending[folder], change{each.name, cloneOf(each.node)})
+		for _, change := range changes {
+			clone.pending[folder] = append(clone.pending[folder], entryChange{change.name, cloneOf(change.node)})
 		}
 	}
 	return clone
 }
 
-// Fill makes the disk refuse new bytes and files, or take them again.
-func (d *Disk) Fill(full bool) {
+// SetFull makes creating and writing files fail with ENOSPC, or succeed again.
+func (d *Disk) SetFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// Release ends a stall.
-func (d *Disk) Release() {
+// EndStall ends a stall, if there is one.
+func (d *Disk) EndStall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stalled != nil {
@@ -139,9 +141,9 @@
 	}
 }
 
-// Stall makes changes through a Mount wait until release is called.
+// Stall blocks all write operations through a Mount until release or EndStall is called. It ends an earlier stall.
 func (d *Disk) Stall() (release func()) {
-	d.Release()
+	d.EndStall()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stalled := make(chan struct{})
@@ -156,23 +158,23 @@
 	}
 }
 
-// Slow lets each change through a Mount take so long; 0 ends it.
-func (d *Disk) Slow(each time.Duration) {
+// SetLatency sets how long each write operation through a Mount takes; 0 by default.
+func (d *Disk) SetLatency(latency time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = each
+	d.latency = latency
 }
 
-// Troubled reports whether the disk is full, stalled or slow.
-func (d *Disk) Troubled() bool {
+// Impaired reports whether the disk is full, stalled or slow.
+func (d *Disk) Impaired() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.full || d.stalled != nil || d.slow > 0
+	return d.full || d.stalled != nil || d.latency > 0
 }
 
-// Flip alters a bit in each file whose name contains match and returns their
-// names.
-func (d *Disk) Flip(match string) (flipped []string) {
+// FlipBits flips one bit in the middle of each non-empty file whose name contains match, as corruption on the medium
+// does, and returns the names of these files.
+func (d *Disk) FlipBits(match string) (flipped []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, node := range d.names {
@@ -186,7 +188,7 @@
 	return flipped
 }
 
-// Names returns the names of all files in order.
+// Names returns the names of all files, sorted.
 func (d *Disk) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,21 +200,23 @@
 	return names
 }
 
-func put(into map[string]*inode, each change) {
-	if each.node == nil {
-		delete(into, each.name)
+// apply applies a change of a directory entry.
+func apply(entries map[string]*inode, change entryChange) {
+	if change.node == nil {
+		delete(entries, change.name)
 		return
 	}
-	into[each.name] = each.node
+	entries[change.name] = change.node
 }
 
-func (d *Disk) note(name string, node *inode) {
+// record applies a change of a directory entry and keeps it as unsynced.
+func (d *Disk) record(name string, node *inode) {
 	folder := path.Dir(name)
-	d.pending[folder] = append(d.pending[folder], change{name, node})
-	put(d.names, change{name, node})
+	d.pending[folder] = append(d.pending[folder], entryChange{name, node})
+	apply(d.names, entryChange{name, node})
 }
 
-// Create implements base.Disk. It returns ENOSPC if the disk is full.
+// Create implements storage.Disk. It returns ENOSPC if the disk is full.
 func (d *Disk) Create(name string) (storage.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -220,11 +224,12 @@
 		return nil, syscall.ENOSPC
 	}
 	node := &inode{}
-	d.note(name, node)
+	d.record(name, node)
 	return &file{d, node}, nil
 }
 
-// Rename implements base.Disk.
+// Rename implements storage.Disk. Until the folder is synced, a power loss
+// may leave the file under either name, under both or under none.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -232,42 +237,43 @@
 	if node == nil {
 		return fs.ErrNotExist
 	}
-	d.note(to, node)
-	d.note(from, nil)
+	d.record(to, node)
+	d.record(from, nil)
 	return nil
 }
 
-func (d *Disk) wait(gone <-chan struct{}) {
+// wait sleeps for the disk's latency, then blocks while the disk is stalled, at most until unmounted is closed.
+func (d *Disk) wait(unmounted <-chan struct{}) {
 	d.mu.Lock()
-	stalled, slow := d.stalled, d.slow
+	stalled, latency := d.stalled, d.latency
 	d.mu.Unlock()
-	if slow > 0 {
-		time.Sleep(slow)
+	if latency > 0 {
+		time.Sleep(latency)
 	}
 	if stalled != nil {
 		select {
 		case <-stalled:
-		case <-gone:
+		case <-unmounted:
 		}
 	}
 }
 
-// SyncFolder implements base.Disk.
+// SyncFolder implements storage.Disk.
 func (d *Disk) SyncFolder(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	folder = path.Clean(folder)
-	for _, each := range d.pending[folder] {
-		put(d.durable, each)
+	for _, change := range d.pending[folder] {
+		apply(d.durable, change)
 	}
 	delete(d.pending, folder)
 	return nil
 }
 
-// MakeFolder implements base.Disk. Folders need no making here.
+// MakeFolder implements storage.Disk. It does nothing, as folders exist implicitly.
 func (d *Disk) MakeFolder(string) error { return nil }
 
-// Read implements base.Disk.
+// Read implements storage.Disk.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -278,7 +284,7 @@
 	return slices.Clone(node.data), nil
 }
 
-// List implements base.Disk.
+// List implements storage.Disk.
 func (d *Disk) List(folder string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -292,17 +298,18 @@
 	return names, nil
 }
 
-// Remove implements base.Disk.
+// Remove implements storage.Disk.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.names[name] == nil {
 		return fs.ErrNotExist
 	}
-	d.note(name, nil)
+	d.record(name, nil)
 	return nil
 }
 
+// file is a file open for writing.
 type file struct {
 	disk *Disk
 	node *inode
@@ -321,13 +328,13 @@
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	f.node.synced, f.node.solid = slices.Clone(f.node.data), true
+	f.node.synced, f.node.everSynced = slices.Clone(f.node.data), true
 	return nil
 }
 
 func (f *file) Close() error { return nil }
 
-// Bytes returns the size of all files together.
+// Bytes returns the total size of all files in bytes.
 func (d *Disk) Bytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testing/simnet/faults.go
+++ b/internal/testing/simnet/faults.go
@@ -6,119 +6,124 @@
 	"curlewreach/internal/storage"
 )
 
-// Outcome tells what becomes of one write to a disk.
-type Outcome int
+// WriteOutcome is the injected result of one write operation on a FaultyDisk.
+type WriteOutcome int
 
 const (
-	// Done is a write that succeeds.
-	Done Outcome = iota
-	// Refused is a write that fails and leaves the disk as it was.
-	Refused
-	// Unknown is a write that fails although it was done.
-	Unknown
-	// Torn is a write that fails with half of its bytes written; for anything but a file's bytes it is Refused.
-	Torn
-	// CrashBefore ends the process before the write.
+	// WriteSucceeds performs the write.
+	WriteSucceeds WriteOutcome = iota
+	// WriteFails returns an error and leaves the disk unchanged.
+	WriteFails
+	// WriteFailsAfterEffect performs the write but returns an error.
+	WriteFailsAfterEffect
+	// WriteTorn writes the first half of the bytes and returns an error. For operations other than writing a file's
+	// bytes it is the same as WriteFails.
+	WriteTorn
+	// CrashBefore crashes the process before the write completes: the first half of a file's bytes is written, any
+	// other operation has no effect.
 	CrashBefore
-	// CrashAfter ends the process after the write.
+	// CrashAfter performs the write and crashes the process.
 	CrashAfter
 )
 
 var (
-	// ErrRefused is returned for a write that Faults let fail.
-	ErrRefused = errors.New("the disk refused a write")
-	// ErrCrashed is returned for each write after a crash.
-	ErrCrashed = errors.New("the process has crashed")
+	// ErrWriteFailed is returned for writes with an injected failure.
+	ErrWriteFailed = errors.New("injected write failure")
+	// ErrCrashed is returned for the write that crashes the process and for all later ones.
+	ErrCrashed = errors.New("injected process crash")
 )
 
-// Faults is a disk whose writes are numbered from 0 on and fail or crash as told. It is for one goroutine.
-type Faults struct {
+// FaultyDisk wraps a disk and injects failures and crashes into its write operations, which are numbered from 0 and
+// include creating, renaming, removing and syncing. It is not safe for concurrent use.
+type FaultyDisk struct {
 	storage.Disk
-	// Decide returns the outcome of the write with the given number.
-	Decide  func(point int) Outcome
-	points  int
+	// Decide returns the outcome of the write operation with the given number.
+	Decide  func(write int) WriteOutcome
+	writes  int
 	crashed bool
 }
 
-// Points returns the number of writes so far.
-func (f *Faults) Points() int { return f.points }
+// Writes returns the number of write operations so far. Those after a crash don't count.
+func (f *FaultyDisk) Writes() int { return f.writes }
 
-// Crashed tells whether a crash has come.
-func (f *Faults) Crashed() bool { return f.crashed }
+// Crashed reports whether a crash was injected.
+func (f *FaultyDisk) Crashed() bool { return f.crashed }
 
-func (f *Faults) write(do, tear func() error) error {
+// write applies the decided outcome to one write operation. performHalf performs the part of it that a torn write
+// leaves on disk.
+func (f *FaultyDisk) write(perform, performHalf func() error) error {
 	if f.crashed {
 		return ErrCrashed
 	}
-	outcome := f.Decide(f.points)
-	f.points++
+	outcome := f.Decide(f.writes)
+	f.writes++
 	switch outcome {
-	case Refused:
-		return ErrRefused
-	case Torn:
-		_ = tear()
-		return ErrRefused
-	case Unknown:
-		_ = do()
-		return ErrRefused
+	case WriteFails:
+		return ErrWriteFailed
+	case WriteTorn:
+		_ = performHalf()
+		return ErrWriteFailed
+	case WriteFailsAfterEffect:
+		_ = perform()
+		return ErrWriteFailed
 	case CrashBefore:
 		f.crashed = true
-		_ = tear()
+		_ = performHalf()
 		return ErrCrashed
 	case CrashAfter:
 		f.crashed = true
-		_ = do()
+		_ = perform()
 		return ErrCrashed
 	}
-	return do()
+	return perform()
 }
 
-func nothing() error { return nil }
+func noEffect() error { return nil }
 
-// Create opens a new file for writing.
-func (f *Faults) Create(name string) (created storage.File, err error) {
+// Create creates a file, or truncates an existing one.
+func (f *FaultyDisk) Create(name string) (created storage.File, err error) {
 	err = f.write(func() (err error) {
 		created, err = f.Disk.Create(name)
 		return err
-	}, nothing)
+	}, noEffect)
 	if err != nil {
 		return nil, err
 	}
 	return &faultyFile{created, f}, nil
 }
 
-// Rename gives a file another name.
-func (f *Faults) Rename(from, to string) error {
-	return f.write(func() error { return f.Disk.Rename(from, to) }, nothing)
+// Rename atomically renames a file and replaces an existing file named to.
+func (f *FaultyDisk) Rename(from, to string) error {
+	return f.write(func() error { return f.Disk.Rename(from, to) }, noEffect)
 }
 
-// SyncFolder makes a folder's names durable.
-func (f *Faults) SyncFolder(folder string) error {
-	return f.write(func() error { return f.Disk.SyncFolder(folder) }, nothing)
+// SyncFolder makes the folder's directory entries durable.
+func (f *FaultyDisk) SyncFolder(folder string) error {
+	return f.write(func() error { return f.Disk.SyncFolder(folder) }, noEffect)
 }
 
-// Remove takes a file away.
-func (f *Faults) Remove(name string) error {
-	return f.write(func() error { return f.Disk.Remove(name) }, nothing)
+// Remove deletes a file.
+func (f *FaultyDisk) Remove(name string) error {
+	return f.write(func() error { return f.Disk.Remove(name) }, noEffect)
 }
 
 type faultyFile struct {
 	storage.File
-	faults *Faults
+	disk *FaultyDisk
 }
 
-// Write appends to the file; torn, it appends the first half only.
+// Write appends data to the file. A torn write appends only the first half.
 func (f *faultyFile) Write(data []byte) (written int, err error) {
 	half := func() error {
 		_, err := f.File.Write(data[:len(data)/2])
 		return err
 	}
-	err = f.faults.write(func() error {
+	err = f.disk.write(func() error {
 		written, err = f.File.Write(data)
 		return err
 	}, half)
 	return written, err
 }
 
-// Sync makes the file's bytes durable.
-func (f *faultyFile) Sync() error { return f.faults.write(f.File.Sync, nothing) }
+// Sync makes the file's content durable.
+func (f *faultyFile) Sync() error { return f.disk.write(f.File.Sync, noEffect) }
--- a/internal/testing/simnet/mount.go
+++ b/internal/testing/simnet/mount.go
@@ -7,66 +7,67 @@
 	"curlewreach/internal/storage"
 )
 
-// Mount is a disk as one process has it. Its changes wait while the disk
-// stalls, and fail once the process is gone, also those that were waiting.
+// Mount gives one process access to a Disk. Write operations block while the disk is stalled and take longer while it
+// is slow. After Unmount they fail with os.ErrClosed, including those that were blocked.
 type Mount struct {
 	*Disk
-	once sync.Once
-	gone chan struct{}
+	unmountOnce sync.Once
+	unmounted   chan struct{}
 }
 
-// NewMount returns the disk for a new process.
-func NewMount(disk *Disk) *Mount { return &Mount{Disk: disk, gone: make(chan struct{})} }
+// NewMount mounts the disk for a new process.
+func NewMount(disk *Disk) *Mount { return &Mount{Disk: disk, unmounted: make(chan struct{})} }
 
-// Unmount fails all changes from now on, as the process is gone.
-func (m *Mount) Unmount() { m.once.Do(func() { close(m.gone) }) }
+// Unmount makes all write operations fail from now on, because the process has ended. It may be called repeatedly.
+func (m *Mount) Unmount() { m.unmountOnce.Do(func() { close(m.unmounted) }) }
 
-func (m *Mount) held(do func() error) error {
-	m.wait(m.gone)
+// whileMounted performs a write operation after the disk's stall and latency, unless the disk is unmounted by then.
+func (m *Mount) whileMounted(perform func() error) error {
+	m.wait(m.unmounted)
 	select {
-	case <-m.gone:
+	case <-m.unmounted:
 		return os.ErrClosed
 	default:
-		return do()
+		return perform()
 	}
 }
 
-// Create implements base.Disk.
+// Create implements storage.Disk.
 func (m *Mount) Create(name string) (created storage.File, err error) {
-	err = m.held(func() error {
+	err = m.whileMounted(func() error {
 		file, err := m.Disk.Create(name)
-		created = &mounted{file, m}
+		created = &mountedFile{file, m}
 		return err
 	})
 	return created, err
 }
 
-// Rename implements base.Disk.
+// Rename implements storage.Disk.
 func (m *Mount) Rename(from, to string) error {
-	return m.held(func() error { return m.Disk.Rename(from, to) })
+	return m.whileMounted(func() error { return m.Disk.Rename(from, to) })
 }
 
-// SyncFolder implements base.Disk.
+// SyncFolder implements storage.Disk.
 func (m *Mount) SyncFolder(folder string) error {
-	return m.held(func() error { return m.Disk.SyncFolder(folder) })
+	return m.whileMounted(func() error { return m.Disk.SyncFolder(folder) })
 }
 
-// Remove implements base.Disk.
+// Remove implements storage.Disk.
 func (m *Mount) Remove(name string) error {
-	return m.held(func() error { return m.Disk.Remove(name) })
+	return m.whileMounted(func() error { return m.Disk.Remove(name) })
 }
 
-type mounted struct {
+type mountedFile struct {
 	storage.File
 	mount *Mount
 }
 
-func (f *mounted) Write(data []byte) (written int, err error) {
-	err = f.mount.held(func() error {
+func (f *mountedFile) Write(data []byte) (written int, err error) {
+	err = f.mount.whileMounted(func() error {
 		written, err = f.File.Write(data)
 		return err
 	})
 	return written, err
 }
 
-func (f *mounted) Sync() error { return f.mount.held(f.File.Sync) }
+func (f *mountedFile) Sync() error { return f.mount.whileMounted(f.File.Sync) }
--- a/internal/testing/simnet/net.go
+++ b/internal/testing/simnet/net.go
@@ -1,7 +1,6 @@
-// Package simnet simulates the surroundings of machines, network, disks and
-// clocks, with their troubles, for fleets that run in memory within a
-// testing/synctest bubble. Its network, disk and clock are those that a
-// base.Scope carries.
+// Package simnet simulates the network, disks and clocks of machines, with injected faults, for fleets that run in
+// memory within a testing/synctest bubble. The simulated network, disk and clock are passed to processes in a
+// base.Scope.
 package simnet
 
 import (
@@ -18,153 +17,156 @@
 	"curlewreach/internal/random"
 )
 
-// Latency returns the usual time that a packet takes between two IP addresses.
+// Latency returns the usual one-way delay of a packet between two IP addresses.
 type Latency func(from, to string) time.Duration
 
-// World is a network of machines by their IP addresses. Lock order: a pipe's mu
-// before the world's mu.
-type World struct {
-	rand      *random.Source
-	latency   Latency
-	mu        sync.Mutex
-	listeners map[string]*listener
-	ends      map[*end]bool
-	cuts      map[[2]string]bool
-	bell      base.Broadcast
-	serial    int
-	closed    bool
-	even      bool
-	frozen    map[string]chan struct{}
-	links     map[[2]string]Link
-	thin      map[string]*thinLink
-	crossing  map[[2]string]*crossed
-	dead      map[string]bool
-	sent      atomic.Uint64
-	packets   atomic.Uint64
+// Network is a simulated TCP network of machines, which are identified by their IP addresses. It is safe for concurrent
+// use. Lock order: a pipe's mu before the network's mu.
+type Network struct {
+	rand        *random.Source
+	latency     Latency
+	mu          sync.Mutex
+	listeners   map[string]*listener
+	conns       map[*conn]bool
+	cuts        map[[2]string]bool // by source and destination, as are links and swaps
+	cutsChanged base.Broadcast     // also notified by HealAll and Close
+	lastSerial  int                // of listeners and connections; gives iterations over them a fixed order
+	closed      bool
+	noJitter    bool
+	frozen      map[string]chan struct{} // by process, closed on Thaw
+	links       map[[2]string]Link
+	bandwidths  map[string]*limitedLink // by the receiving machine
+	swaps       map[[2]string]*writeSwap
+	crashed     map[string]bool // processes, which can't dial any more
+	sentBytes   atomic.Uint64
+	sentPackets atomic.Uint64
 }
 
-// NewWorld returns a network with the latency given. What is random, as are its
-// jitter and losses, is drawn from rand.
-func NewWorld(rand *random.Source, latency Latency) *World {
-	return &World{
-		rand: rand, latency: latency, listeners: map[string]*listener{}, ends: map[*end]bool{}, cuts: map[[2]string]bool{},
-		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, thin: map[string]*thinLink{}, crossing: map[[2]string]*crossed{}, dead: map[string]bool{},
+// NewNetwork returns a network with the given latency. Jitter and losses are drawn from rand.
+func NewNetwork(rand *random.Source, latency Latency) *Network {
+	return &Network{
+		rand: rand, latency: latency, listeners: map[string]*listener{}, conns: map[*conn]bool{}, cuts: map[[2]string]bool{},
+		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, bandwidths: map[string]*limitedLink{}, swaps: map[[2]string]*writeSwap{}, crashed: map[string]bool{},
 	}
 }
 
+// host returns the IP address of an "ip:port" address.
 func host(address string) string { return netip.MustParseAddrPort(address).Addr().String() }
 
-// Cut holds back all packets from one machine to another, until Heal. New
-// connections between them wait.
-func (w *World) Cut(from, to string) { w.setCut(from, to, true) }
+// Cut holds back all packets from one machine to another, in this direction only, until Heal. Dials between the two
+// machines block, in both directions.
+func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
-// Heal ends a cut; what was held back arrives.
-func (w *World) Heal(from, to string) { w.setCut(from, to, false) }
+// Heal ends a cut. Packets that were held back are delivered.
+func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
-func (w *World) setCut(from, to string, cut bool) {
-	w.mu.Lock()
-	w.cuts[[2]string{from, to}] = cut
-	w.mu.Unlock()
-	w.bell.Notify()
+func (n *Network) setCut(from, to string, cut bool) {
+	n.mu.Lock()
+	n.cuts[[2]string{from, to}] = cut
+	n.mu.Unlock()
+	n.cutsChanged.Notify()
 }
 
-// HealAll ends all cuts and all changes of links.
-func (w *World) HealAll() {
-	w.mu.Lock()
-	clear(w.cuts)
-	clear(w.links)
-	w.mu.Unlock()
-	w.bell.Notify()
+// HealAll ends all cuts and all impairments set with SetLink.
+func (n *Network) HealAll() {
+	n.mu.Lock()
+	clear(n.cuts)
+	clear(n.links)
+	n.mu.Unlock()
+	n.cutsChanged.Notify()
 }
 
-func (w *World) severed(from, to string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cuts[[2]string{from, to}]
+func (n *Network) isCut(from, to string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.cuts[[2]string{from, to}]
 }
 
-func (w *World) over() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.closed
+func (n *Network) isClosed() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.closed
 }
 
-func (w *World) delay(from, to string) time.Duration {
-	usual := w.latency(from, to)
-	w.mu.Lock()
-	link := w.links[[2]string{from, to}]
-	w.mu.Unlock()
-	delay := usual + link.Slower
-	if !w.even {
-		delay += time.Duration(float64(usual) * w.rand.Float64())
+// delay returns the delay of one packet: the usual delay, the link's extra delay, a random jitter of up to the usual
+// delay, and retransmitDelay if the packet is lost.
+func (n *Network) delay(from, to string) time.Duration {
+	usual := n.latency(from, to)
+	n.mu.Lock()
+	link := n.links[[2]string{from, to}]
+	n.mu.Unlock()
+	delay := usual + link.ExtraDelay
+	if !n.noJitter {
+		delay += time.Duration(float64(usual) * n.rand.Float64())
 	}
-	if link.Loss > 0 && w.rand.Float64() < link.Loss {
-		delay += resend
+	if link.Loss > 0 && n.rand.Float64() < link.Loss {
+		delay += retransmitDelay
 	}
 	return delay
 }
 
-// At returns the network as the process owner on the machine at ip has it.
-func (w *World) At(ip, owner string) base.Net { return &port{world: w, ip: ip, owner: owner} }
+// At returns the network as seen by the process named owner on the machine with the given IP address.
+func (n *Network) At(ip, owner string) base.Net { return &processNet{network: n, ip: ip, owner: owner} }
 
-// Crash ends the connections and listeners of a process, or of the whole
-// machine if owner is empty. Their peers see a reset, or nothing if the crash
-// is silent, as when a machine loses power.
-func (w *World) Crash(ip, owner string, silent bool) {
-	w.mu.Lock()
+// Crash closes the connections and listeners of a process, or of the whole machine if owner is empty. Peers see a
+// connection reset. If silent is set they see nothing, as when a machine loses power, until the timeout set with
+// Patience.
+func (n *Network) Crash(ip, owner string, silent bool) {
+	n.mu.Lock()
 	if owner != "" {
-		w.dead[owner] = true
+		n.crashed[owner] = true
 	}
-	var ends []*end
+	var conns []*conn
 	var listeners []*listener
-	for each := range w.ends {
+	for each := range n.conns {
 		if each.local == ip && (owner == "" || each.owner == owner) {
-			ends = append(ends, each)
+			conns = append(conns, each)
 		}
 	}
-	for address, each := range w.listeners {
+	for address, each := range n.listeners {
 		if host(address) == ip && (owner == "" || each.owner == owner) {
 			listeners = append(listeners, each)
 		}
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	slices.SortFunc(listeners, func(a, b *listener) int { return cmp.Compare(a.serial, b.serial) })
-	slices.SortFunc(ends, func(a, b *end) int { return cmp.Compare(a.serial, b.serial) })
+	slices.SortFunc(conns, func(a, b *conn) int { return cmp.Compare(a.serial, b.serial) })
 	for _, each := range listeners {
 		_ = each.Close()
 	}
-	for _, each := range ends {
-		each.gone.Store(true)
+	for _, each := range conns {
+		each.crashed.Store(true)
 		each.in.fail(syscall.ECONNRESET)
 		if silent {
-			each.other.abandon()
+			each.peer.failAfterTimeout()
 			continue
 		}
 		each.out.fail(syscall.ECONNRESET)
 	}
 }
 
-// Sent returns the bytes and packets sent so far.
-func (w *World) Sent() (bytes, packets uint64) { return w.sent.Load(), w.packets.Load() }
+// Sent returns the number of bytes and packets sent so far; each write counts as one packet.
+func (n *Network) Sent() (bytes, packets uint64) { return n.sentBytes.Load(), n.sentPackets.Load() }
 
-// Close ends everything, so that no goroutine is left waiting.
-func (w *World) Close() {
-	w.mu.Lock()
-	w.closed = true
-	var ends []*end
+// Close closes all listeners and connections and fails pending dials that wait for a cut to end, so that no goroutine
+// stays blocked.
+func (n *Network) Close() {
+	n.mu.Lock()
+	n.closed = true
+	var conns []*conn
 	var listeners []*listener
-	for each := range w.ends {
-		ends = append(ends, each)
+	for each := range n.conns {
+		conns = append(conns, each)
 	}
-	for _, each := range w.listeners {
+	for _, each := range n.listeners {
 		listeners = append(listeners, each)
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	for _, each := range listeners {
 		_ = each.Close()
 	}
-	w.bell.Notify()
-	for _, each := range ends {
+	n.cutsChanged.Notify()
+	for _, each := range conns {
 		each.in.fail(net.ErrClosed)
 		each.out.fail(net.ErrClosed)
 	}
--- a/internal/testing/simnet/reset.go
+++ b/internal/testing/simnet/reset.go
@@ -6,23 +6,24 @@
 	"syscall"
 )
 
-// Reset breaks every connection of a machine to other machines, both ways at once. Its listeners stay.
-func (w *World) Reset(ip string) {
-	w.ResetOf(ip, func(remote string) bool { return remote != ip })
+// ResetConns resets every connection between a machine and other machines, in both directions at once. Its listeners
+// stay open.
+func (n *Network) ResetConns(ip string) {
+	n.ResetConnsTo(ip, func(remote string) bool { return remote != ip })
 }
 
-// ResetOf breaks a machine's connections with the chosen other machines.
-func (w *World) ResetOf(ip string, chosen func(remote string) bool) {
-	w.mu.Lock()
-	var ends []*end
-	for each := range w.ends {
+// ResetConnsTo resets a machine's connections with the machines for whose IP address chosen returns true.
+func (n *Network) ResetConnsTo(ip string, chosen func(remote string) bool) {
+	n.mu.Lock()
+	var conns []*conn
+	for each := range n.conns {
 		if each.local == ip && chosen(host(each.remote)) {
-			ends = append(ends, each)
+			conns = append(conns, each)
 		}
 	}
-	w.mu.Unlock()
-	slices.SortFunc(ends, func(a, b *end) int { return cmp.Compare(a.serial, b.serial) })
-	for _, each := range ends {
+	n.mu.Unlock()
+	slices.SortFunc(conns, func(a, b *conn) int { return cmp.Compare(a.serial, b.serial) })
+	for _, each := range conns {
 		each.in.fail(syscall.ECONNRESET)
 		each.out.fail(syscall.ECONNRESET)
 	}
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -32,7 +32,7 @@
 
 // Simulation is a network with a clock of its own. It is safe for concurrent use.
 type Simulation struct {
-	World *simnet.World
+	World *simnet.Network
 	Clock *simnet.Clock
 	// Wrap changes the network that later scopes are given; nil for no change.
 	Wrap func(base.Net) base.Net
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
 		s := &Simulation{Clock: simnet.NewClock(time.Now())}
-		s.World = simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return delay })
+		s.World = simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return delay })
 		defer s.end()
 		test(s)
 	})
--- a/internal/testing/standin/clock.go
+++ b/internal/testing/standin/clock.go
@@ -18,6 +18,6 @@
 	return time.Duration(at.Nano())
 }
 
-// MachineClock returns a clock whose Mono is the machine's monotonic clock, so
-// that the histories of processes on one machine can be merged.
+// MachineClock returns a clock whose Mono is the machine's CLOCK_MONOTONIC, so that the histories of several processes on
+// one machine can be merged.
 func MachineClock() base.Clock { return machineClock{} }
--- a/internal/tracing/sink_test.go
+++ b/internal/tracing/sink_test.go
@@ -22,7 +22,7 @@
 
 var _ = ginkgo.Describe("the sink of recorded spans", func() {
 	type stand struct {
-		world *simnet.World
+		world *simnet.Network
 		stops []func()
 	}
 	scope := func(w *stand, ip string) base.Scope {
@@ -46,7 +46,7 @@
 	ginkgo.It("given control machines that come and go, when spans are sent, then the live ones of the moment keep them, two each, and a dark one costs nothing", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
-			w := &stand{world: simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
+			w := &stand{world: simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
 			var addresses []string
 			var stores []*Store
 			for i := range 4 {
