--- a/internal/testing/simnet/impairments.go
+++ b/internal/testing/simnet/impairments.go
@@ -15,7 +15,8 @@
 	Loss       float64
 }
 
-// DisableJitter makes each packet take exactly the usual delay plus the link's extra delay.
+// DisableJitter makes each packet take exactly the usual delay plus the link's extra delay. It must be called before
+// there is any traffic.
 func (n *Network) DisableJitter() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/simnet/net.go
+++ b/internal/testing/simnet/net.go
@@ -20,8 +20,8 @@
 // Latency returns the usual one-way delay of a packet between two IP addresses.
 type Latency func(from, to string) time.Duration
 
-// Network is a simulated TCP network of machines, which are identified by their IP addresses. It is safe for concurrent
-// use. Lock order: a pipe's mu before the network's mu.
+// Network is a simulated TCP network of machines, which are identified by their IP addresses. Lock order: a pipe's mu
+// before the network's mu.
 type Network struct {
 	rand        *random.Source
 	latency     Latency
