--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -25,7 +25,7 @@
 	scope  base.Scope
 	newest *atomic.Uint64
 	slow   time.Duration
-	asked  *simulation.Tally
+	asked  *simulation.EventCounter
 }
 
 func (k standController) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
@@ -42,8 +42,8 @@
 	return connect.NewResponse(reply), s.Err()
 }
 
-func (s *stand) standControllers(count int, slow time.Duration) (seeds []string, newest *atomic.Uint64, asked *simulation.Tally) {
-	newest, asked = &atomic.Uint64{}, &simulation.Tally{}
+func (s *stand) standControllers(count int, slow time.Duration) (seeds []string, newest *atomic.Uint64, asked *simulation.EventCounter) {
+	newest, asked = &atomic.Uint64{}, &simulation.EventCounter{}
 	for i := range count {
 		ip := fmt.Sprintf("10.9.0.%d", i+1)
 		mux := http.NewServeMux()
@@ -76,7 +76,7 @@
 		time.Sleep(2 * time.Second)
 		newest.Store(2)
 		s.callsFromAhead(n, 60, 40*time.Millisecond)
-		took := s.Until(5*time.Second, func() bool { return n.control.Serial() == 2 })
+		took := s.WaitUntil(5*time.Second, func() bool { return n.control.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", time.Second), "the older configuration was served for so long")
 	})
@@ -90,7 +90,7 @@
 		s.callsFromAhead(n, 300, 10*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		newest.Store(2)
-		took := s.Until(5*time.Second, func() bool { return n.control.Serial() == 2 })
+		took := s.WaitUntil(5*time.Second, func() bool { return n.control.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "the older configuration was served for so long")
 	})
@@ -103,7 +103,7 @@
 		time.Sleep(2 * time.Second)
 		before := asked.Add("wants", 0)
 		newest.Store(2)
-		s.Until(3*time.Second, func() bool { return n.control.Serial() == 2 })
+		s.WaitUntil(3*time.Second, func() bool { return n.control.Serial() == 2 })
 		time.Sleep(time.Second)
 		Expect(n.control.Serial()).To(Equal(uint64(2)))
 		Expect(asked.Add("wants", 0) - before).To(Equal(1))
--- a/internal/dataplane/controlclient/configuration_test.go
+++ b/internal/dataplane/controlclient/configuration_test.go
@@ -23,7 +23,7 @@
 
 	story("given a majority, when a node starts, then its first configuration is confirmed within a few round trips", func(s *stand) {
 		n := s.node(1, addresses(s.controls(3)))
-		Expect(s.Until(time.Second, n.Confirmed)).To(BeNumerically("<", 30*time.Millisecond))
+		Expect(s.WaitUntil(time.Second, n.Confirmed)).To(BeNumerically("<", 30*time.Millisecond))
 		Expect(n.Ready()).To(BeTrue())
 		Expect(n.Confirmed()).To(BeTrue())
 	})
@@ -35,7 +35,7 @@
 		}
 		s.World.SetBandwidth("10.9.1.1", 0.25e6/8)
 		n := s.node(1, addresses(all))
-		Expect(s.Until(30*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2))
+		Expect(s.WaitUntil(30*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2))
 		Expect(n.Table().Configuration().Routes).To(HaveLen(623))
 	})
 
@@ -46,10 +46,10 @@
 		}
 		s.World.SetBandwidth("10.9.1.1", 0.5e6/8)
 		n := s.node(1, addresses(all))
-		s.Until(10*time.Second, n.Confirmed)
+		s.WaitUntil(10*time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		raise(7, all...)
-		Expect(s.Until(30*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", inForce/4))
+		Expect(s.WaitUntil(30*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", inForce/4))
 	})
 
 	story("given one that is cut off and answers first, when a node starts beside it, then it waits for the confirmed configuration of another", func(s *stand) {
@@ -77,14 +77,14 @@
 		c := s.control(1)
 		c.set(func() { c.freeze = 900 * time.Millisecond })
 		n := s.node(1, addresses([]*standControl{c}))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("~", 900*time.Millisecond, 60*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("~", 900*time.Millisecond, 60*time.Millisecond))
 	})
 
 	story("given only one that is cut off, when a node starts, then it serves the old configuration after half the contact bound, marked unconfirmed, and moves on at once when a majority is heard", func(s *stand) {
 		c := s.control(1)
 		cutOff(c)
 		n := s.node(1, addresses([]*standControl{c}))
-		waited := s.Until(5*time.Second, n.Ready)
+		waited := s.WaitUntil(5*time.Second, n.Ready)
 		Expect(waited).To(BeNumerically("~", 1500*time.Millisecond, 20*time.Millisecond))
 		Expect(n.Serial()).To(Equal(uint64(5)))
 		Expect(n.Confirmed()).To(BeFalse())
@@ -97,17 +97,17 @@
 		Expect(n.Confirmed()).To(BeFalse())
 		c.set(func() { Expect(c.configurations).To(Equal(1), "it isn't sent again and again") })
 		c.set(func() { c.serial, c.confirmed = 9, true })
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 9 && n.Confirmed() })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 9 && n.Confirmed() })).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
 	story("given an unconfirmed configuration in force, when a majority confirms it, then it is confirmed without being sent again", func(s *stand) {
 		c := s.control(1)
 		cutOff(c)
 		n := s.node(1, addresses([]*standControl{c}))
-		s.Until(5*time.Second, n.Ready)
+		s.WaitUntil(5*time.Second, n.Ready)
 		table := n.Table()
 		c.set(func() { c.confirmed = true })
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
 		Expect(n.Table()).To(BeIdenticalTo(table))
 	})
 
@@ -116,10 +116,10 @@
 		raise(9, c)
 		cutOff(c)
 		n := s.node(1, addresses([]*standControl{c}))
-		s.Until(5*time.Second, n.Ready)
+		s.WaitUntil(5*time.Second, n.Ready)
 		Expect(n.Serial()).To(Equal(uint64(9)))
 		c.set(func() { c.serial, c.confirmed = 7, true })
-		s.Until(3*time.Second, n.Confirmed)
+		s.WaitUntil(3*time.Second, n.Confirmed)
 		Expect(n.Serial()).To(Equal(uint64(7)))
 	})
 
--- a/internal/dataplane/controlclient/directory_test.go
+++ b/internal/dataplane/controlclient/directory_test.go
@@ -21,7 +21,7 @@
 		cutOff(all[:3]...)
 		raise(9, all[3:]...)
 		n := s.node(1, addresses(all[:3]))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2), "before it would serve the old")
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2), "before it would serve the old")
 		Expect(n.Serial()).To(Equal(uint64(9)))
 	})
 
@@ -34,11 +34,11 @@
 			}
 		}
 		n := s.node(1, addresses(all[:3]))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", 50*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", 50*time.Millisecond))
 		raise(7, all[2:]...)
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 100*time.Millisecond))
 		live := addresses(all[2:])
-		Expect(s.Until(2*contact, func() bool {
+		Expect(s.WaitUntil(2*contact, func() bool {
 			return len(n.polled()) == 3 && subset(n.polled(), live)
 		})).To(BeNumerically("<", 2*contact))
 		time.Sleep(20 * time.Second)
@@ -48,14 +48,14 @@
 	story("given five, when those a node asks lose their majority, then it asks the others within the contact bound and is told of changes in time", func(s *stand) {
 		all := s.controls(5)
 		n := s.node(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(3 * time.Second)
 		for _, c := range all {
 			if subset([]string{c.address()}, n.polled()[:2]) {
 				cutOff(c)
 			}
 		}
-		s.Until(contact, func() bool { return false })
+		s.WaitUntil(contact, func() bool { return false })
 		for _, c := range all {
 			c.set(func() {
 				if c.confirmed {
@@ -63,8 +63,8 @@
 				}
 			})
 		}
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(s.Until(contact, func() bool {
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(contact, func() bool {
 			for _, c := range all {
 				if !c.confirmed && subset([]string{c.address()}, n.polled()) {
 					return false
@@ -77,7 +77,7 @@
 	story("given seven, when all three that a node asks lose their majority at once, then it finds one with a majority within the contact bound", func(s *stand) {
 		all := s.controls(7)
 		n := s.node(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		asked := n.polled()
 		for _, c := range all {
@@ -87,14 +87,14 @@
 				raise(9, c)
 			}
 		}
-		Expect(s.Until(3*contact, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", contact))
+		Expect(s.WaitUntil(3*contact, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", contact))
 	})
 
 	story("given control machines that are all replaced in turn, at new addresses, when minutes pass, then running nodes and newly started ones follow", func(s *stand) {
 		all := s.controls(3)
 		old := addresses(all)
 		n := s.node(1, old)
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		for turn := range 6 {
 			fresh := s.control(10 + turn)
 			gone := all[0]
@@ -103,7 +103,7 @@
 			gone.door.Close()
 			time.Sleep(20 * time.Second)
 			raise(uint64(20+turn), all...)
-			Expect(s.Until(5*time.Second, func() bool { return n.Serial() == uint64(20+turn) })).To(BeNumerically("<", 100*time.Millisecond), "turn %d", turn)
+			Expect(s.WaitUntil(5*time.Second, func() bool { return n.Serial() == uint64(20+turn) })).To(BeNumerically("<", 100*time.Millisecond), "turn %d", turn)
 			Expect(n.polled()).To(ConsistOf(addresses(all)), "turn %d", turn)
 		}
 		n.sink.Push(&wire.Span{Id: "late"})
@@ -115,14 +115,14 @@
 		}
 		Expect(kept).To(Equal(2), "spans follow the set")
 		late := s.node(2, []string{old[0], old[1], all[0].address()})
-		Expect(s.Until(contact, late.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(s.Until(3*contact, func() bool { return subset(late.polled(), addresses(all)) })).To(BeNumerically("<", 3*contact))
+		Expect(s.WaitUntil(contact, late.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*contact, func() bool { return subset(late.polled(), addresses(all)) })).To(BeNumerically("<", 3*contact))
 	})
 
 	story("given that all are gone, when new ones stand at the seeds, or the settings name new seeds, then the node finds them", func(s *stand) {
 		all := s.controls(5)
 		n := s.node(1, addresses(all[:2]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		for _, c := range all {
 			c.door.Close()
@@ -130,13 +130,13 @@
 		time.Sleep(time.Minute)
 		again := s.control(1)
 		raise(7, again)
-		Expect(s.Until(time.Minute, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 5*contact))
+		Expect(s.WaitUntil(time.Minute, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 5*contact))
 		again.door.Close()
 		time.Sleep(time.Minute)
 		elsewhere := s.control(40)
 		raise(9, elsewhere)
 		n.SetSeeds(addresses([]*standControl{elsewhere}))
-		Expect(s.Until(time.Minute, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 2*contact))
+		Expect(s.WaitUntil(time.Minute, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 2*contact))
 	})
 
 	story("given a list of very many, when a node is told of it, then it remembers a bounded number, the seeds always, and asks three", func(s *stand) {
@@ -147,7 +147,7 @@
 			}
 		})
 		n := s.node(1, addresses([]*standControl{c}))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		for turn := range 6 {
 			time.Sleep(10 * time.Second)
 			c.set(func() {
@@ -199,7 +199,7 @@
 	story("given a core without a majority anywhere, when time passes, then the node goes on hearing of its peers from one that answers", func(s *stand) {
 		all := s.controls(5)
 		n := s.node(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		cutOff(all...)
 		for _, c := range all[2:] {
 			c.door.Close()
--- a/internal/dataplane/controlclient/freshness_test.go
+++ b/internal/dataplane/controlclient/freshness_test.go
@@ -19,7 +19,7 @@
 		c.set(func() { c.ages = true })
 	}
 	n = s.node(1, addresses(all))
-	s.Until(time.Second, n.Confirmed)
+	s.WaitUntil(time.Second, n.Confirmed)
 	return all, n
 }
 
@@ -68,12 +68,12 @@
 	story("given three control machines whose answers to polls all hang, when a newer configuration is acknowledged, then it is in force within the bound by further questions, on connections of their own", func(s *stand) {
 		all := s.controls(3)
 		n := s.node(1, addresses(all))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(3 * time.Second)
 		for _, c := range all {
 			c.set(func() { c.freeze, c.serial = time.Minute, 7 })
 		}
-		Expect(s.Until(10*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 3*inForce/4))
+		Expect(s.WaitUntil(10*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 3*inForce/4))
 	})
 
 	story("given nobody with a majority, when the in-force bound is over, then the node serves on and says that it is in doubt, and asks with growing pauses", func(s *stand) {
--- a/internal/dataplane/fence_test.go
+++ b/internal/dataplane/fence_test.go
@@ -117,7 +117,7 @@
 	*stand
 	near, far *Node
 	net       *brittleNet
-	ran       simulation.Tally
+	ran       simulation.EventCounter
 	work      time.Duration
 	size      int
 }
--- a/internal/dataplane/full_peer_test.go
+++ b/internal/dataplane/full_peer_test.go
@@ -15,8 +15,8 @@
 )
 
 var _ = ginkgo.Describe("a full queue", func() {
-	fullPeer := func(s *stand) (near *Node, asked *simulation.Tally) {
-		near, asked = s.node(1, noControllers), &simulation.Tally{}
+	fullPeer := func(s *stand) (near *Node, asked *simulation.EventCounter) {
+		near, asked = s.node(1, noControllers), &simulation.EventCounter{}
 		near.control.Adopt(aConfiguration(1), true)
 		s.Serve("10.9.1.2:7002", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			asked.Add("asked", 1)
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -31,7 +31,7 @@
 // stand is a simulation on which single nodes, control machines and peers are set up.
 type stand struct{ *simulation.Simulation }
 
-func story(text string, tell func(s *stand)) { distant(text, simulation.UsualDelay, tell) }
+func story(text string, tell func(s *stand)) { distant(text, simulation.DefaultDelay, tell) }
 
 // distant is a story whose machines are further apart than usual, one way.
 func distant(text string, delay time.Duration, tell func(s *stand)) {
--- a/internal/testing/openfleet/client.go
+++ b/internal/testing/openfleet/client.go
@@ -16,212 +16,212 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
-const keptFor = 4 * time.Second
+const idleConnLifetime = 4 * time.Second
 
-type unread interface{ Unread() int }
+type unreadCounter interface{ Unread() int }
 
-type kept struct {
-	conn   net.Conn
-	in     *bufio.Reader
-	peeked chan error
-	last   string
-	until  time.Duration
+type clientConn struct {
+	raw       net.Conn
+	in        *bufio.Reader
+	peeked    chan error
+	lastID    string
+	expiresAt time.Duration
 }
 
-func (k *kept) watch() {
-	k.peeked = make(chan error, 1)
+func (c *clientConn) peekAsync() {
+	c.peeked = make(chan error, 1)
 	go func() {
-		_, err := k.in.Peek(1)
-		k.peeked <- err
+		_, err := c.in.Peek(1)
+		c.peeked <- err
 	}()
 }
 
 type client struct {
 	scope   base.Scope
 	history *History
-	to      string
+	address string
 	name    string
 	mu      sync.Mutex
-	idle    []*kept
+	idle    []*clientConn
 }
 
-func (c *client) take(fresh bool, within time.Duration) (*kept, error) {
-	for !fresh {
+func (c *client) acquire(newConn bool, timeout time.Duration) (*clientConn, error) {
+	for !newConn {
 		c.mu.Lock()
 		if len(c.idle) == 0 {
 			c.mu.Unlock()
 			break
 		}
-		at := c.idle[len(c.idle)-1]
+		conn := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
 		c.mu.Unlock()
 		select {
-		case err := <-at.peeked:
-			c.stray(at, err)
-			_ = at.conn.Close()
+		case err := <-conn.peeked:
+			c.recordStrayBytes(conn, err)
+			_ = conn.raw.Close()
 			continue
 		default:
 		}
-		if c.scope.Clock.Mono() < at.until {
-			return at, nil
+		if c.scope.Clock.Mono() < conn.expiresAt {
+			return conn, nil
 		}
-		_ = at.conn.Close()
+		_ = conn.raw.Close()
 	}
-	s, cancel := c.scope.WithTimeout(min(within, time.Second))
+	s, cancel := c.scope.WithTimeout(min(timeout, time.Second))
 	defer cancel()
-	conn, err := c.scope.Net.Dial(s, "tcp", c.to)
+	conn, err := c.scope.Net.Dial(s, "tcp", c.address)
 	if err != nil {
 		return nil, err
 	}
-	return &kept{conn: conn, in: bufio.NewReader(conn)}, nil
+	return &clientConn{raw: conn, in: bufio.NewReader(conn)}, nil
 }
 
-func (c *client) stray(at *kept, err error) {
+func (c *client) recordStrayBytes(conn *clientConn, err error) {
 	if err == nil {
-		bytes, _ := at.in.Peek(at.in.Buffered())
-		note(c.history, &c.history.strays, fmt.Sprintf("%s: %q after %s", c.name, bytes[:min(len(bytes), 60)], at.last))
+		bytes, _ := conn.in.Peek(conn.in.Buffered())
+		appendRecord(c.history, &c.history.strayBytes, fmt.Sprintf("%s: %q after %s", c.name, bytes[:min(len(bytes), 60)], conn.lastID))
 	}
 }
 
-func (c *client) give(at *kept, id string, header http.Header) {
-	at.last = id
-	at.until = c.scope.Clock.Mono() + keptFor
-	if limit, told := keepAlive(header); told {
-		at.until = c.scope.Clock.Mono() + min(limit, keptFor)
+func (c *client) release(conn *clientConn, id string, header http.Header) {
+	conn.lastID = id
+	conn.expiresAt = c.scope.Clock.Mono() + idleConnLifetime
+	if limit, found := keepAliveTimeout(header); found {
+		conn.expiresAt = c.scope.Clock.Mono() + min(limit, idleConnLifetime)
 	}
-	at.watch()
+	conn.peekAsync()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = append(c.idle, at)
+	c.idle = append(c.idle, conn)
 }
 
-func keepAlive(header http.Header) (time.Duration, bool) {
-	_, value, told := strings.Cut(header.Get("Keep-Alive"), "timeout=")
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
+	_, value, found := strings.Cut(header.Get("Keep-Alive"), "timeout=")
 	seconds, err := strconv.Atoi(strings.TrimSpace(value))
-	return time.Duration(seconds) * time.Second, told && err == nil
+	return time.Duration(seconds) * time.Second, found && err == nil
 }
 
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, at := range c.idle {
+	for _, conn := range c.idle {
 		select {
-		case err := <-at.peeked:
-			c.stray(at, err)
+		case err := <-conn.peeked:
+			c.recordStrayBytes(conn, err)
 		default:
 		}
-		_ = at.conn.Close()
+		_ = conn.raw.Close()
 	}
 	c.idle = nil
 }
 
-func (c *client) ask(a *Ask, body []byte, chunked, fresh bool, extra ...string) *Told {
-	c.history.Asked(a)
-	told := c.exchange(a, body, chunked, fresh, extra)
-	told.ID, told.At = a.ID, c.scope.Clock.Mono()
-	c.history.Told(told)
-	return told
+func (c *client) do(a *Attempt, body []byte, chunked, newConn bool, extraHeaders ...string) *Outcome {
+	c.history.RecordAttempt(a)
+	outcome := c.exchange(a, body, chunked, newConn, extraHeaders)
+	outcome.ID, outcome.EndedAt = a.ID, c.scope.Clock.Mono()
+	c.history.RecordOutcome(outcome)
+	return outcome
 }
 
-func (c *client) exchange(a *Ask, body []byte, chunked, fresh bool, extra []string) *Told {
-	left := a.Until - c.scope.Clock.Mono()
-	at, err := c.take(fresh, left)
+func (c *client) exchange(a *Attempt, body []byte, chunked, newConn bool, extraHeaders []string) *Outcome {
+	remaining := a.Deadline - c.scope.Clock.Mono()
+	conn, err := c.acquire(newConn, remaining)
 	if err != nil {
-		return &Told{Broken: "no connection: " + err.Error()}
+		return &Outcome{TransportError: "no connection: " + err.Error()}
 	}
-	_ = at.conn.SetDeadline(time.Now().Add(left))
-	if _, err := at.conn.Write(c.text(a, left, body, chunked, extra)); err != nil {
-		_ = at.conn.Close()
-		return &Told{Broken: "not sent: " + err.Error()}
+	_ = conn.raw.SetDeadline(time.Now().Add(remaining))
+	if _, err := conn.raw.Write(c.formatRequest(a, remaining, body, chunked, extraHeaders)); err != nil {
+		_ = conn.raw.Close()
+		return &Outcome{TransportError: "not sent: " + err.Error()}
 	}
-	if at.peeked != nil {
-		if err := <-at.peeked; err != nil {
-			return c.broken(at, err)
+	if conn.peeked != nil {
+		if err := <-conn.peeked; err != nil {
+			return c.transportError(conn, err)
 		}
-		at.peeked = nil
+		conn.peeked = nil
 	}
-	response, err := http.ReadResponse(at.in, &http.Request{Method: a.Method})
+	response, err := http.ReadResponse(conn.in, &http.Request{Method: a.Method})
 	for err == nil && response.StatusCode == http.StatusContinue {
-		response, err = http.ReadResponse(at.in, &http.Request{Method: a.Method})
+		response, err = http.ReadResponse(conn.in, &http.Request{Method: a.Method})
 	}
 	if err != nil {
-		return c.broken(at, err)
+		return c.transportError(conn, err)
 	}
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		told := c.broken(at, err)
-		told.Status = response.StatusCode
-		return told
-	}
-	told := &Told{Status: response.StatusCode, Read: true}
-	c.judge(a, told, response, answer)
-	if at.in.Buffered() > 0 {
-		at.last = a.ID
-		c.stray(at, nil)
-		_ = at.conn.Close()
+		outcome := c.transportError(conn, err)
+		outcome.Status = response.StatusCode
+		return outcome
+	}
+	outcome := &Outcome{Status: response.StatusCode, RequestRead: true}
+	c.checkResponse(a, outcome, response, responseBody)
+	if conn.in.Buffered() > 0 {
+		conn.lastID = a.ID
+		c.recordStrayBytes(conn, nil)
+		_ = conn.raw.Close()
 	} else if response.Close {
-		_ = at.conn.Close()
+		_ = conn.raw.Close()
 	} else {
-		c.give(at, a.ID, response.Header)
+		c.release(conn, a.ID, response.Header)
 	}
-	return told
+	return outcome
 }
 
-func (c *client) text(a *Ask, left time.Duration, body []byte, chunked bool, extra []string) []byte {
-	var out bytes.Buffer
-	_, _ = fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", a.Method, a.Target, a.Host, forwarding.DefaultHeaderNames.RequestID, a.ID, forwarding.DefaultHeaderNames.TimeLeft, left.Milliseconds())
-	for _, line := range extra {
-		_, _ = fmt.Fprintf(&out, "%s\r\n", line)
+func (c *client) formatRequest(a *Attempt, remaining time.Duration, body []byte, chunked bool, extraHeaders []string) []byte {
+	var request bytes.Buffer
+	_, _ = fmt.Fprintf(&request, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", a.Method, a.Target, a.Host, forwarding.DefaultHeaderNames.RequestID, a.ID, forwarding.DefaultHeaderNames.TimeLeft, remaining.Milliseconds())
+	for _, line := range extraHeaders {
+		_, _ = fmt.Fprintf(&request, "%s\r\n", line)
 	}
 	switch {
 	case chunked:
-		_, _ = fmt.Fprintf(&out, "Transfer-Encoding: chunked\r\n\r\n")
+		_, _ = fmt.Fprintf(&request, "Transfer-Encoding: chunked\r\n\r\n")
 		for len(body) > 0 {
 			n := min(len(body), 700)
-			_, _ = fmt.Fprintf(&out, "%x\r\n%s\r\n", n, body[:n])
+			_, _ = fmt.Fprintf(&request, "%x\r\n%s\r\n", n, body[:n])
 			body = body[n:]
 		}
-		_, _ = out.WriteString("0\r\n\r\n")
+		_, _ = request.WriteString("0\r\n\r\n")
 	case len(body) > 0 || a.Method != http.MethodGet:
-		_, _ = fmt.Fprintf(&out, "Content-Length: %d\r\n\r\n%s", len(body), body)
+		_, _ = fmt.Fprintf(&request, "Content-Length: %d\r\n\r\n%s", len(body), body)
 	default:
-		_, _ = out.WriteString("\r\n")
+		_, _ = request.WriteString("\r\n")
 	}
-	return out.Bytes()
+	return request.Bytes()
 }
 
-func (c *client) broken(at *kept, err error) *Told {
-	told := &Told{Broken: err.Error(), Read: true}
-	if conn, ok := at.conn.(unread); ok {
-		told.Read = conn.Unread() == 0
+func (c *client) transportError(conn *clientConn, err error) *Outcome {
+	outcome := &Outcome{TransportError: err.Error(), RequestRead: true}
+	if counter, ok := conn.raw.(unreadCounter); ok {
+		outcome.RequestRead = counter.Unread() == 0
 	}
-	_ = at.conn.Close()
-	return told
+	_ = conn.raw.Close()
+	return outcome
 }
 
-func (c *client) judge(a *Ask, told *Told, response *http.Response, body []byte) {
+func (c *client) checkResponse(a *Attempt, outcome *Outcome, response *http.Response, body []byte) {
 	id := response.Header.Get(forwarding.DefaultHeaderNames.RequestID)
-	mark := response.Header.Get(forwarding.DefaultHeaderNames.Seal)
-	told.Sealed = mark != ""
-	instance, _, _ := strings.Cut(mark, ".")
-	success := told.Status >= 200 && told.Status < 300
+	responseSeal := response.Header.Get(forwarding.DefaultHeaderNames.Seal)
+	outcome.Sealed = responseSeal != ""
+	instance, _, _ := strings.Cut(responseSeal, ".")
+	success := outcome.Status >= 200 && outcome.Status < 300
 	switch {
 	case id != "" && id != a.ID:
-		told.Mixed = "the answer of " + id
-	case success && mark == "":
-		told.Mixed = "a success without a seal"
-	case success && mark != seal(a.ID, instance, body):
-		told.Mixed = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
+		outcome.Mismatch = "the answer of " + id
+	case success && responseSeal == "":
+		outcome.Mismatch = "a success without a seal"
+	case success && responseSeal != seal(a.ID, instance, body):
+		outcome.Mismatch = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
 	}
-	if again, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
-		told.Again = time.Duration(again * float64(time.Second))
+	if retryAfter, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		outcome.RetryAfter = time.Duration(retryAfter * float64(time.Second))
 	}
-	if !told.Sealed {
-		told.Kind = kindOf(body)
+	if !outcome.Sealed {
+		outcome.ErrorKind = errorKind(body)
 	}
 }
 
-func kindOf(body []byte) string {
+func errorKind(body []byte) string {
 	_, rest, _ := bytes.Cut(body, []byte(`"kind":"`))
 	kind, _, _ := bytes.Cut(rest, []byte(`"`))
 	return string(kind)
--- /dev/null
+++ b/internal/testing/openfleet/connection_reset_test.go
@@ -0,0 +1,101 @@
+package openfleet
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"curlewreach/base"
+)
+
+// Indeterminate counts the jobs that were neither served nor refused with a promise.
+func (s JobStats) Indeterminate() int { return s.Jobs - s.Succeeded - s.Rejected }
+
+// expectFewIndeterminate expects at most a share of the jobs that may not be repeated to fail without a promise.
+func (f *Fleet) expectFewIndeterminate(maxShare float64) {
+	stats := f.JobStats(0, 0, atMostOnce)
+	share := float64(stats.Indeterminate()) / float64(max(stats.Jobs, 1))
+	ginkgo.AddReportEntry(f.Description, fmt.Sprint(stats.Indeterminate(), " failed; ", stats, "; ", f.connectionCounts()))
+	ExpectWithOffset(1, share).To(BeNumerically("<=", maxShare), "%s: %d failed; %s", f.Description, stats.Indeterminate(), stats)
+}
+
+// connectionCounts sums what the nodes that are up counted of broken connections between them.
+func (f *Fleet) connectionCounts() map[string]uint64 {
+	sums := map[string]uint64{}
+	for _, m := range f.currentNodes() {
+		if m.Node == nil {
+			continue
+		}
+		for name, count := range m.Node.View().Counts {
+			if strings.HasPrefix(name, "hop-") || strings.HasPrefix(name, "attempt-") || name == "repeat-unpaid" {
+				sums[name] += count
+			}
+		}
+	}
+	return sums
+}
+
+func (f *Fleet) resetConnections(pause time.Duration, times int) {
+	rnd := f.rand("resets")
+	for range times {
+		f.World.Reset(f.Nodes[rnd.IntN(len(f.Nodes))].IP)
+		f.Sleep(time.Duration(float64(pause) * (0.5 + rnd.Float64())))
+	}
+}
+
+var _ = ginkgo.Describe("connections between machines that break", func() {
+	spec("given load, when machines' connections are reset again and again, then nothing runs twice and next to nothing is left in doubt", []uint64{1, 2}, func(f *Fleet) {
+		f.slowDownUpstreams(40*time.Millisecond, 120*time.Millisecond)
+		startAll(f)
+		f.StartLoad(80)
+		f.Sleep(time.Second)
+		f.resetConnections(150*time.Millisecond, 40)
+		f.StopLoad()
+		f.expectFewIndeterminate(0.02)
+		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity)
+	})
+
+	spec("given load, when connections are reset while nodes are killed, frozen and cut off, then nothing runs twice and no refused one ran", []uint64{1, 2}, func(f *Fleet) {
+		f.slowDownUpstreams(40*time.Millisecond, 120*time.Millisecond)
+		startAll(f)
+		f.StartLoad(80)
+		f.Sleep(time.Second)
+		base.Parallel([]func(){
+			func() { f.resetConnections(150*time.Millisecond, 60) },
+			func() {
+				rnd := f.rand("troubles")
+				for round := range 6 {
+					m := f.Nodes[rnd.IntN(len(f.Nodes))]
+					switch round % 3 {
+					case 0:
+						f.Kill(m)
+						f.Sleep(500 * time.Millisecond)
+						Expect(f.StartProcess(m)).To(Succeed())
+					case 1:
+						thaw := f.Freeze(m)
+						f.Sleep(700 * time.Millisecond)
+						thaw()
+					default:
+						f.isolateFor(m, 400*time.Millisecond)
+					}
+					f.Sleep(time.Second)
+				}
+			},
+		}, func(do func()) { do() })
+		f.Sleep(2 * time.Second)
+		f.StopLoad()
+		f.expectFewIndeterminate(0.03)
+		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity)
+	})
+})
+
+func (f *Fleet) isolateFor(m *Machine, d time.Duration) {
+	end := f.StartDisturbance(m.Name, "cut off")
+	f.setIsolated(m, true)
+	f.Sleep(d)
+	f.setIsolated(m, false)
+	end()
+}
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -24,142 +24,142 @@
 )
 
 const (
-	nearby        = 20 * time.Microsecond
-	sameZone      = 200 * time.Microsecond
-	crossZone     = 1 * time.Millisecond
-	outwardPort   = 7001
-	inwardPort    = 7002
-	readyPort     = 7003
-	controlPort   = 7004
-	operatorsPort = 7005
-	upstreamPort  = 8080
-	journalBound  = 400
-	beatEvery     = 500 * time.Millisecond
-	leavingBound  = 2 * time.Second
-	inForceBound  = 2 * time.Second
-	graceBound    = 6 * time.Second
-	contact       = 4 * time.Second
-	revertSlack   = 250 * time.Millisecond
-	lossSlack     = 500 * time.Millisecond
-	repeatRatio   = 0.2
-	repeatWindow  = 10 * time.Second
-	repeatSlack   = 20
-	corePrefix    = "core"  // of the names of control machines, and the core as a whole
-	allLinks      = "links" // in a history, the links of all machines
+	sameMachineDelay  = 20 * time.Microsecond
+	sameZoneDelay     = 200 * time.Microsecond
+	crossZoneDelay    = 1 * time.Millisecond
+	outboundPort      = 7001
+	inboundPort       = 7002
+	readyPort         = 7003
+	controlPort       = 7004
+	operatorPort      = 7005
+	upstreamPort      = 8080
+	journalLimit      = 400
+	heartbeatInterval = 500 * time.Millisecond
+	drainBound        = 2 * time.Second
+	inForceBound      = 2 * time.Second
+	stopGrace         = 6 * time.Second
+	contactBound      = 4 * time.Second
+	rollbackSlack     = 250 * time.Millisecond
+	stopSlack         = 500 * time.Millisecond
+	retryRatio        = 0.2
+	retryWindow       = 10 * time.Second
+	retrySlack        = 20
+	controllerPrefix  = "core"  // of the names of control machines, and the core as a whole
+	allLinks          = "links" // in a history, the links of all machines
 )
 
 // Machine is a simulated machine. Its process is either a replica of the control plane (Core) or a data
 // plane node with an Upstream beside it; Control machine and Node are nil while no process runs.
 type Machine struct {
-	Name       string
-	Zone       string
-	IP         string
-	Service    string
-	Core       bool
-	Disk       *simnet.Disk
-	Clock      *simnet.Clock
-	Journal    *base.Journal
-	Node       *dataplane.Node
-	Controller *controlplane.Server
-	Upstream   *Upstream
-	mount      *simnet.Mount
-	visitors   *client
-	lives      atomic.Int64
-	in         atomic.Bool
-	retired    atomic.Bool
-	misses     int
-	back       func()
-	cancel     context.CancelFunc
+	Name           string
+	Zone           string
+	IP             string
+	Service        string
+	IsController   bool
+	Disk           *simnet.Disk
+	Clock          *simnet.Clock
+	Journal        *base.Journal
+	Node           *dataplane.Node
+	Controller     *controlplane.Server
+	Upstream       *Upstream
+	mount          *simnet.Mount
+	client         *client
+	starts         atomic.Int64
+	inRotation     atomic.Bool
+	retired        atomic.Bool
+	failedProbes   int
+	endDisturbance func()
+	cancel         context.CancelFunc
 }
 
-// At returns the machine's address for a port, as "ip:port".
-func (m *Machine) At(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
+// Address returns the machine's address for a port, as "ip:port".
+func (m *Machine) Address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
-func (m *Machine) owner() string { return fmt.Sprintf("%s life %d", m.Name, m.lives.Load()) }
+func (m *Machine) processName() string { return fmt.Sprintf("%s life %d", m.Name, m.starts.Load()) }
 
 // Fleet is a simulated mesh: control plane replicas, data plane nodes with their upstreams, clients and
 // operators, on one simulated network. Plan is the client workload, Habits are given to new upstreams, Size
 // returns their capacity and queue length in requests, and Tune, if set, adjusts the settings of each node
 // before it starts. The same Seed gives the same random choices.
 type Fleet struct {
-	Scope         base.Scope
-	Seed          uint64
-	World         *simnet.World
-	Controllers   []*Machine
-	Nodes         []*Machine
-	gone          []*Machine
-	enrolled      int
-	History       *History
-	Plan          []Plan
-	Habits        []Habit
-	Size          func(service string) (capacity, queue int)
-	Tune          func(*wire.NodeParams)
-	First         *wire.Configuration
-	Story         string
-	zones         base.Table[string]
-	apart         time.Duration // delay between zones, one way
-	seeds         []string
-	born          time.Time
-	configuration *wire.Configuration
-	visiting      context.CancelFunc
-	crew          base.Group
-	living        sync.Mutex
-	uppers        atomic.Int64
-	count         atomic.Int64
+	Scope                base.Scope
+	Seed                 uint64
+	World                *simnet.World
+	Controllers          []*Machine
+	Nodes                []*Machine
+	retiredNodes         []*Machine
+	nodeCount            int
+	History              *History
+	Workload             []RequestClass
+	Behaviors            []Behavior
+	CapacityOf           func(service string) (capacity, queue int)
+	AdjustParams         func(*wire.NodeParams)
+	InitialConfiguration *wire.Configuration
+	Description          string
+	zones                base.Table[string]
+	zoneDelay            time.Duration // delay between zones, one way
+	seeds                []string
+	startTime            time.Time
+	configuration        *wire.Configuration
+	cancelLoad           context.CancelFunc
+	loadTasks            base.Group
+	mu                   sync.Mutex
+	upstreamCount        atomic.Int64
+	nextID               atomic.Int64
 }
 
 // New builds a fleet of so many control plane replicas and, for each service, so many nodes, spread over
 // three zones. No process runs until Raise.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
-	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
+	f := &Fleet{Seed: seed, startTime: time.Now(), zoneDelay: crossZoneDelay}
 	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
-			return nearby
+			return sameMachineDelay
 		case f.zone(from) == f.zone(to):
-			return sameZone
+			return sameZoneDelay
 		}
-		return f.apart
+		return f.zoneDelay
 	})
-	f.Scope = f.scope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.born), base.NewJournal(journalBound))
+	f.Scope = f.newScope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.startTime), base.NewJournal(journalLimit))
 	f.History = NewHistory(f.Scope.Clock)
-	f.Size = func(string) (int, int) { return 8, 16 }
+	f.CapacityOf = func(string) (int, int) { return 8, 16 }
 	for i := range controllers {
-		m := f.machine(fmt.Sprintf("%s-%d", corePrefix, i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
-		m.Core = true
+		m := f.newMachine(fmt.Sprintf("%s-%d", controllerPrefix, i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
+		m.IsController = true
 		f.Controllers = append(f.Controllers, m)
-		f.seeds = append(f.seeds, m.At(inwardPort))
+		f.seeds = append(f.seeds, m.Address(inboundPort))
 	}
-	for _, service := range sorted(services) {
+	for _, service := range sortedKeys(services) {
 		for range services[service] {
-			f.Enrol(service, "")
+			f.AddNode(service, "")
 		}
 	}
 	return f
 }
 
-// Enrol adds a machine for a service, at an address of its own or at one that another had.
-func (f *Fleet) Enrol(service, ip string) *Machine {
-	i := f.enrolled
-	f.enrolled++
+// AddNode adds a machine for a service, at an address of its own or at one that another had.
+func (f *Fleet) AddNode(service, ip string) *Machine {
+	i := f.nodeCount
+	f.nodeCount++
 	if ip == "" {
 		ip = fmt.Sprintf("10.9.1.%d", i+1)
 	}
-	m := f.machine(fmt.Sprintf("app-%d", i+1), ip, i)
+	m := f.newMachine(fmt.Sprintf("app-%d", i+1), ip, i)
 	m.Service = service
-	m.visitors = &client{scope: f.scope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal), history: f.History, to: m.At(outwardPort), name: "visitors " + m.Name}
-	f.living.Lock()
-	defer f.living.Unlock()
+	m.client = &client{scope: f.newScope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal), history: f.History, address: m.Address(outboundPort), name: "visitors " + m.Name}
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.Nodes = append(f.Nodes, m)
 	return m
 }
 
-func (f *Fleet) machine(name, ip string, i int) *Machine {
+func (f *Fleet) newMachine(name, ip string, i int) *Machine {
 	if f.zone(ip) == "" {
 		f.zones.Put(ip, string(rune('a'+i%3)))
 	}
 	zone := f.zone(ip)
-	return &Machine{Name: name, Zone: zone, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + name)), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound)}
+	return &Machine{Name: name, Zone: zone, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + name)), Clock: simnet.NewClock(f.startTime), Journal: base.NewJournal(journalLimit)}
 }
 
 func (f *Fleet) zone(ip string) string {
@@ -169,55 +169,55 @@
 
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
-func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
+func (f *Fleet) newScope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
 }
 
-// Raise starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
+// StartProcess starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
 // or PowerLoss recorded. It returns the error of the start.
-func (f *Fleet) Raise(m *Machine) error {
-	m.lives.Add(1)
+func (f *Fleet) StartProcess(m *Machine) error {
+	m.starts.Add(1)
 	m.mount = simnet.NewMount(m.Disk)
-	s := f.scope(m.owner(), m.IP, m.mount, m.Clock, m.Journal)
+	s := f.newScope(m.processName(), m.IP, m.mount, m.Clock, m.Journal)
 	s, m.cancel = s.WithCancel()
-	if m.back != nil {
-		m.back()
-		m.back = nil
+	if m.endDisturbance != nil {
+		m.endDisturbance()
+		m.endDisturbance = nil
 	}
-	if m.Core {
+	if m.IsController {
 		controller, err := controlplane.Start(s, &wire.ControllerParams{
-			Name: m.Name, Zone: m.Zone, Peers: m.At(inwardPort), Operators: m.At(operatorsPort), Seeds: f.seeds, Founding: m.lives.Load() == 1, Folder: "data",
-			Ack: durationpb.New(4 * time.Second), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
-		}, desk)
-		f.living.Lock()
-		defer f.living.Unlock()
+			Name: m.Name, Zone: m.Zone, Peers: m.Address(inboundPort), Operators: m.Address(operatorPort), Seeds: f.seeds, Founding: m.starts.Load() == 1, Folder: "data",
+			Ack: durationpb.New(4 * time.Second), InForce: durationpb.New(inForceBound), Grace: durationpb.New(stopGrace),
+		}, operatorHandler)
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		m.Controller = controller
 		return err
 	}
-	node, err := dataplane.Start(s, f.params(m), forwarding.DefaultHeaderNames, control)
-	f.living.Lock()
-	defer f.living.Unlock()
+	node, err := dataplane.Start(s, f.nodeParams(m), forwarding.DefaultHeaderNames, nodeControlHandler)
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	m.Node = node
 	return err
 }
 
-// params returns the settings that a node starts with.
-func (f *Fleet) params(m *Machine) *wire.NodeParams {
+// nodeParams returns the settings that a node starts with.
+func (f *Fleet) nodeParams(m *Machine) *wire.NodeParams {
 	params := &wire.NodeParams{
-		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.At(upstreamPort), Outward: m.At(outwardPort), Inward: m.At(inwardPort),
-		Ready: m.At(readyPort), Control: m.At(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
-		Beat: durationpb.New(beatEvery), Leaving: durationpb.New(leavingBound), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
-		RepeatRatio: repeatRatio, RepeatWindow: durationpb.New(repeatWindow), RepeatSlack: repeatSlack,
+		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.Address(upstreamPort), Outward: m.Address(outboundPort), Inward: m.Address(inboundPort),
+		Ready: m.Address(readyPort), Control: m.Address(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
+		Beat: durationpb.New(heartbeatInterval), Leaving: durationpb.New(drainBound), InForce: durationpb.New(inForceBound), Grace: durationpb.New(stopGrace),
+		RepeatRatio: retryRatio, RepeatWindow: durationpb.New(retryWindow), RepeatSlack: retrySlack,
 	}
-	if f.Tune != nil {
-		f.Tune(params)
+	if f.AdjustParams != nil {
+		f.AdjustParams(params)
 	}
 	return params
 }
 
-// Seat starts an upstream beside a node.
-func (f *Fleet) Seat(m *Machine) *Upstream {
-	u := f.Upstream(m, m.Service, upstreamPort)
+// StartUpstream starts an upstream beside a node.
+func (f *Fleet) StartUpstream(m *Machine) *Upstream {
+	u := f.NewUpstream(m, m.Service, upstreamPort)
 	m.Upstream = u
 	if err := u.Start(); err != nil {
 		panic(err)
@@ -225,47 +225,47 @@
 	return u
 }
 
-// Upstream returns a new instance of a service on a machine and port, without starting it.
-func (f *Fleet) Upstream(m *Machine, service string, port int) *Upstream {
-	capacity, queue := f.Size(service)
-	id := fmt.Sprintf("i-%s-%d", service, f.uppers.Add(1))
+// NewUpstream returns a new instance of a service on a machine and port, without starting it.
+func (f *Fleet) NewUpstream(m *Machine, service string, port int) *Upstream {
+	capacity, queue := f.CapacityOf(service)
+	id := fmt.Sprintf("i-%s-%d", service, f.upstreamCount.Add(1))
 	return &Upstream{
-		ID: id, Service: service, Address: m.At(port), Zone: m.Zone, Capacity: capacity, Queue: queue, Habits: f.Habits,
-		speed: 1, machine: m, fleet: f, scope: f.scope(id, m.IP, m.Disk, m.Clock, m.Journal),
+		ID: id, Service: service, Address: m.Address(port), Zone: m.Zone, Capacity: capacity, Queue: queue, Behaviors: f.Behaviors,
+		slowdown: 1, machine: m, fleet: f, scope: f.newScope(id, m.IP, m.Disk, m.Clock, m.Journal),
 	}
 }
 
-func (f *Fleet) down(m *Machine, cause string) {
-	if m.cancel != nil && m.back == nil {
-		m.back = f.History.Spell(m.Name, cause, false)
+func (f *Fleet) beginOutage(m *Machine, cause string) {
+	if m.cancel != nil && m.endDisturbance == nil {
+		m.endDisturbance = f.History.StartDisturbance(m.Name, cause, false)
 	}
 }
 
 // Kill ends the machine's process at once, without a graceful stop, and records an unplanned disturbance
 // until Raise. The upstream keeps running.
 func (f *Fleet) Kill(m *Machine) {
-	f.down(m, "killed")
-	f.kill(m, false)
+	f.beginOutage(m, "killed")
+	f.terminate(m, false)
 }
 
 // PowerLoss takes a whole machine, its upstream too, without a word to anybody.
 func (f *Fleet) PowerLoss(m *Machine) {
-	f.down(m, "power lost")
-	f.dark(m, true)
+	f.beginOutage(m, "power lost")
+	f.setIsolated(m, true)
 	f.World.Crash(m.IP, "", true)
-	f.kill(m, true)
+	f.terminate(m, true)
 	if m.Upstream != nil {
-		m.Upstream.end(true)
+		m.Upstream.shutDown(true)
 	}
 	m.Disk.PowerLoss()
 }
 
-func (f *Fleet) dark(m *Machine, cut bool) {
+func (f *Fleet) setIsolated(m *Machine, isolated bool) {
 	for _, other := range append(append([]*Machine{}, f.Controllers...), f.Nodes...) {
 		switch {
 		case other == m:
-		case cut:
-			f.Cut(m, other)
+		case isolated:
+			f.Partition(m, other)
 		default:
 			f.World.Heal(m.IP, other.IP)
 			f.World.Heal(other.IP, m.IP)
@@ -273,73 +273,73 @@
 	}
 }
 
-// Power lets a machine that lost it be raised again.
-func (f *Fleet) Power(m *Machine) { f.dark(m, false) }
+// RestorePower lets a machine that lost it be raised again.
+func (f *Fleet) RestorePower(m *Machine) { f.setIsolated(m, false) }
 
 // Stop ends the machine's process gracefully and waits for it, as a planned disturbance that lasts until 1
 // s after the end.
 func (f *Fleet) Stop(m *Machine) {
-	end := f.History.Spell(m.Name, "stop", true)
+	end := f.History.StartDisturbance(m.Name, "stop", true)
 	if m.Node != nil {
 		m.Node.Stop()
 	} else if m.Controller != nil {
 		m.Controller.Stop()
 	}
-	f.kill(m, false)
+	f.terminate(m, false)
 	time.AfterFunc(time.Second, end)
 }
 
-func (f *Fleet) kill(m *Machine, silent bool) {
+func (f *Fleet) terminate(m *Machine, silent bool) {
 	if m.cancel == nil {
 		return
 	}
 	m.cancel()
 	m.mount.Unmount()
-	f.World.Crash(m.IP, m.owner(), silent)
+	f.World.Crash(m.IP, m.processName(), silent)
 	if m.Controller != nil {
 		m.Controller.Kill()
 	}
 	if m.Node != nil {
 		m.Node.Kill()
 	}
-	f.living.Lock()
-	defer f.living.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
-// End stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
+// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
 // afterwards.
-func (f *Fleet) End() {
-	f.Away()
-	for _, m := range append(f.Nodes, f.gone...) {
+func (f *Fleet) Close() {
+	f.StopLoad()
+	for _, m := range append(f.Nodes, f.retiredNodes...) {
 		if m.Upstream != nil {
 			m.Upstream.Kill()
 		}
-		f.kill(m, false)
-		m.visitors.close()
+		f.terminate(m, false)
+		m.client.close()
 	}
 	for _, m := range f.Controllers {
-		f.kill(m, false)
+		f.terminate(m, false)
 	}
 	f.World.Close()
 	time.Sleep(time.Minute)
 }
 
-// Pass waits for d on the fleet's clock.
-func (f *Fleet) Pass(d time.Duration) { base.Await(f.Scope, d) }
+// Sleep waits for d on the fleet's clock.
+func (f *Fleet) Sleep(d time.Duration) { base.Await(f.Scope, d) }
 
-// Until checks reached every 5 ms, for at most longest, and reports whether it became true.
-func (f *Fleet) Until(longest time.Duration, reached func() bool) bool {
-	for begun := time.Now(); time.Since(begun) < longest; f.Pass(5 * time.Millisecond) {
-		if reached() {
+// WaitUntil checks reached every 5 ms, for at most longest, and reports whether it became true.
+func (f *Fleet) WaitUntil(timeout time.Duration, condition func() bool) bool {
+	for start := time.Now(); time.Since(start) < timeout; f.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
-	return reached()
+	return condition()
 }
 
-// Of returns the machines that carry a service, in the order of their enrolment.
-func (f *Fleet) Of(service string) (found []*Machine) {
+// NodesOf returns the machines that carry a service, in the order of their enrolment.
+func (f *Fleet) NodesOf(service string) (found []*Machine) {
 	for _, m := range f.Nodes {
 		if m.Service == service {
 			found = append(found, m)
@@ -359,42 +359,44 @@
 	return true
 }
 
-// Configuration copies the newest acked configuration, to be changed and pushed on top of it.
-func (f *Fleet) Configuration() *wire.Configuration {
-	f.living.Lock()
-	defer f.living.Unlock()
+// NextConfiguration copies the newest acked configuration, to be changed and pushed on top of it.
+func (f *Fleet) NextConfiguration() *wire.Configuration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	next := proto.Clone(f.configuration).(*wire.Configuration)
 	next.Base, next.Serial = next.Serial, next.Serial+2
 	return next
 }
 
-func get(s base.Scope, web *http.Client, url string) (int, error) {
+func httpGetStatus(s base.Scope, httpClient *http.Client, url string) (int, error) {
 	request, err := http.NewRequestWithContext(s, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, err
 	}
-	response, err := web.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return 0, err
 	}
 	return response.StatusCode, response.Body.Close()
 }
 
-// Trouble records an unplanned disturbance of the named machine from now until end is called.
-func (f *Fleet) Trouble(name, cause string) (end func()) { return f.History.Spell(name, cause, false) }
+// StartDisturbance records an unplanned disturbance of the named machine from now until end is called.
+func (f *Fleet) StartDisturbance(name, cause string) (end func()) {
+	return f.History.StartDisturbance(name, cause, false)
+}
 
-// Cut drops all traffic between two machines, in both directions.
-func (f *Fleet) Cut(a, b *Machine) {
+// Partition drops all traffic between two machines, in both directions.
+func (f *Fleet) Partition(a, b *Machine) {
 	f.World.Cut(a.IP, b.IP)
 	f.World.Cut(b.IP, a.IP)
 }
 
 // Retire takes a machine for good: its node and upstream die, and nobody asks there any more.
 func (f *Fleet) Retire(m *Machine) {
-	f.living.Lock()
-	f.Nodes = slices.DeleteFunc(f.Nodes, func(each *Machine) bool { return each == m })
-	f.gone = append(f.gone, m)
-	f.living.Unlock()
+	f.mu.Lock()
+	f.Nodes = slices.DeleteFunc(f.Nodes, func(node *Machine) bool { return node == m })
+	f.retiredNodes = append(f.retiredNodes, m)
+	f.mu.Unlock()
 	m.retired.Store(true)
 	f.Kill(m)
 	m.Upstream.Kill()
@@ -403,14 +405,14 @@
 // Freeze suspends the machine's process (its clock, network and disk) until thaw is called, and records an
 // unplanned disturbance for that time.
 func (f *Fleet) Freeze(m *Machine) (thaw func()) {
-	end := f.Trouble(m.Name, "frozen")
-	life := m.owner()
+	end := f.StartDisturbance(m.Name, "frozen")
+	process := m.processName()
 	m.Clock.Freeze(true)
-	f.World.Freeze(life)
+	f.World.Freeze(process)
 	release := m.Disk.Stall()
 	return func() {
 		m.Clock.Freeze(false)
-		f.World.Thaw(life)
+		f.World.Thaw(process)
 		release()
 		end()
 	}
--- a/internal/testing/openfleet/calm_test.go
+++ b/internal/testing/openfleet/no_faults_test.go
@@ -11,21 +11,21 @@
 )
 
 var _ = ginkgo.Describe("calm days", func() {
-	story("given a calm day, when visitors come, then all are served", []uint64{1, 2}, func(f *Fleet) {
-		raised(f)
-		f.Visit(120)
-		f.Pass(9 * time.Second)
-		f.Away()
-		t := f.Tally(0, 0, nil)
-		Expect(t.Share()).To(BeNumerically(">", 0.999), "%s: %s", f.Story, t)
-		Expect(t.Aimed()).To(BeNumerically(">", 0.99), "%s: %s", f.Story, t)
-		sound(f, Twice, Mixed, Unasked, Routed, Config, Denied)
+	spec("given a calm day, when visitors come, then all are served", []uint64{1, 2}, func(f *Fleet) {
+		startAll(f)
+		f.StartLoad(120)
+		f.Sleep(9 * time.Second)
+		f.StopLoad()
+		stats := f.JobStats(0, 0, nil)
+		Expect(stats.SuccessRate()).To(BeNumerically(">", 0.999), "%s: %s", f.Description, stats)
+		Expect(stats.OnTimeRate()).To(BeNumerically(">", 0.99), "%s: %s", f.Description, stats)
+		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity, RuleRouting, RuleConfigInForce, RuleFewClientErrors)
 	})
 
-	storyOf("given odd but proper requests, when they are asked at every node, then they reach an upstream as they were sent", 3, small, []uint64{1, 2}, func(f *Fleet) {
-		raised(f)
-		f.Visit(5)
-		f.Pass(500 * time.Millisecond)
+	specWith("given odd but proper requests, when they are asked at every node, then they reach an upstream as they were sent", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		startAll(f)
+		f.StartLoad(5)
+		f.Sleep(500 * time.Millisecond)
 		for _, m := range f.Nodes {
 			for i, each := range []struct {
 				method, target string
@@ -49,12 +49,12 @@
 				if len(body) == 0 {
 					body = nil
 				}
-				ask := f.ask(m, each.method+" "+host+" "+strings.SplitN(each.target, "?", 2)[0], fmt.Sprintf("odd-%s-%d", m.Name, i))
-				ask.Target, ask.Digest, ask.Until = each.target, digest(body), f.History.Now()+2*time.Second
-				told := m.visitors.ask(ask, body, each.chunked, i%2 == 0, each.extra...)
-				Expect(told.Status).To(Equal(200), "%s: %d at %s: %v", f.Story, i, m.Name, told)
+				attempt := f.newAttempt(m, each.method+" "+host+" "+strings.SplitN(each.target, "?", 2)[0], fmt.Sprintf("odd-%s-%d", m.Name, i))
+				attempt.Target, attempt.Digest, attempt.Deadline = each.target, digest(body), f.History.Now()+2*time.Second
+				outcome := m.client.do(attempt, body, each.chunked, i%2 == 0, each.extra...)
+				Expect(outcome.Status).To(Equal(200), "%s: %d at %s: %v", f.Description, i, m.Name, outcome)
 			}
 		}
-		sound(f, Twice, Mixed, Unasked)
+		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity)
 	})
 })
--- /dev/null
+++ b/internal/testing/openfleet/report_test.go
@@ -0,0 +1,38 @@
+package openfleet
+
+import (
+	"fmt"
+	"os"
+
+	"curlewreach/internal/testing/judge"
+)
+
+// printReport prints the verdicts with TELL=1 and whoever wasn't served with TELL=2.
+func (f *Fleet) printReport(verdicts []judge.Verdict) {
+	level := os.Getenv("TELL")
+	if level == "" {
+		return
+	}
+	fmt.Println(f.Description)
+	fmt.Println("  ", f.JobStats(0, 0, nil), f.LatencyQuantile(0.5), f.LatencyQuantile(0.99))
+	for _, verdict := range verdicts {
+		fmt.Println("  ", verdict)
+	}
+	if level != "2" {
+		return
+	}
+	for _, job := range f.History.Jobs() {
+		if job.Succeeded {
+			continue
+		}
+		fmt.Println("  ", job.ID, job.Route, "at", job.Node, job.StartedAt)
+		for i := range job.Attempts {
+			id := fmt.Sprint(job.ID, "-", i)
+			outcome := f.History.outcomes[id]
+			fmt.Println("     ", outcome.EndedAt, outcome.Status, outcome.ErrorKind, outcome.TransportError, "again in", outcome.RetryAfter)
+			for _, arrival := range f.History.Arrivals(id) {
+				fmt.Println("        ", arrival.ArrivedAt, arrival.Instance, "missed", arrival.Misdirected, "ran", arrival.Executed, "status", arrival.Status, "broke", arrival.ResponseBroken, "gone", arrival.CallerGone)
+			}
+		}
+	}
+}
--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -17,157 +17,157 @@
 
 // The names of the rules that Check judges.
 const (
-	// Twice requires: no request of a route that forbids retries runs more than once.
-	Twice = "twice"
-	// Refused requires: a request of such a route that was rejected as not run has not run.
-	Refused = "refused"
-	// Mixed requires: each response is well formed and belongs to its request, and nothing else is received.
-	Mixed = "mixed"
-	// Unasked requires: upstreams receive only requests that were sent, unchanged, with the true caller.
-	Unasked = "unasked"
-	// Routed requires: a request runs only at a service to which some configuration routes it.
-	Routed = "route"
-	// Drain requires: a leaving instance gets no request once the leaving bound has passed.
-	Drain = "drain"
-	// Lost requires: a graceful stop of a node fails no request that could be served.
-	Lost = "lost"
-	// Config requires: a request is handled by a configuration that may be in force at the time.
-	Config = "config"
-	// Back requires: a node that used a configuration doesn't return to an older one.
-	Back = "going back"
-	// Race requires: no invalid configuration is accepted, nor two on the same base version.
-	Race = "race"
-	// Kept requires: an accepted configuration is not lost and is read back as it was sent.
-	Kept = "kept"
-	// Budget requires: retries towards a service stay within its retry budget.
-	Budget = "budget"
-	// Denied requires: nodes don't reject requests of known routes as client errors, but for a few.
-	Denied = "denied"
+	// RuleAtMostOnce requires: no request of a route that forbids retries runs more than once.
+	RuleAtMostOnce = "twice"
+	// RuleRejectedNotRun requires: a request of such a route that was rejected as not run has not run.
+	RuleRejectedNotRun = "refused"
+	// RuleResponseIntegrity requires: each response is well formed and belongs to its request, and nothing else is received.
+	RuleResponseIntegrity = "mixed"
+	// RuleRequestIntegrity requires: upstreams receive only requests that were sent, unchanged, with the true caller.
+	RuleRequestIntegrity = "unasked"
+	// RuleRouting requires: a request runs only at a service to which some configuration routes it.
+	RuleRouting = "route"
+	// RuleDrain requires: a leaving instance gets no request once the leaving bound has passed.
+	RuleDrain = "drain"
+	// RuleGracefulStop requires: a graceful stop of a node fails no request that could be served.
+	RuleGracefulStop = "lost"
+	// RuleConfigInForce requires: a request is handled by a configuration that may be in force at the time.
+	RuleConfigInForce = "config"
+	// RuleNoConfigRollback requires: a node that used a configuration doesn't return to an older one.
+	RuleNoConfigRollback = "going back"
+	// RuleProposalConflict requires: no invalid configuration is accepted, nor two on the same base version.
+	RuleProposalConflict = "race"
+	// RuleConfigDurability requires: an accepted configuration is not lost and is read back as it was sent.
+	RuleConfigDurability = "kept"
+	// RuleRetryBudget requires: retries towards a service stay within its retry budget.
+	RuleRetryBudget = "budget"
+	// RuleFewClientErrors requires: nodes don't reject requests of known routes as client errors, but for a few.
+	RuleFewClientErrors = "denied"
 )
 
-type book struct {
+type checker struct {
 	*History
-	verdict *judge.Verdict
-	by      map[string]*Ask
-	runs    map[string][]*Arrival
-	tables  map[*Sent]*config.RoutingTable
+	verdict       *judge.Verdict
+	attemptsByID  map[string]*Attempt
+	arrivalsByID  map[string][]*Arrival
+	routingTables map[*Proposal]*config.RoutingTable
 }
 
-func (b *book) found(format string, args ...any) {
-	b.verdict.Found = append(b.verdict.Found, fmt.Sprintf(format, args...))
+func (c *checker) violationf(format string, args ...any) {
+	c.verdict.Found = append(c.verdict.Found, fmt.Sprintf(format, args...))
 }
 
-func (b *book) judged() { b.verdict.Judged++ }
+func (c *checker) countCase() { c.verdict.Judged++ }
 
 // Check judges a whole history, rule by rule.
 func Check(h *History) []judge.Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	slices.SortStableFunc(h.arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(h.asks, func(a, b *Ask) int { return cmp.Compare(a.At, b.At) })
-	by, runs, tables := map[string]*Ask{}, map[string][]*Arrival{}, map[*Sent]*config.RoutingTable{}
-	for _, ask := range h.asks {
-		by[ask.ID] = ask
+	slices.SortStableFunc(h.arrivals, func(a, b *Arrival) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
+	slices.SortStableFunc(h.attempts, func(a, b *Attempt) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	attempts, arrivals, routingTables := map[string]*Attempt{}, map[string][]*Arrival{}, map[*Proposal]*config.RoutingTable{}
+	for _, attempt := range h.attempts {
+		attempts[attempt.ID] = attempt
 	}
-	for _, each := range h.arrivals {
-		runs[each.ID] = append(runs[each.ID], each)
+	for _, arrival := range h.arrivals {
+		arrivals[arrival.ID] = append(arrivals[arrival.ID], arrival)
 	}
-	for _, sent := range h.sent {
-		tables[sent] = config.NewRoutingTable(sent.Configuration)
+	for _, proposal := range h.proposals {
+		routingTables[proposal] = config.NewRoutingTable(proposal.Configuration)
 	}
 	rules := []struct {
 		name  string
-		judge func(*book)
+		judge func(*checker)
 	}{
-		{Twice, twice},
-		{Refused, refused},
-		{Mixed, mixed},
-		{Unasked, unasked},
-		{Routed, routed},
-		{Drain, drain},
-		{Lost, lost},
-		{Config, configRule},
-		{Back, back},
-		{Race, race},
-		{Kept, keeping},
-		{Budget, budget},
-		{Denied, denied},
+		{RuleAtMostOnce, checkAtMostOnce},
+		{RuleRejectedNotRun, checkRejectedNotRun},
+		{RuleResponseIntegrity, checkResponseIntegrity},
+		{RuleRequestIntegrity, checkRequestIntegrity},
+		{RuleRouting, checkRouting},
+		{RuleDrain, checkDrain},
+		{RuleGracefulStop, checkGracefulStop},
+		{RuleConfigInForce, checkConfigInForce},
+		{RuleNoConfigRollback, checkNoConfigRollback},
+		{RuleProposalConflict, checkProposalConflicts},
+		{RuleConfigDurability, checkConfigDurability},
+		{RuleRetryBudget, checkRetryBudgets},
+		{RuleFewClientErrors, checkClientErrors},
 	}
 	verdicts := make([]judge.Verdict, len(rules))
 	for i, rule := range rules {
 		verdicts[i].Rule = rule.name
-		rule.judge(&book{h, &verdicts[i], by, runs, tables})
+		rule.judge(&checker{h, &verdicts[i], attempts, arrivals, routingTables})
 	}
 	return verdicts
 }
 
-func twice(b *book) {
-	for id, arrivals := range b.runs {
-		if ask := b.by[id]; ask == nil || ask.Repeat != wire.Repeat_ONCE {
+func checkAtMostOnce(c *checker) {
+	for id, arrivals := range c.arrivalsByID {
+		if attempt := c.attemptsByID[id]; attempt == nil || attempt.Repeat != wire.Repeat_ONCE {
 			continue
 		}
-		b.judged()
-		if ran := count(arrivals, (*Arrival).ran); ran > 1 {
-			b.found("%s ran %d times, first by %s, last by %s", id, ran, arrivals[0].Instance, arrivals[len(arrivals)-1].Instance)
+		c.countCase()
+		if ran := count(arrivals, (*Arrival).executed); ran > 1 {
+			c.violationf("%s ran %d times, first by %s, last by %s", id, ran, arrivals[0].Instance, arrivals[len(arrivals)-1].Instance)
 		}
 	}
 }
 
-func (a *Arrival) ran() bool { return a.Ran }
+func (a *Arrival) executed() bool { return a.Executed }
 
-func count[T any](rows []T, fits func(T) bool) (n int) {
-	for _, each := range rows {
-		if fits(each) {
+func count[T any](rows []T, match func(T) bool) (n int) {
+	for _, row := range rows {
+		if match(row) {
 			n++
 		}
 	}
 	return n
 }
 
-func refused(b *book) {
-	for id, told := range b.told {
-		ask := b.by[id]
-		if ask.Repeat != wire.Repeat_ONCE || !promised(told) {
+func checkRejectedNotRun(c *checker) {
+	for id, outcome := range c.outcomes {
+		attempt := c.attemptsByID[id]
+		if attempt.Repeat != wire.Repeat_ONCE || !rejectedBeforeExecution(outcome) {
 			continue
 		}
-		b.judged()
-		if slices.ContainsFunc(b.runs[id], (*Arrival).ran) {
-			b.found("%s was told %d %s at %s, yet ran at %s", id, told.Status, told.Kind, told.At, b.runs[id][0].At)
+		c.countCase()
+		if slices.ContainsFunc(c.arrivalsByID[id], (*Arrival).executed) {
+			c.violationf("%s was told %d %s at %s, yet ran at %s", id, outcome.Status, outcome.ErrorKind, outcome.EndedAt, c.arrivalsByID[id][0].ArrivedAt)
 		}
 	}
 }
 
-func mixed(b *book) {
-	for id, told := range b.told {
-		if told.Broken == "" {
-			b.judged()
+func checkResponseIntegrity(c *checker) {
+	for id, outcome := range c.outcomes {
+		if outcome.TransportError == "" {
+			c.countCase()
 		}
-		success := told.Broken == "" && told.Status >= 200 && told.Status < 300
+		success := outcome.TransportError == "" && outcome.Status >= 200 && outcome.Status < 300
 		switch {
-		case told.Mixed != "":
-			b.found("%s: %s", id, told.Mixed)
-		case strings.Contains(told.Broken, "malformed"):
-			b.found("%s: %s", id, told.Broken)
-		case success && !slices.ContainsFunc(b.runs[id], func(a *Arrival) bool { return a.Status == told.Status }):
-			b.found("%s was told %d, which no upstream answered", id, told.Status)
+		case outcome.Mismatch != "":
+			c.violationf("%s: %s", id, outcome.Mismatch)
+		case strings.Contains(outcome.TransportError, "malformed"):
+			c.violationf("%s: %s", id, outcome.TransportError)
+		case success && !slices.ContainsFunc(c.arrivalsByID[id], func(a *Arrival) bool { return a.Status == outcome.Status }):
+			c.violationf("%s was told %d, which no upstream answered", id, outcome.Status)
 		}
 	}
-	for _, stray := range b.strays {
-		b.found("stray bytes at %s", stray)
+	for _, stray := range c.strayBytes {
+		c.violationf("stray bytes at %s", stray)
 	}
 }
 
-func unasked(b *book) {
-	for _, each := range b.arrivals {
-		b.judged()
-		ask := b.by[each.ID]
+func checkRequestIntegrity(c *checker) {
+	for _, arrival := range c.arrivals {
+		c.countCase()
+		attempt := c.attemptsByID[arrival.ID]
 		switch {
-		case ask == nil:
-			b.found("%s came to %s, which nobody asked", each.ID, each.Instance)
-		case each.Method != ask.Method || each.Target != ask.Target || each.Host != ask.Host || each.Digest != ask.Digest:
-			b.found("%s came to %s as %s %s%s (%s)", each.ID, each.Instance, each.Method, each.Host, each.Target, each.Digest)
-		case each.Caller != ask.Service:
-			b.found("%s came to %s as a call of %q", each.ID, each.Instance, each.Caller)
+		case attempt == nil:
+			c.violationf("%s came to %s, which nobody asked", arrival.ID, arrival.Instance)
+		case arrival.Method != attempt.Method || arrival.Target != attempt.Target || arrival.Host != attempt.Host || arrival.Digest != attempt.Digest:
+			c.violationf("%s came to %s as %s %s%s (%s)", arrival.ID, arrival.Instance, arrival.Method, arrival.Host, arrival.Target, arrival.Digest)
+		case arrival.Caller != attempt.Service:
+			c.violationf("%s came to %s as a call of %q", arrival.ID, arrival.Instance, arrival.Caller)
 		}
 	}
 }
@@ -177,366 +177,370 @@
 	return before
 }
 
-func (b *book) allows(sent *Sent, ask *Ask, service string) bool {
-	route, known := b.tables[sent].Find(ask.Host, path(ask.Target))
+func (c *checker) allowsService(proposal *Proposal, attempt *Attempt, service string) bool {
+	route, known := c.routingTables[proposal].Find(attempt.Host, path(attempt.Target))
 	return known && route.RoutesTo(service)
 }
 
-func (b *book) knows(sent *Sent, ask *Ask) bool {
-	_, known := b.tables[sent].Find(ask.Host, path(ask.Target))
+func (c *checker) hasRoute(proposal *Proposal, attempt *Attempt) bool {
+	_, known := c.routingTables[proposal].Find(attempt.Host, path(attempt.Target))
 	return known
 }
 
-func routed(b *book) {
-	for _, each := range b.arrivals {
-		ask := b.by[each.ID]
-		if ask == nil || !each.Ran {
+func checkRouting(c *checker) {
+	for _, arrival := range c.arrivals {
+		attempt := c.attemptsByID[arrival.ID]
+		if attempt == nil || !arrival.Executed {
 			continue
 		}
-		b.judged()
-		if !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
-			b.found("%s %s%s ran at %s of %s", each.ID, ask.Host, ask.Target, each.Instance, each.Service)
+		c.countCase()
+		if !slices.ContainsFunc(c.proposals, func(proposal *Proposal) bool { return c.allowsService(proposal, attempt, arrival.Service) }) {
+			c.violationf("%s %s%s ran at %s of %s", arrival.ID, attempt.Host, attempt.Target, arrival.Instance, arrival.Service)
 		}
 	}
 }
 
-func drain(b *book) {
-	for _, left := range b.left {
-		for _, each := range b.arrivals {
-			if each.Instance != left.Instance || each.Missed || each.At <= left.Acked {
+func checkDrain(c *checker) {
+	for _, departure := range c.departures {
+		for _, arrival := range c.arrivals {
+			if arrival.Instance != departure.Instance || arrival.Misdirected || arrival.ArrivedAt <= departure.AckedAt {
 				continue
 			}
-			b.judged()
-			if late := each.At - left.Acked; late > leavingBound {
-				b.found("%s came to %s %s after its leaving was acked", each.ID, left.Instance, late)
+			c.countCase()
+			if late := arrival.ArrivedAt - departure.AckedAt; late > drainBound {
+				c.violationf("%s came to %s %s after its leaving was acked", arrival.ID, departure.Instance, late)
 			}
 		}
-		b.judged()
+		c.countCase()
 	}
 }
 
-func overlaps(s *judge.Spell, from, till time.Duration) bool {
-	return s.From <= till && (s.Till < 0 || s.Till >= from)
+func overlaps(s *judge.Spell, from, until time.Duration) bool {
+	return s.From <= until && (s.Till < 0 || s.Till >= from)
 }
 
-func (b *book) troubled(from, till time.Duration, names ...string) bool {
-	return slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
-		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contact, till)
+func (c *checker) disturbed(from, until time.Duration, names ...string) bool {
+	return slices.ContainsFunc(c.disturbances, func(s *judge.Spell) bool {
+		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contactBound, until)
 	})
 }
 
-func lost(b *book) {
-	for id, told := range b.told {
-		ask := b.by[id]
-		at := slices.IndexFunc(b.spells, func(s *judge.Spell) bool { return s.Planned && s.Node == ask.Node && overlaps(s, ask.At, told.At) })
-		if at < 0 || b.troubled(ask.At, told.At) {
+func checkGracefulStop(c *checker) {
+	for id, outcome := range c.outcomes {
+		attempt := c.attemptsByID[id]
+		i := slices.IndexFunc(c.disturbances, func(s *judge.Spell) bool {
+			return s.Planned && s.Node == attempt.Node && overlaps(s, attempt.SentAt, outcome.EndedAt)
+		})
+		if i < 0 || c.disturbed(attempt.SentAt, outcome.EndedAt) {
 			continue
 		}
-		b.judged()
-		b.lostAround(b.spells[at], ask, told)
+		c.countCase()
+		c.checkDuringStop(c.disturbances[i], attempt, outcome)
 	}
 }
 
-// lostAround judges a request that met planned work at its node.
-func (b *book) lostAround(stop *judge.Spell, ask *Ask, told *Told) {
-	arrivals, half := b.runs[ask.ID], stop.From+graceBound/2
-	broke := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Broke || a.Ran && a.At < half && a.Ended > half+lossSlack })
-	if broke || told.At >= ask.Until-20*time.Millisecond {
+// checkDuringStop judges a request that met planned work at its node.
+func (c *checker) checkDuringStop(stop *judge.Spell, attempt *Attempt, outcome *Outcome) {
+	arrivals, halfGrace := c.arrivalsByID[attempt.ID], stop.From+stopGrace/2
+	broken := slices.ContainsFunc(arrivals, func(a *Arrival) bool {
+		return a.ResponseBroken || a.Executed && a.ArrivedAt < halfGrace && a.EndedAt > halfGrace+stopSlack
+	})
+	if broken || outcome.EndedAt >= attempt.Deadline-20*time.Millisecond {
 		return
 	}
-	if told.Broken != "" {
-		if told.Read && (len(arrivals) > 0 || told.At > ask.At+lossSlack) {
-			b.found("%s at %s broke off after %s: %s (%d arrivals)", ask.ID, ask.Node, told.At-ask.At, told.Broken, len(arrivals))
+	if outcome.TransportError != "" {
+		if outcome.RequestRead && (len(arrivals) > 0 || outcome.EndedAt > attempt.SentAt+stopSlack) {
+			c.violationf("%s at %s broke off after %s: %s (%d arrivals)", attempt.ID, attempt.Node, outcome.EndedAt-attempt.SentAt, outcome.TransportError, len(arrivals))
 		}
 		return
 	}
-	working := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Ran && a.Gone })
-	if !told.Sealed && told.Status >= 500 && working {
-		b.found("%s at %s was told %d %s while an upstream worked on it", ask.ID, ask.Node, told.Status, told.Kind)
+	running := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Executed && a.CallerGone })
+	if !outcome.Sealed && outcome.Status >= 500 && running {
+		c.violationf("%s at %s was told %d %s while an upstream worked on it", attempt.ID, attempt.Node, outcome.Status, outcome.ErrorKind)
 	}
 }
 
-// standing lists the configurations that may rule a request sent at one time and ended at another.
-func (b *book) standing(from, till time.Duration) []*Sent {
+// possibleConfigurations lists the configurations that may rule a request sent at one time and ended at another.
+func (c *checker) possibleConfigurations(from, until time.Duration) []*Proposal {
 	newest := uint64(0)
-	for _, each := range b.sent {
-		if each.Acked >= 0 && each.Acked+inForceBound < from {
-			newest = max(newest, each.Configuration.Serial)
+	for _, proposal := range c.proposals {
+		if proposal.AckedAt >= 0 && proposal.AckedAt+inForceBound < from {
+			newest = max(newest, proposal.Configuration.Serial)
 		}
 	}
-	var all []*Sent
-	for _, each := range b.sent {
-		if each.Configuration.Serial >= newest && !each.Refused && each.At <= till {
-			all = append(all, each)
+	var possible []*Proposal
+	for _, proposal := range c.proposals {
+		if proposal.Configuration.Serial >= newest && !proposal.Rejected && proposal.SentAt <= until {
+			possible = append(possible, proposal)
 		}
 	}
-	return all
+	return possible
 }
 
-// inTouch tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
+// configBoundHolds tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
 // from a contact bound before it until it was answered. Trouble of other nodes is no excuse.
-func (b *book) inTouch(ask *Ask, told *Told) bool {
-	return !slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
-		concerned := s.Node == ask.Node || strings.HasPrefix(s.Node, corePrefix) || s.Node == allLinks
-		return concerned && !s.Planned && overlaps(s, ask.At-contact, told.At)
+func (c *checker) configBoundHolds(attempt *Attempt, outcome *Outcome) bool {
+	return !slices.ContainsFunc(c.disturbances, func(s *judge.Spell) bool {
+		relevant := s.Node == attempt.Node || strings.HasPrefix(s.Node, controllerPrefix) || s.Node == allLinks
+		return relevant && !s.Planned && overlaps(s, attempt.SentAt-contactBound, outcome.EndedAt)
 	})
 }
 
-func configRule(b *book) {
-	for _, ask := range b.asks {
-		told := b.told[ask.ID]
-		if told == nil || !b.inTouch(ask, told) {
+func checkConfigInForce(c *checker) {
+	for _, attempt := range c.attempts {
+		outcome := c.outcomes[attempt.ID]
+		if outcome == nil || !c.configBoundHolds(attempt, outcome) {
 			continue
 		}
-		configurations := b.standing(ask.At, told.At)
-		b.judgeRuns(ask, configurations)
-		if told.noRoute() {
-			b.judged()
-			if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
-				b.found("%s %s%s, asked at %s of %s, had no route", ask.ID, ask.Host, ask.Target, ask.At, ask.Node)
+		configurations := c.possibleConfigurations(attempt.SentAt, outcome.EndedAt)
+		c.checkExecutions(attempt, configurations)
+		if outcome.noRoute() {
+			c.countCase()
+			if !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return !c.hasRoute(proposal, attempt) }) {
+				c.violationf("%s %s%s, asked at %s of %s, had no route", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node)
 			}
 		}
 	}
 }
 
-// judgeRuns looks whether one of the configurations allows each run of a request.
-func (b *book) judgeRuns(ask *Ask, configurations []*Sent) {
-	for _, each := range b.runs[ask.ID] {
-		if !each.Ran {
+// checkExecutions looks whether one of the configurations allows each run of a request.
+func (c *checker) checkExecutions(attempt *Attempt, configurations []*Proposal) {
+	for _, arrival := range c.arrivalsByID[attempt.ID] {
+		if !arrival.Executed {
 			continue
 		}
-		b.judged()
-		if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
-			b.found("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", ask.ID, ask.Host, ask.Target, ask.At, ask.Node, each.Instance)
+		c.countCase()
+		if !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return c.allowsService(proposal, attempt, arrival.Service) }) {
+			c.violationf("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node, arrival.Instance)
 		}
 	}
 }
 
 // noRoute tells whether a node answered by itself that no route fits.
-func (t *Told) noRoute() bool { return t.Status == http.StatusNotFound && !t.Sealed }
+func (o *Outcome) noRoute() bool { return o.Status == http.StatusNotFound && !o.Sealed }
 
-func (b *book) span(fits func(*Sent) bool) (low, high uint64) {
-	for _, each := range b.sent {
-		if fits(each) {
-			if low == 0 || each.Configuration.Serial < low {
-				low = each.Configuration.Serial
+func (c *checker) serialRange(match func(*Proposal) bool) (low, high uint64) {
+	for _, proposal := range c.proposals {
+		if match(proposal) {
+			if low == 0 || proposal.Configuration.Serial < low {
+				low = proposal.Configuration.Serial
 			}
-			high = max(high, each.Configuration.Serial)
+			high = max(high, proposal.Configuration.Serial)
 		}
 	}
 	return low, high
 }
 
-type effect struct {
-	asked, seen time.Duration
-	low, high   uint64
-	id          string
+type observation struct {
+	sentAt, seenAt              time.Duration
+	lowestSerial, highestSerial uint64
+	id                          string
 }
 
-func back(b *book) {
-	lives := b.effects()
-	for _, life := range sorted(lives) {
-		b.neverBack(life, lives[life])
+func checkNoConfigRollback(c *checker) {
+	byIncarnation := c.observations()
+	for _, incarnation := range sortedKeys(byIncarnation) {
+		c.checkObservations(incarnation, byIncarnation[incarnation])
 	}
 }
 
-// effects lists, by life of a node, what upstreams and visitors saw of the configurations in force there.
-func (b *book) effects() map[string][]effect {
-	lives := map[string][]effect{}
-	for _, ask := range b.asks {
-		life := fmt.Sprint(ask.Node, " ", ask.Life)
-		for _, each := range b.runs[ask.ID] {
-			if each.Ran {
-				low, high := b.span(func(sent *Sent) bool { return b.allows(sent, ask, each.Service) })
-				lives[life] = append(lives[life], effect{ask.At, each.At, low, high, ask.ID})
+// observations lists, by life of a node, what upstreams and visitors saw of the configurations in force there.
+func (c *checker) observations() map[string][]observation {
+	byIncarnation := map[string][]observation{}
+	for _, attempt := range c.attempts {
+		incarnation := fmt.Sprint(attempt.Node, " ", attempt.Incarnation)
+		for _, arrival := range c.arrivalsByID[attempt.ID] {
+			if arrival.Executed {
+				low, high := c.serialRange(func(proposal *Proposal) bool { return c.allowsService(proposal, attempt, arrival.Service) })
+				byIncarnation[incarnation] = append(byIncarnation[incarnation], observation{attempt.SentAt, arrival.ArrivedAt, low, high, attempt.ID})
 			}
 		}
-		if told := b.told[ask.ID]; told != nil && told.noRoute() {
-			if low, high := b.span(func(sent *Sent) bool { return !b.knows(sent, ask) }); low > 0 {
-				lives[life] = append(lives[life], effect{ask.At, told.At, low, high, ask.ID})
+		if outcome := c.outcomes[attempt.ID]; outcome != nil && outcome.noRoute() {
+			if low, high := c.serialRange(func(proposal *Proposal) bool { return !c.hasRoute(proposal, attempt) }); low > 0 {
+				byIncarnation[incarnation] = append(byIncarnation[incarnation], observation{attempt.SentAt, outcome.EndedAt, low, high, attempt.ID})
 			}
 		}
 	}
-	return lives
+	return byIncarnation
 }
 
-// neverBack looks whether each effect in a life fits the newest configuration seen there before its request was sent.
-func (b *book) neverBack(life string, effects []effect) {
-	slices.SortFunc(effects, func(a, b effect) int { return cmp.Compare(a.seen, b.seen) })
-	newest := make([]uint64, len(effects)+1)
-	for i, each := range effects {
-		newest[i+1] = max(newest[i], each.low)
+// checkObservations looks whether each effect in a life fits the newest configuration seen there before its request was sent.
+func (c *checker) checkObservations(incarnation string, observations []observation) {
+	slices.SortFunc(observations, func(a, b observation) int { return cmp.Compare(a.seenAt, b.seenAt) })
+	newest := make([]uint64, len(observations)+1)
+	for i, observed := range observations {
+		newest[i+1] = max(newest[i], observed.lowestSerial)
 	}
-	for _, each := range effects {
-		seen, _ := slices.BinarySearchFunc(effects, each.asked-revertSlack, func(e effect, at time.Duration) int { return cmp.Compare(e.seen, at) })
-		b.judged()
-		if each.high < newest[seen] {
-			b.found("%s in %s was handled by %d at most, after %d had been seen", each.id, life, each.high, newest[seen])
+	for _, observed := range observations {
+		n, _ := slices.BinarySearchFunc(observations, observed.sentAt-rollbackSlack, func(e observation, at time.Duration) int { return cmp.Compare(e.seenAt, at) })
+		c.countCase()
+		if observed.highestSerial < newest[n] {
+			c.violationf("%s in %s was handled by %d at most, after %d had been seen", observed.id, incarnation, observed.highestSerial, newest[n])
 		}
 	}
 }
 
-func race(b *book) {
+func checkProposalConflicts(c *checker) {
 	bases := map[uint64]uint64{}
-	for _, each := range b.sent {
-		b.judged()
-		if each.Bad && each.Acked >= 0 {
-			b.found("%d is bad, yet was acked", each.Configuration.Serial)
+	for _, proposal := range c.proposals {
+		c.countCase()
+		if proposal.Invalid && proposal.AckedAt >= 0 {
+			c.violationf("%d is bad, yet was acked", proposal.Configuration.Serial)
 		}
-		if each.Acked < 0 {
+		if proposal.AckedAt < 0 {
 			continue
 		}
-		if other, held := bases[each.Configuration.Base]; held && other != each.Configuration.Serial {
-			b.found("%d and %d were both acked on top of %d", other, each.Configuration.Serial, each.Configuration.Base)
+		if other, held := bases[proposal.Configuration.Base]; held && other != proposal.Configuration.Serial {
+			c.violationf("%d and %d were both acked on top of %d", other, proposal.Configuration.Serial, proposal.Configuration.Base)
 		}
-		bases[each.Configuration.Base] = each.Configuration.Serial
+		bases[proposal.Configuration.Base] = proposal.Configuration.Serial
 	}
 }
 
-func keeping(b *book) {
-	for _, read := range b.reads {
+func checkConfigDurability(c *checker) {
+	for _, read := range c.configReads {
 		newest := uint64(0)
-		for _, each := range b.sent {
-			if each.Acked >= 0 && each.Acked < read.At {
-				newest = max(newest, each.Configuration.Serial)
+		for _, proposal := range c.proposals {
+			if proposal.AckedAt >= 0 && proposal.AckedAt < read.At {
+				newest = max(newest, proposal.Configuration.Serial)
 			}
 		}
-		b.judged()
+		c.countCase()
 		if read.Err != nil {
-			b.found("%s: %s", read.Controller, read.Err)
+			c.violationf("%s: %s", read.Controller, read.Err)
 			continue
 		}
 		if read.Configuration.Serial < newest {
-			b.found("%s reads %d, acked was %d", read.Controller, read.Configuration.Serial, newest)
+			c.violationf("%s reads %d, acked was %d", read.Controller, read.Configuration.Serial, newest)
 		}
-		if newest > 0 && !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return proto.Equal(sent.Configuration, read.Configuration) }) {
-			b.found("%s reads a configuration %d that nobody sent", read.Controller, read.Configuration.Serial)
+		if newest > 0 && !slices.ContainsFunc(c.proposals, func(proposal *Proposal) bool { return proto.Equal(proposal.Configuration, read.Configuration) }) {
+			c.violationf("%s reads a configuration %d that nobody sent", read.Controller, read.Configuration.Serial)
 		}
 	}
 }
 
-type coming struct {
+type serviceArrival struct {
 	at    time.Duration
-	again bool
+	retry bool
 }
 
-func within(all []time.Duration, from, till time.Duration) int {
+func countBetween(all []time.Duration, from, until time.Duration) int {
 	low, _ := slices.BinarySearch(all, from)
-	high, _ := slices.BinarySearch(all, till)
+	high, _ := slices.BinarySearch(all, until)
 	return high - low
 }
 
-func budget(b *book) {
-	comings, asked := b.comings(), b.askedOf()
-	worst, most := -1e9, 0.0
-	for _, service := range sorted(comings) {
-		over, share := b.repeatsOf(service, comings[service], asked[service])
-		worst, most = max(worst, over), max(most, share)
+func checkRetryBudgets(c *checker) {
+	arrivals, sendTimes := c.arrivalsByService(), c.sendTimesByService()
+	worstExcess, largestShare := -1e9, 0.0
+	for _, service := range sortedKeys(arrivals) {
+		excess, share := c.checkRetryRatio(service, arrivals[service], sendTimes[service])
+		worstExcess, largestShare = max(worstExcess, excess), max(largestShare, share)
 	}
-	b.verdict.Remark = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worst, most)
+	c.verdict.Remark = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worstExcess, largestShare)
 }
 
-// comings lists the arrivals at each service, and which of them are repeats.
-func (b *book) comings() map[string][]coming {
-	comings := map[string][]coming{}
+// arrivalsByService lists the arrivals at each service, and which of them are repeats.
+func (c *checker) arrivalsByService() map[string][]serviceArrival {
+	arrivals := map[string][]serviceArrival{}
 	seen := map[string]bool{}
-	for _, each := range b.arrivals {
-		ask := b.by[each.ID]
-		if ask == nil {
+	for _, arrival := range c.arrivals {
+		attempt := c.attemptsByID[arrival.ID]
+		if attempt == nil {
 			continue
 		}
-		comings[each.Service] = append(comings[each.Service], coming{each.At, seen[each.ID] || ask.Repeats})
-		seen[each.ID] = true
+		arrivals[arrival.Service] = append(arrivals[arrival.Service], serviceArrival{arrival.ArrivedAt, seen[arrival.ID] || attempt.DuringRetry})
+		seen[arrival.ID] = true
 	}
-	return comings
+	return arrivals
 }
 
-// askedOf lists when requests were sent for each service.
-func (b *book) askedOf() map[string][]time.Duration {
-	asked := map[string][]time.Duration{}
-	for _, ask := range b.asks {
-		for service := range b.named(ask) {
-			asked[service] = append(asked[service], ask.At)
+// sendTimesByService lists when requests were sent for each service.
+func (c *checker) sendTimesByService() map[string][]time.Duration {
+	sendTimes := map[string][]time.Duration{}
+	for _, attempt := range c.attempts {
+		for service := range c.eligibleServices(attempt) {
+			sendTimes[service] = append(sendTimes[service], attempt.SentAt)
 		}
 	}
-	return asked
+	return sendTimes
 }
 
-// named gives the services to which any configuration lets a request go.
-func (b *book) named(ask *Ask) map[string]bool {
-	named := map[string]bool{}
-	for _, sent := range b.sent {
-		route, known := b.tables[sent].Find(ask.Host, path(ask.Target))
+// eligibleServices gives the services to which any configuration lets a request go.
+func (c *checker) eligibleServices(attempt *Attempt) map[string]bool {
+	eligible := map[string]bool{}
+	for _, proposal := range c.proposals {
+		route, known := c.routingTables[proposal].Find(attempt.Host, path(attempt.Target))
 		if !known {
 			continue
 		}
-		for _, service := range sent.Configuration.Services {
+		for _, service := range proposal.Configuration.Services {
 			if route.RoutesTo(service.Name) {
-				named[service.Name] = true
+				eligible[service.Name] = true
 			}
 		}
 	}
-	return named
+	return eligible
 }
 
-// repeatsOf judges the repeats within each window that ends with an arrival. It gives the most above the ratio, and the
+// checkRetryRatio judges the repeats within each window that ends with an arrival. It gives the most above the ratio, and the
 // largest share of repeats where there were enough requests to tell.
-func (b *book) repeatsOf(service string, comings []coming, asked []time.Duration) (worst, most float64) {
-	worst = -1e9
-	start, again := 0, 0
-	for _, last := range comings {
-		if last.again {
-			again++
-			b.judged()
-		}
-		for last.at-comings[start].at > repeatWindow {
-			if comings[start].again {
-				again--
+func (c *checker) checkRetryRatio(service string, arrivals []serviceArrival, sendTimes []time.Duration) (worstExcess, largestShare float64) {
+	worstExcess = -1e9
+	start, retries := 0, 0
+	for _, last := range arrivals {
+		if last.retry {
+			retries++
+			c.countCase()
+		}
+		for last.at-arrivals[start].at > retryWindow {
+			if arrivals[start].retry {
+				retries--
 			}
 			start++
 		}
-		requests := requestsFor(asked, last.at)
-		over := float64(again) - repeatRatio*float64(requests)
-		worst = max(worst, over)
+		requests := requestsNear(sendTimes, last.at)
+		excess := float64(retries) - retryRatio*float64(requests)
+		worstExcess = max(worstExcess, excess)
 		if requests > 50 {
-			most = max(most, float64(again)/float64(requests))
+			largestShare = max(largestShare, float64(retries)/float64(requests))
 		}
-		if over > repeatSlack {
-			b.found("%s: %d repeats of %d requests at %s", service, again, requests, last.at)
+		if excess > retrySlack {
+			c.violationf("%s: %d repeats of %d requests at %s", service, retries, requests, last.at)
 			break
 		}
 	}
-	return worst, most
+	return worstExcess, largestShare
 }
 
-// requestsFor counts the requests in the window that ends at a moment, in the one before it, or in the one half a window
+// requestsNear counts the requests in the window that ends at a moment, in the one before it, or in the one half a window
 // before it, whichever holds the most.
-func requestsFor(asked []time.Duration, at time.Duration) int {
-	from := at - repeatWindow
+func requestsNear(sendTimes []time.Duration, at time.Duration) int {
+	from := at - retryWindow
 	return max(
-		within(asked, from, at+1),
-		within(asked, from-repeatWindow, from),
-		within(asked, from-repeatWindow/2, at-repeatWindow/2),
+		countBetween(sendTimes, from, at+1),
+		countBetween(sendTimes, from-retryWindow, from),
+		countBetween(sendTimes, from-retryWindow/2, at-retryWindow/2),
 	)
 }
 
-func denied(b *book) {
-	many := 0
+func checkClientErrors(c *checker) {
+	rejections := 0
 	var first string
-	for _, ask := range b.asks {
-		told := b.told[ask.ID]
-		if told == nil || ask.Proof || b.troubled(ask.At, told.At) {
+	for _, attempt := range c.attempts {
+		outcome := c.outcomes[attempt.ID]
+		if outcome == nil || attempt.RejectionAllowed || c.disturbed(attempt.SentAt, outcome.EndedAt) {
 			continue
 		}
-		b.judged()
-		own := told.Broken == "" && !told.Sealed && told.Status >= 300 && told.Status < 500 && !promised(told)
-		configurations := b.standing(ask.At, told.At)
-		if own && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
-			many++
-			first = fmt.Sprintf("%s told %d %s", ask.ID, told.Status, told.Kind)
+		c.countCase()
+		fromNode := outcome.TransportError == "" && !outcome.Sealed && outcome.Status >= 300 && outcome.Status < 500 && !rejectedBeforeExecution(outcome)
+		configurations := c.possibleConfigurations(attempt.SentAt, outcome.EndedAt)
+		if fromNode && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return !c.hasRoute(proposal, attempt) }) {
+			rejections++
+			first = fmt.Sprintf("%s told %d %s", attempt.ID, outcome.Status, outcome.ErrorKind)
 		}
 	}
-	if many > 5+b.verdict.Judged/500 {
-		b.found("%d requests denied, like %s", many, first)
+	if rejections > 5+c.verdict.Judged/500 {
+		c.violationf("%d requests denied, like %s", rejections, first)
 	}
 }
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -26,42 +26,44 @@
 	ginkgo.RunSpecs(t, "open")
 }
 
-var usual = map[string]int{"books": 4, "loans": 3, "gates": 2}
+var defaultServices = map[string]int{"books": 4, "loans": 3, "gates": 2}
 
-var small = map[string]int{"books": 2, "loans": 2, "gates": 1}
+var smallServices = map[string]int{"books": 2, "loans": 2, "gates": 1}
 
-func story(text string, seeds []uint64, tell func(f *Fleet)) { storyOf(text, 3, usual, seeds, tell) }
+func spec(text string, seeds []uint64, run func(f *Fleet)) {
+	specWith(text, 3, defaultServices, seeds, run)
+}
 
-func storyOf(text string, controllers int, services map[string]int, seeds []uint64, tell func(f *Fleet)) {
+func specWith(text string, controllers int, services map[string]int, seeds []uint64, run func(f *Fleet)) {
 	ginkgo.It(text, func() {
-		base.Parallel(few(seeds), func(seed uint64) {
+		base.Parallel(selectSeeds(seeds), func(seed uint64) {
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
 				f := New(seed, controllers, services)
-				f.Story = fmt.Sprint(text, ", seed ", seed)
-				f.Habits, f.Plan = habits(), plan
-				defer f.End()
-				tell(f)
+				f.Description = fmt.Sprint(text, ", seed ", seed)
+				f.Behaviors, f.Workload = defaultBehaviors(), defaultWorkload
+				defer f.Close()
+				run(f)
 			})
 		})
 	})
 }
 
-// few gives the seeds up to SEEDS if that is set, be they fewer or more than those given.
-func few(seeds []uint64) []uint64 {
-	most, err := strconv.Atoi(os.Getenv("SEEDS"))
+// selectSeeds gives the seeds up to SEEDS if that is set, be they fewer or more than those given.
+func selectSeeds(seeds []uint64) []uint64 {
+	count, err := strconv.Atoi(os.Getenv("SEEDS"))
 	if err != nil {
 		return seeds
 	}
-	all := make([]uint64, most)
+	all := make([]uint64, count)
 	for i := range all {
 		all[i] = uint64(i + 1)
 	}
 	return all
 }
 
-func habits() []Habit {
-	return []Habit{
+func defaultBehaviors() []Behavior {
+	return []Behavior{
 		{Prefix: "/search/", Base: 8 * time.Millisecond, Swing: 20 * time.Millisecond, Size: 700},
 		{Prefix: "/scans/", Base: 15 * time.Millisecond, Swing: 30 * time.Millisecond, Size: 150_000, Chunks: true},
 		{Prefix: "/lend/", Base: 10 * time.Millisecond, Swing: 20 * time.Millisecond, Size: 200, Calls: []string{"GET books.example /search/near"}},
@@ -72,57 +74,57 @@
 	}
 }
 
-var plan = []Plan{
-	{Method: "GET", Host: "books.example", Path: "/search/", Part: 5},
-	{Method: "GET", Host: "books.example", Path: "/scans/", Part: 0.5},
-	{Method: "POST", Host: "loans.example", Path: "/lend/", Part: 2, Body: 40},
-	{Method: "GET", Host: "loans.example", Path: "/browse/", Part: 0.7},
-	{Method: "PUT", Host: "loans.example", Path: "/return/", Part: 2, Body: 2000},
-	{Method: "POST", Host: "gates.example", Path: "/pass/", Part: 2, Body: 10},
-	{Method: "GET", Host: "mix.example", Path: "/mix/", Part: 1},
+var defaultWorkload = []RequestClass{
+	{Method: "GET", Host: "books.example", Path: "/search/", Weight: 5},
+	{Method: "GET", Host: "books.example", Path: "/scans/", Weight: 0.5},
+	{Method: "POST", Host: "loans.example", Path: "/lend/", Weight: 2, BodySize: 40},
+	{Method: "GET", Host: "loans.example", Path: "/browse/", Weight: 0.7},
+	{Method: "PUT", Host: "loans.example", Path: "/return/", Weight: 2, BodySize: 2000},
+	{Method: "POST", Host: "gates.example", Path: "/pass/", Weight: 2, BodySize: 10},
+	{Method: "GET", Host: "mix.example", Path: "/mix/", Weight: 1},
 }
 
-func to(service string) *string { return &service }
+func stringPtr(service string) *string { return &service }
 
-func first() *wire.Configuration {
+func initialConfiguration() *wire.Configuration {
 	c := &wire.Configuration{Serial: 3}
 	for _, name := range []string{"books", "loans", "gates"} {
 		c.Services = append(c.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 130, Protocol: "h1"})
 	}
 	c.Routes = []*wire.ConfigurationRoute{
-		{Name: "search", Host: "books.example", Prefix: "/search/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 400, Rank: 2, Tries: 3, Service: to("books")},
-		{Name: "scans", Host: "books.example", Prefix: "/scans/", Repeat: wire.Repeat_BULK, CutoffMs: 2000, AimMs: 600, Rank: 3, Tries: 2, Service: to("books")},
-		{Name: "lend", Host: "loans.example", Prefix: "/lend/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 0, Tries: 2, Service: to("loans")},
-		{Name: "browse", Host: "loans.example", Prefix: "/browse/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 500, Rank: 2, Tries: 3, Service: to("loans")},
-		{Name: "return", Host: "loans.example", Prefix: "/return/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 1, Tries: 3, Service: to("loans")},
-		{Name: "pass", Host: "gates.example", Prefix: "/pass/", Repeat: wire.Repeat_ONCE, CutoffMs: 1500, AimMs: 300, Rank: 0, Tries: 2, Service: to("gates")},
+		{Name: "search", Host: "books.example", Prefix: "/search/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 400, Rank: 2, Tries: 3, Service: stringPtr("books")},
+		{Name: "scans", Host: "books.example", Prefix: "/scans/", Repeat: wire.Repeat_BULK, CutoffMs: 2000, AimMs: 600, Rank: 3, Tries: 2, Service: stringPtr("books")},
+		{Name: "lend", Host: "loans.example", Prefix: "/lend/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 0, Tries: 2, Service: stringPtr("loans")},
+		{Name: "browse", Host: "loans.example", Prefix: "/browse/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 2000, AimMs: 500, Rank: 2, Tries: 3, Service: stringPtr("loans")},
+		{Name: "return", Host: "loans.example", Prefix: "/return/", Repeat: wire.Repeat_ONCE, CutoffMs: 2000, AimMs: 500, Rank: 1, Tries: 3, Service: stringPtr("loans")},
+		{Name: "pass", Host: "gates.example", Prefix: "/pass/", Repeat: wire.Repeat_ONCE, CutoffMs: 1500, AimMs: 300, Rank: 0, Tries: 2, Service: stringPtr("gates")},
 		{Name: "mix", Host: "mix.example", Prefix: "/mix/", Repeat: wire.Repeat_REPEATABLE, CutoffMs: 1500, AimMs: 300, Rank: 1, Tries: 2, Destinations: []*wire.Destination{{Service: "books", Weight: 80}, {Service: "gates", Weight: 20}}},
 	}
 	return c
 }
 
-func raised(f *Fleet) {
+func startAll(f *Fleet) {
 	for _, m := range f.Controllers {
-		Expect(f.Raise(m)).To(Succeed())
+		Expect(f.StartProcess(m)).To(Succeed())
 	}
-	if f.First == nil {
-		f.First = first()
+	if f.InitialConfiguration == nil {
+		f.InitialConfiguration = initialConfiguration()
 	}
-	outcome := f.Push(f.First, 10*time.Second)
-	Expect(outcome).NotTo(BeNil(), f.Story)
-	Expect(outcome.Kind).To(BeEmpty(), f.Story)
+	outcome := f.PushConfiguration(f.InitialConfiguration, 10*time.Second)
+	Expect(outcome).NotTo(BeNil(), f.Description)
+	Expect(outcome.Kind).To(BeEmpty(), f.Description)
 	for _, m := range f.Nodes {
-		Expect(f.Raise(m)).To(Succeed())
-		f.Seat(m)
+		Expect(f.StartProcess(m)).To(Succeed())
+		f.StartUpstream(m)
 	}
-	Expect(f.Until(5*time.Second, func() bool { return f.Ready(f.Nodes) })).To(BeTrue(), f.Story)
-	f.Pass(300 * time.Millisecond)
+	Expect(f.WaitUntil(5*time.Second, func() bool { return f.Ready(f.Nodes) })).To(BeTrue(), f.Description)
+	f.Sleep(300 * time.Millisecond)
 }
 
-func sound(f *Fleet, wanted ...string) {
-	f.Away()
+func checkHistory(f *Fleet, wanted ...string) {
+	f.StopLoad()
 	verdicts := Check(f.History)
-	f.tell(verdicts)
-	Expect(judge.Broken(verdicts)).To(BeEmpty(), f.Story)
-	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Story)
+	f.printReport(verdicts)
+	Expect(judge.Broken(verdicts)).To(BeEmpty(), f.Description)
+	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Description)
 }
--- a/internal/testing/openfleet/upstream.go
+++ b/internal/testing/openfleet/upstream.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	longRest   = 30 * time.Second
-	trailBytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-	junkBytes  = "\x00\x16 this is no answer\r\n\r\n"
-	stuckFor   = time.Hour
+	defaultIdleTimeout     = 30 * time.Second
+	unrelatedResponseBytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+	invalidBytes           = "\x00\x16 this is no answer\r\n\r\n"
+	noResponseFor          = time.Hour
 )
 
-// Habit describes how an upstream serves paths with a prefix. The work takes Base plus a uniform random
+// Behavior describes how an upstream serves paths with a prefix. The work takes Base plus a uniform random
 // part of Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size
 // in bytes; Chunks selects chunked encoding.
-type Habit struct {
+type Behavior struct {
 	Prefix string
 	Base   time.Duration
 	Swing  time.Duration
@@ -43,37 +43,37 @@
 // (zero sets no limit), Boast is added to the capacity that its heartbeats report, and Dumb sends no
 // heartbeats.
 type Upstream struct {
-	ID        string
-	Service   string
-	Address   string
-	Zone      string
-	Capacity  int
-	Queue     int
-	Rest      time.Duration
-	TellRest  bool
-	FullReset bool
-	ConnLimit int
-	Boast     int
-	Dumb      bool
-	Habits    []Habit
-	machine   *Machine
-	fleet     *Fleet
-	scope     base.Scope
-	web       *http.Client
-	inner     *client
-	mu        sync.Mutex
-	troubles  []Trouble
-	leaving   bool
-	sequence  uint64
-	waiting   int
-	conns     int
-	calls     int
-	slots     chan struct{}
-	listener  net.Listener
-	cancel    context.CancelFunc
-	crew      base.Group
-	ended     bool
-	speed     float64
+	ID                    string
+	Service               string
+	Address               string
+	Zone                  string
+	Capacity              int
+	Queue                 int
+	IdleTimeout           time.Duration
+	AnnounceIdleTimeout   bool
+	ResetWhenFull         bool
+	ConnLimit             int
+	ExtraReportedCapacity int
+	NoHeartbeats          bool
+	Behaviors             []Behavior
+	machine               *Machine
+	fleet                 *Fleet
+	scope                 base.Scope
+	httpClient            *http.Client
+	client                *client
+	mu                    sync.Mutex
+	faults                []FaultRate
+	leaving               bool
+	sequence              uint64
+	waiting               int
+	conns                 int
+	calls                 int
+	slots                 chan struct{}
+	listener              net.Listener
+	cancel                context.CancelFunc
+	tasks                 base.Group
+	ended                 bool
+	slowdown              float64
 }
 
 // Start listens on the instance's address and begins its heartbeats. It returns the error of the listen
@@ -82,75 +82,75 @@
 	s, cancel := u.scope.WithCancel()
 	u.cancel = cancel
 	u.slots = make(chan struct{}, u.Capacity)
-	u.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 4}, Timeout: time.Second}
-	u.inner = &client{scope: s, history: u.fleet.History, to: u.machine.At(outwardPort), name: u.ID}
+	u.httpClient = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 4}, Timeout: time.Second}
+	u.client = &client{scope: s, history: u.fleet.History, address: u.machine.Address(outboundPort), name: u.ID}
 	listener, err := s.Net.Listen(u.Address)
 	if err != nil {
 		cancel()
 		return err
 	}
 	u.listener = listener
-	u.crew.Go(func() {
+	u.tasks.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			u.crew.Go(func() { u.admit(s, conn) })
+			u.tasks.Go(func() { u.handleConn(s, conn) })
 		}
 	})
-	if !u.Dumb {
-		u.crew.Go(func() {
-			u.beat(s)
-			base.Tick(s, beatEvery, func(s base.Scope) { u.beat(s) })
+	if !u.NoHeartbeats {
+		u.tasks.Go(func() {
+			u.sendHeartbeat(s)
+			base.Tick(s, heartbeatInterval, func(s base.Scope) { u.sendHeartbeat(s) })
 		})
 	}
 	return nil
 }
 
-func (u *Upstream) admit(s context.Context, conn net.Conn) {
+func (u *Upstream) handleConn(s context.Context, conn net.Conn) {
 	u.mu.Lock()
 	u.conns++
-	over := u.ConnLimit > 0 && u.conns > u.ConnLimit
+	overLimit := u.ConnLimit > 0 && u.conns > u.ConnLimit
 	u.mu.Unlock()
 	defer func() {
 		u.mu.Lock()
 		u.conns--
 		u.mu.Unlock()
 	}()
-	if over {
-		newTalk(s, conn).reset()
+	if overLimit {
+		newServerConn(s, conn).reset()
 		return
 	}
-	u.talk(s, conn)
+	u.serveConn(s, conn)
 }
 
-func (u *Upstream) rest() time.Duration {
-	if u.Rest > 0 {
-		return u.Rest
+func (u *Upstream) idleTimeout() time.Duration {
+	if u.IdleTimeout > 0 {
+		return u.IdleTimeout
 	}
-	return longRest
+	return defaultIdleTimeout
 }
 
-// Instance returns the body of the next heartbeat, with a new sequence number.
-func (u *Upstream) Instance() *wire.Instance {
+// NextHeartbeat returns the body of the next heartbeat, with a new sequence number.
+func (u *Upstream) NextHeartbeat() *wire.Instance {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sequence++
-	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.Boast), Leaving: u.leaving, Sequence: u.sequence}
+	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.ExtraReportedCapacity), Leaving: u.leaving, Sequence: u.sequence}
 }
 
-func (u *Upstream) beat(s base.Scope) bool {
-	body, _ := json.Marshal(u.Instance())
-	return u.report(s, http.MethodPut, body)
+func (u *Upstream) sendHeartbeat(s base.Scope) bool {
+	body, _ := json.Marshal(u.NextHeartbeat())
+	return u.callNode(s, http.MethodPut, body)
 }
 
-func (u *Upstream) report(s base.Scope, method string, body []byte) bool {
-	request, err := http.NewRequestWithContext(s, method, "http://"+u.machine.At(controlPort)+"/berths/"+u.ID, bytes.NewReader(body))
+func (u *Upstream) callNode(s base.Scope, method string, body []byte) bool {
+	request, err := http.NewRequestWithContext(s, method, "http://"+u.machine.Address(controlPort)+"/berths/"+u.ID, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	response, err := u.web.Do(request)
+	response, err := u.httpClient.Do(request)
 	if err != nil {
 		return false
 	}
@@ -161,22 +161,22 @@
 
 // Leave says that it leaves until that is acknowledged, serves on for the leaving bound and ends.
 func (u *Upstream) Leave() {
-	u.Announce()
-	base.Await(u.scope, leavingBound+300*time.Millisecond)
-	u.report(u.scope, http.MethodDelete, nil)
-	u.end(false)
+	u.AnnounceLeaving()
+	base.Await(u.scope, drainBound+300*time.Millisecond)
+	u.callNode(u.scope, http.MethodDelete, nil)
+	u.shutDown(false)
 }
 
-// Announce reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and
+// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and
 // records when the node acknowledges it.
-func (u *Upstream) Announce() {
+func (u *Upstream) AnnounceLeaving() {
 	u.mu.Lock()
 	u.leaving = true
 	u.mu.Unlock()
 	for range 50 {
-		if u.beat(u.scope) {
+		if u.sendHeartbeat(u.scope) {
 			h := u.fleet.History
-			note(h, &h.left, Departure{u.ID, h.Now()})
+			appendRecord(h, &h.departures, Departure{u.ID, h.Now()})
 			return
 		}
 		base.Await(u.scope, 100*time.Millisecond)
@@ -184,18 +184,18 @@
 }
 
 // Kill ends the instance at once and closes its connections, without draining and without a last heartbeat.
-func (u *Upstream) Kill() { u.end(true) }
+func (u *Upstream) Kill() { u.shutDown(true) }
 
-func (u *Upstream) end(hard bool) {
+func (u *Upstream) shutDown(immediate bool) {
 	u.mu.Lock()
-	ended := u.ended
+	alreadyEnded := u.ended
 	u.ended = true
 	u.mu.Unlock()
-	if ended {
+	if alreadyEnded {
 		return
 	}
 	_ = u.listener.Close()
-	if !hard {
+	if !immediate {
 		for range 20 {
 			if len(u.slots) == 0 {
 				break
@@ -205,49 +205,49 @@
 	}
 	u.cancel()
 	u.fleet.World.Crash(u.machine.IP, u.scope.Node, false)
-	u.crew.Wait()
-	u.inner.close()
-	u.web.CloseIdleConnections()
+	u.tasks.Wait()
+	u.client.close()
+	u.httpClient.CloseIdleConnections()
 }
 
-// SetSpeed makes work take so many times as long.
-func (u *Upstream) SetSpeed(times float64) {
+// SetSlowdown makes work take so many times as long.
+func (u *Upstream) SetSlowdown(factor float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.speed = times
+	u.slowdown = factor
 }
 
-// Running returns how many requests hold a slot of the instance's capacity.
-func (u *Upstream) Running() int { return len(u.slots) }
+// ActiveRequests returns how many requests hold a slot of the instance's capacity.
+func (u *Upstream) ActiveRequests() int { return len(u.slots) }
 
-func (u *Upstream) habit(path string) Habit {
-	for _, each := range u.Habits {
-		if strings.HasPrefix(path, each.Prefix) {
-			return each
+func (u *Upstream) behaviorFor(path string) Behavior {
+	for _, behavior := range u.Behaviors {
+		if strings.HasPrefix(path, behavior.Prefix) {
+			return behavior
 		}
 	}
-	return Habit{Base: 2 * time.Millisecond, Size: 64}
+	return Behavior{Base: 2 * time.Millisecond, Size: 64}
 }
 
-type turn int
+type slotResult int
 
 const (
-	entered turn = iota
-	full
-	expired
-	dropped
+	slotAcquired slotResult = iota
+	queueFull
+	deadlineExpired
+	callerGone
 )
 
-func (u *Upstream) enter(gone context.Context, left time.Duration) turn {
+func (u *Upstream) acquireSlot(ctx context.Context, wait time.Duration) slotResult {
 	select {
 	case u.slots <- struct{}{}:
-		return entered
+		return slotAcquired
 	default:
 	}
 	u.mu.Lock()
 	if u.waiting >= u.Queue {
 		u.mu.Unlock()
-		return full
+		return queueFull
 	}
 	u.waiting++
 	u.mu.Unlock()
@@ -256,172 +256,172 @@
 		u.waiting--
 		u.mu.Unlock()
 	}()
-	wakeup := time.NewTimer(left)
-	defer wakeup.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
 	case u.slots <- struct{}{}:
-		return entered
-	case <-gone.Done():
-		return dropped
-	case <-wakeup.C:
-		return expired
+		return slotAcquired
+	case <-ctx.Done():
+		return callerGone
+	case <-timer.C:
+		return deadlineExpired
 	}
 }
 
-func (u *Upstream) serve(t *talk, r *http.Request, body []byte) (keep bool) {
-	h, speech := u.fleet.History, forwarding.DefaultHeaderNames
-	began := h.Now()
-	id, wanted := r.Header.Get(speech.RequestID), r.Header.Get(speech.Target)
-	row := &Arrival{ID: id, At: began, Service: u.Service, Instance: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(speech.Caller)}
-	row.Missed = wanted != "" && wanted != u.ID
-	h.Arrived(row)
-	tagged := []string{speech.RequestID + ": " + id}
-	if u.TellRest {
-		tagged = append(tagged, fmt.Sprintf("Keep-Alive: timeout=%d", int(u.rest().Seconds())))
+func (u *Upstream) serve(conn *serverConn, r *http.Request, body []byte) (keepOpen bool) {
+	h, headers := u.fleet.History, forwarding.DefaultHeaderNames
+	start := h.Now()
+	id, target := r.Header.Get(headers.RequestID), r.Header.Get(headers.Target)
+	arrival := &Arrival{ID: id, ArrivedAt: start, Service: u.Service, Instance: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(headers.Caller)}
+	arrival.Misdirected = target != "" && target != u.ID
+	h.RecordArrival(arrival)
+	header := []string{headers.RequestID + ": " + id}
+	if u.AnnounceIdleTimeout {
+		header = append(header, fmt.Sprintf("Keep-Alive: timeout=%d", int(u.idleTimeout().Seconds())))
 	}
-	away := append([]string{speech.NotRun + ": 1"}, tagged...)
-	ms, err := strconv.ParseInt(r.Header.Get(speech.TimeLeft), 10, 64)
+	notRun := append([]string{headers.NotRun + ": 1"}, header...)
+	ms, err := strconv.ParseInt(r.Header.Get(headers.TimeLeft), 10, 64)
 	switch {
 	case id == "" || err != nil:
-		return t.say(text(http.StatusBadRequest, []string{speech.NotRun + ": 1"}, nil)) == nil
-	case row.Missed:
-		return t.say(text(http.StatusMisdirectedRequest, away, nil)) == nil
+		return conn.write(formatResponse(http.StatusBadRequest, []string{headers.NotRun + ": 1"}, nil)) == nil
+	case arrival.Misdirected:
+		return conn.write(formatResponse(http.StatusMisdirectedRequest, notRun, nil)) == nil
 	}
-	until := began + time.Duration(ms)*time.Millisecond
-	switch u.enter(t.gone, until-began) {
-	case full:
-		if u.FullReset {
-			t.reset()
+	deadline := start + time.Duration(ms)*time.Millisecond
+	switch u.acquireSlot(conn.ctx, deadline-start) {
+	case queueFull:
+		if u.ResetWhenFull {
+			conn.reset()
 			return false
 		}
-		return t.say(text(http.StatusServiceUnavailable, away, nil)) == nil
-	case expired:
-		return t.say(text(http.StatusServiceUnavailable, away, nil)) == nil
-	case dropped:
+		return conn.write(formatResponse(http.StatusServiceUnavailable, notRun, nil)) == nil
+	case deadlineExpired:
+		return conn.write(formatResponse(http.StatusServiceUnavailable, notRun, nil)) == nil
+	case callerGone:
 		return false
 	}
 	defer func() { <-u.slots }()
-	repeat := h.Ran(row)
-	status, answer := u.work(t.gone, r, id, repeat, until)
-	if t.gone.Err() != nil {
-		h.Mark(func() { row.Ended, row.Gone = h.Now(), true })
+	retry := h.RecordExecution(arrival)
+	status, responseBody := u.execute(conn.ctx, r, id, retry, deadline)
+	if conn.ctx.Err() != nil {
+		h.Update(func() { arrival.EndedAt, arrival.CallerGone = h.Now(), true })
 		return false
 	}
-	trouble := u.draw()
-	h.Mark(func() {
-		row.Ended, row.Status = h.Now(), status
-		row.Broke = trouble.Fault == Silent || trouble.Fault == Reset || trouble.Fault == Torn || trouble.Fault == Garbled || trouble.Fault == Endless || trouble.Fault == Hangup
+	injected := u.drawFault()
+	h.Update(func() {
+		arrival.EndedAt, arrival.Status = h.Now(), status
+		arrival.ResponseBroken = injected.Fault == NoResponse || injected.Fault == ConnReset || injected.Fault == TruncatedBody || injected.Fault == InvalidResponse || injected.Fault == UndelimitedBody || injected.Fault == CloseWithoutResponse
 	})
-	return u.tell(t, trouble, tagged, id, status, answer, u.habit(r.URL.Path).Chunks)
+	return u.respond(conn, injected, header, id, status, responseBody, u.behaviorFor(r.URL.Path).Chunks)
 }
 
-func (u *Upstream) work(gone context.Context, r *http.Request, id string, repeat bool, until time.Duration) (status int, answer []byte) {
+func (u *Upstream) execute(ctx context.Context, r *http.Request, id string, retry bool, deadline time.Duration) (status int, body []byte) {
 	h := u.fleet.History
-	habit := u.habit(r.URL.Path)
+	behavior := u.behaviorFor(r.URL.Path)
 	u.mu.Lock()
-	speed := u.speed
+	slowdown := u.slowdown
 	u.mu.Unlock()
-	pause := time.Duration(speed * (float64(habit.Base) + float64(habit.Swing)*u.scope.Rand.Float64()))
-	base.Await(u.scope.WithContext(gone), min(pause, until-h.Now()))
-	for _, call := range habit.Calls {
-		if gone.Err() != nil {
+	duration := time.Duration(slowdown * (float64(behavior.Base) + float64(behavior.Swing)*u.scope.Rand.Float64()))
+	base.Await(u.scope.WithContext(ctx), min(duration, deadline-h.Now()))
+	for _, call := range behavior.Calls {
+		if ctx.Err() != nil {
 			return 0, nil
 		}
-		if h.Now() >= until {
+		if h.Now() >= deadline {
 			return http.StatusGatewayTimeout, nil
 		}
-		if told := u.call(r, call, id, repeat, until); told.Status != http.StatusOK {
-			if h.Now() >= until {
+		if outcome := u.callDependency(r, call, id, retry, deadline); outcome.Status != http.StatusOK {
+			if h.Now() >= deadline {
 				return http.StatusGatewayTimeout, nil
 			}
 			return http.StatusInternalServerError, nil
 		}
 	}
-	if h.Now() >= until {
+	if h.Now() >= deadline {
 		return http.StatusGatewayTimeout, nil
 	}
-	return http.StatusOK, []byte(strings.Repeat(id+" "+u.ID+"\n", 1+habit.Size/(len(id)+len(u.ID)+2)))
+	return http.StatusOK, []byte(strings.Repeat(id+" "+u.ID+"\n", 1+behavior.Size/(len(id)+len(u.ID)+2)))
 }
 
-func (u *Upstream) call(parent *http.Request, call, id string, repeat bool, until time.Duration) *Told {
+func (u *Upstream) callDependency(parent *http.Request, call, id string, retry bool, deadline time.Duration) *Outcome {
 	u.mu.Lock()
 	u.calls++
 	name := fmt.Sprintf("%s.%s.%d", id, u.ID, u.calls)
 	u.mu.Unlock()
-	ask := u.fleet.ask(u.machine, call, name)
-	ask.Inner, ask.Repeats, ask.Until = true, repeat, until
-	return u.inner.ask(ask, nil, false, false)
+	attempt := u.fleet.newAttempt(u.machine, call, name)
+	attempt.FromUpstream, attempt.DuringRetry, attempt.Deadline = true, retry, deadline
+	return u.client.do(attempt, nil, false, false)
 }
 
-func (u *Upstream) tell(t *talk, trouble Trouble, tagged []string, id string, status int, answer []byte, chunks bool) (keep bool) {
-	speech := forwarding.DefaultHeaderNames
-	header := tagged
+func (u *Upstream) respond(conn *serverConn, injected FaultRate, header []string, id string, status int, body []byte, chunked bool) (keepOpen bool) {
+	headers := forwarding.DefaultHeaderNames
+	sealedHeader := header
 	if status == http.StatusOK {
-		header = append([]string{speech.Seal + ": " + seal(id, u.ID, answer)}, tagged...)
+		sealedHeader = append([]string{headers.Seal + ": " + seal(id, u.ID, body)}, header...)
 	}
 	u.mu.Lock()
-	closing := u.leaving
+	leaving := u.leaving
 	u.mu.Unlock()
-	if trouble.Fault == Closing || closing {
-		_ = t.say(text(status, append([]string{"Connection: close"}, header...), answer))
+	if injected.Fault == CloseAfterResponse || leaving {
+		_ = conn.write(formatResponse(status, append([]string{"Connection: close"}, sealedHeader...), body))
 		return false
 	}
-	whole := text(status, header, answer)
-	if chunks && status == http.StatusOK {
-		whole = chunked(header, answer)
+	whole := formatResponse(status, sealedHeader, body)
+	if chunked && status == http.StatusOK {
+		whole = formatChunkedResponse(sealedHeader, body)
 	}
-	if u.breaks(t, trouble.Fault, text(status, header, answer), whole, answer) {
+	if u.breakResponse(conn, injected.Fault, formatResponse(status, sealedHeader, body), whole, body) {
 		return false
 	}
-	if t.say(spoilt(t, trouble.Fault, whole, text(status, tagged, answer), text(http.StatusInternalServerError, tagged, nil))) != nil {
+	if conn.write(alterResponse(conn, injected.Fault, whole, formatResponse(status, header, body), formatResponse(http.StatusInternalServerError, header, nil))) != nil {
 		return false
 	}
-	switch trouble.Fault {
-	case LateTwin:
-		t.sayLater(trouble.Late, whole)
-	case LateTrail:
-		t.sayLater(trouble.Late, []byte(junkBytes))
+	switch injected.Fault {
+	case LateDuplicate:
+		conn.writeLater(injected.Delay, whole)
+	case LateTrailingBytes:
+		conn.writeLater(injected.Delay, []byte(invalidBytes))
 	}
 	return true
 }
 
-// breaks ends the connection without a whole answer, if the fault asks for it. plain is the answer in one piece with its
+// breakResponse ends the connection without a whole answer, if the fault asks for it. plain is the answer in one piece with its
 // length, whole as it would be sent.
-func (u *Upstream) breaks(t *talk, fault Fault, plain, whole, body []byte) (broke bool) {
+func (u *Upstream) breakResponse(conn *serverConn, fault Fault, plain, whole, body []byte) (broken bool) {
 	switch fault {
-	case Silent:
-		base.Await(u.scope.WithContext(t.gone), stuckFor)
-	case Reset:
-		t.reset()
-	case Torn:
-		_ = t.say(whole[:len(whole)-6-len(body)/2])
-	case Garbled:
-		_ = t.say([]byte(junkBytes))
-	case Endless:
+	case NoResponse:
+		base.Await(u.scope.WithContext(conn.ctx), noResponseFor)
+	case ConnReset:
+		conn.reset()
+	case TruncatedBody:
+		_ = conn.write(whole[:len(whole)-6-len(body)/2])
+	case InvalidResponse:
+		_ = conn.write([]byte(invalidBytes))
+	case UndelimitedBody:
 		head, _, _ := bytes.Cut(plain, []byte("Content-Length"))
-		_ = t.say(append(append(head, "Connection: close\r\n\r\n"...), body[:len(body)/2]...))
-	case Hangup:
-		_ = t.conn.Close()
+		_ = conn.write(append(append(head, "Connection: close\r\n\r\n"...), body[:len(body)/2]...))
+	case CloseWithoutResponse:
+		_ = conn.raw.Close()
 	default:
 		return false
 	}
 	return true
 }
 
-// spoilt gives what is sent in place of a whole answer, and keeps what is to come with the next one.
-func spoilt(t *talk, fault Fault, whole, unsealed, failing []byte) []byte {
+// alterResponse gives what is sent in place of a whole answer, and keeps what is to come with the next one.
+func alterResponse(conn *serverConn, fault Fault, whole, unsealed, failing []byte) []byte {
 	switch fault {
-	case Unsealed:
+	case MissingSeal:
 		return unsealed
-	case Twin:
+	case DuplicateResponse:
 		return append(whole, whole...)
-	case Trail:
-		return append(whole, junkBytes...)
-	case Crossed:
-		return append([]byte(trailBytes), whole...)
-	case Stale:
-		t.owed = whole
-	case Failing:
+	case TrailingBytes:
+		return append(whole, invalidBytes...)
+	case UnrelatedResponse:
+		return append([]byte(unrelatedResponseBytes), whole...)
+	case DuplicateOnNextRequest:
+		conn.delayedCopy = whole
+	case InternalError:
 		return failing
 	}
 	return whole
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// UsualDelay is the delay between two machines, one way, where a test says nothing else.
-	UsualDelay = time.Millisecond
+	// DefaultDelay is the delay between two machines, one way, where a test says nothing else.
+	DefaultDelay = time.Millisecond
 	// journalEvents is how many events a scope's journal keeps.
 	journalEvents = 400
-	// lastTimers is longer than any timer that a test leaves behind.
-	lastTimers = time.Minute
+	// finalWait is longer than any timer that a test leaves behind.
+	finalWait = time.Minute
 )
 
 // Simulation is a network with a clock of its own. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 	}
 	s.tasks.Wait()
 	s.World.Close()
-	time.Sleep(lastTimers)
+	time.Sleep(finalWait)
 }
 
 // Go runs do beside the test; the simulation waits for it at its end.
@@ -104,9 +104,9 @@
 
 // Serve opens an HTTP server at the address on the machine that the address names.
 func (s *Simulation) Serve(address string, handler http.Handler) {
-	door, err := httpserver.Serve(s.Scope(Host(address)), address, handler)
+	server, err := httpserver.Serve(s.Scope(Host(address)), address, handler)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	s.Cleanup(door.Close)
+	s.Cleanup(server.Close)
 }
 
 // Host returns the machine's part of an address.
@@ -125,19 +125,19 @@
 // Mono returns the time set.
 func (c *ManualClock) Mono() time.Duration { return c.Now }
 
-// Tally counts events by name. Its zero value is ready for use, also by several goroutines.
-type Tally struct {
+// EventCounter counts events by name. Its zero value is ready for use, also by several goroutines.
+type EventCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
 // Add counts an event so many times more and returns its count.
-func (t *Tally) Add(event string, times int) (count int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.counts == nil {
-		t.counts = map[string]int{}
+func (c *EventCounter) Add(event string, times int) (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	t.counts[event] += times
-	return t.counts[event]
+	c.counts[event] += times
+	return c.counts[event]
 }
--- a/internal/testing/simulation/specs.go
+++ b/internal/testing/simulation/specs.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// step is how often Until looks.
-const step = 5 * time.Millisecond
+// pollInterval is how often Until looks.
+const pollInterval = 5 * time.Millisecond
 
 // suite is the test that runs the specs of the package under test.
 var suite *testing.T
@@ -22,18 +22,18 @@
 }
 
 // It adds a spec that runs in a simulation whose machines are UsualDelay apart.
-func It(text string, test func(s *Simulation)) { ItAt(text, UsualDelay, test) }
+func It(text string, test func(s *Simulation)) { ItAt(text, DefaultDelay, test) }
 
 // ItAt adds a spec that runs in a simulation whose machines are delay apart, one way.
 func ItAt(text string, delay time.Duration, test func(s *Simulation)) {
 	ginkgo.It(text, func() { Run(suite, delay, test) })
 }
 
-// Until waits until reached, for longest at most, and returns how long that took.
-func (s *Simulation) Until(longest time.Duration, reached func() bool) time.Duration {
+// WaitUntil waits until reached, for longest at most, and returns how long that took.
+func (s *Simulation) WaitUntil(longest time.Duration, reached func() bool) time.Duration {
 	began := s.Clock.Mono()
 	for s.Clock.Mono()-began < longest && !reached() {
-		time.Sleep(step)
+		time.Sleep(pollInterval)
 	}
 	return s.Clock.Mono() - began
 }
