--- a/internal/testing/openfleet/client.go
+++ b/internal/testing/openfleet/client.go
@@ -16,10 +16,13 @@
 	"curlewreach/internal/dataplane/forwarding"
 )
 
+// idleConnLifetime is how long a client keeps an idle connection, or less if the node announces a shorter timeout.
 const idleConnLifetime = 4 * time.Second
 
+// unreadCounter is implemented by simulated connections: Unread returns how many sent bytes the peer hasn't read.
 type unreadCounter interface{ Unread() int }
 
+// clientConn is a client's connection to its node. lastID is the attempt that it last carried.
 type clientConn struct {
 	raw       net.Conn
 	in        *bufio.Reader
@@ -28,6 +31,8 @@
 	expiresAt time.Duration
 }
 
+// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. A byte
+// that arrives while the connection is idle belongs to no request.
 func (c *clientConn) peekAsync() {
 	c.peeked = make(chan error, 1)
 	go func() {
@@ -36,6 +41,7 @@
 	}()
 }
 
+// client sends attempts to a node over HTTP/1.1, keeps idle connections and records everything in the History.
 type client struct {
 	scope   base.Scope
 	history *History
@@ -45,6 +51,7 @@
 	idle    []*clientConn
 }
 
+// acquire returns the idle connection used last, or a new one.
 func (c *client) acquire(newConn bool, timeout time.Duration) (*clientConn, error) {
 	for !newConn {
 		c.mu.Lock()
@@ -76,6 +83,7 @@
 	return &clientConn{raw: conn, in: bufio.NewReader(conn)}, nil
 }
 
+// recordStrayBytes records bytes that arrived on a connection without a request, unless err says that it ended.
 func (c *client) recordStrayBytes(conn *clientConn, err error) {
 	if err == nil {
 		bytes, _ := conn.in.Peek(conn.in.Buffered())
@@ -83,6 +91,7 @@
 	}
 }
 
+// release makes a connection idle after the attempt id.
 func (c *client) release(conn *clientConn, id string, header http.Header) {
 	conn.lastID = id
 	conn.expiresAt = c.scope.Clock.Mono() + idleConnLifetime
@@ -95,12 +104,14 @@
 	c.idle = append(c.idle, conn)
 }
 
+// keepAliveTimeout returns the timeout that a Keep-Alive header announces, and whether there is one.
 func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	_, value, found := strings.Cut(header.Get("Keep-Alive"), "timeout=")
 	seconds, err := strconv.Atoi(strings.TrimSpace(value))
 	return time.Duration(seconds) * time.Second, found && err == nil
 }
 
+// close records stray bytes on the idle connections and closes them.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,6 +126,7 @@
 	c.idle = nil
 }
 
+// do sends an attempt and returns its outcome, and records both.
 func (c *client) do(a *Attempt, body []byte, chunked, newConn bool, extraHeaders ...string) *Outcome {
 	c.history.RecordAttempt(a)
 	outcome := c.exchange(a, body, chunked, newConn, extraHeaders)
@@ -123,6 +135,7 @@
 	return outcome
 }
 
+// exchange sends an attempt on one connection and reads the response, until the attempt's deadline.
 func (c *client) exchange(a *Attempt, body []byte, chunked, newConn bool, extraHeaders []string) *Outcome {
 	remaining := a.Deadline - c.scope.Clock.Mono()
 	conn, err := c.acquire(newConn, remaining)
@@ -167,6 +180,7 @@
 	return outcome
 }
 
+// formatRequest returns the bytes of a request. extraHeaders are whole header lines.
 func (c *client) formatRequest(a *Attempt, remaining time.Duration, body []byte, chunked bool, extraHeaders []string) []byte {
 	var request bytes.Buffer
 	_, _ = fmt.Fprintf(&request, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", a.Method, a.Target, a.Host, forwarding.DefaultHeaderNames.RequestID, a.ID, forwarding.DefaultHeaderNames.TimeLeft, remaining.Milliseconds())
@@ -190,6 +204,7 @@
 	return request.Bytes()
 }
 
+// transportError closes a connection that failed after the request was sent and returns the outcome.
 func (c *client) transportError(conn *clientConn, err error) *Outcome {
 	outcome := &Outcome{TransportError: err.Error(), RequestRead: true}
 	if counter, ok := conn.raw.(unreadCounter); ok {
@@ -199,6 +214,7 @@
 	return outcome
 }
 
+// checkResponse fills in what a complete response says, and how it fails to match the attempt.
 func (c *client) checkResponse(a *Attempt, outcome *Outcome, response *http.Response, body []byte) {
 	id := response.Header.Get(forwarding.DefaultHeaderNames.RequestID)
 	responseSeal := response.Header.Get(forwarding.DefaultHeaderNames.Seal)
@@ -207,11 +223,11 @@
 	success := outcome.Status >= 200 && outcome.Status < 300
 	switch {
 	case id != "" && id != a.ID:
-		outcome.Mismatch = "the answer of " + id
+		outcome.Mismatch = "the response to " + id
 	case success && responseSeal == "":
-		outcome.Mismatch = "a success without a seal"
+		outcome.Mismatch = "a successful response without a seal"
 	case success && responseSeal != seal(a.ID, instance, body):
-		outcome.Mismatch = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
+		outcome.Mismatch = fmt.Sprintf("a seal that does not match the body of %d bytes", len(body))
 	}
 	if retryAfter, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
 		outcome.RetryAfter = time.Duration(retryAfter * float64(time.Second))
@@ -221,6 +237,7 @@
 	}
 }
 
+// errorKind returns the "kind" of a node's JSON error body, or an empty string.
 func errorKind(body []byte) string {
 	_, rest, _ := bytes.Cut(body, []byte(`"kind":"`))
 	kind, _, _ := bytes.Cut(rest, []byte(`"`))
--- a/internal/testing/openfleet/config_faults_test.go
+++ b/internal/testing/openfleet/config_faults_test.go
@@ -12,21 +12,21 @@
 	"curlewreach/proto/wire"
 )
 
-// lowBandwidth is what comes in at a node on thin links, in bytes a second.
+// lowBandwidth limits the traffic into each node in runs with slow links, in bytes per second.
 const lowBandwidth = 275_000
 
-// namedControllerFault disturbs the control machines until it is ended.
+// namedControllerFault disturbs control plane replicas until end is called. m is the replica that it picks on.
 type namedControllerFault struct {
 	name  string
 	start func(f *Fleet, m *Machine, rnd *random.Source) (end func())
 }
 
 var namedControllerFaults = []namedControllerFault{
-	{"one cut from the others, both ways or one way", func(f *Fleet, m *Machine, rnd *random.Source) func() {
+	{"one replica isolated from the others, in both directions or one", func(f *Fleet, m *Machine, rnd *random.Source) func() {
 		f.isolate(m, uint64(rnd.IntN(3)))
 		return f.healPartitions
 	}},
-	{"one cut off, nodes restarted beside it with seeds that begin with it", func(f *Fleet, m *Machine, rnd *random.Source) func() {
+	{"one replica isolated, nodes restarted with it as their first seed", func(f *Fleet, m *Machine, rnd *random.Source) func() {
 		f.isolate(m, 0)
 		f.seeds = append([]string{m.Address(inboundPort)}, f.seeds...)
 		for range 2 {
@@ -34,14 +34,14 @@
 		}
 		return f.healPartitions
 	}},
-	{"one cut off that was restarted meanwhile", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica isolated and restarted", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		f.Kill(m)
 		f.Sleep(200 * time.Millisecond)
 		f.mustStart(m)
 		return f.healPartitions
 	}},
-	{"one cut off, the others killed as the cut heals", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica isolated, the others killed as the partition heals", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		return func() {
 			f.healPartitions()
@@ -58,7 +58,7 @@
 			}
 		}
 	}},
-	{"one cut off from half of the nodes, too", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica isolated, also from half of the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		end := []func(){}
 		for _, node := range f.firstHalfOfNodes() {
@@ -72,9 +72,9 @@
 			}
 		}
 	}},
-	{"one cut off, packets lost between the others and the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica isolated, packet loss between all replicas and the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
-		end := f.StartDisturbance(allLinks, "lossy")
+		end := f.StartDisturbance(allLinks, "packet loss")
 		for _, node := range f.currentNodes() {
 			for _, controller := range f.Controllers {
 				f.World.SetLink(controller.IP, node.IP, simnet.Link{Loss: 0.1})
@@ -86,7 +86,7 @@
 			end()
 		}
 	}},
-	{"the core cut into two halves", func(f *Fleet, _ *Machine, _ *random.Source) func() {
+	{"replicas partitioned into two halves", func(f *Fleet, _ *Machine, _ *random.Source) func() {
 		half := len(f.Controllers) / 2
 		end := f.StartDisturbance(controllerPrefix, "cut into halves")
 		for _, a := range f.Controllers[:half] {
@@ -99,7 +99,7 @@
 			end()
 		}
 	}},
-	{"one behind, then the disk of another lost and the rest dark", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica behind, then the disk of another lost and the rest without power", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		f.Sleep(2 * time.Second)
 		wiped := false
@@ -123,20 +123,20 @@
 			}
 		}
 	}},
-	{"one frozen", func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) }},
-	{"one killed", func(f *Fleet, m *Machine, _ *random.Source) func() {
+	{"one replica frozen", func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) }},
+	{"one replica killed", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.Kill(m)
 		return func() { f.mustStart(m) }
 	}},
 }
 
-// firstHalfOfNodes are disturbed by troubles of the core, lastNodes by disturbNodes: two that restart one node at the same
-// moment would get in each other's way.
+// firstHalfOfNodes returns the nodes that control plane faults disturb; injectNodeFaults disturbs those of
+// secondHalfOfNodes. Two tasks that restart the same node at the same time would interfere with each other.
 func (f *Fleet) firstHalfOfNodes() []*Machine { return f.currentNodes()[:len(f.currentNodes())/2] }
 
 func (f *Fleet) secondHalfOfNodes() []*Machine { return f.currentNodes()[len(f.currentNodes())/2:] }
 
-// restartRandomNode kills one of some nodes and raises it again.
+// restartRandomNode kills one of the nodes and starts it again.
 func (f *Fleet) restartRandomNode(nodes []*Machine, rnd *random.Source) {
 	m := nodes[rnd.IntN(len(nodes))]
 	f.Kill(m)
@@ -144,7 +144,8 @@
 	f.mustStart(m)
 }
 
-// injectNodeFaults restarts, freezes and reloads single nodes and steps their clocks; the others stay in touch.
+// injectNodeFaults restarts, freezes and reloads single nodes and steps their clocks; the others stay in contact with the
+// control plane.
 func (f *Fleet) injectNodeFaults(rnd *random.Source, until time.Duration) {
 	for f.History.Now() < until {
 		nodes := f.secondHalfOfNodes()
@@ -167,7 +168,8 @@
 	}
 }
 
-// proposePeriodically sends a change about every so often, and looks at every node which configurations are in force.
+// proposePeriodically proposes a change about once per interval, and requests the routes of recent changes at every node to
+// see which configuration is in force there.
 func (f *Fleet) proposePeriodically(interval, until time.Duration) {
 	operator := f.NewOperator("one")
 	for round := 0; f.History.Now() < until; round++ {
@@ -181,8 +183,9 @@
 	}
 }
 
-// configUnderFaults lets one trouble of the core after the other come, with pauses long enough that nodes are in touch
-// between and amid them, while the configuration changes and single nodes are disturbed.
+// configUnderFaults injects one control plane fault after the other while the configuration changes and single nodes are
+// disturbed. Each fault and each pause lasts contactBound at least, so that the configuration bound applies during and
+// between faults, too.
 func configUnderFaults(f *Fleet) {
 	f.zoneDelay = []time.Duration{500 * time.Microsecond, 3 * time.Millisecond, 12 * time.Millisecond}[f.Seed%3]
 	rnd := f.rand("troubled configuration")
@@ -195,9 +198,9 @@
 	f.StartLoad(25)
 	f.Sleep(time.Second)
 	until := f.History.Now() + 24*time.Second
-	every := time.Duration(500+rnd.IntN(900)) * time.Millisecond
+	interval := time.Duration(500+rnd.IntN(900)) * time.Millisecond
 	base.Parallel([]func(){
-		func() { f.proposePeriodically(every, until) },
+		func() { f.proposePeriodically(interval, until) },
 		func() { f.injectNodeFaults(f.rand("nodes"), until) },
 		func() {
 			for f.History.Now() < until {
@@ -217,6 +220,6 @@
 	checkHistory(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 }
 
-var _ = ginkgo.Describe("the configuration under trouble of the core", func() {
-	spec("given cuts of every kind, lost packets, restarts, freezes, clock steps and reloads, on thin links and in zones up to 12 ms apart, when the configuration changes all the while, then no node in touch handles a request by one older than was acknowledged the bound before", []uint64{1, 3, 5}, configUnderFaults)
+var _ = ginkgo.Describe("configuration changes under control plane faults", func() {
+	spec("given partitions, packet loss, restarts, freezes, clock steps and reloads, with slow links and zones up to 12 ms apart, when the configuration keeps changing, then no node in contact uses a configuration that was replaced by an acknowledged one longer ago than the bound", []uint64{1, 3, 5}, configUnderFaults)
 })
--- a/internal/testing/openfleet/connection_reset_test.go
+++ b/internal/testing/openfleet/connection_reset_test.go
@@ -11,18 +11,18 @@
 	"curlewreach/base"
 )
 
-// Indeterminate counts the jobs that were neither served nor refused with a promise.
+// Indeterminate counts the jobs that failed without the guarantee that the last attempt was not executed.
 func (s JobStats) Indeterminate() int { return s.Jobs - s.Succeeded - s.Rejected }
 
-// expectFewIndeterminate expects at most a share of the jobs that may not be repeated to fail without a promise.
+// expectFewIndeterminate expects that at most maxShare of the jobs whose routes forbid retries are indeterminate.
 func (f *Fleet) expectFewIndeterminate(maxShare float64) {
 	stats := f.JobStats(0, 0, atMostOnce)
 	share := float64(stats.Indeterminate()) / float64(max(stats.Jobs, 1))
-	ginkgo.AddReportEntry(f.Description, fmt.Sprint(stats.Indeterminate(), " failed; ", stats, "; ", f.connectionCounts()))
-	ExpectWithOffset(1, share).To(BeNumerically("<=", maxShare), "%s: %d failed; %s", f.Description, stats.Indeterminate(), stats)
+	ginkgo.AddReportEntry(f.Description, fmt.Sprint(stats.Indeterminate(), " indeterminate; ", stats, "; ", f.connectionCounts()))
+	ExpectWithOffset(1, share).To(BeNumerically("<=", maxShare), "%s: %d indeterminate; %s", f.Description, stats.Indeterminate(), stats)
 }
 
-// connectionCounts sums what the nodes that are up counted of broken connections between them.
+// connectionCounts sums the running nodes' counters of broken connections and retried attempts.
 func (f *Fleet) connectionCounts() map[string]uint64 {
 	sums := map[string]uint64{}
 	for _, m := range f.currentNodes() {
@@ -38,6 +38,7 @@
 	return sums
 }
 
+// resetConnections resets the connections of a random node the given number of times, with random pauses around pause.
 func (f *Fleet) resetConnections(pause time.Duration, times int) {
 	rnd := f.rand("resets")
 	for range times {
@@ -46,8 +47,8 @@
 	}
 }
 
-var _ = ginkgo.Describe("connections between machines that break", func() {
-	spec("given load, when machines' connections are reset again and again, then nothing runs twice and next to nothing is left in doubt", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("connection resets between machines", func() {
+	spec("given load, when machines' connections are reset repeatedly, then no request runs twice and almost no outcome is indeterminate", []uint64{1, 2}, func(f *Fleet) {
 		f.slowDownUpstreams(40*time.Millisecond, 120*time.Millisecond)
 		startAll(f)
 		f.StartLoad(80)
@@ -58,7 +59,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity)
 	})
 
-	spec("given load, when connections are reset while nodes are killed, frozen and cut off, then nothing runs twice and no refused one ran", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when connections are reset while nodes are killed, frozen and isolated, then no request runs twice and none rejected as not run has run", []uint64{1, 2}, func(f *Fleet) {
 		f.slowDownUpstreams(40*time.Millisecond, 120*time.Millisecond)
 		startAll(f)
 		f.StartLoad(80)
@@ -92,8 +93,9 @@
 	})
 })
 
+// isolateFor cuts a machine off from all others for a time, as an unplanned disturbance.
 func (f *Fleet) isolateFor(m *Machine, d time.Duration) {
-	end := f.StartDisturbance(m.Name, "cut off")
+	end := f.StartDisturbance(m.Name, "isolated")
 	f.setIsolated(m, true)
 	f.Sleep(d)
 	f.setIsolated(m, false)
--- a/internal/testing/openfleet/controller_replacement_test.go
+++ b/internal/testing/openfleet/controller_replacement_test.go
@@ -9,17 +9,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// newVoterBound is the bound within which a new control machine must have a vote.
+// newVoterBound is the time within which a new control plane replica must become a voter.
 const newVoterBound = 4 * time.Second
 
-// replaceController puts an empty control machine at an address of its own in the place of another, which is gone for good: lost
-// before, or stopped once the new one runs. Settings that are written from then on name the new one.
+// replaceController replaces a control plane replica for good by an empty one at a new address. If planned, the old one is
+// stopped once the new one runs; otherwise it loses power first. Processes started from then on have the new one among
+// their seeds.
 func (f *Fleet) replaceController(index int, planned bool) *Machine {
 	old := f.Controllers[index]
 	number := f.highestControllerNumber() + 1
 	next := f.newMachine(fmt.Sprint("core-", number), fmt.Sprintf("10.9.0.%d", number), index)
 	next.IsController = true
-	next.starts.Add(1) // not the first start of all
+	next.starts.Add(1) // not its first start, so that it joins instead of founding a new control plane
 	end := f.StartDisturbance(next.Name, "new")
 	if !planned {
 		f.PowerLoss(old)
@@ -31,7 +32,7 @@
 		f.PowerLoss(old)
 	}
 	f.Controllers[index] = next
-	f.seeds = slices.Clone(f.seeds) // processes that run keep the list that they were started with
+	f.seeds = slices.Clone(f.seeds) // running processes keep the list that they were started with
 	f.seeds[index] = next.Address(inboundPort)
 	Expect(f.WaitUntil(newVoterBound, next.Controller.Ready)).To(BeTrue(), f.Description)
 	end()
@@ -42,7 +43,7 @@
 	return next
 }
 
-// highestControllerNumber is the highest number of a control machine.
+// highestControllerNumber returns the highest number in the names of the control plane replicas.
 func (f *Fleet) highestControllerNumber() (number int) {
 	for _, m := range f.Controllers {
 		var n int
@@ -53,8 +54,8 @@
 	return number
 }
 
-var _ = ginkgo.Describe("control machines replaced", func() {
-	spec("given load and changes, when all are replaced in turn, lost or by plan, while nodes start anew, then none in touch serves an old configuration and what was acknowledged outlives a loss of all power", []uint64{1, 2, 3, 4}, func(f *Fleet) {
+var _ = ginkgo.Describe("control plane replica replacement", func() {
+	spec("given load and changes, when all replicas are replaced one by one, after a loss or by plan, while nodes restart, then no node in contact uses an old configuration and what was acknowledged survives a power loss of all replicas", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		f.Sleep(time.Second)
--- a/internal/testing/openfleet/controlplane_faults_test.go
+++ b/internal/testing/openfleet/controlplane_faults_test.go
@@ -11,13 +11,15 @@
 	"curlewreach/proto/wire"
 )
 
+// forEachController calls do for each control plane replica in order.
 func (f *Fleet) forEachController(do func(m *Machine)) {
 	for _, m := range f.Controllers {
 		do(m)
 	}
 }
 
-// changeRoutes moves two routes and puts a new one in the last one's place.
+// changeRoutes changes the services of the routes "return" and "mix" and replaces the last change's new route by one with
+// the number of round. It changes c and returns it.
 func changeRoutes(c *wire.Configuration, round int) *wire.Configuration {
 	for _, route := range c.Routes {
 		switch route.Name {
@@ -34,15 +36,17 @@
 	return c
 }
 
-func (f *Fleet) requestNewRoutes(turns int, pause time.Duration) {
-	for round := range turns {
+// requestNewRoutes requests at every node the new routes of rounds 0 to rounds-1, then pauses. Which of them are
+// routed shows the configuration that the node uses.
+func (f *Fleet) requestNewRoutes(rounds int, pause time.Duration) {
+	for round := range rounds {
 		f.RequestFromAll("POST", "new.example", fmt.Sprintf("/new%d/x", round))
 	}
 	f.Sleep(pause)
 }
 
-var _ = ginkgo.Describe("the core in trouble", func() {
-	spec("given load, when the whole core is gone, then nodes serve on", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("control plane faults", func() {
+	spec("given load, when all control plane replicas are killed, then nodes continue to serve", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(2 * time.Second)
@@ -53,7 +57,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given load and a core that is gone, when nodes are killed and upstreams end, then nodes steer by what they see", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load and a killed control plane, when nodes and upstreams are killed, then the other nodes route around them by their own observations", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(2 * time.Second)
@@ -68,7 +72,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given load, when control machines are killed and raised while configurations change, then each is in force in time and none goes back", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given load, when control plane replicas are killed and restarted while configurations change, then each is in force in time and no node returns to an older one", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(time.Second)
@@ -90,7 +94,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 	})
 
-	spec("given calm load, when configurations change often, then all are served, acks are quick and changes are in force in time", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given load without faults, when configurations change often, then all jobs succeed, changes are acknowledged quickly and in force in time", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(time.Second)
@@ -111,7 +115,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleConfigDurability, RuleFewClientErrors)
 	})
 
-	spec("given two operators at two control machines, when both change on top of the same configuration, then one of them wins each time", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given two operators at two control plane replicas, when both propose a change with the same base, then exactly one is accepted each time", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		for round := range 4 {
@@ -135,7 +139,7 @@
 		checkHistory(f, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 	})
 
-	spec("given a configuration just acked, when a control machine loses power and its disk and comes back blank, then the configuration is kept and can change", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given a configuration just acknowledged, when a control plane replica loses power and its disk and restarts empty, then the configuration is kept and can be changed", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(30)
 		f.Sleep(time.Second)
@@ -159,7 +163,7 @@
 		checkHistory(f, RuleProposalConflict, RuleConfigDurability)
 	})
 
-	spec("given a configuration just acked, when every control machine loses power at once and comes back, then it is kept and in force", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given a configuration just acknowledged, when every control plane replica loses power at once and restarts, then the configuration is kept and in force", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(30)
 		f.Sleep(time.Second)
@@ -179,7 +183,7 @@
 		checkHistory(f, RuleConfigInForce, RuleNoConfigRollback, RuleConfigDurability)
 	})
 
-	spec("given a core that is gone, when a node starts anew, then it is not ready before a majority is back, and then soon", []uint64{1, 2}, func(f *Fleet) {
+	spec("given a killed control plane, when a node restarts, then it becomes ready only after a majority of replicas is back, and soon after", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(time.Second)
@@ -205,7 +209,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleConfigDurability)
 	})
 
-	spec("given one control machine left of three, when a node starts anew, then it takes the configuration it is told after a while and serves", []uint64{1, 2}, func(f *Fleet) {
+	spec("given one control plane replica left of three, when a node restarts, then after a delay it uses the configuration of that replica and serves", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(time.Second)
@@ -223,12 +227,12 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given a node cut off from the core over a change, when it hears of it from a peer or is joined again, then it takes the newer and never goes back", []uint64{1, 2}, func(f *Fleet) {
+	spec("given a node cut off from the control plane during a change, when it learns of the change from a peer or the partition heals, then it uses the newer configuration and never returns to the older one", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(35)
 		f.Sleep(time.Second)
 		m := f.NodesOf("books")[0]
-		end := f.StartDisturbance(m.Name, "cut off")
+		end := f.StartDisturbance(m.Name, "isolated")
 		f.forEachController(func(controller *Machine) { f.Partition(m, controller) })
 		Expect(f.PushConfiguration(changeRoutes(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
 		f.Sleep(4 * time.Second)
@@ -241,7 +245,7 @@
 		checkHistory(f, RuleConfigInForce, RuleNoConfigRollback)
 	})
 
-	specWith("given a core of five, when two control machines are lost with their disks amid changes, then every acked configuration is kept", 5, map[string]int{"books": 2, "loans": 1, "gates": 1}, []uint64{1, 2}, func(f *Fleet) {
+	specWith("given five control plane replicas, when two are lost with their disks during changes, then every acknowledged configuration is kept", 5, map[string]int{"books": 2, "loans": 1, "gates": 1}, []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		for round := range 3 {
@@ -266,7 +270,7 @@
 		checkHistory(f, RuleProposalConflict, RuleConfigDurability)
 	})
 
-	spec("given configurations that are not proper, when they are pushed, then none is acked or in force", []uint64{1}, func(f *Fleet) {
+	spec("given invalid configurations, when they are proposed, then none is accepted or in force", []uint64{1}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(30)
 		invalidate := []func(c *wire.Configuration){
--- a/internal/testing/openfleet/faults.go
+++ b/internal/testing/openfleet/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Fault is a way in which an upstream mishandles its response after the work is done.
+// Fault is a way in which an upstream mishandles its response after it has executed the request.
 type Fault string
 
 const (
@@ -14,7 +14,7 @@
 	ConnReset Fault = "reset"
 	// TruncatedBody cuts the response off within its body and closes the connection.
 	TruncatedBody Fault = "torn"
-	// InvalidResponse sends bytes that are no HTTP response and closes the connection.
+	// InvalidResponse sends bytes that are not an HTTP response and closes the connection.
 	InvalidResponse Fault = "garbled"
 	// MissingSeal omits the seal header from the response.
 	MissingSeal Fault = "unsealed"
@@ -22,13 +22,13 @@
 	UndelimitedBody Fault = "endless"
 	// DuplicateResponse sends the response twice in a row.
 	DuplicateResponse Fault = "twin"
-	// LateDuplicate sends the response again after Trouble.Late.
+	// LateDuplicate sends the response again after FaultRate.Delay.
 	LateDuplicate Fault = "late-twin"
 	// DuplicateOnNextRequest also sends a copy of the response when the next request arrives on the connection.
 	DuplicateOnNextRequest Fault = "stale"
-	// TrailingBytes sends bytes that are no HTTP right after the response.
+	// TrailingBytes sends bytes that are not HTTP right after the response.
 	TrailingBytes Fault = "trail"
-	// LateTrailingBytes sends bytes that are no HTTP after Trouble.Late.
+	// LateTrailingBytes sends bytes that are not HTTP after FaultRate.Delay.
 	LateTrailingBytes Fault = "late-trail"
 	// CloseAfterResponse sends a correct response with "Connection: close" and closes the connection.
 	CloseAfterResponse Fault = "closing"
@@ -40,22 +40,23 @@
 	UnrelatedResponse Fault = "crossed"
 )
 
-// FaultRate injects a Fault into a share of an upstream's responses. Share is a probability from 0 to 1; Late
-// is the delay of the faults LateTwin and LateTrail.
+// FaultRate injects a Fault into some of an upstream's responses. Probability is from 0 to 1; Delay is that of the faults
+// LateDuplicate and LateTrailingBytes.
 type FaultRate struct {
 	Fault       Fault
 	Probability float64
 	Delay       time.Duration
 }
 
-// SetFaults replaces the faults that the upstream injects. At most one is drawn for each response; shares that
-// sum to less than 1 leave the rest Sound.
+// SetFaults replaces the faults that the upstream injects. At most one is drawn for each response; if the probabilities sum
+// to less than 1, the other responses are correct.
 func (u *Upstream) SetFaults(faults ...FaultRate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = faults
 }
 
+// drawFault picks the fault of one response at random.
 func (u *Upstream) drawFault() FaultRate {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -1,4 +1,5 @@
-// Package openfleet runs an open fleet in memory: control machines, nodes with an upstream beside each, visitors and an operator.
+// Package openfleet runs a fleet without a fixed list of nodes in memory: control plane replicas, data plane nodes with an
+// upstream beside each, clients and operators. Tests inject faults and check the recorded History against rules.
 package openfleet
 
 import (
@@ -35,21 +36,21 @@
 	upstreamPort      = 8080
 	journalLimit      = 400
 	heartbeatInterval = 500 * time.Millisecond
-	drainBound        = 2 * time.Second
-	inForceBound      = 2 * time.Second
-	stopGrace         = 6 * time.Second
-	contactBound      = 4 * time.Second
-	rollbackSlack     = 250 * time.Millisecond
-	stopSlack         = 500 * time.Millisecond
+	drainBound        = 2 * time.Second        // an instance gets no request later than this after its departure is acknowledged
+	inForceBound      = 2 * time.Second        // an acknowledged configuration is in force at every node in contact within this time
+	stopGrace         = 6 * time.Second        // grace period of a graceful stop
+	contactBound      = 4 * time.Second        // a disturbance may have effects for this long after its end
+	rollbackSlack     = 250 * time.Millisecond // an older configuration may be seen for this long after a newer one
+	stopSlack         = 500 * time.Millisecond // tolerance of RuleGracefulStop
 	retryRatio        = 0.2
 	retryWindow       = 10 * time.Second
 	retrySlack        = 20
-	controllerPrefix  = "core"  // of the names of control machines, and the core as a whole
-	allLinks          = "links" // in a history, the links of all machines
+	controllerPrefix  = "core"  // prefix of the names of control plane replicas; in a History, the control plane as a whole
+	allLinks          = "links" // in a History, the links of all machines
 )
 
-// Machine is a simulated machine. Its process is either a replica of the control plane (Core) or a data
-// plane node with an Upstream beside it; Control machine and Node are nil while no process runs.
+// Machine is a simulated machine. Its process is either a replica of the control plane (IsController) or a data plane node
+// with an Upstream beside it; Controller and Node are nil while no process runs.
 type Machine struct {
 	Name           string
 	Zone           string
@@ -75,12 +76,14 @@
 // Address returns the machine's address for a port, as "ip:port".
 func (m *Machine) Address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
+// processName identifies one run of the machine's process on the network. Random choices depend on it.
 func (m *Machine) processName() string { return fmt.Sprintf("%s life %d", m.Name, m.starts.Load()) }
 
-// Fleet is a simulated mesh: control plane replicas, data plane nodes with their upstreams, clients and
-// operators, on one simulated network. Plan is the client workload, Habits are given to new upstreams, Size
-// returns their capacity and queue length in requests, and Tune, if set, adjusts the settings of each node
-// before it starts. The same Seed gives the same random choices.
+// Fleet is a simulated mesh: control plane replicas, data plane nodes with their upstreams, clients and operators, on one
+// simulated network. Workload is what clients request, Behaviors are given to new upstreams, CapacityOf returns their
+// capacity and queue length in requests, and AdjustParams, if set, adjusts the settings of each node before it starts.
+// InitialConfiguration is pushed first, and Description names the fleet in failure messages. The same Seed gives the same
+// random choices.
 type Fleet struct {
 	Scope                base.Scope
 	Seed                 uint64
@@ -97,7 +100,7 @@
 	InitialConfiguration *wire.Configuration
 	Description          string
 	zones                base.Table[string]
-	zoneDelay            time.Duration // delay between zones, one way
+	zoneDelay            time.Duration // one way, between machines of different zones
 	seeds                []string
 	startTime            time.Time
 	configuration        *wire.Configuration
@@ -108,8 +111,8 @@
 	nextID               atomic.Int64
 }
 
-// New builds a fleet of so many control plane replicas and, for each service, so many nodes, spread over
-// three zones. No process runs until Raise.
+// New builds a fleet with the given number of control plane replicas and of nodes by service, spread over three zones. No
+// process runs until StartProcess.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, startTime: time.Now(), zoneDelay: crossZoneDelay}
 	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
@@ -138,7 +141,8 @@
 	return f
 }
 
-// AddNode adds a machine for a service, at an address of its own or at one that another had.
+// AddNode adds a machine for a service. An empty ip gives it an address of its own; it may also take over the address of a
+// retired machine.
 func (f *Fleet) AddNode(service, ip string) *Machine {
 	i := f.nodeCount
 	f.nodeCount++
@@ -154,6 +158,7 @@
 	return m
 }
 
+// newMachine returns a machine in the zone of its address. The first machine at an address decides its zone, by i.
 func (f *Fleet) newMachine(name, ip string, i int) *Machine {
 	if f.zone(ip) == "" {
 		f.zones.Put(ip, string(rune('a'+i%3)))
@@ -167,14 +172,15 @@
 	return zone
 }
 
+// rand returns a source of random numbers that depends on the fleet's seed and the name only.
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) newScope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
 }
 
-// StartProcess starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
-// or PowerLoss recorded. It returns the error of the start.
+// StartProcess starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill or
+// PowerLoss recorded. It returns the error of the start.
 func (f *Fleet) StartProcess(m *Machine) error {
 	m.starts.Add(1)
 	m.mount = simnet.NewMount(m.Disk)
@@ -201,7 +207,7 @@
 	return err
 }
 
-// nodeParams returns the settings that a node starts with.
+// nodeParams returns the settings with which a node starts.
 func (f *Fleet) nodeParams(m *Machine) *wire.NodeParams {
 	params := &wire.NodeParams{
 		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.Address(upstreamPort), Outward: m.Address(outboundPort), Inward: m.Address(inboundPort),
@@ -215,7 +221,7 @@
 	return params
 }
 
-// StartUpstream starts an upstream beside a node.
+// StartUpstream starts a new upstream of the machine's service beside its node. It panics if the upstream can't listen.
 func (f *Fleet) StartUpstream(m *Machine) *Upstream {
 	u := f.NewUpstream(m, m.Service, upstreamPort)
 	m.Upstream = u
@@ -235,20 +241,22 @@
 	}
 }
 
+// beginOutage records an unplanned disturbance of a machine that runs, until its next start.
 func (f *Fleet) beginOutage(m *Machine, cause string) {
 	if m.cancel != nil && m.endDisturbance == nil {
 		m.endDisturbance = f.History.StartDisturbance(m.Name, cause, false)
 	}
 }
 
-// Kill ends the machine's process at once, without a graceful stop, and records an unplanned disturbance
-// until Raise. The upstream keeps running.
+// Kill ends the machine's process at once, without a graceful stop, and records an unplanned disturbance until
+// StartProcess. The upstream keeps running.
 func (f *Fleet) Kill(m *Machine) {
 	f.beginOutage(m, "killed")
 	f.terminate(m, false)
 }
 
-// PowerLoss takes a whole machine, its upstream too, without a word to anybody.
+// PowerLoss ends the machine's process and upstream at once, drops what its disk hasn't synced and cuts all its links, so
+// that its peers see no connection close. It records an unplanned disturbance until StartProcess.
 func (f *Fleet) PowerLoss(m *Machine) {
 	f.beginOutage(m, "power lost")
 	f.setIsolated(m, true)
@@ -260,6 +268,7 @@
 	m.Disk.PowerLoss()
 }
 
+// setIsolated cuts or heals the links between a machine and all others.
 func (f *Fleet) setIsolated(m *Machine, isolated bool) {
 	for _, other := range append(append([]*Machine{}, f.Controllers...), f.Nodes...) {
 		switch {
@@ -273,11 +282,11 @@
 	}
 }
 
-// RestorePower lets a machine that lost it be raised again.
+// RestorePower heals the links of a machine after PowerLoss; StartProcess starts it again.
 func (f *Fleet) RestorePower(m *Machine) { f.setIsolated(m, false) }
 
-// Stop ends the machine's process gracefully and waits for it, as a planned disturbance that lasts until 1
-// s after the end.
+// Stop ends the machine's process gracefully and waits for it. It records a planned disturbance that lasts until 1 s after
+// the end.
 func (f *Fleet) Stop(m *Machine) {
 	end := f.History.StartDisturbance(m.Name, "stop", true)
 	if m.Node != nil {
@@ -289,6 +298,7 @@
 	time.AfterFunc(time.Second, end)
 }
 
+// terminate ends the machine's process at once, if it runs. If silent, its peers see no connection close.
 func (f *Fleet) terminate(m *Machine, silent bool) {
 	if m.cancel == nil {
 		return
@@ -307,8 +317,7 @@
 	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
-// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
-// afterwards.
+// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used afterwards.
 func (f *Fleet) Close() {
 	f.StopLoad()
 	for _, m := range append(f.Nodes, f.retiredNodes...) {
@@ -328,7 +337,7 @@
 // Sleep waits for d on the fleet's clock.
 func (f *Fleet) Sleep(d time.Duration) { base.Await(f.Scope, d) }
 
-// WaitUntil checks reached every 5 ms, for at most longest, and reports whether it became true.
+// WaitUntil checks the condition every 5 ms, for at most timeout, and reports whether it became true.
 func (f *Fleet) WaitUntil(timeout time.Duration, condition func() bool) bool {
 	for start := time.Now(); time.Since(start) < timeout; f.Sleep(5 * time.Millisecond) {
 		if condition() {
@@ -338,7 +347,7 @@
 	return condition()
 }
 
-// NodesOf returns the machines that carry a service, in the order of their enrolment.
+// NodesOf returns the machines of a service, in the order in which they were added.
 func (f *Fleet) NodesOf(service string) (found []*Machine) {
 	for _, m := range f.Nodes {
 		if m.Service == service {
@@ -348,8 +357,7 @@
 	return found
 }
 
-// Ready reports whether all processes on the machines are ready. A machine without a running process counts
-// as ready.
+// Ready reports whether all processes on the machines are ready. A machine without a running process counts as ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
 		if m.Controller != nil && !m.Controller.Ready() || m.Node != nil && !m.Node.Ready() {
@@ -359,7 +367,8 @@
 	return true
 }
 
-// NextConfiguration copies the newest acked configuration, to be changed and pushed on top of it.
+// NextConfiguration returns a copy of the newest acknowledged configuration with that as its base and a higher serial, to
+// be changed and proposed.
 func (f *Fleet) NextConfiguration() *wire.Configuration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -391,7 +400,7 @@
 	f.World.Cut(b.IP, a.IP)
 }
 
-// Retire takes a machine for good: its node and upstream die, and nobody asks there any more.
+// Retire removes a machine for good: its node and upstream are killed and clients no longer send requests to it.
 func (f *Fleet) Retire(m *Machine) {
 	f.mu.Lock()
 	f.Nodes = slices.DeleteFunc(f.Nodes, func(node *Machine) bool { return node == m })
@@ -402,8 +411,8 @@
 	m.Upstream.Kill()
 }
 
-// Freeze suspends the machine's process (its clock, network and disk) until thaw is called, and records an
-// unplanned disturbance for that time.
+// Freeze suspends the machine's process (its clock, network and disk) until thaw is called, and records an unplanned
+// disturbance for that time.
 func (f *Fleet) Freeze(m *Machine) (thaw func()) {
 	end := f.StartDisturbance(m.Name, "frozen")
 	process := m.processName()
--- a/internal/testing/openfleet/history.go
+++ b/internal/testing/openfleet/history.go
@@ -12,10 +12,10 @@
 	"curlewreach/proto/wire"
 )
 
-// Attempt records one request attempt as a client sent it. At and Until (its deadline) are readings of the
-// History's monotonic clock; Aim is the route's latency target. Life counts the starts of the node, Inner
-// marks a call made by an upstream, Repeats a call made while serving a retry, and Proof a request whose
-// rejection is allowed.
+// Attempt records one request attempt as a client sent it. SentAt and Deadline are readings of the History's monotonic
+// clock. ID names the attempt and FirstID the first attempt of the same job. Incarnation counts the starts of the node up
+// to the attempt. FromUpstream marks a call made by an upstream, DuringRetry a call made while executing a retry, and
+// RejectionAllowed a request that needn't have a route.
 type Attempt struct {
 	SentAt           time.Duration
 	ID               string
@@ -36,9 +36,10 @@
 	RejectionAllowed bool
 }
 
-// Outcome records the outcome of the attempt ID. Broken is the transport error, or empty; Status may be zero
-// with it. Again is the Retry-After delay, Kind the error kind of a node's own response, and Mixed what
-// shows that a response belongs to another request. Read tells whether the node had read the whole request.
+// Outcome records the outcome of the attempt ID. TransportError is empty if a complete response was read; otherwise Status
+// may be zero. Sealed tells whether the response carries an upstream's seal, RetryAfter is the Retry-After delay, and
+// ErrorKind the error kind of a node's own response. Mismatch describes how the response fails to match the request, or is
+// empty. RequestRead tells whether the node had read the whole request.
 type Outcome struct {
 	ID             string
 	EndedAt        time.Duration
@@ -51,10 +52,10 @@
 	RequestRead    bool
 }
 
-// Arrival records one attempt as an upstream received it. At and Ended are readings of the History's
-// monotonic clock. Missed marks an attempt addressed to another instance, Ran one whose work began, Broke
-// one whose response was spoilt by a Fault, and Gone one whose caller closed the connection before the work
-// ended.
+// Arrival records one attempt as an upstream received it. ArrivedAt and EndedAt are readings of the History's monotonic
+// clock. Misdirected marks an attempt addressed to another instance, Executed one whose execution began, ResponseBroken one
+// whose response an injected Fault withheld, replaced or cut off, and CallerGone one whose caller closed the connection before the
+// execution ended.
 type Arrival struct {
 	ID             string
 	ArrivedAt      time.Duration
@@ -73,26 +74,25 @@
 	CallerGone     bool
 }
 
-// Job records one client operation with all its retries. At and Ended are readings of the History's
-// monotonic clock; Aim is the route's latency target; Early is how long a first attempt took to be rejected
-// as not run, and Fresh how long the successful attempt took, or zero.
+// Job records one client operation with all its retries. StartedAt and EndedAt are readings of the History's monotonic
+// clock; LatencyTarget is that of the route. RejectedAfter is how long the first attempt took to be rejected as not run,
+// and SuccessLatency how long the successful attempt took; both are zero if there is none.
 type Job struct {
-	ID                 string
-	Route              string
-	Node               string
-	StartedAt          time.Duration
-	EndedAt            time.Duration
-	LatencyTarget      time.Duration
-	Attempts           int
-	Status             int
-	RejectedAfter      time.Duration
-	Succeeded          bool
-	LastAttemptLatency time.Duration
-}
-
-// Proposal records a configuration that an operator proposed. At and Acked are readings of the History's
-// monotonic clock; Acked is -1 until the control plane accepts it. Bad marks a configuration that must be
-// refused.
+	ID             string
+	Route          string
+	Node           string
+	StartedAt      time.Duration
+	EndedAt        time.Duration
+	LatencyTarget  time.Duration
+	Attempts       int
+	Status         int
+	RejectedAfter  time.Duration
+	Succeeded      bool
+	SuccessLatency time.Duration
+}
+
+// Proposal records a configuration that an operator proposed. SentAt and AckedAt are readings of the History's monotonic
+// clock; AckedAt is -1 until the control plane accepts it. Invalid marks a configuration that must be rejected.
 type Proposal struct {
 	Configuration *wire.Configuration
 	SentAt        time.Duration
@@ -118,7 +118,7 @@
 }
 
 // History collects everything observed in a run, for Check to judge. It is safe for concurrent use; its
-// records are changed only under Mark.
+// records are changed only through Update.
 type History struct {
 	clock        base.Clock
 	mu           sync.Mutex
@@ -139,6 +139,7 @@
 	return &History{clock: clock, outcomes: map[string]*Outcome{}, executions: map[string]int{}}
 }
 
+// appendRecord appends a row to a list of the History, under its lock.
 func appendRecord[T any](h *History, rows *[]T, row T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,8 +159,8 @@
 // RecordArrival records that an upstream received an attempt.
 func (h *History) RecordArrival(a *Arrival) { appendRecord(h, &h.arrivals, a) }
 
-// RecordExecution marks that the work of an attempt began, and reports whether an attempt with the same ID had begun
-// before.
+// RecordExecution records that the execution of an attempt began, and reports whether an attempt with the same ID was
+// executed before.
 func (h *History) RecordExecution(a *Arrival) (retry bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -198,13 +199,14 @@
 }
 
 // StartDisturbance records that a disturbance of the named machine begins now; end records that it is over. A planned
-// one is a graceful stop, which excuses no lost request.
+// disturbance is a graceful stop, which exempts no request from the rules.
 func (h *History) StartDisturbance(name, cause string, planned bool) (end func()) {
 	disturbance := &judge.Spell{Node: name, Cause: cause, Planned: planned, From: h.Now(), Till: -1}
 	appendRecord(h, &h.disturbances, disturbance)
 	return func() { h.Update(func() { disturbance.Till = h.clock.Mono() }) }
 }
 
+// digest returns a short hash over the parts, which also depends on where each part ends.
 func digest(parts ...[]byte) string {
 	sum := sha256.New()
 	for _, part := range parts {
@@ -214,6 +216,7 @@
 	return hex.EncodeToString(sum.Sum(nil)[:8])
 }
 
+// seal returns the seal header with which an instance signs a response body to the request id.
 func seal(id, instance string, body []byte) string {
 	return instance + "." + digest([]byte(id), []byte(instance), body)
 }
--- a/internal/testing/openfleet/idle_traffic_test.go
+++ b/internal/testing/openfleet/idle_traffic_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("idle talk", func() {
-	spec("given nothing to do, when time passes, then all talk on control stays small for each node, calm and beside a dark control machine", []uint64{1}, func(f *Fleet) {
+var _ = ginkgo.Describe("idle control traffic", func() {
+	spec("given no load, when time passes, then control traffic per node stays small, without faults and with one control plane replica without power", []uint64{1}, func(f *Fleet) {
 		startAll(f)
 		f.Sleep(5 * time.Second)
 		measure := func(what string) {
@@ -17,12 +17,12 @@
 			f.Sleep(20 * time.Second)
 			later, more := f.World.Sent()
 			each := float64(later-bytes) / 20 / float64(len(f.Nodes))
-			ginkgo.AddReportEntry("idle "+what, fmt.Sprintf("%.0f B/s and %.1f packets/s for each node", each, float64(more-packets)/20/float64(len(f.Nodes))))
+			ginkgo.AddReportEntry("idle "+what, fmt.Sprintf("%.0f B/s and %.1f packets/s per node", each, float64(more-packets)/20/float64(len(f.Nodes))))
 			Expect(each).To(BeNumerically("<", 5500), what)
 		}
-		measure("calm")
+		measure("without faults")
 		f.PowerLoss(f.Controllers[2])
 		f.Sleep(5 * time.Second)
-		measure("beside one dark of three")
+		measure("with one of three replicas without power")
 	})
 })
--- a/internal/testing/openfleet/no_faults_test.go
+++ b/internal/testing/openfleet/no_faults_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("calm days", func() {
-	spec("given a calm day, when visitors come, then all are served", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("a fleet without faults", func() {
+	spec("given no faults, when clients send requests, then all jobs succeed", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(120)
 		f.Sleep(9 * time.Second)
@@ -22,7 +22,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity, RuleRouting, RuleConfigInForce, RuleFewClientErrors)
 	})
 
-	specWith("given odd but proper requests, when they are asked at every node, then they reach an upstream as they were sent", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+	specWith("given unusual but valid requests, when they are sent to every node, then they reach an upstream unchanged", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(5)
 		f.Sleep(500 * time.Millisecond)
--- a/internal/testing/openfleet/node_faults_test.go
+++ b/internal/testing/openfleet/node_faults_test.go
@@ -10,22 +10,24 @@
 	"curlewreach/proto/wire"
 )
 
+// expectSuccessRate expects a success rate of at least minRate from the jobs that JobStats selects.
 func (f *Fleet) expectSuccessRate(minRate float64, from, until time.Duration, match func(*Job) bool) {
 	stats := f.JobStats(from, until, match)
 	ExpectWithOffset(1, stats.SuccessRate()).To(BeNumerically(">=", minRate), "%s: %s", f.Description, stats)
 }
 
-// outage is a time in which a node was down; its own visitors have nobody to ask then.
+// outage is a time in which a node was down, so that clients of this node could not be served.
 type outage struct {
 	node     string
 	from, to time.Duration
 }
 
+// overlaps reports whether the job's node was down during at least part of the job.
 func (j *Job) overlaps(o outage) bool {
 	return j.Node == o.node && j.StartedAt < o.to && max(j.EndedAt, j.StartedAt) >= o.from
 }
 
-// retryableRoutes tells of each route of the first configuration whether its requests may run more than once.
+// retryableRoutes returns, by name of a route of the initial configuration, whether its requests may run more than once.
 func (f *Fleet) retryableRoutes() map[string]bool {
 	retryable := map[string]bool{}
 	for _, route := range f.InitialConfiguration.Routes {
@@ -34,6 +36,8 @@
 	return retryable
 }
 
+// slowDownUpstreams sets the duration of all executions to base plus a random part of swing, and extends client timeouts
+// and the routes' limits to match.
 func (f *Fleet) slowDownUpstreams(base, swing time.Duration) {
 	for i := range f.Behaviors {
 		f.Behaviors[i].Base, f.Behaviors[i].Swing = base, swing
@@ -48,8 +52,8 @@
 	}
 }
 
-var _ = ginkgo.Describe("machines in trouble", func() {
-	spec("given load, when nodes are killed and raised, then nothing runs twice, no refused one ran and most are served", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("node faults", func() {
+	spec("given load, when nodes are killed and restarted, then no request runs twice, none rejected as not run has run and most jobs succeed", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -65,7 +69,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given load, when a machine loses power without a word, then nothing runs twice and the others serve on", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when a machine loses power, then no request runs twice and the other nodes continue to serve", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -84,7 +88,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	specWith("given long answers in flight, when every node is stopped in order and raised, one by one, then nobody loses an answer", 3, map[string]int{"books": 2, "loans": 2, "gates": 2}, []uint64{1, 2}, func(f *Fleet) {
+	specWith("given slow requests in flight, when nodes are gracefully stopped and restarted one by one, then no response is lost", 3, map[string]int{"books": 2, "loans": 2, "gates": 2}, []uint64{1, 2}, func(f *Fleet) {
 		f.slowDownUpstreams(500*time.Millisecond, 300*time.Millisecond)
 		f.CapacityOf = func(string) (int, int) { return 30, 30 }
 		startAll(f)
@@ -102,7 +106,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleGracefulStop)
 	})
 
-	spec("given long answers in flight, when nodes are killed and raised, then nothing runs twice and what may be repeated is served", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
+	spec("given slow requests in flight, when nodes are killed and restarted, then no request runs twice and every retryable job succeeds", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
 		f.slowDownUpstreams(300*time.Millisecond, 300*time.Millisecond)
 		f.CapacityOf = func(string) (int, int) { return 30, 30 }
 		startAll(f)
@@ -127,7 +131,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given visitors who leave early, when others come too, then nothing stays held for those that left", []uint64{1, 2}, func(f *Fleet) {
+	spec("given clients with short timeouts among others, when they give up, then no upstream slot stays taken by their requests", []uint64{1, 2}, func(f *Fleet) {
 		f.slowDownUpstreams(80*time.Millisecond, 40*time.Millisecond)
 		withoutTimeout := f.Workload
 		for _, each := range withoutTimeout {
@@ -145,7 +149,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity)
 	})
 
-	spec("given load with slow upstreams, when machines are replaced in order, upstream first, then nobody loses an answer", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load on slow upstreams, when machines leave gracefully one by one, each upstream before its node, then no response is lost", []uint64{1, 2}, func(f *Fleet) {
 		f.slowDownUpstreams(300*time.Millisecond, 200*time.Millisecond)
 		startAll(f)
 		f.StartLoad(25)
@@ -163,7 +167,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleGracefulStop, RuleDrain)
 	})
 
-	spec("given load, when half of the nodes are killed at once, then the rest serve and all recovers once they are back", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when half of the nodes are killed at once, then the others serve and all jobs succeed soon after the restart", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -187,7 +191,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given load, when every node is killed at once and raised, then all are served again within two seconds", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when all nodes are killed at once and restarted, then jobs succeed again within two seconds", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -205,7 +209,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given load, when a node is frozen for three seconds and thaws, then nothing runs twice and nothing comes late to an upstream that left", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when a node is frozen for three seconds, then no request runs twice and most jobs succeed", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -219,7 +223,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given zones cut from each other, when the cut heals, then nothing ran twice and all are served again", []uint64{1, 2}, func(f *Fleet) {
+	spec("given a partition between zones, when it heals, then no request has run twice and jobs succeed again", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
--- a/internal/testing/openfleet/operator.go
+++ b/internal/testing/openfleet/operator.go
@@ -18,8 +18,10 @@
 	"curlewreach/proto/wire"
 )
 
+// sortedKeys returns the keys of a map in order, so that runs are reproducible.
 func sortedKeys[V any](rows map[string]V) []string { return slices.Sorted(maps.Keys(rows)) }
 
+// nodeControlHandler serves a node's control endpoint for upstreams: heartbeats and departures.
 func nodeControlHandler(node *dataplane.Node) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /berths/{id}", func(w http.ResponseWriter, r *http.Request) {
@@ -40,6 +42,7 @@
 	return mux
 }
 
+// operatorHandler serves a control plane replica's operator endpoint, with protobuf bodies.
 func operatorHandler(server *controlplane.Server) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /configuration", func(w http.ResponseWriter, r *http.Request) {
@@ -59,6 +62,7 @@
 	return mux
 }
 
+// writeReply writes a protobuf message, or the HTTP status that belongs to the error's kind.
 func writeReply(w http.ResponseWriter, message proto.Message, err error) {
 	if err != nil {
 		w.WriteHeader(base.Answers[base.FaultOf(err).Kind].Status)
@@ -68,7 +72,7 @@
 	_, _ = w.Write(body)
 }
 
-// Operator sends a proposal from control machine to control machine until one gives a clear answer.
+// Operator is a client of the control plane that proposes and reads configurations.
 type Operator struct {
 	fleet      *Fleet
 	scope      base.Scope
@@ -81,6 +85,7 @@
 	return &Operator{fleet: f, scope: s, httpClient: &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, DisableKeepAlives: true}, Timeout: time.Second}}
 }
 
+// call makes one HTTP call and decodes the response into a message. A status other than 200 is an error.
 func (o *Operator) call(method, address string, body []byte, into proto.Message) error {
 	request, err := http.NewRequestWithContext(o.scope, method, "http://"+address+"/configuration", bytes.NewReader(body))
 	if err != nil {
@@ -101,9 +106,9 @@
 	return proto.Unmarshal(responseBody, into)
 }
 
-// Propose sends a proposal to one replica after the other until one returns an outcome, and records it as
-// the configuration whole. An outcome with a Kind is a refusal; nil means that none came within longest, so
-// that the proposal may or may not be accepted.
+// Propose sends a proposal to one replica after the other until one returns an outcome, and records it as a proposal of
+// configuration. An outcome with a Kind is a rejection; nil means that no outcome came within timeout, so that the proposal
+// may or may not be accepted.
 func (o *Operator) Propose(request *wire.ConfigurationProposal, configuration *wire.Configuration, timeout time.Duration) *wire.ConfigurationOutcome {
 	h := o.fleet.History
 	proposal := &Proposal{Configuration: configuration, SentAt: h.Now(), AckedAt: -1}
@@ -129,15 +134,16 @@
 	return nil
 }
 
-// ReadConfiguration returns the configuration that one control plane replica serves. It fails on a transport error, a
-// status other than 200 or a malformed body.
+// ReadConfiguration returns the configuration that one control plane replica serves. It fails on a transport error, a status
+// other than 200 or a malformed body.
 func (o *Operator) ReadConfiguration(controller *Machine) (*wire.Configuration, error) {
 	configuration := &wire.Configuration{}
 	err := o.call(http.MethodGet, controller.Address(operatorPort), nil, configuration)
 	return configuration, err
 }
 
-// PushConfiguration puts a whole configuration on top of the one that was current.
+// PushConfiguration proposes a configuration and makes it the fleet's current one if it is accepted. It returns nil if no
+// outcome came within timeout.
 func (f *Fleet) PushConfiguration(next *wire.Configuration, timeout time.Duration) *wire.ConfigurationOutcome {
 	outcome := f.NewOperator("one").Propose(&wire.ConfigurationProposal{Configuration: next}, next, timeout)
 	if outcome != nil && outcome.Kind == "" {
@@ -146,6 +152,7 @@
 	return outcome
 }
 
+// recordAccepted makes an accepted configuration the fleet's current one, unless a newer one is.
 func (f *Fleet) recordAccepted(next *wire.Configuration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,7 +161,8 @@
 	}
 }
 
-// ReadConfiguration asks control machines for the configuration until one answers.
+// ReadConfiguration reads the configuration from one replica after the other until one answers, at most four times each,
+// and records the result.
 func (f *Fleet) ReadConfiguration() {
 	o := f.NewOperator("reader")
 	for i := range 4 * len(f.Controllers) {
--- a/internal/testing/openfleet/overload_test.go
+++ b/internal/testing/openfleet/overload_test.go
@@ -7,17 +7,19 @@
 	. "github.com/onsi/gomega"
 )
 
+// expectEarlyRejections looks at the first attempts since from that were rejected as not run. It expects more than 20, all
+// with a Retry-After, and at least minShare of them within a quarter of the route's latency target.
 func (f *Fleet) expectEarlyRejections(minShare float64, from time.Duration) {
 	h := f.History
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	refused, early, withRetryAfter := 0, 0, 0
+	rejected, early, withRetryAfter := 0, 0, 0
 	for _, attempt := range h.attempts {
 		outcome := h.outcomes[attempt.ID]
 		if outcome == nil || attempt.SentAt < from || attempt.FirstID != attempt.ID || !rejectedBeforeExecution(outcome) {
 			continue
 		}
-		refused++
+		rejected++
 		if outcome.EndedAt-attempt.SentAt <= attempt.LatencyTarget/4 {
 			early++
 		}
@@ -25,12 +27,12 @@
 			withRetryAfter++
 		}
 	}
-	ExpectWithOffset(1, refused).To(BeNumerically(">", 20), f.Description)
-	ExpectWithOffset(1, float64(early)/float64(refused)).To(BeNumerically(">=", minShare), "%s: %d of %d refused early", f.Description, early, refused)
-	ExpectWithOffset(1, withRetryAfter).To(Equal(refused), "%s: told when to come again", f.Description)
+	ExpectWithOffset(1, rejected).To(BeNumerically(">", 20), f.Description)
+	ExpectWithOffset(1, float64(early)/float64(rejected)).To(BeNumerically(">=", minShare), "%s: %d of %d rejected early", f.Description, early, rejected)
+	ExpectWithOffset(1, withRetryAfter).To(Equal(rejected), "%s: rejections with Retry-After", f.Description)
 }
 
-var _ = ginkgo.Describe("crowds", func() {
+var _ = ginkgo.Describe("overload", func() {
 	slow := func(f *Fleet) {
 		f.CapacityOf = func(string) (int, int) { return 2, 4 }
 		f.Behaviors = []Behavior{{Prefix: "/return/", Base: 60 * time.Millisecond, Swing: 60 * time.Millisecond, Size: 200}, {Prefix: "/search/", Base: 60 * time.Millisecond, Swing: 60 * time.Millisecond, Size: 400}}
@@ -38,7 +40,7 @@
 	for _, each := range []struct{ what, host, path, method string }{
 		{"mutations", "loans.example", "/return/", "POST"}, {"searches", "books.example", "/search/", "GET"},
 	} {
-		spec("given half as many "+each.what+" again as upstreams can take, when they come, then those in excess are refused at once and told when, and most served ones are in aim", []uint64{1, 2}, func(f *Fleet) {
+		spec("given "+each.what+" at one and a half times the capacity of upstreams, when clients send them, then the excess is rejected early with a Retry-After, and most successful jobs are on time", []uint64{1, 2}, func(f *Fleet) {
 			slow(f)
 			f.Workload = []RequestClass{{Method: each.method, Host: each.host, Path: each.path, Weight: 1, BodySize: 20}}
 			startAll(f)
@@ -58,7 +60,7 @@
 		})
 	}
 
-	spec("given a crowd, when it is over, then all are served and in aim at once again", []uint64{1, 2}, func(f *Fleet) {
+	spec("given an overload, when it ends, then jobs succeed on time again at once", []uint64{1, 2}, func(f *Fleet) {
 		slow(f)
 		f.Workload = []RequestClass{{Method: "POST", Host: "loans.example", Path: "/return/", Weight: 1, BodySize: 20}, {Method: "GET", Host: "books.example", Path: "/search/", Weight: 1}}
 		startAll(f)
@@ -77,7 +79,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("the budget", func() {
+var _ = ginkgo.Describe("the retry budget", func() {
 	for _, each := range []struct {
 		name    string
 		fault   Fault
@@ -86,13 +88,13 @@
 		rate    float64
 		slowest float64
 	}{
-		{"lose half their answers", ConnReset, 0.5, allServices, 90, 1},
-		{"lose every answer", ConnReset, 1, []string{"books"}, 90, 1},
-		{"fall silent half the time", NoResponse, 0.5, []string{"books"}, 60, 1},
-		{"fail half the time amid further calls", InternalError, 0.5, []string{"loans"}, 90, 1},
-		{"are slow by turns", NoFault, 0, nil, 70, 8},
+		{"reset half of their connections instead of responding", ConnReset, 0.5, allServices, 90, 1},
+		{"reset every connection instead of responding", ConnReset, 1, []string{"books"}, 90, 1},
+		{"don't respond to half of the requests", NoResponse, 0.5, []string{"books"}, 60, 1},
+		{"fail half of the requests after their own calls", InternalError, 0.5, []string{"loans"}, 90, 1},
+		{"are slow in turn", NoFault, 0, nil, 70, 8},
 	} {
-		specWith("given upstreams that "+each.name+", when visitors come, then repeats and hedges stay within what is paid", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith("given upstreams that "+each.name+", when clients send requests, then retries and hedged requests stay within the budget", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
 			f.StartLoad(each.rate)
 			f.Sleep(1500 * time.Millisecond)
--- a/internal/testing/openfleet/partition_test.go
+++ b/internal/testing/openfleet/partition_test.go
@@ -12,13 +12,16 @@
 )
 
 const (
-	confirmationBound    = 150 * time.Millisecond // from a start to a confirmed configuration
-	controllerRoundBound = 400 * time.Millisecond // 0.1 of the ack bound
+	confirmationBound    = 150 * time.Millisecond // from the start of a node to a confirmed configuration
+	controllerRoundBound = 400 * time.Millisecond // one round of the control plane: 0.1 of the acknowledgement bound
 )
 
-// isolate cuts a control machine from the others, not from nodes: both ways, or only what it sends, or only what comes in.
+// isolate cuts a control plane replica off from the other replicas, but not from nodes. The direction, modulo 3, chooses
+// whether both directions are cut (0), only the traffic to it (1) or only the traffic from it (2). The disturbance is
+// recorded as over at once although the partition lasts, so that it exempts nodes from the configuration bound for
+// contactBound only.
 func (f *Fleet) isolate(m *Machine, direction uint64) {
-	end := f.StartDisturbance(m.Name, "cut from the core")
+	end := f.StartDisturbance(m.Name, "isolated from the control plane")
 	for _, other := range f.Controllers {
 		if other == m {
 			continue
@@ -33,14 +36,15 @@
 	end()
 }
 
-// healPartitions heals all cuts.
+// healPartitions heals all partitions and link faults, and records a disturbance of the control plane at that time.
 func (f *Fleet) healPartitions() {
-	end := f.StartDisturbance("core", "joined again")
+	end := f.StartDisturbance("core", "partition healed")
 	f.World.HealAll()
 	end()
 }
 
-// restartUntilConfirmed kills and raises a node at once and tells how long it took to a confirmed configuration.
+// restartUntilConfirmed kills a node, starts it 100 ms later and returns how long it then took to have a confirmed
+// configuration.
 func (f *Fleet) restartUntilConfirmed(m *Machine) time.Duration {
 	f.Kill(m)
 	f.Sleep(100 * time.Millisecond)
@@ -53,7 +57,8 @@
 	return f.Scope.Clock.Mono() - start
 }
 
-// changeConfiguration pushes a configuration and shows, once nodes are in touch, that every node has it in force in time.
+// changeConfiguration pushes a changed configuration, waits for inForceBound and requests its routes at every node, so that
+// the rules show whether each node in contact has it in force in time.
 func (f *Fleet) changeConfiguration(round int) {
 	outcome := f.PushConfiguration(changeRoutes(f.NextConfiguration(), round), 10*time.Second)
 	Expect(outcome).NotTo(BeNil(), f.Description)
@@ -62,7 +67,8 @@
 	f.requestNewRoutes(round+2, 200*time.Millisecond)
 }
 
-// controllerBySeed is the control machine that owns the configuration, or another, by seed.
+// controllerBySeed returns the control plane replica that owns the configuration if the seed is even, or another if it is
+// odd.
 func (f *Fleet) controllerBySeed(seed uint64) *Machine {
 	for _, m := range f.Controllers {
 		if owns := f.controllerView(m).Owner == m.Address(inboundPort); owns == (seed%2 == 0) {
@@ -72,22 +78,22 @@
 	return f.Controllers[0]
 }
 
-var _ = ginkgo.Describe("a control machine that is cut off", func() {
-	spec("given one cut from the core for 20 s, both ways or one way, while configurations change and clocks step, when nodes start beside it, then none in touch serves an old configuration past the bound", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
+var _ = ginkgo.Describe("an isolated control plane replica", func() {
+	spec("given a replica isolated from the others for 20 s, in both directions or one, while configurations change and clocks step, when nodes restart, then no node in contact uses an old configuration past the bound", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		f.Sleep(time.Second)
-		cut := f.controllerBySeed(f.Seed)
-		f.isolate(cut, f.Seed)
+		isolated := f.controllerBySeed(f.Seed)
+		f.isolate(isolated, f.Seed)
 		round := 0
-		longest := controllerRoundBound + confirmationBound // a core that has just lost one waits for it, one round long
+		longest := controllerRoundBound + confirmationBound // replicas that have just lost contact with one wait one round for its response
 		for _, m := range []*Machine{f.NodesOf("books")[0], f.NodesOf("loans")[1]} {
 			f.PushConfiguration(changeRoutes(f.NextConfiguration(), round), 10*time.Second)
 			round++
 			Expect(f.restartUntilConfirmed(m)).To(BeNumerically("<", longest), f.Description)
 			longest = confirmationBound
 			Expect(m.Node.View().Serial).To(Equal(f.NextConfiguration().Base), f.Description)
-			cut.Clock.Jump(7 * time.Second)
+			isolated.Clock.Jump(7 * time.Second)
 			m.Clock.Jump(-5 * time.Second)
 			f.Sleep(contactBound + 50*time.Millisecond)
 			f.changeConfiguration(round)
@@ -100,7 +106,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 	})
 
-	spec("given nodes whose settings name only the one that is cut off, when they start beside it, then they find those with a majority and none in touch serves an old configuration past the bound", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given nodes whose only seed is the isolated replica, when they restart, then they find the majority and no node in contact uses an old configuration past the bound", []uint64{1, 2, 3}, func(f *Fleet) {
 		f.AdjustParams = func(p *wire.NodeParams) { p.Seeds = []string{f.Controllers[0].Address(inboundPort)} }
 		startAll(f)
 		f.StartLoad(20)
@@ -119,13 +125,13 @@
 		checkHistory(f, RuleConfigInForce, RuleNoConfigRollback)
 	})
 
-	spec("given a node that reaches only the one that is cut off, when it starts, then it serves the old configuration marked unconfirmed, and goes on to the newest as soon as it reaches a majority", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given a node that reaches only the isolated replica, when it restarts, then it uses the old configuration as unconfirmed, and changes to the newest one as soon as it reaches a majority", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAllWithViews(f)
 		f.StartLoad(20)
 		f.Sleep(time.Second)
-		m, cut := f.NodesOf("books")[1], f.Controllers[2]
-		f.isolate(cut, 0)
-		end := f.StartDisturbance(m.Name, "cut off")
+		m, isolated := f.NodesOf("books")[1], f.Controllers[2]
+		f.isolate(isolated, 0)
+		end := f.StartDisturbance(m.Name, "isolated")
 		f.Partition(m, f.Controllers[0])
 		f.Partition(m, f.Controllers[1])
 		Expect(f.PushConfiguration(changeRoutes(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
@@ -151,7 +157,7 @@
 		checkHistory(f, RuleConfigInForce, RuleNoConfigRollback)
 	})
 
-	specWith("given five control machines, two of a node's three seeds among them dead, when it starts and configurations change, then it asks living ones and is in time", 5, smallServices, []uint64{1, 2}, func(f *Fleet) {
+	specWith("given five replicas and a node with three seeds of which two have no power, when it restarts and configurations change, then it polls the running replicas and changes in time", 5, smallServices, []uint64{1, 2}, func(f *Fleet) {
 		f.AdjustParams = func(p *wire.NodeParams) { p.Seeds = p.Seeds[:3] }
 		startAll(f)
 		f.StartLoad(20)
@@ -161,16 +167,16 @@
 		m := f.NodesOf("books")[0]
 		Expect(f.restartUntilConfirmed(m)).To(BeNumerically("<", 200*time.Millisecond), f.Description)
 		f.Sleep(contactBound)
-		living := []string{f.Controllers[2].Address(inboundPort), f.Controllers[3].Address(inboundPort), f.Controllers[4].Address(inboundPort)}
+		running := []string{f.Controllers[2].Address(inboundPort), f.Controllers[3].Address(inboundPort), f.Controllers[4].Address(inboundPort)}
 		var polled []string
 		for _, each := range m.Node.View().Polled {
 			polled = append(polled, each.Address)
 		}
-		Expect(polled).To(ConsistOf(living), f.Description)
+		Expect(polled).To(ConsistOf(running), f.Description)
 		f.changeConfiguration(0)
 	})
 
-	spec("given a control machine that is frozen while nodes start and configurations change, when it thaws and sends what it had made, then no node takes the old for confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
+	spec("given a replica that is frozen while nodes restart and configurations change, when it thaws and sends old responses, then no node takes an old configuration as confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		f.Sleep(time.Second)
@@ -194,11 +200,11 @@
 		checkHistory(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleConfigDurability)
 	})
 
-	spec("given a calm core, or one whose third machine is dark, when nodes start, then their first confirmed configuration comes within a few round trips", []uint64{1, 2, 3}, func(f *Fleet) {
+	spec("given three replicas, all running or one without power, when nodes restart, then they have a confirmed configuration within a few round trips", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		var reported []string
-		for _, dark := range []bool{false, true} {
-			if dark {
+		for _, withoutPower := range []bool{false, true} {
+			if withoutPower {
 				f.PowerLoss(f.Controllers[2])
 				f.Sleep(2 * time.Second)
 			}
@@ -208,6 +214,6 @@
 				Expect(took).To(BeNumerically("<", confirmationBound), f.Description)
 			}
 		}
-		ginkgo.AddReportEntry("ms to a confirmed configuration, calm and beside one dark of three", strings.Join(reported, " "))
+		ginkgo.AddReportEntry("ms to a confirmed configuration, with all replicas and with one of three without power", strings.Join(reported, " "))
 	})
 })
--- a/internal/testing/openfleet/random_faults_test.go
+++ b/internal/testing/openfleet/random_faults_test.go
@@ -11,8 +11,10 @@
 	"curlewreach/proto/wire"
 )
 
+// faultScenario disturbs a machine until end is called.
 type faultScenario func(f *Fleet, m *Machine, rnd *random.Source) (end func())
 
+// mustStart starts the machine's process and expects that to succeed.
 func (f *Fleet) mustStart(m *Machine) { Expect(f.StartProcess(m)).To(Succeed()) }
 
 var nodeFaults = []faultScenario{
@@ -53,8 +55,8 @@
 	},
 	func(f *Fleet, m *Machine, rnd *random.Source) func() {
 		faults := []Fault{NoResponse, ConnReset, TruncatedBody, InvalidResponse, MissingSeal, UndelimitedBody, DuplicateResponse, LateDuplicate, DuplicateOnNextRequest, TrailingBytes, LateTrailingBytes, CloseAfterResponse, CloseWithoutResponse, InternalError, UnrelatedResponse}
-		at := rnd.IntN(len(faults))
-		m.Upstream.SetFaults(FaultRate{faults[at], 0.3, 10 * time.Millisecond}, FaultRate{faults[(at+1)%len(faults)], 0.2, 2 * time.Millisecond})
+		first := rnd.IntN(len(faults))
+		m.Upstream.SetFaults(FaultRate{faults[first], 0.3, 10 * time.Millisecond}, FaultRate{faults[(first+1)%len(faults)], 0.2, 2 * time.Millisecond})
 		return func() { m.Upstream.SetFaults() }
 	},
 	func(f *Fleet, m *Machine, rnd *random.Source) func() {
@@ -64,15 +66,15 @@
 	func(f *Fleet, m *Machine, rnd *random.Source) func() {
 		end := f.StartDisturbance(m.Name, "cut off")
 		all := append(f.currentNodes(), f.Controllers...)
-		var cut []*Machine
+		var partitioned []*Machine
 		for _, other := range all {
 			if other != m && rnd.Float64() < 0.6 {
-				cut = append(cut, other)
+				partitioned = append(partitioned, other)
 				f.Partition(m, other)
 			}
 		}
 		return func() {
-			for _, other := range cut {
+			for _, other := range partitioned {
 				f.World.Heal(m.IP, other.IP)
 				f.World.Heal(other.IP, m.IP)
 			}
@@ -119,6 +121,8 @@
 	},
 }
 
+// injectFaults injects one random fault after the other, each into a random one of the machines, until a time on the
+// History's clock. The name determines the random choices.
 func (f *Fleet) injectFaults(name string, machines []*Machine, faults []faultScenario, until time.Duration) {
 	rnd := f.rand("lane " + name)
 	for f.History.Now() < until {
@@ -130,8 +134,8 @@
 	}
 }
 
-var _ = ginkgo.Describe("a bad day", func() {
-	spec("given random troubles of nodes, upstreams, control machines and links at once, when configurations change amid load, then every rule is kept and all is well once they end", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("random faults", func() {
+	spec("given random faults of nodes, upstreams, control plane replicas and links at once, when configurations change under load, then every rule holds and jobs succeed again once the faults end", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(60)
 		f.Sleep(500 * time.Millisecond)
--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -15,36 +15,38 @@
 	"curlewreach/proto/wire"
 )
 
-// The names of the rules that Check judges.
+// Names of the rules that Check applies to a History.
 const (
-	// RuleAtMostOnce requires: no request of a route that forbids retries runs more than once.
+	// RuleAtMostOnce requires that a request of a route that forbids retries is executed at most once.
 	RuleAtMostOnce = "twice"
-	// RuleRejectedNotRun requires: a request of such a route that was rejected as not run has not run.
+	// RuleRejectedNotRun requires that a request of such a route isn't executed if its client was told that it was not run.
 	RuleRejectedNotRun = "refused"
-	// RuleResponseIntegrity requires: each response is well formed and belongs to its request, and nothing else is received.
+	// RuleResponseIntegrity requires that clients receive only well-formed responses, each to its own request.
 	RuleResponseIntegrity = "mixed"
-	// RuleRequestIntegrity requires: upstreams receive only requests that were sent, unchanged, with the true caller.
+	// RuleRequestIntegrity requires that upstreams receive only requests that clients sent, unchanged and with the true caller.
 	RuleRequestIntegrity = "unasked"
-	// RuleRouting requires: a request runs only at a service to which some configuration routes it.
+	// RuleRouting requires that a request is executed only by a service to which some configuration routes it.
 	RuleRouting = "route"
-	// RuleDrain requires: a leaving instance gets no request once the leaving bound has passed.
+	// RuleDrain requires that an instance receives no request later than drainBound after its departure was acknowledged.
 	RuleDrain = "drain"
-	// RuleGracefulStop requires: a graceful stop of a node fails no request that could be served.
+	// RuleGracefulStop requires that a graceful stop of a node fails no request that could have been served.
 	RuleGracefulStop = "lost"
-	// RuleConfigInForce requires: a request is handled by a configuration that may be in force at the time.
+	// RuleConfigInForce requires that a request is handled by a configuration that may be in force at that time.
 	RuleConfigInForce = "config"
-	// RuleNoConfigRollback requires: a node that used a configuration doesn't return to an older one.
+	// RuleNoConfigRollback requires that a running node doesn't return from a configuration to an older one.
 	RuleNoConfigRollback = "going back"
-	// RuleProposalConflict requires: no invalid configuration is accepted, nor two on the same base version.
+	// RuleProposalConflict requires that no invalid configuration is accepted, nor two with the same base version.
 	RuleProposalConflict = "race"
-	// RuleConfigDurability requires: an accepted configuration is not lost and is read back as it was sent.
+	// RuleConfigDurability requires that an accepted configuration isn't lost and is read back as it was sent.
 	RuleConfigDurability = "kept"
-	// RuleRetryBudget requires: retries towards a service stay within its retry budget.
+	// RuleRetryBudget requires that the retries sent to a service stay within its retry budget.
 	RuleRetryBudget = "budget"
-	// RuleFewClientErrors requires: nodes don't reject requests of known routes as client errors, but for a few.
+	// RuleFewClientErrors requires that nodes reject almost no request that has a route with a redirect or client error.
 	RuleFewClientErrors = "denied"
 )
 
+// checker evaluates one rule on a locked History and adds the result to verdict. attemptsByID and arrivalsByID index the
+// History by attempt ID.
 type checker struct {
 	*History
 	verdict       *judge.Verdict
@@ -53,13 +55,16 @@
 	routingTables map[*Proposal]*config.RoutingTable
 }
 
+// violationf adds a violation of the rule to the verdict.
 func (c *checker) violationf(format string, args ...any) {
 	c.verdict.Found = append(c.verdict.Found, fmt.Sprintf(format, args...))
 }
 
+// countCase counts one case to which the rule applied, so that a rule that was never exercised can be told apart.
 func (c *checker) countCase() { c.verdict.Judged++ }
 
-// Check judges a whole history, rule by rule.
+// Check evaluates all rules on a complete History and returns one verdict for each rule. It sorts the History's attempts
+// and arrivals by time.
 func Check(h *History) []judge.Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,7 +113,7 @@
 		}
 		c.countCase()
 		if ran := count(arrivals, (*Arrival).executed); ran > 1 {
-			c.violationf("%s ran %d times, first by %s, last by %s", id, ran, arrivals[0].Instance, arrivals[len(arrivals)-1].Instance)
+			c.violationf("%s was executed %d times, first by %s, last by %s", id, ran, arrivals[0].Instance, arrivals[len(arrivals)-1].Instance)
 		}
 	}
 }
@@ -132,11 +137,12 @@
 		}
 		c.countCase()
 		if slices.ContainsFunc(c.arrivalsByID[id], (*Arrival).executed) {
-			c.violationf("%s was told %d %s at %s, yet ran at %s", id, outcome.Status, outcome.ErrorKind, outcome.EndedAt, c.arrivalsByID[id][0].ArrivedAt)
+			c.violationf("%s was rejected as not run with %d %s at %s, but was executed at %s", id, outcome.Status, outcome.ErrorKind, outcome.EndedAt, c.arrivalsByID[id][0].ArrivedAt)
 		}
 	}
 }
 
+// checkResponseIntegrity also checks that a successful response has a status that an upstream sent for the attempt.
 func checkResponseIntegrity(c *checker) {
 	for id, outcome := range c.outcomes {
 		if outcome.TransportError == "" {
@@ -149,11 +155,11 @@
 		case strings.Contains(outcome.TransportError, "malformed"):
 			c.violationf("%s: %s", id, outcome.TransportError)
 		case success && !slices.ContainsFunc(c.arrivalsByID[id], func(a *Arrival) bool { return a.Status == outcome.Status }):
-			c.violationf("%s was told %d, which no upstream answered", id, outcome.Status)
+			c.violationf("%s received status %d, which no upstream sent", id, outcome.Status)
 		}
 	}
-	for _, stray := range c.strayBytes {
-		c.violationf("stray bytes at %s", stray)
+	for _, received := range c.strayBytes {
+		c.violationf("unexpected bytes received by %s", received)
 	}
 }
 
@@ -163,25 +169,28 @@
 		attempt := c.attemptsByID[arrival.ID]
 		switch {
 		case attempt == nil:
-			c.violationf("%s came to %s, which nobody asked", arrival.ID, arrival.Instance)
+			c.violationf("%s arrived at %s, but no client sent it", arrival.ID, arrival.Instance)
 		case arrival.Method != attempt.Method || arrival.Target != attempt.Target || arrival.Host != attempt.Host || arrival.Digest != attempt.Digest:
-			c.violationf("%s came to %s as %s %s%s (%s)", arrival.ID, arrival.Instance, arrival.Method, arrival.Host, arrival.Target, arrival.Digest)
+			c.violationf("%s arrived at %s changed, as %s %s%s (body digest %s)", arrival.ID, arrival.Instance, arrival.Method, arrival.Host, arrival.Target, arrival.Digest)
 		case arrival.Caller != attempt.Service:
-			c.violationf("%s came to %s as a call of %q", arrival.ID, arrival.Instance, arrival.Caller)
+			c.violationf("%s arrived at %s with the wrong caller %q", arrival.ID, arrival.Instance, arrival.Caller)
 		}
 	}
 }
 
+// path returns a request target without its query.
 func path(target string) string {
 	before, _, _ := strings.Cut(target, "?")
 	return before
 }
 
+// allowsService reports whether a proposed configuration routes the attempt to the service.
 func (c *checker) allowsService(proposal *Proposal, attempt *Attempt, service string) bool {
 	route, known := c.routingTables[proposal].Find(attempt.Host, path(attempt.Target))
 	return known && route.RoutesTo(service)
 }
 
+// hasRoute reports whether a proposed configuration has a route for the attempt.
 func (c *checker) hasRoute(proposal *Proposal, attempt *Attempt) bool {
 	_, known := c.routingTables[proposal].Find(attempt.Host, path(attempt.Target))
 	return known
@@ -195,7 +204,7 @@
 		}
 		c.countCase()
 		if !slices.ContainsFunc(c.proposals, func(proposal *Proposal) bool { return c.allowsService(proposal, attempt, arrival.Service) }) {
-			c.violationf("%s %s%s ran at %s of %s", arrival.ID, attempt.Host, attempt.Target, arrival.Instance, arrival.Service)
+			c.violationf("%s %s%s was executed by %s of %s, to which no configuration routes it", arrival.ID, attempt.Host, attempt.Target, arrival.Instance, arrival.Service)
 		}
 	}
 }
@@ -208,23 +217,29 @@
 			}
 			c.countCase()
 			if late := arrival.ArrivedAt - departure.AckedAt; late > drainBound {
-				c.violationf("%s came to %s %s after its leaving was acked", arrival.ID, departure.Instance, late)
+				c.violationf("%s arrived at %s %s after its departure was acknowledged", arrival.ID, departure.Instance, late)
 			}
 		}
 		c.countCase()
 	}
 }
 
+// overlaps reports whether the disturbance lies at least partly between from and until. A Till below zero means that it
+// hasn't ended.
 func overlaps(s *judge.Spell, from, until time.Duration) bool {
 	return s.From <= until && (s.Till < 0 || s.Till >= from)
 }
 
+// disturbed reports whether an unplanned disturbance, of one of the named machines if any are given, lay between
+// contactBound before from and until.
 func (c *checker) disturbed(from, until time.Duration, names ...string) bool {
 	return slices.ContainsFunc(c.disturbances, func(s *judge.Spell) bool {
 		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contactBound, until)
 	})
 }
 
+// checkGracefulStop checks each attempt that overlaps a planned disturbance of its node. Attempts that overlap an
+// unplanned disturbance of any machine are skipped.
 func checkGracefulStop(c *checker) {
 	for id, outcome := range c.outcomes {
 		attempt := c.attemptsByID[id]
@@ -239,7 +254,11 @@
 	}
 }
 
-// checkDuringStop judges a request that met planned work at its node.
+// checkDuringStop checks an attempt whose node was stopped gracefully meanwhile. Not counted as lost are attempts whose
+// response the upstream broke, that an upstream was still executing more than stopSlack past half of the stop's grace
+// period, or that ended within 20 ms of the client's deadline or after it. Of transport errors only those count whose
+// request the node had read, and that came after the attempt had reached an upstream or more than stopSlack after it was
+// sent.
 func (c *checker) checkDuringStop(stop *judge.Spell, attempt *Attempt, outcome *Outcome) {
 	arrivals, halfGrace := c.arrivalsByID[attempt.ID], stop.From+stopGrace/2
 	broken := slices.ContainsFunc(arrivals, func(a *Arrival) bool {
@@ -250,17 +269,19 @@
 	}
 	if outcome.TransportError != "" {
 		if outcome.RequestRead && (len(arrivals) > 0 || outcome.EndedAt > attempt.SentAt+stopSlack) {
-			c.violationf("%s at %s broke off after %s: %s (%d arrivals)", attempt.ID, attempt.Node, outcome.EndedAt-attempt.SentAt, outcome.TransportError, len(arrivals))
+			c.violationf("%s at %s failed after %s: %s (%d arrivals at upstreams)", attempt.ID, attempt.Node, outcome.EndedAt-attempt.SentAt, outcome.TransportError, len(arrivals))
 		}
 		return
 	}
 	running := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Executed && a.CallerGone })
 	if !outcome.Sealed && outcome.Status >= 500 && running {
-		c.violationf("%s at %s was told %d %s while an upstream worked on it", attempt.ID, attempt.Node, outcome.Status, outcome.ErrorKind)
+		c.violationf("%s at %s received %d %s from the node while an upstream was executing it", attempt.ID, attempt.Node, outcome.Status, outcome.ErrorKind)
 	}
 }
 
-// possibleConfigurations lists the configurations that may rule a request sent at one time and ended at another.
+// possibleConfigurations returns the proposals that may be in force for a request sent at from and ended at until: those
+// that were sent by then and not rejected, and are at least as new as the newest that was acknowledged more than
+// inForceBound before from.
 func (c *checker) possibleConfigurations(from, until time.Duration) []*Proposal {
 	newest := uint64(0)
 	for _, proposal := range c.proposals {
@@ -277,8 +298,9 @@
 	return possible
 }
 
-// configBoundHolds tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
-// from a contact bound before it until it was answered. Trouble of other nodes is no excuse.
+// configBoundHolds reports whether the configuration bound applies to a request: neither its node nor the control plane
+// had an unplanned disturbance between contactBound before the request was sent and its end. Disturbances of other nodes
+// don't exempt it.
 func (c *checker) configBoundHolds(attempt *Attempt, outcome *Outcome) bool {
 	return !slices.ContainsFunc(c.disturbances, func(s *judge.Spell) bool {
 		relevant := s.Node == attempt.Node || strings.HasPrefix(s.Node, controllerPrefix) || s.Node == allLinks
@@ -297,13 +319,13 @@
 		if outcome.noRoute() {
 			c.countCase()
 			if !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return !c.hasRoute(proposal, attempt) }) {
-				c.violationf("%s %s%s, asked at %s of %s, had no route", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node)
+				c.violationf("%s %s%s, sent at %s to %s, was rejected for lack of a route that all possible configurations have", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node)
 			}
 		}
 	}
 }
 
-// checkExecutions looks whether one of the configurations allows each run of a request.
+// checkExecutions checks that each execution of an attempt is allowed by at least one of the configurations.
 func (c *checker) checkExecutions(attempt *Attempt, configurations []*Proposal) {
 	for _, arrival := range c.arrivalsByID[attempt.ID] {
 		if !arrival.Executed {
@@ -311,14 +333,15 @@
 		}
 		c.countCase()
 		if !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return c.allowsService(proposal, attempt, arrival.Service) }) {
-			c.violationf("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node, arrival.Instance)
+			c.violationf("%s %s%s, sent at %s to %s, was executed by %s, which only older or rejected configurations allow", attempt.ID, attempt.Host, attempt.Target, attempt.SentAt, attempt.Node, arrival.Instance)
 		}
 	}
 }
 
-// noRoute tells whether a node answered by itself that no route fits.
+// noRoute reports whether the response is a node's own status 404, for lack of a matching route.
 func (o *Outcome) noRoute() bool { return o.Status == http.StatusNotFound && !o.Sealed }
 
+// serialRange returns the lowest and the highest serial of the matching proposals, or zeros if none matches.
 func (c *checker) serialRange(match func(*Proposal) bool) (low, high uint64) {
 	for _, proposal := range c.proposals {
 		if match(proposal) {
@@ -331,6 +354,8 @@
 	return low, high
 }
 
+// observation is an effect of the configuration that a node used for an attempt: the configuration's serial lies between
+// lowestSerial and highestSerial. sentAt is when the attempt was sent, seenAt when its effect was seen.
 type observation struct {
 	sentAt, seenAt              time.Duration
 	lowestSerial, highestSerial uint64
@@ -344,7 +369,7 @@
 	}
 }
 
-// observations lists, by life of a node, what upstreams and visitors saw of the configurations in force there.
+// observations returns what upstreams and clients saw of the configurations in use, by node and its start count.
 func (c *checker) observations() map[string][]observation {
 	byIncarnation := map[string][]observation{}
 	for _, attempt := range c.attempts {
@@ -364,7 +389,8 @@
 	return byIncarnation
 }
 
-// checkObservations looks whether each effect in a life fits the newest configuration seen there before its request was sent.
+// checkObservations checks for one run of a node that each attempt was handled by a configuration that is at least as new
+// as those seen rollbackSlack or longer before the attempt was sent.
 func (c *checker) checkObservations(incarnation string, observations []observation) {
 	slices.SortFunc(observations, func(a, b observation) int { return cmp.Compare(a.seenAt, b.seenAt) })
 	newest := make([]uint64, len(observations)+1)
@@ -375,7 +401,7 @@
 		n, _ := slices.BinarySearchFunc(observations, observed.sentAt-rollbackSlack, func(e observation, at time.Duration) int { return cmp.Compare(e.seenAt, at) })
 		c.countCase()
 		if observed.highestSerial < newest[n] {
-			c.violationf("%s in %s was handled by %d at most, after %d had been seen", observed.id, incarnation, observed.highestSerial, newest[n])
+			c.violationf("%s at %s was handled by configuration %d or older, after configuration %d had been seen", observed.id, incarnation, observed.highestSerial, newest[n])
 		}
 	}
 }
@@ -385,13 +411,13 @@
 	for _, proposal := range c.proposals {
 		c.countCase()
 		if proposal.Invalid && proposal.AckedAt >= 0 {
-			c.violationf("%d is bad, yet was acked", proposal.Configuration.Serial)
+			c.violationf("configuration %d is invalid, but was acknowledged", proposal.Configuration.Serial)
 		}
 		if proposal.AckedAt < 0 {
 			continue
 		}
-		if other, held := bases[proposal.Configuration.Base]; held && other != proposal.Configuration.Serial {
-			c.violationf("%d and %d were both acked on top of %d", other, proposal.Configuration.Serial, proposal.Configuration.Base)
+		if other, found := bases[proposal.Configuration.Base]; found && other != proposal.Configuration.Serial {
+			c.violationf("configurations %d and %d were both acknowledged with base %d", other, proposal.Configuration.Serial, proposal.Configuration.Base)
 		}
 		bases[proposal.Configuration.Base] = proposal.Configuration.Serial
 	}
@@ -411,19 +437,22 @@
 			continue
 		}
 		if read.Configuration.Serial < newest {
-			c.violationf("%s reads %d, acked was %d", read.Controller, read.Configuration.Serial, newest)
+			c.violationf("%s returns configuration %d, but %d had been acknowledged", read.Controller, read.Configuration.Serial, newest)
 		}
 		if newest > 0 && !slices.ContainsFunc(c.proposals, func(proposal *Proposal) bool { return proto.Equal(proposal.Configuration, read.Configuration) }) {
-			c.violationf("%s reads a configuration %d that nobody sent", read.Controller, read.Configuration.Serial)
+			c.violationf("%s returns a configuration %d that was never proposed", read.Controller, read.Configuration.Serial)
 		}
 	}
 }
 
+// serviceArrival is an arrival at a service. retry marks a further arrival of the same attempt, or one sent while its
+// caller executed a retry.
 type serviceArrival struct {
 	at    time.Duration
 	retry bool
 }
 
+// countBetween returns how many of the sorted times lie in [from, until).
 func countBetween(all []time.Duration, from, until time.Duration) int {
 	low, _ := slices.BinarySearch(all, from)
 	high, _ := slices.BinarySearch(all, until)
@@ -437,10 +466,10 @@
 		excess, share := c.checkRetryRatio(service, arrivals[service], sendTimes[service])
 		worstExcess, largestShare = max(worstExcess, excess), max(largestShare, share)
 	}
-	c.verdict.Remark = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worstExcess, largestShare)
+	c.verdict.Remark = fmt.Sprintf("(largest excess over the ratio: %.1f retries, largest share %.2f)", worstExcess, largestShare)
 }
 
-// arrivalsByService lists the arrivals at each service, and which of them are repeats.
+// arrivalsByService returns the arrivals at each service, in order of time, with retries marked.
 func (c *checker) arrivalsByService() map[string][]serviceArrival {
 	arrivals := map[string][]serviceArrival{}
 	seen := map[string]bool{}
@@ -455,7 +484,7 @@
 	return arrivals
 }
 
-// sendTimesByService lists when requests were sent for each service.
+// sendTimesByService returns when attempts were sent that may go to each service.
 func (c *checker) sendTimesByService() map[string][]time.Duration {
 	sendTimes := map[string][]time.Duration{}
 	for _, attempt := range c.attempts {
@@ -466,7 +495,7 @@
 	return sendTimes
 }
 
-// eligibleServices gives the services to which any configuration lets a request go.
+// eligibleServices returns the services to which any proposed configuration routes an attempt.
 func (c *checker) eligibleServices(attempt *Attempt) map[string]bool {
 	eligible := map[string]bool{}
 	for _, proposal := range c.proposals {
@@ -483,8 +512,9 @@
 	return eligible
 }
 
-// checkRetryRatio judges the repeats within each window that ends with an arrival. It gives the most above the ratio, and the
-// largest share of repeats where there were enough requests to tell.
+// checkRetryRatio checks the retries within each window of length retryWindow that ends with an arrival: they may exceed
+// retryRatio times the requests by retrySlack at most. It returns the largest excess, in retries, and the largest share of
+// retries in a window with more than 50 requests.
 func (c *checker) checkRetryRatio(service string, arrivals []serviceArrival, sendTimes []time.Duration) (worstExcess, largestShare float64) {
 	worstExcess = -1e9
 	start, retries := 0, 0
@@ -506,15 +536,15 @@
 			largestShare = max(largestShare, float64(retries)/float64(requests))
 		}
 		if excess > retrySlack {
-			c.violationf("%s: %d repeats of %d requests at %s", service, retries, requests, last.at)
+			c.violationf("%s: %d retries of %d requests in the window that ends at %s", service, retries, requests, last.at)
 			break
 		}
 	}
 	return worstExcess, largestShare
 }
 
-// requestsNear counts the requests in the window that ends at a moment, in the one before it, or in the one half a window
-// before it, whichever holds the most.
+// requestsNear counts the requests in the window that ends at a time, in the window before it, and in the window that
+// ends half a window earlier, and returns the largest count.
 func requestsNear(sendTimes []time.Duration, at time.Duration) int {
 	from := at - retryWindow
 	return max(
@@ -524,9 +554,11 @@
 	)
 }
 
+// checkClientErrors counts the undisturbed attempts that a node itself answered with status 300 to 499, other than
+// rejections as not run, although every possible configuration has a route for them. Up to 5 plus one in 500 are allowed.
 func checkClientErrors(c *checker) {
 	rejections := 0
-	var first string
+	var example string
 	for _, attempt := range c.attempts {
 		outcome := c.outcomes[attempt.ID]
 		if outcome == nil || attempt.RejectionAllowed || c.disturbed(attempt.SentAt, outcome.EndedAt) {
@@ -537,10 +569,10 @@
 		configurations := c.possibleConfigurations(attempt.SentAt, outcome.EndedAt)
 		if fromNode && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(proposal *Proposal) bool { return !c.hasRoute(proposal, attempt) }) {
 			rejections++
-			first = fmt.Sprintf("%s told %d %s", attempt.ID, outcome.Status, outcome.ErrorKind)
+			example = fmt.Sprintf("%s with status %d %s", attempt.ID, outcome.Status, outcome.ErrorKind)
 		}
 	}
 	if rejections > 5+c.verdict.Judged/500 {
-		c.violationf("%d requests denied, like %s", rejections, first)
+		c.violationf("%d routable requests were rejected, the last being %s", rejections, example)
 	}
 }
--- a/internal/testing/openfleet/stats.go
+++ b/internal/testing/openfleet/stats.go
@@ -8,7 +8,10 @@
 	"time"
 )
 
-// JobStats counts how the visitors of a span fared.
+// JobStats counts jobs by how they ended. OnTime jobs succeeded within their route's latency target.
+// OnTimeAfterRejection jobs exceeded it, but were first rejected early and then succeeded with an attempt that took no
+// longer than the target. Rejected jobs failed with their last attempt rejected as not run; RejectedEarly jobs had their first attempt
+// rejected as not run within a quarter of the latency target. Failures counts failed jobs by reason.
 type JobStats struct {
 	Jobs                 int
 	Succeeded            int
@@ -20,8 +23,8 @@
 	Failures             map[string]int
 }
 
-// JobStats counts the jobs that began at or after from and before till, as readings of the History's clock. A
-// till of zero sets no end; a nil fits selects every job.
+// JobStats counts the jobs that started at or after from and before until, as readings of the History's clock. An until of
+// zero sets no end; a nil match selects every job.
 func (f *Fleet) JobStats(from, until time.Duration, match func(*Job) bool) JobStats {
 	h := f.History
 	h.mu.Lock()
@@ -36,7 +39,7 @@
 	return s
 }
 
-// add counts a job; told is what its last try was told.
+// add counts a job; outcome is that of its last attempt.
 func (s *JobStats) add(job *Job, outcome *Outcome) {
 	s.Jobs++
 	s.Attempts += job.Attempts
@@ -53,7 +56,7 @@
 	case job.EndedAt-job.StartedAt <= job.LatencyTarget:
 		s.Succeeded++
 		s.OnTime++
-	case early && job.LastAttemptLatency <= job.LatencyTarget:
+	case early && job.SuccessLatency <= job.LatencyTarget:
 		s.Succeeded++
 		s.OnTimeAfterRejection++
 	default:
@@ -61,7 +64,7 @@
 	}
 }
 
-// failureReason names how a try ended that wasn't served.
+// failureReason describes how a failed attempt ended.
 func (o *Outcome) failureReason() string {
 	switch {
 	case o.TransportError == "":
@@ -72,10 +75,10 @@
 	return o.TransportError
 }
 
-// SuccessRate returns the fraction of jobs that were served, from 0 to 1.
+// SuccessRate returns the fraction of jobs that succeeded, from 0 to 1.
 func (s JobStats) SuccessRate() float64 { return float64(s.Succeeded) / float64(max(s.Jobs, 1)) }
 
-// OnTimeRate returns the fraction of jobs that were served within their route's latency target, from 0 to 1.
+// OnTimeRate returns the fraction of jobs that succeeded within their route's latency target, from 0 to 1.
 func (s JobStats) OnTimeRate() float64 { return float64(s.OnTime) / float64(max(s.Jobs, 1)) }
 
 func (s JobStats) String() string {
@@ -83,10 +86,10 @@
 	for _, reason := range sortedKeys(s.Failures) {
 		failures = append(failures, fmt.Sprintf("%d× %s", s.Failures[reason], reason))
 	}
-	return fmt.Sprintf("%d jobs, %d tries, served %.4f, in aim %.4f, in aim when asked again %.4f, refused %d, refused early %d; %s", s.Jobs, s.Attempts, s.SuccessRate(), s.OnTimeRate(), float64(s.OnTimeAfterRejection)/float64(max(s.Jobs, 1)), s.Rejected, s.RejectedEarly, strings.Join(failures, ", "))
+	return fmt.Sprintf("%d jobs, %d attempts, succeeded %.4f, on time %.4f, on time after an early rejection %.4f, rejected %d, rejected early %d; %s", s.Jobs, s.Attempts, s.SuccessRate(), s.OnTimeRate(), float64(s.OnTimeAfterRejection)/float64(max(s.Jobs, 1)), s.Rejected, s.RejectedEarly, strings.Join(failures, ", "))
 }
 
-// LatencyQuantile gives the length that a share of served jobs keep below.
+// LatencyQuantile returns a quantile, from 0 to 1, of the latencies of the jobs that succeeded, or zero if none did.
 func (f *Fleet) LatencyQuantile(quantile float64) time.Duration {
 	var latencies []time.Duration
 	for _, job := range f.History.Jobs() {
@@ -101,7 +104,7 @@
 	return latencies[min(int(quantile*float64(len(latencies))), len(latencies)-1)]
 }
 
-// OutcomeCounts counts what tries were told.
+// OutcomeCounts counts the outcomes of attempts.
 func (h *History) OutcomeCounts() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -30,10 +30,12 @@
 
 var smallServices = map[string]int{"books": 2, "loans": 2, "gates": 1}
 
+// spec adds a spec that runs on a fleet with three control plane replicas and the default services, once per seed.
 func spec(text string, seeds []uint64, run func(f *Fleet)) {
 	specWith(text, 3, defaultServices, seeds, run)
 }
 
+// specWith adds a spec that runs in parallel for each seed, each on a fleet of its own in simulated time.
 func specWith(text string, controllers int, services map[string]int, seeds []uint64, run func(f *Fleet)) {
 	ginkgo.It(text, func() {
 		base.Parallel(selectSeeds(seeds), func(seed uint64) {
@@ -49,7 +51,7 @@
 	})
 }
 
-// selectSeeds gives the seeds up to SEEDS if that is set, be they fewer or more than those given.
+// selectSeeds returns the given seeds, or 1 to SEEDS if that environment variable is set.
 func selectSeeds(seeds []uint64) []uint64 {
 	count, err := strconv.Atoi(os.Getenv("SEEDS"))
 	if err != nil {
@@ -86,6 +88,7 @@
 
 func stringPtr(service string) *string { return &service }
 
+// initialConfiguration returns the configuration with which most specs begin.
 func initialConfiguration() *wire.Configuration {
 	c := &wire.Configuration{Serial: 3}
 	for _, name := range []string{"books", "loans", "gates"} {
@@ -103,6 +106,8 @@
 	return c
 }
 
+// startAll starts the control plane, pushes the initial configuration, starts all nodes with their upstreams and waits until
+// the nodes are ready.
 func startAll(f *Fleet) {
 	for _, m := range f.Controllers {
 		Expect(f.StartProcess(m)).To(Succeed())
@@ -121,6 +126,7 @@
 	f.Sleep(300 * time.Millisecond)
 }
 
+// checkHistory stops the load and expects that no rule is violated and that each rule in wanted applied at least once.
 func checkHistory(f *Fleet, wanted ...string) {
 	f.StopLoad()
 	verdicts := Check(f.History)
--- a/internal/testing/openfleet/upstream.go
+++ b/internal/testing/openfleet/upstream.go
@@ -22,12 +22,12 @@
 	defaultIdleTimeout     = 30 * time.Second
 	unrelatedResponseBytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 	invalidBytes           = "\x00\x16 this is no answer\r\n\r\n"
-	noResponseFor          = time.Hour
+	noResponseFor          = time.Hour // longer than any client waits
 )
 
-// Behavior describes how an upstream serves paths with a prefix. The work takes Base plus a uniform random
-// part of Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size
-// in bytes; Chunks selects chunked encoding.
+// Behavior describes how an upstream serves paths with a prefix. The execution takes Base plus a uniform random part of
+// Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size in bytes; Chunks selects
+// chunked encoding.
 type Behavior struct {
 	Prefix string
 	Base   time.Duration
@@ -37,11 +37,11 @@
 	Chunks bool
 }
 
-// Upstream is a simulated service instance beside a node. At most Capacity requests run at a time and Queue
-// more wait; the others are rejected, or reset with FullReset. Rest is the idle timeout of its connections
-// (30 s if zero), which TellRest announces in a Keep-Alive header. ConnLimit is the most open connections
-// (zero sets no limit), Boast is added to the capacity that its heartbeats report, and Dumb sends no
-// heartbeats.
+// Upstream is a simulated service instance beside a node. At most Capacity requests run at a time and Queue more wait; the
+// others are rejected, or their connections reset with ResetWhenFull. IdleTimeout is that of its connections (30 s if
+// zero), which AnnounceIdleTimeout makes it send in a Keep-Alive header. ConnLimit is the largest number of open
+// connections (zero sets no limit), ExtraReportedCapacity is added to the capacity that its heartbeats report, and
+// NoHeartbeats suppresses heartbeats.
 type Upstream struct {
 	ID                    string
 	Service               string
@@ -76,8 +76,7 @@
 	slowdown              float64
 }
 
-// Start listens on the instance's address and begins its heartbeats. It returns the error of the listen
-// call.
+// Start listens on the instance's address and begins its heartbeats. It returns the error of the listen call.
 func (u *Upstream) Start() error {
 	s, cancel := u.scope.WithCancel()
 	u.cancel = cancel
@@ -108,6 +107,7 @@
 	return nil
 }
 
+// handleConn serves a connection, or resets it if ConnLimit is exceeded.
 func (u *Upstream) handleConn(s context.Context, conn net.Conn) {
 	u.mu.Lock()
 	u.conns++
@@ -140,11 +140,13 @@
 	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.ExtraReportedCapacity), Leaving: u.leaving, Sequence: u.sequence}
 }
 
+// sendHeartbeat sends one heartbeat to the node and reports whether the node accepted it.
 func (u *Upstream) sendHeartbeat(s base.Scope) bool {
 	body, _ := json.Marshal(u.NextHeartbeat())
 	return u.callNode(s, http.MethodPut, body)
 }
 
+// callNode calls the node's control endpoint for this instance and reports whether the response is a success.
 func (u *Upstream) callNode(s base.Scope, method string, body []byte) bool {
 	request, err := http.NewRequestWithContext(s, method, "http://"+u.machine.Address(controlPort)+"/berths/"+u.ID, bytes.NewReader(body))
 	if err != nil {
@@ -159,7 +161,7 @@
 	return response.StatusCode < 300
 }
 
-// Leave says that it leaves until that is acknowledged, serves on for the leaving bound and ends.
+// Leave announces that the instance is leaving, serves for drainBound and 300 ms more, deregisters it and shuts it down.
 func (u *Upstream) Leave() {
 	u.AnnounceLeaving()
 	base.Await(u.scope, drainBound+300*time.Millisecond)
@@ -167,8 +169,8 @@
 	u.shutDown(false)
 }
 
-// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and
-// records when the node acknowledges it.
+// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and records when
+// the node acknowledges it.
 func (u *Upstream) AnnounceLeaving() {
 	u.mu.Lock()
 	u.leaving = true
@@ -186,6 +188,7 @@
 // Kill ends the instance at once and closes its connections, without draining and without a last heartbeat.
 func (u *Upstream) Kill() { u.shutDown(true) }
 
+// shutDown ends the instance once. Unless immediate, it first waits up to 1 s for requests under way.
 func (u *Upstream) shutDown(immediate bool) {
 	u.mu.Lock()
 	alreadyEnded := u.ended
@@ -210,7 +213,7 @@
 	u.httpClient.CloseIdleConnections()
 }
 
-// SetSlowdown makes work take so many times as long.
+// SetSlowdown multiplies the duration of later executions by factor.
 func (u *Upstream) SetSlowdown(factor float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -220,6 +223,7 @@
 // ActiveRequests returns how many requests hold a slot of the instance's capacity.
 func (u *Upstream) ActiveRequests() int { return len(u.slots) }
 
+// behaviorFor returns the first behavior that matches the path, or a default one.
 func (u *Upstream) behaviorFor(path string) Behavior {
 	for _, behavior := range u.Behaviors {
 		if strings.HasPrefix(path, behavior.Prefix) {
@@ -229,6 +233,7 @@
 	return Behavior{Base: 2 * time.Millisecond, Size: 64}
 }
 
+// slotResult is how the wait of a request for a slot ended.
 type slotResult int
 
 const (
@@ -238,6 +243,7 @@
 	callerGone
 )
 
+// acquireSlot takes a slot of the instance's capacity, waiting in the queue if there is room.
 func (u *Upstream) acquireSlot(ctx context.Context, wait time.Duration) slotResult {
 	select {
 	case u.slots <- struct{}{}:
@@ -268,6 +274,8 @@
 	}
 }
 
+// serve handles one request and reports whether the connection can be used for another. It rejects requests as not run
+// that lack an ID or a deadline, are addressed to another instance, find the queue full or wait beyond their deadline.
 func (u *Upstream) serve(conn *serverConn, r *http.Request, body []byte) (keepOpen bool) {
 	h, headers := u.fleet.History, forwarding.DefaultHeaderNames
 	start := h.Now()
@@ -315,6 +323,8 @@
 	return u.respond(conn, injected, header, id, status, responseBody, u.behaviorFor(r.URL.Path).Chunks)
 }
 
+// execute simulates the execution of a request: it waits for the behavior's duration and makes its calls. It returns status
+// 504 once the deadline has passed, and 500 if a call fails.
 func (u *Upstream) execute(ctx context.Context, r *http.Request, id string, retry bool, deadline time.Duration) (status int, body []byte) {
 	h := u.fleet.History
 	behavior := u.behaviorFor(r.URL.Path)
@@ -343,6 +353,7 @@
 	return http.StatusOK, []byte(strings.Repeat(id+" "+u.ID+"\n", 1+behavior.Size/(len(id)+len(u.ID)+2)))
 }
 
+// callDependency makes one call "METHOD host path" through the node beside the instance.
 func (u *Upstream) callDependency(parent *http.Request, call, id string, retry bool, deadline time.Duration) *Outcome {
 	u.mu.Lock()
 	u.calls++
@@ -353,6 +364,7 @@
 	return u.client.do(attempt, nil, false, false)
 }
 
+// respond sends the response with the injected fault and reports whether the connection stays open.
 func (u *Upstream) respond(conn *serverConn, injected FaultRate, header []string, id string, status int, body []byte, chunked bool) (keepOpen bool) {
 	headers := forwarding.DefaultHeaderNames
 	sealedHeader := header
@@ -385,8 +397,8 @@
 	return true
 }
 
-// breakResponse ends the connection without a whole answer, if the fault asks for it. plain is the answer in one piece with its
-// length, whole as it would be sent.
+// breakResponse applies the faults that leave the response incomplete or absent, and reports whether fault is one of them.
+// plain is the response with a Content-Length, whole the response as it would be sent without the fault.
 func (u *Upstream) breakResponse(conn *serverConn, fault Fault, plain, whole, body []byte) (broken bool) {
 	switch fault {
 	case NoResponse:
@@ -408,7 +420,8 @@
 	return true
 }
 
-// alterResponse gives what is sent in place of a whole answer, and keeps what is to come with the next one.
+// alterResponse returns the bytes that a fault sends in place of the whole response. For DuplicateOnNextRequest it stores
+// the copy that is sent when the next request arrives.
 func alterResponse(conn *serverConn, fault Fault, whole, unsealed, failing []byte) []byte {
 	switch fault {
 	case MissingSeal:
--- a/internal/testing/openfleet/upstream_conn.go
+++ b/internal/testing/openfleet/upstream_conn.go
@@ -13,6 +13,8 @@
 	"time"
 )
 
+// serverConn is an upstream's side of a connection. ctx ends when the peer closes the connection or the upstream ends.
+// delayedCopy is sent when the next request arrives.
 type serverConn struct {
 	raw         net.Conn
 	in          *bufio.Reader
@@ -29,6 +31,8 @@
 	return c
 }
 
+// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. At the
+// end of the connection it cancels ctx.
 func (c *serverConn) peekAsync() {
 	go func() {
 		_, err := c.in.Peek(1)
@@ -39,6 +43,7 @@
 	}()
 }
 
+// write writes data in pieces of at most 32 KiB.
 func (c *serverConn) write(data []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +57,7 @@
 	return nil
 }
 
-// writeLater says something after a while, if the connection is still there.
+// writeLater writes data after a delay, unless the connection has ended by then.
 func (c *serverConn) writeLater(delay time.Duration, data []byte) {
 	time.AfterFunc(delay, func() {
 		if c.ctx.Err() == nil {
@@ -61,6 +66,7 @@
 	})
 }
 
+// reset resets a simulated connection and closes any other.
 func (c *serverConn) reset() {
 	if conn, ok := c.raw.(interface{ Reset() }); ok {
 		conn.Reset()
@@ -69,6 +75,7 @@
 	_ = c.raw.Close()
 }
 
+// serveConn serves the requests of one connection until it ends, is idle for too long or the upstream ends.
 func (u *Upstream) serveConn(s context.Context, conn net.Conn) {
 	c := newServerConn(s, conn)
 	defer c.cancel()
@@ -108,6 +115,7 @@
 	}
 }
 
+// formatResponse returns the bytes of a response with a Content-Length. header holds whole header lines.
 func formatResponse(status int, header []string, body []byte) []byte {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, line := range header {
@@ -116,8 +124,10 @@
 	return append([]byte(fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, len(body))), body...)
 }
 
+// chunkSize is the size of the chunks of a chunked response, in bytes.
 const chunkSize = 9000
 
+// formatChunkedResponse returns the bytes of a response with status 200 and chunked encoding.
 func formatChunkedResponse(header []string, body []byte) []byte {
 	var out bytes.Buffer
 	_, _ = fmt.Fprintf(&out, "HTTP/1.1 200 OK\r\n%s\r\nTransfer-Encoding: chunked\r\n\r\n", strings.Join(header, "\r\n"))
--- a/internal/testing/openfleet/upstream_faults_test.go
+++ b/internal/testing/openfleet/upstream_faults_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
+// setFaults sets the faults of all upstreams of the services.
 func (f *Fleet) setFaults(services []string, faults ...FaultRate) {
 	for _, service := range services {
 		for _, m := range f.NodesOf(service) {
@@ -16,13 +17,14 @@
 	}
 }
 
+// atMostOnce reports whether the route of a job forbids retries.
 func atMostOnce(job *Job) bool {
 	return job.Route == "return" || job.Route == "pass" || job.Route == "lend"
 }
 
 func retryable(job *Job) bool { return !atMostOnce(job) }
 
-var _ = ginkgo.Describe("upstreams in trouble", func() {
+var _ = ginkgo.Describe("upstream faults", func() {
 	for _, each := range []struct {
 		fault        Fault
 		late         time.Duration
@@ -45,7 +47,7 @@
 		{CloseAfterResponse, 0, 0.995, 0.995},
 		{CloseWithoutResponse, 0, 0.7, 0.95},
 	} {
-		specWith(fmt.Sprintf("given upstreams with one answer in ten %s %s, when visitors come, then nothing runs twice, every success is whole and its own", each.fault, each.late), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith(fmt.Sprintf("given upstreams with the fault %q in one response of ten, delay %s, when clients send requests, then no request runs twice and every success is complete and belongs to its request", each.fault, each.late), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
 			f.StartLoad(50)
 			f.Sleep(200 * time.Millisecond)
@@ -60,9 +62,9 @@
 	}
 })
 
-var _ = ginkgo.Describe("large answers", func() {
+var _ = ginkgo.Describe("large responses", func() {
 	for _, chunks := range []bool{false, true} {
-		specWith(fmt.Sprintf("given upstreams that break off large answers, chunked: %v, when visitors come, then none looks whole that is not", chunks), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith(fmt.Sprintf("given upstreams that truncate large responses, chunked: %v, when clients send requests, then no truncated response looks complete", chunks), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			f.Behaviors = []Behavior{{Prefix: "/scans/", Base: 10 * time.Millisecond, Size: 2_600_000, Chunks: chunks}}
 			f.Workload = []RequestClass{{Method: "GET", Host: "books.example", Path: "/scans/", Weight: 1}}
 			startAll(f)
@@ -76,6 +78,7 @@
 	}
 })
 
+// replaceUpstreams replaces all upstreams of the services by new ones, each adjusted by change before it starts.
 func (f *Fleet) replaceUpstreams(services []string, change func(u *Upstream)) {
 	for _, service := range services {
 		for _, m := range f.NodesOf(service) {
@@ -91,9 +94,9 @@
 
 var allServices = []string{"books", "loans", "gates"}
 
-var _ = ginkgo.Describe("upstreams and their connections", func() {
+var _ = ginkgo.Describe("upstream connections and capacity", func() {
 	for _, rest := range []time.Duration{60 * time.Millisecond, time.Second, 2 * time.Second} {
-		specWith(fmt.Sprintf("given upstreams that close what is idle for %s, when visitors come now and then, then nobody loses an answer", rest), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith(fmt.Sprintf("given upstreams that close connections idle for %s, when clients send requests at a low rate, then no response is lost", rest), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
 			f.replaceUpstreams(allServices, func(u *Upstream) { u.IdleTimeout, u.AnnounceIdleTimeout = rest, rest >= time.Second })
 			f.StartLoad(25)
@@ -105,7 +108,7 @@
 		})
 	}
 
-	specWith("given upstreams that take few connections, when visitors come, then most are served and nothing runs twice", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+	specWith("given upstreams that accept few connections, when clients send requests, then most jobs succeed and no request runs twice", 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.replaceUpstreams(allServices, func(u *Upstream) { u.ConnLimit = 5 })
 		f.StartLoad(90)
@@ -117,7 +120,7 @@
 	})
 
 	for _, reset := range []bool{false, true} {
-		specWith(fmt.Sprintf("given upstreams that tell of more slots than they have and are full, resetting: %v, when visitors come, then no refused one ran and repeats stay paid", reset), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith(fmt.Sprintf("given upstreams that report more capacity than they have and are full, resetting: %v, when clients send requests, then none rejected as not run has run and retries stay within the budget", reset), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
 			f.replaceUpstreams(allServices, func(u *Upstream) {
 				u.Queue, u.ResetWhenFull = 0, reset
@@ -130,7 +133,7 @@
 		})
 	}
 
-	spec("given one upstream of four that is ten times slower, when visitors come, then few wait for it", []uint64{1, 2}, func(f *Fleet) {
+	spec("given one upstream of four that is ten times slower, when clients send requests, then few wait for it", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		slow := f.NodesOf("books")[1].Upstream
 		slow.SetSlowdown(10)
@@ -144,8 +147,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("upstreams that leave", func() {
-	spec("given load, when upstreams leave in order one by one, then none gets anything past the bound and nobody loses an answer", []uint64{1, 2}, func(f *Fleet) {
+var _ = ginkgo.Describe("leaving and replaced upstreams", func() {
+	spec("given load, when upstreams leave gracefully one by one, then none receives a request past the bound and no response is lost", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -161,12 +164,12 @@
 		checkHistory(f, RuleAtMostOnce, RuleDrain)
 	})
 
-	spec("given the only upstream of a service, when it leaves with the control machines cut off, then its node still hands it nothing past the bound", []uint64{1, 2}, func(f *Fleet) {
+	spec("given an upstream whose node can't reach the control plane, when the upstream leaves, then its node sends it no request past the bound", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
 		m := f.NodesOf("gates")[0]
-		end := f.StartDisturbance("core", "cut off")
+		end := f.StartDisturbance("core", "isolated")
 		for _, controller := range f.Controllers {
 			f.Partition(m, controller)
 		}
@@ -179,7 +182,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleDrain)
 	})
 
-	spec("given load, when upstreams are killed without a word and start anew, then nothing runs twice and most are served", []uint64{1, 2}, func(f *Fleet) {
+	spec("given load, when upstreams are killed without leaving and restarted, then no request runs twice and most jobs succeed", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -195,7 +198,7 @@
 		checkHistory(f, RuleAtMostOnce)
 	})
 
-	spec("given an upstream killed, when another service's stands at its address at once and says nothing, then it runs nothing", []uint64{1, 2}, func(f *Fleet) {
+	spec("given a killed upstream, when an upstream of another service takes its address at once and sends no heartbeats, then it executes no request", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
@@ -215,7 +218,7 @@
 		checkHistory(f, RuleAtMostOnce, RuleRouting)
 	})
 
-	spec("given a machine gone, when another service's machine takes its address at once, then no service runs what is not its own", []uint64{1, 2}, func(f *Fleet) {
+	spec("given a removed machine, when a machine of another service takes its address at once, then no service executes requests of another", []uint64{1, 2}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(50)
 		f.Sleep(time.Second)
--- a/internal/testing/openfleet/views_test.go
+++ b/internal/testing/openfleet/views_test.go
@@ -18,6 +18,7 @@
 
 const viewPort = 7006
 
+// fetch returns the body of a GET request.
 func (f *Fleet) fetch(address, path string) string {
 	httpClient := httpserver.NewClient(f.Scope)
 	defer httpClient.CloseIdleConnections()
@@ -33,6 +34,7 @@
 	return string(body)
 }
 
+// fetchView decodes the view of the process at an address.
 func (f *Fleet) fetchView(address string, into proto.Message) {
 	Expect(protojson.Unmarshal([]byte(f.fetch(address, "/view")), into)).To(Succeed(), f.Description)
 }
@@ -49,6 +51,7 @@
 	return view
 }
 
+// startAllWithViews starts the fleet with the views of nodes served on viewPort.
 func startAllWithViews(f *Fleet) {
 	f.AdjustParams = func(p *wire.NodeParams) {
 		host, _, _ := strings.Cut(p.Inward, ":")
@@ -57,8 +60,8 @@
 	startAll(f)
 }
 
-var _ = ginkgo.Describe("looking at an open fleet", func() {
-	specWith("given a fleet with visitors, when nodes and control machines are looked at, then they tell what they hold, see and carried", 3, smallServices, []uint64{1}, func(f *Fleet) {
+var _ = ginkgo.Describe("views of a fleet", func() {
+	specWith("given a fleet under load, when the views of nodes and control plane replicas are read, then they show configuration, peers and counters", 3, smallServices, []uint64{1}, func(f *Fleet) {
 		startAllWithViews(f)
 		f.StartLoad(60)
 		f.Sleep(5 * time.Second)
@@ -95,7 +98,7 @@
 		Expect(owners).To(HaveLen(1), f.Description)
 	})
 
-	specWith("given a node that lost its power and a silent upstream, when they are looked at, then the control machines and peers tell", 3, smallServices, []uint64{2}, func(f *Fleet) {
+	specWith("given a node without power and a killed upstream, when views are read, then the node is shown as absent by control plane replicas and peers, and the upstream no longer by its node", 3, smallServices, []uint64{2}, func(f *Fleet) {
 		startAllWithViews(f)
 		poweredOff, silent := f.Nodes[0], f.Nodes[1]
 		f.PowerLoss(poweredOff)
--- a/internal/testing/openfleet/workload.go
+++ b/internal/testing/openfleet/workload.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	maxAttempts        = 4
-	initialBackoff     = 40 * time.Millisecond
-	maxRetryAfterShare = 1.0 / 3
-	newConnShare       = 0.15
-	chunkedShare       = 0.3
-	failedProbeLimit   = 2
+	maxAttempts        = 4                     // of one job
+	initialBackoff     = 40 * time.Millisecond // doubled after each attempt
+	maxRetryAfterShare = 1.0 / 3               // the largest share of the remaining time that a Retry-After makes a client wait
+	newConnShare       = 0.15                  // of jobs that use a new connection
+	chunkedShare       = 0.3                   // of jobs that send their body chunked
+	failedProbeLimit   = 2                     // consecutive failed probes that take a machine out of rotation
 )
 
-// RequestClass describes one class of requests in the client workload. Part is its share of all requests, relative
-// to the sum of the parts; Body is the request body size in bytes; Within is the client's deadline for a
-// job, retries included, and 2 s if zero. A number is appended to Path for each job.
+// RequestClass describes one class of requests in the client workload. Weight is its share of all requests, relative to the
+// sum of the weights; BodySize is in bytes; Timeout is the client's timeout for a job, retries included, and 2 s if zero. A
+// number is appended to Path for each job.
 type RequestClass struct {
 	Method   string
 	Host     string
@@ -34,12 +34,12 @@
 	Timeout  time.Duration
 }
 
-// StartLoad brings visitors to the machines whose nodes are ready, so many a second, until Away.
+// StartLoad starts Poisson arrivals of clients at the ready nodes, at rate per second, until StopLoad.
 func (f *Fleet) StartLoad(rate float64) {
 	f.StartVariableLoad(func(time.Duration) float64 { return rate })
 }
 
-// StartVariableLoad starts Poisson arrivals of clients at the ready nodes, until Away. rate returns the arrivals per
+// StartVariableLoad starts Poisson arrivals of clients at the ready nodes, until StopLoad. rate returns the arrivals per
 // second, given the time since the call. Repeated calls add their loads.
 func (f *Fleet) StartVariableLoad(rate func(since time.Duration) float64) {
 	if f.cancelLoad == nil {
@@ -65,6 +65,8 @@
 	}
 }
 
+// probeReadiness probes the nodes' readiness every second, as the platform around them does, and takes machines in and out
+// of rotation for clients.
 func (f *Fleet) probeReadiness(s base.Scope) {
 	httpClient := &http.Client{Transport: &http.Transport{DialContext: f.World.At("10.9.9.7", "platform").Dial, DisableKeepAlives: true}, Timeout: 500 * time.Millisecond}
 	probe := func(base.Scope) {
@@ -83,12 +85,14 @@
 	base.Tick(s, time.Second, probe)
 }
 
+// currentNodes returns a copy of the list of nodes that aren't retired.
 func (f *Fleet) currentNodes() []*Machine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Machine(nil), f.Nodes...)
 }
 
+// generateLoad starts jobs at the current rate. It looks at the rate again at least every 100 ms.
 func (f *Fleet) generateLoad(s base.Scope, rate func(time.Duration) float64) {
 	rnd := f.rand(fmt.Sprint("arrivals ", f.nextID.Load()))
 	start := f.Scope.Clock.Mono()
@@ -116,6 +120,7 @@
 	tasks.Wait()
 }
 
+// pickClass returns the request class at a point from 0 to 1 of the sum of weights.
 func (f *Fleet) pickClass(point float64) RequestClass {
 	total := 0.0
 	for _, class := range f.Workload {
@@ -130,7 +135,8 @@
 	return f.Workload[0]
 }
 
-// newAttempt fills in what the newest acked configuration says of a call "METHOD host/path".
+// newAttempt returns an attempt for a call "METHOD host path", with what the newest acknowledged configuration says of its
+// route.
 func (f *Fleet) newAttempt(m *Machine, call, id string) *Attempt {
 	var method, host, path string
 	_, _ = fmt.Sscanf(call, "%s %s %s", &method, &host, &path)
@@ -144,7 +150,8 @@
 	return a
 }
 
-// RunJob is one visitor's wish: tries within its time, each on a new connection after the first.
+// RunJob runs one client operation against a node: attempts within the class's timeout, each after the first on a new
+// connection. It records and returns the job.
 func (f *Fleet) RunJob(m *Machine, class RequestClass, rnd *random.Source) *Job {
 	n := f.nextID.Add(1)
 	h := f.History
@@ -184,11 +191,11 @@
 	return job
 }
 
-// recordOutcome notes what a try was told.
+// recordOutcome adds the outcome of an attempt to the job.
 func (j *Job) recordOutcome(attempt *Attempt, outcome *Outcome, now time.Duration) {
 	j.Status, j.EndedAt = outcome.Status, now
 	if outcome.TransportError == "" && outcome.Status == http.StatusOK && outcome.Mismatch == "" {
-		j.Succeeded, j.LastAttemptLatency = true, now-attempt.SentAt
+		j.Succeeded, j.SuccessLatency = true, now-attempt.SentAt
 		return
 	}
 	if j.Attempts == 1 && rejectedBeforeExecution(outcome) {
@@ -196,6 +203,7 @@
 	}
 }
 
+// rejectedBeforeExecution reports whether a response guarantees that the attempt was not executed.
 func rejectedBeforeExecution(outcome *Outcome) bool {
 	switch outcome.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -204,6 +212,8 @@
 	return false
 }
 
+// mayRetry reports whether a client sends a further attempt. If the route forbids retries, that takes a response or a
+// transport error that rules out an execution.
 func mayRetry(repeat wire.Repeat, outcome *Outcome) bool {
 	switch {
 	case outcome.TransportError == "" && (outcome.Status < 300 || outcome.Status == 400 || outcome.Status == 401 || outcome.Status == 404 || outcome.Status == 413 || outcome.Status == 431):
@@ -214,7 +224,8 @@
 	return rejectedBeforeExecution(outcome) || outcome.TransportError != "" && !outcome.RequestRead
 }
 
-// RequestFromAll asks every ready node directly, on a path that may have no route, and earns nothing.
+// RequestFromAll sends one request to every node in rotation, on a path that may have no route, so that the History shows
+// which configuration each node uses. These requests belong to no job.
 func (f *Fleet) RequestFromAll(method, host, path string) {
 	base.Parallel(f.currentNodes(), func(m *Machine) {
 		if !m.inRotation.Load() {
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -1,4 +1,4 @@
-// Package simulation gives tests a simulated network and steady clocks, in time that passes only when every goroutine waits.
+// Package simulation runs tests on a simulated network in simulated time, which advances only while every goroutine waits.
 package simulation
 
 import (
@@ -22,19 +22,19 @@
 )
 
 const (
-	// DefaultDelay is the delay between two machines, one way, where a test says nothing else.
+	// DefaultDelay is the one-way delay between two machines unless a test sets another.
 	DefaultDelay = time.Millisecond
-	// journalEvents is how many events a scope's journal keeps.
+	// journalEvents is the number of events that a scope's journal keeps.
 	journalEvents = 400
 	// finalWait is longer than any timer that a test leaves behind.
 	finalWait = time.Minute
 )
 
-// Simulation is a network with a clock of its own. It is safe for concurrent use.
+// Simulation is a simulated network with its own clock. It is safe for concurrent use.
 type Simulation struct {
 	World *simnet.World
 	Clock *simnet.Clock
-	// Wrap changes the network that later scopes are given; nil for no change.
+	// Wrap, if set, wraps the network of each scope created later.
 	Wrap func(base.Net) base.Net
 
 	mu       sync.Mutex
@@ -43,8 +43,8 @@
 	tasks    base.Group
 }
 
-// Run calls test in a bubble of simulated time, on a network whose machines are delay apart, one way. All that the test
-// started through the simulation is ended afterwards.
+// Run runs test in a bubble of simulated time, on a network with the given one-way delay between machines. Afterwards it
+// cancels all scopes, runs the cleanups, waits for all tasks and closes the network.
 func Run(t *testing.T, delay time.Duration, test func(s *Simulation)) {
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
@@ -67,7 +67,7 @@
 	time.Sleep(finalWait)
 }
 
-// Go runs do beside the test; the simulation waits for it at its end.
+// Go runs do in a goroutine; the simulation waits for it before it ends.
 func (s *Simulation) Go(do func()) {
 	s.tasks.Go(func() {
 		defer ginkgo.GinkgoRecover()
@@ -75,10 +75,10 @@
 	})
 }
 
-// Wait blocks until all that Go started has ended.
+// Wait blocks until all goroutines started by Go have ended.
 func (s *Simulation) Wait() { s.tasks.Wait() }
 
-// Scope returns the surroundings of a process on the machine at ip, with randomness of its own.
+// Scope returns a new scope for a process on the machine at ip, with its own source of random numbers and no disk.
 func (s *Simulation) Scope(ip string) base.Scope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,43 +95,43 @@
 	}
 }
 
-// Cleanup calls f at the end of the simulation, in the order of the calls.
+// Cleanup registers f to be called at the end of the simulation, in the order of registration.
 func (s *Simulation) Cleanup(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cleanups = append(s.cleanups, f)
 }
 
-// Serve opens an HTTP server at the address on the machine that the address names.
+// Serve starts an HTTP server at an address, on the machine of that address, until the end of the simulation.
 func (s *Simulation) Serve(address string, handler http.Handler) {
 	server, err := httpserver.Serve(s.Scope(Host(address)), address, handler)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	s.Cleanup(server.Close)
 }
 
-// Host returns the machine's part of an address.
+// Host returns the IP of an address "ip:port".
 func Host(address string) string {
 	ip, _, err := net.SplitHostPort(address)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	return ip
 }
 
-// ManualClock is a clock that a test sets.
+// ManualClock is a clock whose time a test sets.
 type ManualClock struct{ Now time.Duration }
 
-// Wall returns the time set, as one after the epoch.
+// Wall returns the time set, counted from the Unix epoch.
 func (c *ManualClock) Wall() time.Time { return time.Unix(0, 0).Add(c.Now) }
 
 // Mono returns the time set.
 func (c *ManualClock) Mono() time.Duration { return c.Now }
 
-// EventCounter counts events by name. Its zero value is ready for use, also by several goroutines.
+// EventCounter counts events by name. Its zero value is ready for use and safe for concurrent use.
 type EventCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// Add counts an event so many times more and returns its count.
+// Add adds times to the count of an event and returns the new count.
 func (c *EventCounter) Add(event string, times int) (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
