--- a/internal/testing/openfleet/client.go
+++ b/internal/testing/openfleet/client.go
@@ -31,8 +31,8 @@
 	expiresAt time.Duration
 }
 
-// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. A byte
-// that arrives while the connection is idle belongs to no request.
+// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. A
+// byte that arrives while the connection is idle belongs to no request.
 func (c *clientConn) peekAsync() {
 	c.peeked = make(chan error, 1)
 	go func() {
--- a/internal/testing/openfleet/config_faults_test.go
+++ b/internal/testing/openfleet/config_faults_test.go
@@ -74,7 +74,7 @@
 	}},
 	{"one replica isolated, packet loss between all replicas and the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
-		end := f.StartDisturbance(allLinks, "packet loss")
+		end := f.StartDisturbance(allLinks, "lossy")
 		for _, node := range f.currentNodes() {
 			for _, controller := range f.Controllers {
 				f.World.SetLink(controller.IP, node.IP, simnet.Link{Loss: 0.1})
@@ -144,8 +144,8 @@
 	f.mustStart(m)
 }
 
-// injectNodeFaults restarts, freezes and reloads single nodes and steps their clocks; the others stay in contact with the
-// control plane.
+// injectNodeFaults restarts, freezes and reloads single nodes and steps their clocks; the others stay in contact with
+// the control plane.
 func (f *Fleet) injectNodeFaults(rnd *random.Source, until time.Duration) {
 	for f.History.Now() < until {
 		nodes := f.secondHalfOfNodes()
@@ -168,8 +168,8 @@
 	}
 }
 
-// proposePeriodically proposes a change about once per interval, and requests the routes of recent changes at every node to
-// see which configuration is in force there.
+// proposePeriodically proposes a change about once per interval, and requests the routes of recent changes at every
+// node to see which configuration is in force there.
 func (f *Fleet) proposePeriodically(interval, until time.Duration) {
 	operator := f.NewOperator("one")
 	for round := 0; f.History.Now() < until; round++ {
@@ -183,9 +183,9 @@
 	}
 }
 
-// configUnderFaults injects one control plane fault after the other while the configuration changes and single nodes are
-// disturbed. Each fault and each pause lasts contactBound at least, so that the configuration bound applies during and
-// between faults, too.
+// configUnderFaults injects one control plane fault after the other while the configuration changes and single nodes
+// are disturbed. Each fault and each pause lasts contactBound at least, so that the configuration bound applies during
+// and between faults, too.
 func configUnderFaults(f *Fleet) {
 	f.zoneDelay = []time.Duration{500 * time.Microsecond, 3 * time.Millisecond, 12 * time.Millisecond}[f.Seed%3]
 	rnd := f.rand("troubled configuration")
--- a/internal/testing/openfleet/connection_reset_test.go
+++ b/internal/testing/openfleet/connection_reset_test.go
@@ -18,8 +18,8 @@
 func (f *Fleet) expectFewIndeterminate(maxShare float64) {
 	stats := f.JobStats(0, 0, atMostOnce)
 	share := float64(stats.Indeterminate()) / float64(max(stats.Jobs, 1))
-	ginkgo.AddReportEntry(f.Description, fmt.Sprint(stats.Indeterminate(), " indeterminate; ", stats, "; ", f.connectionCounts()))
-	ExpectWithOffset(1, share).To(BeNumerically("<=", maxShare), "%s: %d indeterminate; %s", f.Description, stats.Indeterminate(), stats)
+	ginkgo.AddReportEntry(f.Description, fmt.Sprint(stats.Indeterminate(), " failed; ", stats, "; ", f.connectionCounts()))
+	ExpectWithOffset(1, share).To(BeNumerically("<=", maxShare), "%s: %d failed; %s", f.Description, stats.Indeterminate(), stats)
 }
 
 // connectionCounts sums the running nodes' counters of broken connections and retried attempts.
@@ -95,7 +95,7 @@
 
 // isolateFor cuts a machine off from all others for a time, as an unplanned disturbance.
 func (f *Fleet) isolateFor(m *Machine, d time.Duration) {
-	end := f.StartDisturbance(m.Name, "isolated")
+	end := f.StartDisturbance(m.Name, "cut off")
 	f.setIsolated(m, true)
 	f.Sleep(d)
 	f.setIsolated(m, false)
--- a/internal/testing/openfleet/controller_replacement_test.go
+++ b/internal/testing/openfleet/controller_replacement_test.go
@@ -12,9 +12,9 @@
 // newVoterBound is the time within which a new control plane replica must become a voter.
 const newVoterBound = 4 * time.Second
 
-// replaceController replaces a control plane replica for good by an empty one at a new address. If planned, the old one is
-// stopped once the new one runs; otherwise it loses power first. Processes started from then on have the new one among
-// their seeds.
+// replaceController replaces a control plane replica for good by an empty one at a new address. If planned, the old one
+// is stopped once the new one runs; otherwise it loses power first. Processes started from then on have the new one
+// among their seeds.
 func (f *Fleet) replaceController(index int, planned bool) *Machine {
 	old := f.Controllers[index]
 	number := f.highestControllerNumber() + 1
--- a/internal/testing/openfleet/controlplane_faults_test.go
+++ b/internal/testing/openfleet/controlplane_faults_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// changeRoutes changes the services of the routes "return" and "mix" and replaces the last change's new route by one with
-// the number of round. It changes c and returns it.
+// changeRoutes changes the services of the routes "return" and "mix" and replaces the last change's new route by one
+// with the number of round. It changes c and returns it.
 func changeRoutes(c *wire.Configuration, round int) *wire.Configuration {
 	for _, route := range c.Routes {
 		switch route.Name {
@@ -232,7 +232,7 @@
 		f.StartLoad(35)
 		f.Sleep(time.Second)
 		m := f.NodesOf("books")[0]
-		end := f.StartDisturbance(m.Name, "isolated")
+		end := f.StartDisturbance(m.Name, "cut off")
 		f.forEachController(func(controller *Machine) { f.Partition(m, controller) })
 		Expect(f.PushConfiguration(changeRoutes(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
 		f.Sleep(4 * time.Second)
--- a/internal/testing/openfleet/faults.go
+++ b/internal/testing/openfleet/faults.go
@@ -40,16 +40,16 @@
 	UnrelatedResponse Fault = "crossed"
 )
 
-// FaultRate injects a Fault into some of an upstream's responses. Probability is from 0 to 1; Delay is that of the faults
-// LateDuplicate and LateTrailingBytes.
+// FaultRate injects a Fault into some of an upstream's responses. Probability is from 0 to 1; Delay is that of the
+// faults LateDuplicate and LateTrailingBytes.
 type FaultRate struct {
 	Fault       Fault
 	Probability float64
 	Delay       time.Duration
 }
 
-// SetFaults replaces the faults that the upstream injects. At most one is drawn for each response; if the probabilities sum
-// to less than 1, the other responses are correct.
+// SetFaults replaces the faults that the upstream injects. At most one is drawn for each response; if the probabilities
+// sum to less than 1, the other responses are correct.
 func (u *Upstream) SetFaults(faults ...FaultRate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -1,5 +1,5 @@
-// Package openfleet runs a fleet without a fixed list of nodes in memory: control plane replicas, data plane nodes with an
-// upstream beside each, clients and operators. Tests inject faults and check the recorded History against rules.
+// Package openfleet runs a fleet without a fixed list of nodes in memory: control plane replicas, data plane nodes with
+// an upstream beside each, clients and operators. Tests inject faults and check the recorded History against rules.
 package openfleet
 
 import (
@@ -49,8 +49,8 @@
 	allLinks          = "links" // in a History, the links of all machines
 )
 
-// Machine is a simulated machine. Its process is either a replica of the control plane (IsController) or a data plane node
-// with an Upstream beside it; Controller and Node are nil while no process runs.
+// Machine is a simulated machine. Its process is either a replica of the control plane (IsController) or a data plane
+// node with an Upstream beside it; Controller and Node are nil while no process runs.
 type Machine struct {
 	Name           string
 	Zone           string
@@ -79,11 +79,11 @@
 // processName identifies one run of the machine's process on the network. Random choices depend on it.
 func (m *Machine) processName() string { return fmt.Sprintf("%s life %d", m.Name, m.starts.Load()) }
 
-// Fleet is a simulated mesh: control plane replicas, data plane nodes with their upstreams, clients and operators, on one
-// simulated network. Workload is what clients request, Behaviors are given to new upstreams, CapacityOf returns their
-// capacity and queue length in requests, and AdjustParams, if set, adjusts the settings of each node before it starts.
-// InitialConfiguration is pushed first, and Description names the fleet in failure messages. The same Seed gives the same
-// random choices.
+// Fleet is a simulated mesh: control plane replicas, data plane nodes with their upstreams, clients and operators, on
+// one simulated network. Workload is what clients request, Behaviors are given to new upstreams, CapacityOf returns
+// their capacity and queue length in requests, and AdjustParams, if set, adjusts the settings of each node before it
+// starts. InitialConfiguration is pushed first, and Description names the fleet in failure messages. The same Seed
+// gives the same random choices.
 type Fleet struct {
 	Scope                base.Scope
 	Seed                 uint64
@@ -111,8 +111,8 @@
 	nextID               atomic.Int64
 }
 
-// New builds a fleet with the given number of control plane replicas and of nodes by service, spread over three zones. No
-// process runs until StartProcess.
+// New builds a fleet with the given number of control plane replicas and of nodes by service, spread over three zones.
+// No process runs until StartProcess.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, startTime: time.Now(), zoneDelay: crossZoneDelay}
 	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
@@ -141,8 +141,8 @@
 	return f
 }
 
-// AddNode adds a machine for a service. An empty ip gives it an address of its own; it may also take over the address of a
-// retired machine.
+// AddNode adds a machine for a service. An empty ip gives it an address of its own; it may also take over the address
+// of a retired machine.
 func (f *Fleet) AddNode(service, ip string) *Machine {
 	i := f.nodeCount
 	f.nodeCount++
@@ -255,8 +255,8 @@
 	f.terminate(m, false)
 }
 
-// PowerLoss ends the machine's process and upstream at once, drops what its disk hasn't synced and cuts all its links, so
-// that its peers see no connection close. It records an unplanned disturbance until StartProcess.
+// PowerLoss ends the machine's process and upstream at once, drops what its disk hasn't synced and cuts all its links,
+// so that its peers see no connection close. It records an unplanned disturbance until StartProcess.
 func (f *Fleet) PowerLoss(m *Machine) {
 	f.beginOutage(m, "power lost")
 	f.setIsolated(m, true)
@@ -285,8 +285,8 @@
 // RestorePower heals the links of a machine after PowerLoss; StartProcess starts it again.
 func (f *Fleet) RestorePower(m *Machine) { f.setIsolated(m, false) }
 
-// Stop ends the machine's process gracefully and waits for it. It records a planned disturbance that lasts until 1 s after
-// the end.
+// Stop ends the machine's process gracefully and waits for it. It records a planned disturbance that lasts until 1 s
+// after the end.
 func (f *Fleet) Stop(m *Machine) {
 	end := f.History.StartDisturbance(m.Name, "stop", true)
 	if m.Node != nil {
@@ -317,7 +317,8 @@
 	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
-// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used afterwards.
+// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
+// afterwards.
 func (f *Fleet) Close() {
 	f.StopLoad()
 	for _, m := range append(f.Nodes, f.retiredNodes...) {
@@ -367,8 +368,8 @@
 	return true
 }
 
-// NextConfiguration returns a copy of the newest acknowledged configuration with that as its base and a higher serial, to
-// be changed and proposed.
+// NextConfiguration returns a copy of the newest acknowledged configuration with that as its base and a higher serial,
+// to be changed and proposed.
 func (f *Fleet) NextConfiguration() *wire.Configuration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/openfleet/history.go
+++ b/internal/testing/openfleet/history.go
@@ -13,9 +13,9 @@
 )
 
 // Attempt records one request attempt as a client sent it. SentAt and Deadline are readings of the History's monotonic
-// clock. ID names the attempt and FirstID the first attempt of the same job. Incarnation counts the starts of the node up
-// to the attempt. FromUpstream marks a call made by an upstream, DuringRetry a call made while executing a retry, and
-// RejectionAllowed a request that needn't have a route.
+// clock. ID names the attempt and FirstID the first attempt of the same job. Incarnation counts the starts of the node
+// up to the attempt. FromUpstream marks a call made by an upstream, DuringRetry a call made while executing a retry,
+// and RejectionAllowed a request that needn't have a route.
 type Attempt struct {
 	SentAt           time.Duration
 	ID               string
@@ -36,10 +36,10 @@
 	RejectionAllowed bool
 }
 
-// Outcome records the outcome of the attempt ID. TransportError is empty if a complete response was read; otherwise Status
-// may be zero. Sealed tells whether the response carries an upstream's seal, RetryAfter is the Retry-After delay, and
-// ErrorKind the error kind of a node's own response. Mismatch describes how the response fails to match the request, or is
-// empty. RequestRead tells whether the node had read the whole request.
+// Outcome records the outcome of the attempt ID. TransportError is empty if a complete response was read; otherwise
+// Status may be zero. Sealed tells whether the response carries an upstream's seal, RetryAfter is the Retry-After
+// delay, and ErrorKind the error kind of a node's own response. Mismatch describes how the response fails to match the
+// request, or is empty. RequestRead tells whether the node had read the whole request.
 type Outcome struct {
 	ID             string
 	EndedAt        time.Duration
@@ -53,9 +53,9 @@
 }
 
 // Arrival records one attempt as an upstream received it. ArrivedAt and EndedAt are readings of the History's monotonic
-// clock. Misdirected marks an attempt addressed to another instance, Executed one whose execution began, ResponseBroken one
-// whose response an injected Fault withheld, replaced or cut off, and CallerGone one whose caller closed the connection before the
-// execution ended.
+// clock. Misdirected marks an attempt addressed to another instance, Executed one whose execution began, ResponseBroken
+// one whose response an injected Fault withheld, replaced or cut off, and CallerGone one whose caller closed the
+// connection before the execution ended.
 type Arrival struct {
 	ID             string
 	ArrivedAt      time.Duration
@@ -75,8 +75,8 @@
 }
 
 // Job records one client operation with all its retries. StartedAt and EndedAt are readings of the History's monotonic
-// clock; LatencyTarget is that of the route. RejectedAfter is how long the first attempt took to be rejected as not run,
-// and SuccessLatency how long the successful attempt took; both are zero if there is none.
+// clock; LatencyTarget is that of the route. RejectedAfter is how long the first attempt took to be rejected as not
+// run, and SuccessLatency how long the successful attempt took; both are zero if there is none.
 type Job struct {
 	ID             string
 	Route          string
@@ -91,8 +91,9 @@
 	SuccessLatency time.Duration
 }
 
-// Proposal records a configuration that an operator proposed. SentAt and AckedAt are readings of the History's monotonic
-// clock; AckedAt is -1 until the control plane accepts it. Invalid marks a configuration that must be rejected.
+// Proposal records a configuration that an operator proposed. SentAt and AckedAt are readings of the History's
+// monotonic clock; AckedAt is -1 until the control plane accepts it. Invalid marks a configuration that must be
+// rejected.
 type Proposal struct {
 	Configuration *wire.Configuration
 	SentAt        time.Duration
--- a/internal/testing/openfleet/node_faults_test.go
+++ b/internal/testing/openfleet/node_faults_test.go
@@ -27,7 +27,8 @@
 	return j.Node == o.node && j.StartedAt < o.to && max(j.EndedAt, j.StartedAt) >= o.from
 }
 
-// retryableRoutes returns, by name of a route of the initial configuration, whether its requests may run more than once.
+// retryableRoutes returns, by name of a route of the initial configuration, whether its requests may run more than
+// once.
 func (f *Fleet) retryableRoutes() map[string]bool {
 	retryable := map[string]bool{}
 	for _, route := range f.InitialConfiguration.Routes {
@@ -36,8 +37,8 @@
 	return retryable
 }
 
-// slowDownUpstreams sets the duration of all executions to base plus a random part of swing, and extends client timeouts
-// and the routes' limits to match.
+// slowDownUpstreams sets the duration of all executions to base plus a random part of swing, and extends client
+// timeouts and the routes' limits to match.
 func (f *Fleet) slowDownUpstreams(base, swing time.Duration) {
 	for i := range f.Behaviors {
 		f.Behaviors[i].Base, f.Behaviors[i].Swing = base, swing
--- a/internal/testing/openfleet/operator.go
+++ b/internal/testing/openfleet/operator.go
@@ -107,8 +107,8 @@
 }
 
 // Propose sends a proposal to one replica after the other until one returns an outcome, and records it as a proposal of
-// configuration. An outcome with a Kind is a rejection; nil means that no outcome came within timeout, so that the proposal
-// may or may not be accepted.
+// configuration. An outcome with a Kind is a rejection; nil means that no outcome came within timeout, so that the
+// proposal may or may not be accepted.
 func (o *Operator) Propose(request *wire.ConfigurationProposal, configuration *wire.Configuration, timeout time.Duration) *wire.ConfigurationOutcome {
 	h := o.fleet.History
 	proposal := &Proposal{Configuration: configuration, SentAt: h.Now(), AckedAt: -1}
@@ -134,16 +134,16 @@
 	return nil
 }
 
-// ReadConfiguration returns the configuration that one control plane replica serves. It fails on a transport error, a status
-// other than 200 or a malformed body.
+// ReadConfiguration returns the configuration that one control plane replica serves. It fails on a transport error, a
+// status other than 200 or a malformed body.
 func (o *Operator) ReadConfiguration(controller *Machine) (*wire.Configuration, error) {
 	configuration := &wire.Configuration{}
 	err := o.call(http.MethodGet, controller.Address(operatorPort), nil, configuration)
 	return configuration, err
 }
 
-// PushConfiguration proposes a configuration and makes it the fleet's current one if it is accepted. It returns nil if no
-// outcome came within timeout.
+// PushConfiguration proposes a configuration and makes it the fleet's current one if it is accepted. It returns nil if
+// no outcome came within timeout.
 func (f *Fleet) PushConfiguration(next *wire.Configuration, timeout time.Duration) *wire.ConfigurationOutcome {
 	outcome := f.NewOperator("one").Propose(&wire.ConfigurationProposal{Configuration: next}, next, timeout)
 	if outcome != nil && outcome.Kind == "" {
@@ -161,8 +161,8 @@
 	}
 }
 
-// ReadConfiguration reads the configuration from one replica after the other until one answers, at most four times each,
-// and records the result.
+// ReadConfiguration reads the configuration from one replica after the other until one answers, at most four times
+// each, and records the result.
 func (f *Fleet) ReadConfiguration() {
 	o := f.NewOperator("reader")
 	for i := range 4 * len(f.Controllers) {
--- a/internal/testing/openfleet/overload_test.go
+++ b/internal/testing/openfleet/overload_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// expectEarlyRejections looks at the first attempts since from that were rejected as not run. It expects more than 20, all
-// with a Retry-After, and at least minShare of them within a quarter of the route's latency target.
+// expectEarlyRejections looks at the first attempts since from that were rejected as not run. It expects more than 20,
+// all with a Retry-After, and at least minShare of them within a quarter of the route's latency target.
 func (f *Fleet) expectEarlyRejections(minShare float64, from time.Duration) {
 	h := f.History
 	h.mu.Lock()
--- a/internal/testing/openfleet/partition_test.go
+++ b/internal/testing/openfleet/partition_test.go
@@ -16,10 +16,10 @@
 	controllerRoundBound = 400 * time.Millisecond // one round of the control plane: 0.1 of the acknowledgement bound
 )
 
-// isolate cuts a control plane replica off from the other replicas, but not from nodes. The direction, modulo 3, chooses
-// whether both directions are cut (0), only the traffic to it (1) or only the traffic from it (2). The disturbance is
-// recorded as over at once although the partition lasts, so that it exempts nodes from the configuration bound for
-// contactBound only.
+// isolate cuts a control plane replica off from the other replicas, but not from nodes. The direction, modulo 3,
+// chooses whether both directions are cut (0), only the traffic to it (1) or only the traffic from it (2). The
+// disturbance is recorded as over at once although the partition lasts, so that it exempts nodes from the configuration
+// bound for contactBound only.
 func (f *Fleet) isolate(m *Machine, direction uint64) {
 	end := f.StartDisturbance(m.Name, "isolated from the control plane")
 	for _, other := range f.Controllers {
@@ -57,8 +57,8 @@
 	return f.Scope.Clock.Mono() - start
 }
 
-// changeConfiguration pushes a changed configuration, waits for inForceBound and requests its routes at every node, so that
-// the rules show whether each node in contact has it in force in time.
+// changeConfiguration pushes a changed configuration, waits for inForceBound and requests its routes at every node, so
+// that the rules show whether each node in contact has it in force in time.
 func (f *Fleet) changeConfiguration(round int) {
 	outcome := f.PushConfiguration(changeRoutes(f.NextConfiguration(), round), 10*time.Second)
 	Expect(outcome).NotTo(BeNil(), f.Description)
@@ -67,8 +67,8 @@
 	f.requestNewRoutes(round+2, 200*time.Millisecond)
 }
 
-// controllerBySeed returns the control plane replica that owns the configuration if the seed is even, or another if it is
-// odd.
+// controllerBySeed returns the control plane replica that owns the configuration if the seed is even, or another if it
+// is odd.
 func (f *Fleet) controllerBySeed(seed uint64) *Machine {
 	for _, m := range f.Controllers {
 		if owns := f.controllerView(m).Owner == m.Address(inboundPort); owns == (seed%2 == 0) {
@@ -131,7 +131,7 @@
 		f.Sleep(time.Second)
 		m, isolated := f.NodesOf("books")[1], f.Controllers[2]
 		f.isolate(isolated, 0)
-		end := f.StartDisturbance(m.Name, "isolated")
+		end := f.StartDisturbance(m.Name, "cut off")
 		f.Partition(m, f.Controllers[0])
 		f.Partition(m, f.Controllers[1])
 		Expect(f.PushConfiguration(changeRoutes(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
--- a/internal/testing/openfleet/report_test.go
+++ b/internal/testing/openfleet/report_test.go
@@ -7,8 +7,8 @@
 	"curlewreach/internal/testing/judge"
 )
 
-// printReport prints statistics and verdicts if the environment variable TELL is set, and with TELL=2 also every failed job
-// with its attempts and their arrivals at upstreams.
+// printReport prints statistics and verdicts if the environment variable TELL is set, and with TELL=2 also every failed
+// job with its attempts and their arrivals at upstreams.
 func (f *Fleet) printReport(verdicts []judge.Verdict) {
 	level := os.Getenv("TELL")
 	if level == "" {
@@ -32,7 +32,7 @@
 			outcome := f.History.outcomes[id]
 			fmt.Println("     ", outcome.EndedAt, outcome.Status, outcome.ErrorKind, outcome.TransportError, "retry after", outcome.RetryAfter)
 			for _, arrival := range f.History.Arrivals(id) {
-				fmt.Println("        ", arrival.ArrivedAt, arrival.Instance, "misdirected", arrival.Misdirected, "executed", arrival.Executed, "status", arrival.Status, "response broken", arrival.ResponseBroken, "caller gone", arrival.CallerGone)
+				fmt.Println("        ", arrival.ArrivedAt, arrival.Instance, "missed", arrival.Misdirected, "executed", arrival.Executed, "status", arrival.Status, "response broken", arrival.ResponseBroken, "gone", arrival.CallerGone)
 			}
 		}
 	}
--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -45,8 +45,8 @@
 	RuleFewClientErrors = "denied"
 )
 
-// checker evaluates one rule on a locked History and adds the result to verdict. attemptsByID and arrivalsByID index the
-// History by attempt ID.
+// checker evaluates one rule on a locked History and adds the result to verdict. attemptsByID and arrivalsByID index
+// the History by attempt ID.
 type checker struct {
 	*History
 	verdict       *judge.Verdict
@@ -63,8 +63,8 @@
 // countCase counts one case to which the rule applied, so that a rule that was never exercised can be told apart.
 func (c *checker) countCase() { c.verdict.Judged++ }
 
-// Check evaluates all rules on a complete History and returns one verdict for each rule. It sorts the History's attempts
-// and arrivals by time.
+// Check evaluates all rules on a complete History and returns one verdict for each rule. It sorts the History's
+// attempts and arrivals by time.
 func Check(h *History) []judge.Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -257,8 +257,8 @@
 // checkDuringStop checks an attempt whose node was stopped gracefully meanwhile. Not counted as lost are attempts whose
 // response the upstream broke, that an upstream was still executing more than stopSlack past half of the stop's grace
 // period, or that ended within 20 ms of the client's deadline or after it. Of transport errors only those count whose
-// request the node had read, and that came after the attempt had reached an upstream or more than stopSlack after it was
-// sent.
+// request the node had read, and that came after the attempt had reached an upstream or more than stopSlack after it
+// was sent.
 func (c *checker) checkDuringStop(stop *judge.Spell, attempt *Attempt, outcome *Outcome) {
 	arrivals, halfGrace := c.arrivalsByID[attempt.ID], stop.From+stopGrace/2
 	broken := slices.ContainsFunc(arrivals, func(a *Arrival) bool {
@@ -279,8 +279,8 @@
 	}
 }
 
-// possibleConfigurations returns the proposals that may be in force for a request sent at from and ended at until: those
-// that were sent by then and not rejected, and are at least as new as the newest that was acknowledged more than
+// possibleConfigurations returns the proposals that may be in force for a request sent at from and ended at until:
+// those that were sent by then and not rejected, and are at least as new as the newest that was acknowledged more than
 // inForceBound before from.
 func (c *checker) possibleConfigurations(from, until time.Duration) []*Proposal {
 	newest := uint64(0)
@@ -299,8 +299,8 @@
 }
 
 // configBoundHolds reports whether the configuration bound applies to a request: neither its node nor the control plane
-// had an unplanned disturbance between contactBound before the request was sent and its end. Disturbances of other nodes
-// don't exempt it.
+// had an unplanned disturbance between contactBound before the request was sent and its end. Disturbances of other
+// nodes don't exempt it.
 func (c *checker) configBoundHolds(attempt *Attempt, outcome *Outcome) bool {
 	return !slices.ContainsFunc(c.disturbances, func(s *judge.Spell) bool {
 		relevant := s.Node == attempt.Node || strings.HasPrefix(s.Node, controllerPrefix) || s.Node == allLinks
@@ -354,8 +354,8 @@
 	return low, high
 }
 
-// observation is an effect of the configuration that a node used for an attempt: the configuration's serial lies between
-// lowestSerial and highestSerial. sentAt is when the attempt was sent, seenAt when its effect was seen.
+// observation is an effect of the configuration that a node used for an attempt: the configuration's serial lies
+// between lowestSerial and highestSerial. sentAt is when the attempt was sent, seenAt when its effect was seen.
 type observation struct {
 	sentAt, seenAt              time.Duration
 	lowestSerial, highestSerial uint64
@@ -389,8 +389,8 @@
 	return byIncarnation
 }
 
-// checkObservations checks for one run of a node that each attempt was handled by a configuration that is at least as new
-// as those seen rollbackSlack or longer before the attempt was sent.
+// checkObservations checks for one run of a node that each attempt was handled by a configuration that is at least as
+// new as those seen rollbackSlack or longer before the attempt was sent.
 func (c *checker) checkObservations(incarnation string, observations []observation) {
 	slices.SortFunc(observations, func(a, b observation) int { return cmp.Compare(a.seenAt, b.seenAt) })
 	newest := make([]uint64, len(observations)+1)
@@ -512,9 +512,9 @@
 	return eligible
 }
 
-// checkRetryRatio checks the retries within each window of length retryWindow that ends with an arrival: they may exceed
-// retryRatio times the requests by retrySlack at most. It returns the largest excess, in retries, and the largest share of
-// retries in a window with more than 50 requests.
+// checkRetryRatio checks the retries within each window of length retryWindow that ends with an arrival: they may
+// exceed retryRatio times the requests by retrySlack at most. It returns the largest excess, in retries, and the
+// largest share of retries in a window with more than 50 requests.
 func (c *checker) checkRetryRatio(service string, arrivals []serviceArrival, sendTimes []time.Duration) (worstExcess, largestShare float64) {
 	worstExcess = -1e9
 	start, retries := 0, 0
@@ -555,7 +555,8 @@
 }
 
 // checkClientErrors counts the undisturbed attempts that a node itself answered with status 300 to 499, other than
-// rejections as not run, although every possible configuration has a route for them. Up to 5 plus one in 500 are allowed.
+// rejections as not run, although every possible configuration has a route for them. Up to 5 plus one in 500 are
+// allowed.
 func checkClientErrors(c *checker) {
 	rejections := 0
 	var example string
--- a/internal/testing/openfleet/rules_test.go
+++ b/internal/testing/openfleet/rules_test.go
@@ -18,8 +18,8 @@
 
 const second = time.Second
 
-// newTestHistory returns a History with two accepted configurations: serial 3 routes /a/ and /b/ to service "s", serial 5,
-// acknowledged at 21 s, routes /a/ to service "t" only.
+// newTestHistory returns a History with two accepted configurations: serial 3 routes /a/ and /b/ to service "s", serial
+// 5, acknowledged at 21 s, routes /a/ to service "t" only.
 func newTestHistory() *History {
 	h := NewHistory(fixedClock{})
 	h.proposals = []*Proposal{
--- a/internal/testing/openfleet/stats.go
+++ b/internal/testing/openfleet/stats.go
@@ -10,8 +10,9 @@
 
 // JobStats counts jobs by how they ended. OnTime jobs succeeded within their route's latency target.
 // OnTimeAfterRejection jobs exceeded it, but were first rejected early and then succeeded with an attempt that took no
-// longer than the target. Rejected jobs failed with their last attempt rejected as not run; RejectedEarly jobs had their first attempt
-// rejected as not run within a quarter of the latency target. Failures counts failed jobs by reason.
+// longer than the target. Rejected jobs failed with their last attempt rejected as not run; RejectedEarly jobs had
+// their first attempt rejected as not run within a quarter of the latency target. Failures counts failed jobs by
+// reason.
 type JobStats struct {
 	Jobs                 int
 	Succeeded            int
@@ -23,8 +24,8 @@
 	Failures             map[string]int
 }
 
-// JobStats counts the jobs that started at or after from and before until, as readings of the History's clock. An until of
-// zero sets no end; a nil match selects every job.
+// JobStats counts the jobs that started at or after from and before until, as readings of the History's clock. An until
+// of zero sets no end; a nil match selects every job.
 func (f *Fleet) JobStats(from, until time.Duration, match func(*Job) bool) JobStats {
 	h := f.History
 	h.mu.Lock()
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -106,8 +106,8 @@
 	return c
 }
 
-// startAll starts the control plane, pushes the initial configuration, starts all nodes with their upstreams and waits until
-// the nodes are ready.
+// startAll starts the control plane, pushes the initial configuration, starts all nodes with their upstreams and waits
+// until the nodes are ready.
 func startAll(f *Fleet) {
 	for _, m := range f.Controllers {
 		Expect(f.StartProcess(m)).To(Succeed())
--- a/internal/testing/openfleet/upstream.go
+++ b/internal/testing/openfleet/upstream.go
@@ -26,8 +26,8 @@
 )
 
 // Behavior describes how an upstream serves paths with a prefix. The execution takes Base plus a uniform random part of
-// Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size in bytes; Chunks selects
-// chunked encoding.
+// Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size in bytes; Chunks
+// selects chunked encoding.
 type Behavior struct {
 	Prefix string
 	Base   time.Duration
@@ -37,9 +37,9 @@
 	Chunks bool
 }
 
-// Upstream is a simulated service instance beside a node. At most Capacity requests run at a time and Queue more wait; the
-// others are rejected, or their connections reset with ResetWhenFull. IdleTimeout is that of its connections (30 s if
-// zero), which AnnounceIdleTimeout makes it send in a Keep-Alive header. ConnLimit is the largest number of open
+// Upstream is a simulated service instance beside a node. At most Capacity requests run at a time and Queue more wait;
+// the others are rejected, or their connections reset with ResetWhenFull. IdleTimeout is that of its connections (30 s
+// if zero), which AnnounceIdleTimeout makes it send in a Keep-Alive header. ConnLimit is the largest number of open
 // connections (zero sets no limit), ExtraReportedCapacity is added to the capacity that its heartbeats report, and
 // NoHeartbeats suppresses heartbeats.
 type Upstream struct {
@@ -161,7 +161,8 @@
 	return response.StatusCode < 300
 }
 
-// Leave announces that the instance is leaving, serves for drainBound and 300 ms more, deregisters it and shuts it down.
+// Leave announces that the instance is leaving, serves for drainBound and 300 ms more, deregisters it and shuts it
+// down.
 func (u *Upstream) Leave() {
 	u.AnnounceLeaving()
 	base.Await(u.scope, drainBound+300*time.Millisecond)
@@ -169,8 +170,8 @@
 	u.shutDown(false)
 }
 
-// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and records when
-// the node acknowledges it.
+// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and records
+// when the node acknowledges it.
 func (u *Upstream) AnnounceLeaving() {
 	u.mu.Lock()
 	u.leaving = true
@@ -323,8 +324,8 @@
 	return u.respond(conn, injected, header, id, status, responseBody, u.behaviorFor(r.URL.Path).Chunks)
 }
 
-// execute simulates the execution of a request: it waits for the behavior's duration and makes its calls. It returns status
-// 504 once the deadline has passed, and 500 if a call fails.
+// execute simulates the execution of a request: it waits for the behavior's duration and makes its calls. It returns
+// status 504 once the deadline has passed, and 500 if a call fails.
 func (u *Upstream) execute(ctx context.Context, r *http.Request, id string, retry bool, deadline time.Duration) (status int, body []byte) {
 	h := u.fleet.History
 	behavior := u.behaviorFor(r.URL.Path)
@@ -397,8 +398,8 @@
 	return true
 }
 
-// breakResponse applies the faults that leave the response incomplete or absent, and reports whether fault is one of them.
-// plain is the response with a Content-Length, whole the response as it would be sent without the fault.
+// breakResponse applies the faults that leave the response incomplete or absent, and reports whether fault is one of
+// them. plain is the response with a Content-Length, whole the response as it would be sent without the fault.
 func (u *Upstream) breakResponse(conn *serverConn, fault Fault, plain, whole, body []byte) (broken bool) {
 	switch fault {
 	case NoResponse:
@@ -420,8 +421,8 @@
 	return true
 }
 
-// alterResponse returns the bytes that a fault sends in place of the whole response. For DuplicateOnNextRequest it stores
-// the copy that is sent when the next request arrives.
+// alterResponse returns the bytes that a fault sends in place of the whole response. For DuplicateOnNextRequest it
+// stores the copy that is sent when the next request arrives.
 func alterResponse(conn *serverConn, fault Fault, whole, unsealed, failing []byte) []byte {
 	switch fault {
 	case MissingSeal:
--- a/internal/testing/openfleet/upstream_conn.go
+++ b/internal/testing/openfleet/upstream_conn.go
@@ -31,8 +31,8 @@
 	return c
 }
 
-// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. At the
-// end of the connection it cancels ctx.
+// peekAsync waits in the background for the next byte or the end of the connection, and sends the result to peeked. At
+// the end of the connection it cancels ctx.
 func (c *serverConn) peekAsync() {
 	go func() {
 		_, err := c.in.Peek(1)
--- a/internal/testing/openfleet/upstream_faults_test.go
+++ b/internal/testing/openfleet/upstream_faults_test.go
@@ -62,7 +62,7 @@
 	}
 })
 
-var _ = ginkgo.Describe("large responses", func() {
+var _ = ginkgo.Describe("large answers", func() {
 	for _, chunks := range []bool{false, true} {
 		specWith(fmt.Sprintf("given upstreams that truncate large responses, chunked: %v, when clients send requests, then no truncated response looks complete", chunks), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			f.Behaviors = []Behavior{{Prefix: "/scans/", Base: 10 * time.Millisecond, Size: 2_600_000, Chunks: chunks}}
@@ -169,7 +169,7 @@
 		f.StartLoad(50)
 		f.Sleep(time.Second)
 		m := f.NodesOf("gates")[0]
-		end := f.StartDisturbance("core", "isolated")
+		end := f.StartDisturbance("core", "cut off")
 		for _, controller := range f.Controllers {
 			f.Partition(m, controller)
 		}
--- a/internal/testing/openfleet/workload.go
+++ b/internal/testing/openfleet/workload.go
@@ -22,9 +22,9 @@
 	failedProbeLimit   = 2                     // consecutive failed probes that take a machine out of rotation
 )
 
-// RequestClass describes one class of requests in the client workload. Weight is its share of all requests, relative to the
-// sum of the weights; BodySize is in bytes; Timeout is the client's timeout for a job, retries included, and 2 s if zero. A
-// number is appended to Path for each job.
+// RequestClass describes one class of requests in the client workload. Weight is its share of all requests, relative to
+// the sum of the weights; BodySize is in bytes; Timeout is the client's timeout for a job, retries included, and 2 s if
+// zero. A number is appended to Path for each job.
 type RequestClass struct {
 	Method   string
 	Host     string
@@ -39,8 +39,8 @@
 	f.StartVariableLoad(func(time.Duration) float64 { return rate })
 }
 
-// StartVariableLoad starts Poisson arrivals of clients at the ready nodes, until StopLoad. rate returns the arrivals per
-// second, given the time since the call. Repeated calls add their loads.
+// StartVariableLoad starts Poisson arrivals of clients at the ready nodes, until StopLoad. rate returns the arrivals
+// per second, given the time since the call. Repeated calls add their loads.
 func (f *Fleet) StartVariableLoad(rate func(since time.Duration) float64) {
 	if f.cancelLoad == nil {
 		s, cancel := f.Scope.WithCancel()
@@ -65,8 +65,8 @@
 	}
 }
 
-// probeReadiness probes the nodes' readiness every second, as the platform around them does, and takes machines in and out
-// of rotation for clients.
+// probeReadiness probes the nodes' readiness every second, as the platform around them does, and takes machines in and
+// out of rotation for clients.
 func (f *Fleet) probeReadiness(s base.Scope) {
 	httpClient := &http.Client{Transport: &http.Transport{DialContext: f.World.At("10.9.9.7", "platform").Dial, DisableKeepAlives: true}, Timeout: 500 * time.Millisecond}
 	probe := func(base.Scope) {
@@ -135,8 +135,8 @@
 	return f.Workload[0]
 }
 
-// newAttempt returns an attempt for a call "METHOD host path", with what the newest acknowledged configuration says of its
-// route.
+// newAttempt returns an attempt for a call "METHOD host path", with what the newest acknowledged configuration says of
+// its route.
 func (f *Fleet) newAttempt(m *Machine, call, id string) *Attempt {
 	var method, host, path string
 	_, _ = fmt.Sscanf(call, "%s %s %s", &method, &host, &path)
@@ -224,8 +224,8 @@
 	return rejectedBeforeExecution(outcome) || outcome.TransportError != "" && !outcome.RequestRead
 }
 
-// RequestFromAll sends one request to every node in rotation, on a path that may have no route, so that the History shows
-// which configuration each node uses. These requests belong to no job.
+// RequestFromAll sends one request to every node in rotation, on a path that may have no route, so that the History
+// shows which configuration each node uses. These requests belong to no job.
 func (f *Fleet) RequestFromAll(method, host, path string) {
 	base.Parallel(f.currentNodes(), func(m *Machine) {
 		if !m.inRotation.Load() {
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -1,4 +1,5 @@
-// Package simulation runs tests on a simulated network in simulated time, which advances only while every goroutine waits.
+// Package simulation runs tests on a simulated network in simulated time, which advances only while every goroutine
+// waits.
 package simulation
 
 import (
@@ -43,8 +44,8 @@
 	tasks    base.Group
 }
 
-// Run runs test in a bubble of simulated time, on a network with the given one-way delay between machines. Afterwards it
-// cancels all scopes, runs the cleanups, waits for all tasks and closes the network.
+// Run runs test in a bubble of simulated time, on a network with the given one-way delay between machines. Afterwards
+// it cancels all scopes, runs the cleanups, waits for all tasks and closes the network.
 func Run(t *testing.T, delay time.Duration, test func(s *Simulation)) {
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
