--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// holdMemory is the weight of the newest request in the moving average of
+	// serviceTimeSmoothing is the weight of the newest request in the moving average of
 	// how long one holds its candidate.
-	holdMemory = 0.1
-	// leastLeft, of that average, is the time to its deadline that a waiter
+	serviceTimeSmoothing = 0.1
+	// minTimeLeftRatio, of that average, is the time to its deadline that a waiter
 	// must have left to be let in.
-	leastLeft = 0.5
+	minTimeLeftRatio = 0.5
 )
 
 type waiter struct {
-	until time.Duration
-	grant chan *base.Fault
-	gone  bool
+	deadline  time.Duration
+	grant     chan *base.Fault
+	abandoned bool
 }
 
 type groupQueue struct {
@@ -36,184 +36,184 @@
 // number of requests are inside, others wait. Groups get their turns by the
 // weights of their shares. It is safe for concurrent use.
 type AdmissionQueue struct {
-	mu      sync.Mutex
-	clock   base.Clock
-	limit   int
-	bound   int
-	flying  int
-	waiting int
-	now     float64
-	hold    float64
-	lanes   map[string]*groupQueue
+	mu          sync.Mutex
+	clock       base.Clock
+	limit       int
+	maxWaiting  int
+	inFlight    int
+	waiting     int
+	virtualTime float64
+	serviceTime float64
+	groups      map[string]*groupQueue
 }
 
 // NewAdmissionQueue returns a gate that lets limit requests in and bound wait.
-func NewAdmissionQueue(clock base.Clock, limit, bound int) *AdmissionQueue {
-	return &AdmissionQueue{clock: clock, limit: max(limit, 1), bound: bound, lanes: map[string]*groupQueue{}}
+func NewAdmissionQueue(clock base.Clock, limit, maxWaiting int) *AdmissionQueue {
+	return &AdmissionQueue{clock: clock, limit: max(limit, 1), maxWaiting: maxWaiting, groups: map[string]*groupQueue{}}
 }
 
-// Resize sets how many requests may be inside.
-func (g *AdmissionQueue) Resize(limit int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.limit = max(limit, 1)
-	g.advance()
+// SetLimit sets how many requests may be inside.
+func (q *AdmissionQueue) SetLimit(limit int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.limit = max(limit, 1)
+	q.admitWaiting()
 }
 
 // InFlight returns how many requests are inside.
-func (g *AdmissionQueue) InFlight() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.flying
+func (q *AdmissionQueue) InFlight() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.inFlight
 }
 
 // Granted returns how many were let in so far, by group.
-func (g *AdmissionQueue) Granted() map[string]uint64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (q *AdmissionQueue) Granted() map[string]uint64 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	granted := map[string]uint64{}
-	for group, at := range g.lanes {
-		granted[group] = at.granted
+	for group, queue := range q.groups {
+		granted[group] = queue.granted
 	}
 	return granted
 }
 
-// Enter waits to be let in until the time given. The caller calls leave when
+// Acquire waits to be let in until the time given. The caller calls leave when
 // its request has ended. The error is of kind Crowded if it can't be let in in
 // time or the queue is full, and Expired if the time passed.
-func (g *AdmissionQueue) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), fault *base.Fault) {
-	g.mu.Lock()
-	at := g.lanes[group]
-	if at == nil {
-		at = &groupQueue{group: group}
-		g.lanes[group] = at
+func (q *AdmissionQueue) Acquire(s base.Scope, group string, weight float64, deadline time.Duration) (release func(), fault *base.Fault) {
+	q.mu.Lock()
+	queue := q.groups[group]
+	if queue == nil {
+		queue = &groupQueue{group: group}
+		q.groups[group] = queue
 	}
-	at.weight = max(weight, 0.001)
-	if g.flying < g.limit && g.waiting == 0 {
-		g.take(at)
-		g.mu.Unlock()
-		return g.leaver(), nil
+	queue.weight = max(weight, 0.001)
+	if q.inFlight < q.limit && q.waiting == 0 {
+		q.admit(queue)
+		q.mu.Unlock()
+		return q.releaseFunc(), nil
 	}
-	left := (until - g.clock.Mono()).Seconds()
-	wait := g.hold * g.ahead(at) / float64(g.limit)
-	after := time.Duration(wait * float64(time.Second))
-	if g.hold > 0 && wait > left {
-		g.mu.Unlock()
-		return nil, base.NewFault(base.Overloaded, "", "the wait would outlast the deadline").WithRetryAfter(after)
+	timeLeft := (deadline - q.clock.Mono()).Seconds()
+	wait := q.serviceTime * q.turnsAhead(queue) / float64(q.limit)
+	retryAfter := time.Duration(wait * float64(time.Second))
+	if q.serviceTime > 0 && wait > timeLeft {
+		q.mu.Unlock()
+		return nil, base.NewFault(base.Overloaded, "", "the wait would outlast the deadline").WithRetryAfter(retryAfter)
 	}
-	if g.waiting >= g.bound && !g.evict(at) {
-		g.mu.Unlock()
-		return nil, base.NewFault(base.Overloaded, "", "the queue of group %q is full", group).WithRetryAfter(after)
+	if q.waiting >= q.maxWaiting && !q.evict(queue) {
+		q.mu.Unlock()
+		return nil, base.NewFault(base.Overloaded, "", "the queue of group %q is full", group).WithRetryAfter(retryAfter)
 	}
-	mine := &waiter{until: until, grant: make(chan *base.Fault, 1)}
-	if at.waiting.Len() == 0 {
-		at.pass = max(at.pass, g.now)
+	w := &waiter{deadline: deadline, grant: make(chan *base.Fault, 1)}
+	if queue.waiting.Len() == 0 {
+		queue.pass = max(queue.pass, q.virtualTime)
 	}
-	at.waiting.PushBack(mine)
-	g.waiting++
-	g.mu.Unlock()
+	queue.waiting.PushBack(w)
+	q.waiting++
+	q.mu.Unlock()
 
-	wakeup := time.NewTimer(time.Duration(left * float64(time.Second)))
-	defer wakeup.Stop()
+	timer := time.NewTimer(time.Duration(timeLeft * float64(time.Second)))
+	defer timer.Stop()
 	select {
-	case fault := <-mine.grant:
+	case fault := <-w.grant:
 		if fault != nil {
 			return nil, fault
 		}
-		return g.leaver(), nil
+		return q.releaseFunc(), nil
 	case <-s.Done():
-	case <-wakeup.C:
+	case <-timer.C:
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	select {
-	case fault := <-mine.grant:
+	case fault := <-w.grant:
 		if fault == nil {
-			g.flying--
-			g.advance()
+			q.inFlight--
+			q.admitWaiting()
 		}
 	default:
-		mine.gone = true
-		g.waiting--
+		w.abandoned = true
+		q.waiting--
 	}
 	return nil, base.NewFault(base.Expired, "", "the deadline passed in the queue")
 }
 
-func (g *AdmissionQueue) ahead(at *groupQueue) float64 {
+func (q *AdmissionQueue) turnsAhead(queue *groupQueue) float64 {
 	total := 0.0
-	for _, each := range g.lanes {
-		if each.waiting.Len() > 0 || each == at {
+	for _, each := range q.groups {
+		if each.waiting.Len() > 0 || each == queue {
 			total += each.weight
 		}
 	}
-	return float64(at.waiting.Len()+1) * total / at.weight
+	return float64(queue.waiting.Len()+1) * total / queue.weight
 }
 
-func (g *AdmissionQueue) evict(newcomer *groupQueue) bool {
+func (q *AdmissionQueue) evict(newcomer *groupQueue) bool {
 	var fullest *groupQueue
-	for _, each := range g.lanes {
-		if each.waiting.Len() > 0 && (fullest == nil || over(each) > over(fullest)) {
+	for _, each := range q.groups {
+		if each.waiting.Len() > 0 && (fullest == nil || relativeLength(each) > relativeLength(fullest)) {
 			fullest = each
 		}
 	}
-	if fullest == nil || fullest == newcomer || over(fullest) <= (float64(newcomer.waiting.Len())+1)/newcomer.weight {
+	if fullest == nil || fullest == newcomer || relativeLength(fullest) <= (float64(newcomer.waiting.Len())+1)/newcomer.weight {
 		return false
 	}
 	last := fullest.waiting.PopBack()
-	if !last.gone {
-		g.waiting--
+	if !last.abandoned {
+		q.waiting--
 		last.grant <- base.NewFault(base.Overloaded, "", "the queue is full and another group is owed its place")
 	}
 	return true
 }
 
-func over(at *groupQueue) float64 { return float64(at.waiting.Len()) / at.weight }
+func relativeLength(queue *groupQueue) float64 { return float64(queue.waiting.Len()) / queue.weight }
 
-func (g *AdmissionQueue) take(at *groupQueue) {
-	at.pass = max(at.pass, g.now) + 1/at.weight
-	g.now = max(g.now, at.pass-1/at.weight)
-	at.granted++
-	g.flying++
+func (q *AdmissionQueue) admit(queue *groupQueue) {
+	queue.pass = max(queue.pass, q.virtualTime) + 1/queue.weight
+	q.virtualTime = max(q.virtualTime, queue.pass-1/queue.weight)
+	queue.granted++
+	q.inFlight++
 }
 
-func (g *AdmissionQueue) leaver() func() {
-	began := g.clock.Mono()
+func (q *AdmissionQueue) releaseFunc() func() {
+	startedAt := q.clock.Mono()
 	var once sync.Once
 	return func() {
 		once.Do(func() {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.flying--
-			took := (g.clock.Mono() - began).Seconds()
-			if g.hold == 0 {
-				g.hold = took
+			q.mu.Lock()
+			defer q.mu.Unlock()
+			q.inFlight--
+			duration := (q.clock.Mono() - startedAt).Seconds()
+			if q.serviceTime == 0 {
+				q.serviceTime = duration
 			}
-			g.hold += holdMemory * (took - g.hold)
-			g.advance()
+			q.serviceTime += serviceTimeSmoothing * (duration - q.serviceTime)
+			q.admitWaiting()
 		})
 	}
 }
 
-func (g *AdmissionQueue) shed(at *groupQueue) {
-	late := g.clock.Mono() + time.Duration(leastLeft*g.hold*float64(time.Second))
-	for at.waiting.Len() > 0 {
-		first := at.waiting.Front()
-		if !first.gone && first.until > late {
+func (q *AdmissionQueue) dropLate(queue *groupQueue) {
+	minDeadline := q.clock.Mono() + time.Duration(minTimeLeftRatio*q.serviceTime*float64(time.Second))
+	for queue.waiting.Len() > 0 {
+		first := queue.waiting.Front()
+		if !first.abandoned && first.deadline > minDeadline {
 			return
 		}
-		at.waiting.PopFront()
-		if !first.gone {
-			g.waiting--
+		queue.waiting.PopFront()
+		if !first.abandoned {
+			q.waiting--
 			first.grant <- base.NewFault(base.Overloaded, "", "too little time was left when its turn came")
 		}
 	}
 }
 
-func (g *AdmissionQueue) advance() {
-	for g.flying < g.limit {
+func (q *AdmissionQueue) admitWaiting() {
+	for q.inFlight < q.limit {
 		var next *groupQueue
-		for _, each := range g.lanes {
-			g.shed(each)
+		for _, each := range q.groups {
+			q.dropLate(each)
 			if each.waiting.Len() > 0 && (next == nil || each.pass < next.pass || each.pass == next.pass && each.group < next.group) {
 				next = each
 			}
@@ -222,8 +222,8 @@
 			return
 		}
 		first := next.waiting.PopFront()
-		g.waiting--
-		g.take(next)
+		q.waiting--
+		q.admit(next)
 		first.grant <- nil
 	}
 }
--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -10,18 +10,18 @@
 	"curlewreach/base"
 )
 
-func flood(s base.Scope, g *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
+func loadGroup(s base.Scope, q *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
 	served := &atomic.Int64{}
 	for range callers {
 		go func() {
 			for range rounds {
-				leave, fault := g.Enter(s, group, weight, s.Clock.Mono()+time.Second)
+				release, fault := q.Acquire(s, group, weight, s.Clock.Mono()+time.Second)
 				if fault != nil {
 					time.Sleep(time.Millisecond)
 					continue
 				}
 				time.Sleep(10 * time.Millisecond)
-				leave()
+				release()
 				served.Add(1)
 			}
 		}()
@@ -31,9 +31,9 @@
 
 var _ = ginkgo.Describe("the gate", func() {
 	ginkgo.It("given two groups that flood it, when weights are 3 to 1, then they are served 3 to 1", func() {
-		bubble(func(s base.Scope) {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 100)
-			heavy, light := flood(s, g, "heavy", 3, 20, 300), flood(s, g, "light", 1, 20, 300)
+			heavy, light := loadGroup(s, g, "heavy", 3, 20, 300), loadGroup(s, g, "light", 1, 20, 300)
 			time.Sleep(5 * time.Second)
 			Expect(float64(heavy.Load()) / float64(light.Load())).To(BeNumerically("~", 3, 0.3))
 			time.Sleep(time.Hour)
@@ -42,10 +42,10 @@
 	})
 
 	ginkgo.It("given one group that floods with forty callers, when another asks a little, then it is served at once", func() {
-		bubble(func(s base.Scope) {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
-			flood(s, g, "flood", 1, 40, 300)
-			calm := flood(s, g, "calm", 1, 1, 100)
+			loadGroup(s, g, "flood", 1, 40, 300)
+			calm := loadGroup(s, g, "calm", 1, 1, 100)
 			time.Sleep(4 * time.Second)
 			Expect(calm.Load()).To(Equal(int64(100)))
 			time.Sleep(time.Hour)
@@ -53,9 +53,9 @@
 	})
 
 	ginkgo.It("given room to spare, when one group asks, then it may use all of it", func() {
-		bubble(func(s base.Scope) {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
-			served := flood(s, g, "only", 0.1, 8, 100)
+			served := loadGroup(s, g, "only", 0.1, 8, 100)
 			time.Sleep(2010 * time.Millisecond)
 			Expect(served.Load()).To(BeNumerically("~", 800, 8))
 			time.Sleep(time.Hour)
@@ -63,14 +63,14 @@
 	})
 
 	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
-		bubble(func(s base.Scope) {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 1, 5)
-			leave, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			leave, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
 				go func() {
-					_, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+					_, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 					kinds <- fault.Kind
 				}()
 			}
@@ -80,7 +80,7 @@
 			Expect(kinds).To(HaveLen(20))
 			leave()
 			Expect(g.InFlight()).To(BeZero())
-			again, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			again, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			again()
 		})
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -15,34 +15,34 @@
 	"curlewreach/proto/wire"
 )
 
-type interval struct{ from, till time.Duration }
+type interval struct{ from, to time.Duration }
 
 // callInProgress is a request at an upstream, which may make further calls.
 type callInProgress struct {
-	span      string
-	trail     *wire.Trail
-	way       bundle.Way
-	seat      *instance
-	fields    func(name string) string
-	began     time.Duration
-	further   []interval
-	uncertain bool
-	arrived   map[int]int
-	turns     map[int]func()
+	spanID         string
+	trail          *wire.Trail
+	match          bundle.Way
+	instance       *instance
+	field          func(name string) string
+	startedAt      time.Duration
+	calls          []interval
+	uncertain      bool
+	callCounts     map[int]int
+	releaseByIndex map[int]func()
 }
 
-func (f *callInProgress) self(ended time.Duration) time.Duration {
-	return ended - f.began - union(f.further, f.began, ended)
+func (c *callInProgress) selfTime(endedAt time.Duration) time.Duration {
+	return endedAt - c.startedAt - coveredTime(c.calls, c.startedAt, endedAt)
 }
 
-func union(intervals []interval, from, till time.Duration) time.Duration {
+func coveredTime(intervals []interval, from, to time.Duration) time.Duration {
 	ordered := slices.SortedFunc(slices.Values(intervals), func(a, b interval) int { return cmp.Compare(a.from, b.from) })
-	total, reached := time.Duration(0), from
+	total, coveredUntil := time.Duration(0), from
 	for _, each := range ordered {
-		start, end := max(each.from, reached), min(each.till, till)
+		start, end := max(each.from, coveredUntil), min(each.to, to)
 		if end > start {
 			total += end - start
-			reached = end
+			coveredUntil = end
 		}
 	}
 	return total
@@ -50,268 +50,268 @@
 
 // keyQueue lets one of the requests that are kept apart through at a time.
 type keyQueue struct {
-	latch base.ContextMutex
+	mutex base.ContextMutex
 	users int
 }
 
-// turnMemory is the weight of the newest request in the moving average of how
+// holdTimeSmoothing is the weight of the newest request in the moving average of how
 // long a turn takes.
-const turnMemory = 0.2
+const holdTimeSmoothing = 0.2
 
 // CallTracker finds, for a further call of an instance, the request it is made for: by
 // the trace header if the instance passes it on, else by the route's declared
 // further calls and their key fields. Where these wouldn't tell, it keeps
 // requests apart. It is safe for concurrent use. docs/design.md tells why.
 type CallTracker struct {
-	clock   base.Clock
-	mu      sync.Mutex
-	flights map[string]*callInProgress
-	apart   map[string]*keyQueue
-	turns   map[string]time.Duration
+	clock     base.Clock
+	mu        sync.Mutex
+	inFlight  map[string]*callInProgress
+	queues    map[string]*keyQueue
+	holdTimes map[string]time.Duration
 }
 
 // NewCallTracker returns ties without requests.
 func NewCallTracker(clock base.Clock) *CallTracker {
-	return &CallTracker{clock: clock, flights: map[string]*callInProgress{}, apart: map[string]*keyQueue{}, turns: map[string]time.Duration{}}
+	return &CallTracker{clock: clock, inFlight: map[string]*callInProgress{}, queues: map[string]*keyQueue{}, holdTimes: map[string]time.Duration{}}
 }
 
 // Begin notes that a request is handed to the upstream.
-func (t *CallTracker) Begin(f *callInProgress) {
+func (t *CallTracker) Begin(c *callInProgress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f.began = t.clock.Mono()
-	t.flights[f.span] = f
+	c.startedAt = t.clock.Mono()
+	t.inFlight[c.spanID] = c
 }
 
 // End notes that it has ended, and returns its self time and whether that is
 // uncertain.
-func (t *CallTracker) End(f *callInProgress) (self time.Duration, uncertain bool) {
+func (t *CallTracker) End(c *callInProgress) (selfTime time.Duration, uncertain bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.flights, f.span)
-	return f.self(t.clock.Mono()), f.uncertain
+	delete(t.inFlight, c.spanID)
+	return c.selfTime(t.clock.Mono()), c.uncertain
 }
 
-func (f *callInProgress) awaits(way bundle.Way, child func(string) string) (at int, awaits bool) {
-	for at, further := range f.way.Route.Further {
-		if further.Service == way.Service.Name && further.Route == way.Route.Name && fits(further, f.fields, child) &&
-			(further.Most == 0 || f.arrived[at] < int(further.Most)) {
+func (c *callInProgress) expects(match bundle.Way, childField func(string) string) (index int, expected bool) {
+	for at, further := range c.match.Route.Further {
+		if further.Service == match.Service.Name && further.Route == match.Route.Name && keysMatch(further, c.field, childField) &&
+			(further.Most == 0 || c.callCounts[at] < int(further.Most)) {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-func (f *callInProgress) arrive(at int) {
-	if f.arrived == nil {
-		f.arrived = map[int]int{}
+func (c *callInProgress) recordArrival(index int) {
+	if c.callCounts == nil {
+		c.callCounts = map[int]int{}
 	}
-	f.arrived[at]++
-	further := f.way.Route.Further[at]
-	if drop := f.turns[at]; drop != nil && further.Most > 0 && f.arrived[at] >= int(further.Most) {
-		delete(f.turns, at)
-		go drop()
+	c.callCounts[index]++
+	further := c.match.Route.Further[index]
+	if release := c.releaseByIndex[index]; release != nil && further.Most > 0 && c.callCounts[index] >= int(further.Most) {
+		delete(c.releaseByIndex, index)
+		go release()
 	}
 }
 
-// Parent is what was found out about a further call: its parent if it is Tied, or
+// Attribution is what was found out about a further call: its parent if it is Tied, or
 // the spans of the candidates if there are several.
-type Parent struct {
+type Attribution struct {
 	Parent     *callInProgress
 	Candidates []string
-	Tied       bool
+	Certain    bool
 }
 
-// Find ties a further call, given its route, its path's placeholders and the
+// FindParent ties a further call, given its route, its path's placeholders and the
 // name of the trace header.
-func (t *CallTracker) Find(r *http.Request, way bundle.Way, holes map[string]string, header string) Parent {
+func (t *CallTracker) FindParent(r *http.Request, match bundle.Way, pathParams map[string]string, header string) Attribution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if parent := t.flights[spanIn(r.Header.Get(header))]; parent != nil {
-		parent.seat.passes = true
-		return Parent{Parent: parent, Tied: true}
+	if parent := t.inFlight[spanIDOf(r.Header.Get(header))]; parent != nil {
+		parent.instance.passesTraceHeader = true
+		return Attribution{Parent: parent, Certain: true}
 	}
-	child := fieldsOf(r, holes)
+	childField := requestFields(r, pathParams)
 	var candidates []*callInProgress
-	called := 0
-	for _, each := range t.flights {
-		if at, fit := each.awaits(way, child); fit {
-			candidates, called = append(candidates, each), at
+	furtherIndex := 0
+	for _, each := range t.inFlight {
+		if index, fits := each.expects(match, childField); fits {
+			candidates, furtherIndex = append(candidates, each), index
 		}
 	}
 	switch len(candidates) {
 	case 0:
-		return Parent{}
+		return Attribution{}
 	case 1:
-		candidates[0].arrive(called)
-		return Parent{Parent: candidates[0], Tied: true}
+		candidates[0].recordArrival(furtherIndex)
+		return Attribution{Parent: candidates[0], Certain: true}
 	}
 	names := make([]string, len(candidates))
 	for i, each := range candidates {
-		names[i] = each.span
+		names[i] = each.spanID
 		each.uncertain = true
-		each.seat.passes = false
+		each.instance.passesTraceHeader = false
 	}
 	slices.Sort(names)
-	return Parent{Candidates: names}
+	return Attribution{Candidates: names}
 }
 
-// Spent notes that a further call for parent took from the time given until
+// RecordCall notes that a further call for parent took from the time given until
 // now.
-func (t *CallTracker) Spent(parent *callInProgress, from time.Duration) {
+func (t *CallTracker) RecordCall(parent *callInProgress, from time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	parent.further = append(parent.further, interval{from, t.clock.Mono()})
+	parent.calls = append(parent.calls, interval{from, t.clock.Mono()})
 }
 
-func fits(further *wire.Further, parent, child func(string) string) bool {
-	for _, match := range further.Keys {
-		if value := parent(match.Parent); value == "" || value != child(match.Child) {
+func keysMatch(further *wire.Further, parent, child func(string) string) bool {
+	for _, keyMatch := range further.Keys {
+		if value := parent(keyMatch.Parent); value == "" || value != child(keyMatch.Child) {
 			return false
 		}
 	}
 	return true
 }
 
-func fieldsOf(r *http.Request, holes map[string]string) func(string) string {
+func requestFields(r *http.Request, pathParams map[string]string) func(string) string {
 	query, headers := r.URL.Query(), r.Header
-	return func(name string) string { return lookup(name, holes, query, headers) }
+	return func(name string) string { return fieldValue(name, pathParams, query, headers) }
 }
 
-func lookup(name string, holes map[string]string, query url.Values, headers http.Header) string {
-	where, what, _ := strings.Cut(name, ":")
-	switch where {
+func fieldValue(field string, pathParams map[string]string, query url.Values, headers http.Header) string {
+	source, key, _ := strings.Cut(field, ":")
+	switch source {
 	case "path":
-		return holes[what]
+		return pathParams[key]
 	case "query":
-		return query.Get(what)
+		return query.Get(key)
 	case "header":
-		return headers.Get(what)
+		return headers.Get(key)
 	}
 	return ""
 }
 
-func spanIn(traceparent string) string {
-	pieces := strings.Split(traceparent, "-")
-	if len(pieces) != 4 {
+func spanIDOf(traceparent string) string {
+	parts := strings.Split(traceparent, "-")
+	if len(parts) != 4 {
 		return ""
 	}
-	return pieces[2]
+	return parts[2]
 }
 
-func traceparent(trail *wire.Trail, span string) string {
+func traceparent(trail *wire.Trail, spanID string) string {
 	flags := "00"
 	if trail.Sampled {
 		flags = "01"
 	}
-	return "00-" + trail.Trace + "-" + span + "-" + flags
+	return "00-" + trail.Trace + "-" + spanID + "-" + flags
 }
 
-// Apart waits until no other request is at work whose further calls couldn't be
+// Serialize waits until no other request is at work whose further calls couldn't be
 // told from those of f. The caller calls leave when f has ended. An impatient
 // caller is turned back at once, with kind Apart.
-func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), fault *base.Fault) {
-	keys := t.keysOf(f)
-	turns := map[int]func(){}
-	var kept []func()
-	leave = func() {
+func (t *CallTracker) Serialize(s base.Scope, c *callInProgress, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
+	keys := t.serializationKeys(c)
+	releaseByIndex := map[int]func(){}
+	var releaseAtEnd []func()
+	release = func() {
 		t.mu.Lock()
-		left := append(kept, slices.Collect(maps.Values(f.turns))...)
-		f.turns, kept = nil, nil
+		held := append(releaseAtEnd, slices.Collect(maps.Values(c.releaseByIndex))...)
+		c.releaseByIndex, releaseAtEnd = nil, nil
 		t.mu.Unlock()
-		for _, drop := range left {
-			drop()
+		for _, unlock := range held {
+			unlock()
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		drop, fault := t.take(s, key, f.way.Identifier(), until, patient)
+		drop, fault := t.acquire(s, key, c.match.Identifier(), deadline, mayWait)
 		if fault != nil {
-			f.turns = turns
-			leave()
+			c.releaseByIndex = releaseByIndex
+			release()
 			return nil, fault
 		}
-		if at := keys[key]; at >= 0 {
-			turns[at] = drop
+		if index := keys[key]; index >= 0 {
+			releaseByIndex[index] = drop
 		} else {
-			kept = append(kept, drop)
+			releaseAtEnd = append(releaseAtEnd, drop)
 		}
 	}
-	f.turns = turns
-	return leave, nil
+	c.releaseByIndex = releaseByIndex
+	return release, nil
 }
 
-// keysOf returns what must differ between f and other requests, for their
+// serializationKeys returns what must differ between f and other requests, for their
 // further calls to be told apart: for each key the further call it stands for,
 // by its index, or -1 if for several.
-func (t *CallTracker) keysOf(f *callInProgress) map[string]int {
+func (t *CallTracker) serializationKeys(c *callInProgress) map[string]int {
 	keys := map[string]int{}
-	if f.way.Route.Together || t.passes(f.seat) {
+	if c.match.Route.Together || t.passesTraceHeader(c.instance) {
 		return keys
 	}
-	for at, further := range f.way.Route.Further {
+	for index, further := range c.match.Route.Further {
 		key := further.Service + "/" + further.Route
-		for _, match := range further.Keys {
-			key += "\x00" + match.Child + "=" + f.fields(match.Parent)
+		for _, keyMatch := range further.Keys {
+			key += "\x00" + keyMatch.Child + "=" + c.field(keyMatch.Parent)
 		}
-		if _, twice := keys[key]; twice {
-			at = -1
+		if _, seen := keys[key]; seen {
+			index = -1
 		}
-		keys[key] = at
+		keys[key] = index
 	}
 	return keys
 }
 
-func (t *CallTracker) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), fault *base.Fault) {
-	at, ahead, usual := t.turn(key, identifier)
-	if ahead > 0 && !patient {
-		t.quit(key)
+func (t *CallTracker) acquire(s base.Scope, key, routeID string, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
+	queue, ahead, averageHold := t.join(key, routeID)
+	if ahead > 0 && !mayWait {
+		t.leave(key)
 		return nil, base.NewFault(base.KeptApart, "", "another such request has the turn here")
 	}
-	if t.clock.Mono()+time.Duration(ahead)*usual > until {
-		t.quit(key)
+	if t.clock.Mono()+time.Duration(ahead)*averageHold > deadline {
+		t.leave(key)
 		return nil, base.NewFault(base.KeptApart, "", "its turn would come after the deadline")
 	}
-	if !at.latch.Lock(s) {
-		t.quit(key)
+	if !queue.mutex.Lock(s) {
+		t.leave(key)
 		return nil, base.NewFault(base.Expired, "", "the deadline passed while kept apart")
 	}
-	began := t.clock.Mono()
+	acquiredAt := t.clock.Mono()
 	return func() {
-		at.latch.Unlock()
-		t.quit(key)
+		queue.mutex.Unlock()
+		t.leave(key)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		took := t.clock.Mono() - began
-		if t.turns[identifier] == 0 {
-			t.turns[identifier] = took
+		held := t.clock.Mono() - acquiredAt
+		if t.holdTimes[routeID] == 0 {
+			t.holdTimes[routeID] = held
 		}
-		t.turns[identifier] += time.Duration(turnMemory * float64(took-t.turns[identifier]))
+		t.holdTimes[routeID] += time.Duration(holdTimeSmoothing * float64(held-t.holdTimes[routeID]))
 	}, nil
 }
 
-func (t *CallTracker) passes(at *instance) bool {
+func (t *CallTracker) passesTraceHeader(instance *instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return at.passes
+	return instance.passesTraceHeader
 }
 
-func (t *CallTracker) turn(key, identifier string) (at *keyQueue, ahead int, usual time.Duration) {
+func (t *CallTracker) join(key, routeID string) (queue *keyQueue, ahead int, averageHold time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at = t.apart[key]
-	if at == nil {
-		at = &keyQueue{latch: base.NewContextMutex()}
-		t.apart[key] = at
+	queue = t.queues[key]
+	if queue == nil {
+		queue = &keyQueue{mutex: base.NewContextMutex()}
+		t.queues[key] = queue
 	}
-	at.users++
-	return at, at.users - 1, t.turns[identifier]
+	queue.users++
+	return queue, queue.users - 1, t.holdTimes[routeID]
 }
 
-func (t *CallTracker) quit(key string) {
+func (t *CallTracker) leave(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.apart[key]
-	if at.users--; at.users == 0 {
-		delete(t.apart, key)
+	queue := t.queues[key]
+	if queue.users--; queue.users == 0 {
+		delete(t.queues, key)
 	}
 }
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -21,238 +21,238 @@
 // clientRequest is a request to this node: of a visitor, or (inner) a further call of
 // an instance.
 type clientRequest struct {
-	request *http.Request
-	inner   bool
-	w       http.ResponseWriter
+	request      *http.Request
+	fromInstance bool
+	w            http.ResponseWriter
 }
 
-type answer struct {
+type clientResponse struct {
 	head *wire.CarryHead
 	body []byte
 }
 
 func (n *Node) handler(inner bool) http.Handler {
-	var ask endpoint.Endpoint = n.answer
-	ask = n.counted(ask)
+	var handle endpoint.Endpoint = n.handleRequest
+	handle = n.instrument(handle)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		response, err := ask(r.Context(), &clientRequest{request: r, inner: inner, w: w})
+		response, err := handle(r.Context(), &clientRequest{request: r, fromInstance: inner, w: w})
 		if err != nil {
-			rejectTo(w, base.FaultOf(err))
+			writeFault(w, base.FaultOf(err))
 			return
 		}
-		if whole := response.(*answer); whole != nil {
-			put(whole.head.Headers, w.Header())
-			w.WriteHeader(int(whole.head.Status))
-			_, _ = w.Write(whole.body)
+		if buffered := response.(*clientResponse); buffered != nil {
+			setHeaders(buffered.head.Headers, w.Header())
+			w.WriteHeader(int(buffered.head.Status))
+			_, _ = w.Write(buffered.body)
 		}
 	})
 }
 
-func (n *Node) counted(next endpoint.Endpoint) endpoint.Endpoint {
+func (n *Node) instrument(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		leave := n.enter()
-		defer leave()
+		done := n.trackRequest()
+		defer done()
 		response, err := next(ctx, request)
 		if err != nil {
-			e := request.(*clientRequest)
-			n.scope.Record("bounce-"+string(base.FaultOf(err).Kind), e.w.Header().Get(traceHeader), e.request.URL.Path+": "+base.FaultOf(err).Reason)
+			incoming := request.(*clientRequest)
+			n.scope.Record("bounce-"+string(base.FaultOf(err).Kind), incoming.w.Header().Get(traceHeader), incoming.request.URL.Path+": "+base.FaultOf(err).Reason)
 		}
 		return response, err
 	}
 }
 
-func (n *Node) answer(ctx context.Context, request any) (any, error) {
-	e := request.(*clientRequest)
+func (n *Node) handleRequest(ctx context.Context, request any) (any, error) {
+	incoming := request.(*clientRequest)
 	s := n.scope.WithContext(ctx)
-	signed := n.slice.Load()
+	signed := n.bundle.Load()
 	if signed == nil {
 		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
-	if !n.claims.Good(signed.Serial) {
-		if fault := n.abreast(s, signed.Serial); fault != nil && fault.Kind != base.Stale {
+	if !n.confirmations.IsCurrent(signed.Serial) {
+		if fault := n.awaitSerial(s, signed.Serial); fault != nil && fault.Kind != base.Stale {
 			return nil, fault
 		}
-		signed = n.slice.Load()
+		signed = n.bundle.Load()
 	}
-	way, known := signed.Match(e.request.Method, e.request.URL.Path)
+	match, known := signed.Match(incoming.request.Method, incoming.request.URL.Path)
 	if !known {
-		return nil, base.NewFault(base.NoRoute, "", "no route for %s %s", e.request.Method, e.request.URL.Path)
+		return nil, base.NewFault(base.NoRoute, "", "no route for %s %s", incoming.request.Method, incoming.request.URL.Path)
 	}
-	until := s.Clock.Mono() + way.Deadline()
-	if n.stopping.Load() && !e.inner && until > time.Duration(n.ends.Load()) {
-		return nil, base.NewFault(base.Stopping, "", "this node stops before the deadline of %s", way.Identifier()).WithRetryAfter(time.Duration(n.ends.Load()) - s.Clock.Mono())
+	deadline := s.Clock.Mono() + match.Deadline()
+	if n.stopping.Load() && !incoming.fromInstance && deadline > time.Duration(n.stopDeadline.Load()) {
+		return nil, base.NewFault(base.Stopping, "", "this node stops before the deadline of %s", match.Identifier()).WithRetryAfter(time.Duration(n.stopDeadline.Load()) - s.Clock.Mono())
 	}
-	s, cancel := s.WithTimeout(way.Deadline())
+	s, cancel := s.WithTimeout(match.Deadline())
 	defer cancel()
-	leave, fault := n.gate.Enter(s, way.Group, signed.Share(way.Group).GetCarried(), until)
+	release, fault := n.admission.Acquire(s, match.Group, signed.Share(match.Group).GetCarried(), deadline)
 	if fault != nil {
 		return nil, fault
 	}
-	defer leave()
-	body, give, fault := n.body(e, way.Deadline())
+	defer release()
+	body, releaseBody, fault := n.readBody(incoming, match.Deadline())
 	if fault != nil {
 		return nil, fault
 	}
-	defer give()
-	return n.answerWith(s, e, signed, &Ledger{Way: way, Until: until}, body)
+	defer releaseBody()
+	return n.handleAdmitted(s, incoming, signed, &Ledger{Match: match, Deadline: deadline}, body)
 }
 
-// body reads a request's body within the time given. The caller calls give when
+// readBody reads a request's body within the time given. The caller calls give when
 // it is no longer needed.
-func (n *Node) body(e *clientRequest, within time.Duration) (body []byte, give func(), fault *base.Fault) {
-	longest := n.dials.Load().Longest
-	room := int64(longest) + 1
-	if e.request.ContentLength >= 0 {
-		room = min(room, e.request.ContentLength)
+func (n *Node) readBody(incoming *clientRequest, timeout time.Duration) (body []byte, release func(), fault *base.Fault) {
+	maxBytes := n.tunables.Load().MaxBodyBytes
+	reserved := int64(maxBytes) + 1
+	if incoming.request.ContentLength >= 0 {
+		reserved = min(reserved, incoming.request.ContentLength)
 	}
-	if !n.room.take(room) {
+	if !n.memory.reserve(reserved) {
 		return nil, nil, base.NewFault(base.Overloaded, "", "no room in memory for the request's body")
 	}
-	give = func() { n.room.give(room) }
-	_ = http.NewResponseController(e.w).SetReadDeadline(time.Now().Add(within))
-	body, err := io.ReadAll(io.LimitReader(e.request.Body, int64(longest)+1))
+	release = func() { n.memory.release(reserved) }
+	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Now().Add(timeout))
+	body, err := io.ReadAll(io.LimitReader(incoming.request.Body, int64(maxBytes)+1))
 	if err != nil {
-		give()
+		release()
 		return nil, nil, base.NewFault(base.Malformed, "", "the request's body broke off")
 	}
-	_ = http.NewResponseController(e.w).SetReadDeadline(time.Time{})
-	if len(body) > longest {
-		give()
-		return nil, nil, base.NewFault(base.TooLarge, "", "%d bytes at most", longest)
+	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Time{})
+	if len(body) > maxBytes {
+		release()
+		return nil, nil, base.NewFault(base.TooLarge, "", "%d bytes at most", maxBytes)
 	}
-	return body, give, nil
+	return body, release, nil
 }
 
-// answerWith answers a request that was let in, and records a span of it if the
+// handleAdmitted answers a request that was let in, and records a span of it if the
 // odds and the group's budget say so.
-func (n *Node) answerWith(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
-	way := ledger.Way
-	trail, spent := n.trail(e, signed, way)
-	defer spent()
-	e.w.Header().Set(traceHeader, trail.Trace)
-	if !trail.Sampled || !n.keeper.Keep(way.Identifier()) || !n.budget.Spend(way.Group) {
-		return n.settle(s, e, signed, ledger, body, trail)
+func (n *Node) handleAdmitted(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
+	match := ledger.Match
+	trail, recordCall := n.traceContext(incoming, signed, match)
+	defer recordCall()
+	incoming.w.Header().Set(traceHeader, trail.Trace)
+	if !trail.Sampled || !n.sampler.Keep(match.Identifier()) || !n.spanBudget.Spend(match.Group) {
+		return n.runAttempts(s, incoming, signed, ledger, body, trail)
 	}
 	span := &wire.Span{
-		Trace: trail.Trace, Id: n.scope.Rand.Name(8), Parent: trail.Parent, Service: way.Service.Name, Route: way.Route.Name,
-		Node: n.self, Group: way.Group, Side: tracing.NearSide, Candidates: trail.Candidates,
+		Trace: trail.Trace, Id: n.scope.Rand.Name(8), Parent: trail.Parent, Service: match.Service.Name, Route: match.Route.Name,
+		Node: n.self, Group: match.Group, Side: tracing.NearSide, Candidates: trail.Candidates,
 	}
-	began := s.Clock.Mono()
+	startedAt := s.Clock.Mono()
 	trail.Parent = span.Id
-	defer func() { n.watched(span, ledger, began) }()
-	return n.settle(s, e, signed, ledger, body, trail)
+	defer func() { n.recordSpans(span, ledger, startedAt) }()
+	return n.runAttempts(s, incoming, signed, ledger, body, trail)
 }
 
-func (n *Node) trail(e *clientRequest, signed *bundle.Bundle, way bundle.Way) (*wire.Trail, func()) {
-	if e.inner {
-		tie := n.ties.Find(e.request, way, signed.Holes(way, e.request.URL.Path), signed.Tracing().GetHeader())
-		if tie.Tied {
-			n.scope.Record("tied", way.Identifier(), tie.Parent.span)
-			from := n.scope.Clock.Mono()
-			trail := &wire.Trail{Trace: tie.Parent.trail.Trace, Parent: tie.Parent.span, Sampled: tie.Parent.trail.Sampled}
-			return trail, func() { n.ties.Spent(tie.Parent, from) }
+func (n *Node) traceContext(incoming *clientRequest, signed *bundle.Bundle, match bundle.Way) (*wire.Trail, func()) {
+	if incoming.fromInstance {
+		attribution := n.callTracker.FindParent(incoming.request, match, signed.Holes(match, incoming.request.URL.Path), signed.Tracing().GetHeader())
+		if attribution.Certain {
+			n.scope.Record("tied", match.Identifier(), attribution.Parent.spanID)
+			startedAt := n.scope.Clock.Mono()
+			trail := &wire.Trail{Trace: attribution.Parent.trail.Trace, Parent: attribution.Parent.spanID, Sampled: attribution.Parent.trail.Sampled}
+			return trail, func() { n.callTracker.RecordCall(attribution.Parent, startedAt) }
 		}
-		if len(tie.Candidates) > 0 {
-			n.scope.Record("ambiguous", way.Identifier(), "")
-			return &wire.Trail{Trace: n.scope.Rand.Name(16), Candidates: tie.Candidates, Sampled: true}, func() {}
+		if len(attribution.Candidates) > 0 {
+			n.scope.Record("ambiguous", match.Identifier(), "")
+			return &wire.Trail{Trace: n.scope.Rand.Name(16), Candidates: attribution.Candidates, Sampled: true}, func() {}
 		}
-		n.scope.Record("untied", way.Identifier(), "")
+		n.scope.Record("untied", match.Identifier(), "")
 	}
 	sampled := n.scope.Rand.Float64() < signed.Tracing().GetSample()
 	return &wire.Trail{Trace: n.scope.Rand.Name(16), Sampled: sampled}, func() {}
 }
 
-// settle makes attempts until there is an answer to relay or nothing more to try.
-func (n *Node) settle(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
+// runAttempts makes attempts until there is an answer to relay or nothing more to try.
+func (n *Node) runAttempts(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
 	defer func() {
-		if ledger.Last() != nil && !ledger.Arrived() {
-			n.repeats.Refund(ledger.Way.Service.Name)
+		if ledger.Last() != nil && !ledger.MayHaveReachedUpstream() {
+			n.retryBudget.RevokeEarned(ledger.Match.Service.Name)
 		}
 	}()
-	var got *answer
+	var response *clientResponse
 	for {
 		switch ledger.Next(s.Clock.Mono()) {
 		case Relay:
-			return got, nil
+			return response, nil
 		case GiveUp:
-			return nil, ledger.Verdict(s.Clock.Mono())
+			return nil, ledger.FinalFault(s.Clock.Mono())
 		}
-		fresh, picked, fault := n.next(s, signed, ledger)
+		newer, picked, fault := n.nextCandidate(s, signed, ledger)
 		if fault != nil {
 			return nil, fault
 		}
-		signed = fresh
-		attempt := &Attempt{Name: n.scope.Rand.Name(8), Node: picked.node, Seat: picked.seat.Address, Started: s.Clock.Mono(), Impatient: !ledger.Patient}
+		signed = newer
+		attempt := &Attempt{ID: n.scope.Rand.Name(8), Node: picked.node, Instance: picked.instance.Address, StartedAt: s.Clock.Mono(), NoWait: !ledger.MayWait}
 		if ledger.Last() == nil {
-			n.repeats.Earn(ledger.Way.Service.Name)
+			n.retryBudget.Earn(ledger.Match.Service.Name)
 		}
 		ledger.Add(attempt)
-		got = n.attempt(s, e, signed, picked, attempt, ledger.Way, ledger.Until, body, trail, len(ledger.Attempts)-1, ledger.Patient)
-		attempt.Ended = s.Clock.Mono()
-		n.judge(picked, attempt)
+		response = n.runAttempt(s, incoming, signed, picked, attempt, ledger.Match, ledger.Deadline, body, trail, len(ledger.Attempts)-1, ledger.MayWait)
+		attempt.EndedAt = s.Clock.Mono()
+		n.recordOutcome(picked, attempt)
 	}
 }
 
-// next picks an instance for the next attempt, under the bundle to use for it.
+// nextCandidate picks an instance for the next attempt, under the bundle to use for it.
 // The error is what to tell the caller if there is none, or if no repeat is
 // left to spend.
-func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
+func (n *Node) nextCandidate(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
 	if last := ledger.Last(); last != nil && last.Fault.Kind == base.Stale {
-		fresh, fault := n.renew(s, ledger)
+		newer, fault := n.awaitNewerBundle(s, ledger)
 		if fault != nil {
 			return nil, candidate{}, fault
 		}
-		signed = fresh
+		signed = newer
 	}
-	if ledger.Doubtful() && !n.repeats.Spend(ledger.Way.Service.Name) {
-		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
+	if ledger.MayHaveRun() && !n.retryBudget.Spend(ledger.Match.Service.Name) {
+		return nil, candidate{}, ledger.FinalFault(s.Clock.Mono())
 	}
-	picked, found := n.pickPatiently(signed, ledger)
+	picked, found := n.pickOrWait(signed, ledger)
 	if !found {
-		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
+		return nil, candidate{}, ledger.FinalFault(s.Clock.Mono())
 	}
 	return signed, picked, nil
 }
 
-// renew waits a moment for a newer bundle and looks the request's route up in
+// awaitNewerBundle waits a moment for a newer bundle and looks the request's route up in
 // the one held then.
-func (n *Node) renew(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
-	base.Await(s, time.Duration(float64(n.claims.length)*behindRatio/4), n.risenBell.Next())
-	signed := n.slice.Load()
-	fresh, known := signed.Way(ledger.Way.Service.Name, ledger.Way.Route.Name)
+func (n *Node) awaitNewerBundle(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
+	base.Await(s, time.Duration(float64(n.confirmations.validity)*bundleWaitRatio/4), n.bundleAdopted.Next())
+	signed := n.bundle.Load()
+	match, known := signed.Way(ledger.Match.Service.Name, ledger.Match.Route.Name)
 	if !known {
 		return nil, base.NewFault(base.NoRoute, "", "serial %d has no such route", signed.Serial)
 	}
-	ledger.Way = fresh
+	ledger.Match = match
 	return signed, nil
 }
 
-// pickPatiently picks an instance. If all that is left would turn the request
+// pickOrWait picks an instance. If all that is left would turn the request
 // back to keep it apart, the request waits there from now on.
-func (n *Node) pickPatiently(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
-	picked, found := n.pick(signed, ledger.Way, ledger)
-	if found || ledger.Patient || !ledger.Apart() {
+func (n *Node) pickOrWait(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
+	picked, found := n.pick(signed, ledger.Match, ledger)
+	if found || ledger.MayWait || !ledger.WasKeptApart() {
 		return picked, found
 	}
-	ledger.Patient = true
-	return n.pick(signed, ledger.Way, ledger)
+	ledger.MayWait = true
+	return n.pick(signed, ledger.Match, ledger)
 }
 
-type transport func(ctx context.Context, ask *wire.CarryRequest, tell emit) error
+type carryFunc func(ctx context.Context, ask *wire.CarryRequest, tell sendFunc) error
 
-func (n *Node) courier(picked candidate) transport {
+func (n *Node) carryFuncFor(picked candidate) carryFunc {
 	if picked.node == n.self {
-		return n.serve
+		return n.serveCarry
 	}
-	callee := n.peerClient(picked.address)
-	return func(ctx context.Context, ask *wire.CarryRequest, tell emit) error {
-		stream, err := callee.Carry(ctx, connect.NewRequest(ask))
+	client := n.peerClient(picked.address)
+	return func(ctx context.Context, request *wire.CarryRequest, send sendFunc) error {
+		stream, err := client.Carry(ctx, connect.NewRequest(request))
 		if err != nil {
 			return err
 		}
 		defer stream.Close()
 		for stream.Receive() {
-			if err := tell(stream.Msg()); err != nil {
+			if err := send(stream.Msg()); err != nil {
 				return err
 			}
 		}
@@ -261,39 +261,39 @@
 }
 
 func (n *Node) peerClient(address string) wireconnect.FlowClient {
-	if callee, ok := n.peers.Get(address); ok {
-		return callee
+	if client, ok := n.peerClients.Get(address); ok {
+		return client
 	}
-	callee := wireconnect.NewFlowClient(n.web, "http://"+address)
-	n.peers.Put(address, callee)
+	callee := wireconnect.NewFlowClient(n.httpClient, "http://"+address)
+	n.peerClients.Put(address, callee)
 	return callee
 }
 
-func (n *Node) attempt(s base.Scope, e *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, way bundle.Way, until time.Duration, body []byte, trail *wire.Trail, ordinal int, patient bool) *answer {
-	caught := &responseReader{node: n, errand: e, attempt: attempt}
-	defer func() { n.room.give(caught.roomy) }()
-	ask := &wire.CarryRequest{
-		Attempt: attempt.Name, Incarnation: picked.incarnation, Serial: signed.Serial,
-		Service: way.Service.Name, Route: way.Route.Name, Seat: picked.seat.Address, Group: way.Group,
-		Method: e.request.Method, Target: e.request.URL.RequestURI(), Headers: headersOf(e.request.Header), Body: body,
-		NotAfterUs: (until + picked.offset).Microseconds(), Trail: trail, Ordinal: uint32(ordinal), Patient: patient,
+func (n *Node) runAttempt(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, match bundle.Way, deadline time.Duration, body []byte, trail *wire.Trail, ordinal int, mayWait bool) *clientResponse {
+	reader := &responseReader{node: n, incoming: incoming, attempt: attempt}
+	defer func() { n.memory.release(reader.reserved) }()
+	request := &wire.CarryRequest{
+		Attempt: attempt.ID, Incarnation: picked.incarnation, Serial: signed.Serial,
+		Service: match.Service.Name, Route: match.Route.Name, Seat: picked.instance.Address, Group: match.Group,
+		Method: incoming.request.Method, Target: incoming.request.URL.RequestURI(), Headers: forwardedHeaders(incoming.request.Header), Body: body,
+		NotAfterUs: (deadline + picked.clockOffset).Microseconds(), Trail: trail, Ordinal: uint32(ordinal), Patient: mayWait,
 	}
-	n.scope.Record("attempt", trail.Trace, attempt.Name+" of "+way.Identifier()+" at "+picked.node+" "+attempt.Seat)
-	err := n.courier(picked)(s, ask, caught.take)
+	n.scope.Record("attempt", trail.Trace, attempt.ID+" of "+match.Identifier()+" at "+picked.node+" "+attempt.Instance)
+	err := n.carryFuncFor(picked)(s, request, reader.accept)
 	switch {
-	case caught.flowing && (!caught.whole || err != nil):
+	case reader.streaming && (!reader.complete || err != nil):
 		panic(http.ErrAbortHandler)
-	case caught.whole && err == nil:
+	case reader.complete && err == nil:
 		attempt.State = Answered
-		if caught.flowing {
+		if reader.streaming {
 			return nil
 		}
-		return &answer{head: caught.head, body: caught.held.Bytes()}
-	case caught.fault != nil:
-		attempt.Fault = caught.fault
+		return &clientResponse{head: reader.head, body: reader.buffered.Bytes()}
+	case reader.fault != nil:
+		attempt.Fault = reader.fault
 		attempt.State = NotRun
-		if caught.fault.Run {
-			attempt.State = Doubtful
+		if reader.fault.Run {
+			attempt.State = Indeterminate
 		}
 	default:
 		reason := "the carrying node broke off"
@@ -301,30 +301,30 @@
 			reason = err.Error()
 		}
 		attempt.Fault = base.NewFault(base.Lost, "", "%s", reason)
-		attempt.State = Doubtful
+		attempt.State = Indeterminate
 		if s.Err() != nil {
 			attempt.Fault = base.NewFault(base.Expired, "", "no answer within the deadline")
 		}
-		if undialled(err) || n.neverRan(s, picked, attempt) {
+		if isDialError(err) || n.fenceAtPeer(s, picked, attempt) {
 			attempt.State = NotRun
 			attempt.Fault.Kind = base.Unreachable
 		}
 	}
-	n.scope.Record("attempt-mishap", trail.Trace, attempt.Name+": "+attempt.Fault.Error())
+	n.scope.Record("attempt-mishap", trail.Trace, attempt.ID+": "+attempt.Fault.Error())
 	return nil
 }
 
-func undialled(err error) bool {
-	var fault *net.OpError
-	return errors.As(err, &fault) && fault.Op == "dial"
+func isDialError(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-func (n *Node) neverRan(s base.Scope, picked candidate, attempt *Attempt) bool {
+func (n *Node) fenceAtPeer(s base.Scope, picked candidate, attempt *Attempt) bool {
 	if picked.node == n.self {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(s), n.patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(s), n.peerTimeout)
 	defer cancel()
-	reply, err := n.peerClient(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.Name, Incarnation: picked.incarnation}))
+	reply, err := n.peerClient(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.ID, Incarnation: picked.incarnation}))
 	return err == nil && reply.Msg.Never
 }
--- a/internal/listednode/fences.go
+++ b/internal/listednode/fences.go
@@ -8,48 +8,48 @@
 )
 
 type fence struct {
-	until  time.Duration
-	handed bool
-	barred bool
+	expiresAt time.Duration
+	delivered bool
+	blocked   bool
 }
 
 // Fences keeps, for each attempt, whether its request may still be handed to
 // the upstream, so that no attempt runs twice and a caller can make sure that
 // it never will. It is safe for concurrent use.
 type Fences struct {
-	clock  base.Clock
-	keep   time.Duration
-	mu     sync.Mutex
-	fences map[string]*fence
+	clock     base.Clock
+	retention time.Duration
+	mu        sync.Mutex
+	entries   map[string]*fence
 }
 
 // NewFences returns fences that remember attempts for the time given, which
 // must be longer than any request takes.
-func NewFences(clock base.Clock, keep time.Duration) *Fences {
-	return &Fences{clock: clock, keep: keep, fences: map[string]*fence{}}
+func NewFences(clock base.Clock, retention time.Duration) *Fences {
+	return &Fences{clock: clock, retention: retention, entries: map[string]*fence{}}
 }
 
-// Start notes a new attempt, and reports false if it was known.
-func (f *Fences) Start(attempt string) bool {
+// Register notes a new attempt, and reports false if it was known.
+func (f *Fences) Register(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fences[attempt] != nil {
+	if f.entries[attempt] != nil {
 		return false
 	}
-	f.fences[attempt] = &fence{until: f.clock.Mono() + f.keep}
+	f.entries[attempt] = &fence{expiresAt: f.clock.Mono() + f.retention}
 	return true
 }
 
-// Hand allows handing the request to the upstream, once and unless it was
+// Deliver allows handing the request to the upstream, once and unless it was
 // barred.
-func (f *Fences) Hand(attempt string) bool {
+func (f *Fences) Deliver(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.fences[attempt]
-	if at == nil || at.handed || at.barred {
+	entry := f.entries[attempt]
+	if entry == nil || entry.delivered || entry.blocked {
 		return false
 	}
-	at.handed = true
+	entry.delivered = true
 	return true
 }
 
@@ -57,10 +57,10 @@
 func (f *Fences) Fence(attempt string) (never bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := f.fences[attempt]; at != nil && at.handed {
+	if entry := f.entries[attempt]; entry != nil && entry.delivered {
 		return false
 	}
-	f.fences[attempt] = &fence{until: f.clock.Mono() + f.keep, barred: true}
+	f.entries[attempt] = &fence{expiresAt: f.clock.Mono() + f.retention, blocked: true}
 	return true
 }
 
@@ -69,9 +69,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Mono()
-	for attempt, at := range f.fences {
-		if now > at.until {
-			delete(f.fences, attempt)
+	for attempt, entry := range f.entries {
+		if now > entry.expiresAt {
+			delete(f.entries, attempt)
 		}
 	}
 }
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -14,128 +14,128 @@
 // and the identity of its listening socket (holder) noted, to tell it from a
 // successor at the same address.
 type instance struct {
-	report atomic.Pointer[wire.Seat]
-	at     time.Duration
-	probe  net.Conn
-	void   string
-	gate   *AdmissionQueue
-	passes bool
-	holder string
+	report            atomic.Pointer[wire.Seat]
+	reportedAt        time.Duration
+	probe             net.Conn
+	invalidReason     string
+	queue             *AdmissionQueue
+	passesTraceHeader bool
+	listener          string
 }
 
-func (at *instance) said() *wire.Seat { return at.report.Load() }
+func (i *instance) lastReport() *wire.Seat { return i.report.Load() }
 
 // Instances keeps the instances beside this node, by their reports. It is safe for
 // concurrent use.
 type Instances struct {
-	scope   base.Scope
-	oldest  time.Duration
-	queue   int
-	changed func([]*wire.Seat)
-	mu      sync.Mutex
-	seats   map[string]*instance
-	closed  bool
+	scope        base.Scope
+	maxReportAge time.Duration
+	maxWaiting   int
+	onChange     func([]*wire.Seat)
+	mu           sync.Mutex
+	byAddress    map[string]*instance
+	closed       bool
 }
 
 // NewInstances returns a store without instances. A report holds for the time
 // oldest; queue bounds the admission queue of each instance, and changed is
 // told the instances after each change.
-func NewInstances(s base.Scope, oldest time.Duration, queue int, changed func([]*wire.Seat)) *Instances {
-	return &Instances{scope: s, oldest: oldest, queue: queue, changed: changed, seats: map[string]*instance{}}
+func NewInstances(s base.Scope, maxReportAge time.Duration, maxWaiting int, onChange func([]*wire.Seat)) *Instances {
+	return &Instances{scope: s, maxReportAge: maxReportAge, maxWaiting: maxWaiting, onChange: onChange, byAddress: map[string]*instance{}}
 }
 
 // Report takes in an instance's report. A new one must accept a connection. The
 // error is of kind Unreachable.
 func (t *Instances) Report(s base.Scope, report *wire.Seat) *base.Fault {
 	t.mu.Lock()
-	known := t.seats[report.Address]
-	fresh := known == nil || known.void != "" || known.said().Service != report.Service
+	known := t.byAddress[report.Address]
+	isNew := known == nil || known.invalidReason != "" || known.lastReport().Service != report.Service
 	t.mu.Unlock()
-	if !fresh {
+	if !isNew {
 		t.mu.Lock()
 		known.report.Store(report)
-		known.at = t.scope.Clock.Mono()
-		known.gate.Resize(int(report.Capacity))
+		known.reportedAt = t.scope.Clock.Mono()
+		known.queue.SetLimit(int(report.Capacity))
 		t.mu.Unlock()
 		t.publish()
 		return nil
 	}
-	bounded, cancel := s.WithTimeout(t.oldest / 3)
+	bounded, cancel := s.WithTimeout(t.maxReportAge / 3)
 	defer cancel()
-	holder := t.scope.Net.Holder(report.Address)
+	listener := t.scope.Net.Holder(report.Address)
 	probe, err := t.scope.Net.Dial(bounded, "tcp", report.Address)
 	if err != nil {
 		return base.NewFault(base.Unreachable, "address", "%s", err)
 	}
-	if s.Err() != nil || t.scope.Net.Holder(report.Address) != holder {
+	if s.Err() != nil || t.scope.Net.Holder(report.Address) != listener {
 		_ = probe.Close()
 		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
 	}
-	next := &instance{at: t.scope.Clock.Mono(), probe: probe, holder: holder, gate: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.queue)}
+	next := &instance{reportedAt: t.scope.Clock.Mono(), probe: probe, listener: listener, queue: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.maxWaiting)}
 	next.report.Store(report)
 	t.mu.Lock()
-	if prior := t.seats[report.Address]; prior != nil && prior.probe != nil {
+	if prior := t.byAddress[report.Address]; prior != nil && prior.probe != nil {
 		_ = prior.probe.Close()
-		prior.void = "replaced"
+		prior.invalidReason = "replaced"
 	}
-	t.seats[report.Address] = next
+	t.byAddress[report.Address] = next
 	t.mu.Unlock()
 	t.scope.Record("seat", report.Address, report.Service)
-	go t.guard(t.scope, next)
+	go t.watchProbe(t.scope, next)
 	t.publish()
 	return nil
 }
 
-func (t *Instances) guard(s base.Scope, at *instance) {
-	for probe := at.probe; probe != nil; probe = t.again(s, at) {
-		var one [1]byte
-		_, _ = probe.Read(one[:])
+func (t *Instances) watchProbe(s base.Scope, i *instance) {
+	for probe := i.probe; probe != nil; probe = t.reconnectProbe(s, i) {
+		var buffer [1]byte
+		_, _ = probe.Read(buffer[:])
 		_ = probe.Close()
 	}
-	t.Void(at, "the probe connection closed")
+	t.Invalidate(i, "the probe connection closed")
 }
 
-func (t *Instances) again(s base.Scope, at *instance) net.Conn {
-	if at.holder == "" || !t.Held(at) {
+func (t *Instances) reconnectProbe(s base.Scope, i *instance) net.Conn {
+	if i.listener == "" || !t.StillListening(i) {
 		return nil
 	}
-	bounded, cancel := s.WithTimeout(t.oldest / 3)
+	bounded, cancel := s.WithTimeout(t.maxReportAge / 3)
 	defer cancel()
-	probe, err := t.scope.Net.Dial(bounded, "tcp", at.said().Address)
+	probe, err := t.scope.Net.Dial(bounded, "tcp", i.lastReport().Address)
 	if err != nil {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at.void != "" || t.closed {
+	if i.invalidReason != "" || t.closed {
 		_ = probe.Close()
 		return nil
 	}
-	at.probe = probe
+	i.probe = probe
 	return probe
 }
 
-// Held reports whether the same socket still listens at the instance's address.
-func (t *Instances) Held(at *instance) bool {
-	return t.scope.Net.Holder(at.said().Address) == at.holder
+// StillListening reports whether the same socket still listens at the instance's address.
+func (t *Instances) StillListening(i *instance) bool {
+	return t.scope.Net.Holder(i.lastReport().Address) == i.listener
 }
 
-// Void ends an instance, until it reports again.
-func (t *Instances) Void(at *instance, reason string) {
+// Invalidate ends an instance, until it reports again.
+func (t *Instances) Invalidate(i *instance, reason string) {
 	t.mu.Lock()
-	if at.void != "" {
+	if i.invalidReason != "" {
 		t.mu.Unlock()
 		return
 	}
-	at.void = reason
-	_ = at.probe.Close()
+	i.invalidReason = reason
+	_ = i.probe.Close()
 	t.mu.Unlock()
-	t.scope.Record("seat-void", at.said().Address, reason)
+	t.scope.Record("seat-void", i.lastReport().Address, reason)
 	t.publish()
 }
 
-func (t *Instances) live(at *instance) bool {
-	return at.void == "" && t.scope.Clock.Mono()-at.at <= t.oldest
+func (t *Instances) isLive(i *instance) bool {
+	return i.invalidReason == "" && t.scope.Clock.Mono()-i.reportedAt <= t.maxReportAge
 }
 
 // Find returns the instance of a service at an address. The error is of kind
@@ -143,46 +143,46 @@
 func (t *Instances) Find(service, address string) (*instance, *base.Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.seats[address]
+	i := t.byAddress[address]
 	switch {
-	case at == nil || !t.live(at):
+	case i == nil || !t.isLive(i):
 		return nil, base.NewFault(base.NoInstance, "", "no upstream is known at that address now")
-	case at.said().Service != service:
+	case i.lastReport().Service != service:
 		return nil, base.NewFault(base.NoInstance, "", "that address belongs to another service now")
-	case at.said().Leaving:
+	case i.lastReport().Leaving:
 		return nil, base.NewFault(base.NoInstance, "", "the upstream is leaving")
 	}
-	return at, nil
+	return i, nil
 }
 
 // Sweep ends instances without a report in time.
 func (t *Instances) Sweep() {
 	t.mu.Lock()
-	var old []*instance
-	for address, at := range t.seats {
-		if at.void != "" && t.scope.Clock.Mono()-at.at > 4*t.oldest {
-			delete(t.seats, address)
+	var expired []*instance
+	for address, i := range t.byAddress {
+		if i.invalidReason != "" && t.scope.Clock.Mono()-i.reportedAt > 4*t.maxReportAge {
+			delete(t.byAddress, address)
 		}
-		if at.void == "" && !t.live(at) {
-			old = append(old, at)
+		if i.invalidReason == "" && !t.isLive(i) {
+			expired = append(expired, i)
 		}
 	}
 	t.mu.Unlock()
-	for _, at := range old {
-		t.Void(at, "no report came in time")
+	for _, at := range expired {
+		t.Invalidate(at, "no report came in time")
 	}
 }
 
 func (t *Instances) publish() {
 	t.mu.Lock()
-	var rows []*wire.Seat
-	for _, at := range t.seats {
-		if t.live(at) {
-			rows = append(rows, at.said())
+	var reports []*wire.Seat
+	for _, i := range t.byAddress {
+		if t.isLive(i) {
+			reports = append(reports, i.lastReport())
 		}
 	}
 	t.mu.Unlock()
-	t.changed(rows)
+	t.onChange(reports)
 }
 
 // Close closes the probe connections.
@@ -190,7 +190,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	for _, at := range t.seats {
-		_ = at.probe.Close()
+	for _, i := range t.byAddress {
+		_ = i.probe.Close()
 	}
 }
--- a/internal/listednode/news.go
+++ b/internal/listednode/news.go
@@ -14,100 +14,100 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-func (n *Node) follow(s base.Scope, index int, controller wireconnect.HelmClient) {
-	ask := &wire.NewsRequest{Node: n.self}
-	var concern string
+func (n *Node) followController(s base.Scope, index int, controller wireconnect.HelmClient) {
+	request := &wire.NewsRequest{Node: n.self}
+	var lastInterest string
 	var committed uint64
-	var whole time.Duration
+	var lastFull time.Duration
 	for s.Err() == nil {
-		n.fill(ask)
-		if now := fmt.Sprint(ask.Serial, ask.Seats, committed); now != concern || s.Clock.Mono()-whole > wholeRatio*n.force {
-			concern, whole, ask.Keel = now, s.Clock.Mono(), ""
+		n.fillNewsRequest(request)
+		if interest := fmt.Sprint(request.Serial, request.Seats, committed); interest != lastInterest || s.Clock.Mono()-lastFull > fullNewsRatio*n.inForceBound {
+			lastInterest, lastFull, request.Keel = interest, s.Clock.Mono(), ""
 		}
-		ask.Patient = n.spare(index)
-		asked := s.Clock.Mono()
-		bounded, cancel := s.WithTimeout(n.force)
-		reply, err := controller.News(bounded, connect.NewRequest(ask))
+		request.Patient = n.mayHoldNews(index)
+		askedAt := s.Clock.Mono()
+		bounded, cancel := s.WithTimeout(n.inForceBound)
+		reply, err := controller.News(bounded, connect.NewRequest(request))
 		cancel()
 		if err != nil {
-			ask.Keel = ""
-			n.heard[index].Store(0)
-			base.Await(s, n.force/16)
+			request.Keel = ""
+			n.lastNewsAt[index].Store(0)
+			base.Await(s, n.inForceBound/16)
 			continue
 		}
-		n.heard[index].Store(int64(s.Clock.Mono()))
-		n.risen(n.claims.Heard(index, asked, reply.Msg, n.open))
-		n.learn(reply.Msg)
-		ask.Keel, ask.Roster, committed = reply.Msg.Keel, reply.Msg.Roster, reply.Msg.Serial
+		n.lastNewsAt[index].Store(int64(s.Clock.Mono()))
+		n.adopt(n.confirmations.ApplyNews(index, askedAt, reply.Msg, n.verifyBundle))
+		n.applyNews(reply.Msg)
+		request.Keel, request.Roster, committed = reply.Msg.Keel, reply.Msg.Roster, reply.Msg.Serial
 	}
 }
 
-func (n *Node) spare(index int) bool {
-	hearing := 0
+func (n *Node) mayHoldNews(index int) bool {
+	responsive := 0
 	for i := range n.controllers {
-		at := (n.first + i) % len(n.controllers)
-		if heard := time.Duration(n.heard[at].Load()); heard == 0 || n.scope.Clock.Mono()-heard > n.force/4 {
+		controller := (n.preferred + i) % len(n.controllers)
+		if lastNews := time.Duration(n.lastNewsAt[controller].Load()); lastNews == 0 || n.scope.Clock.Mono()-lastNews > n.inForceBound/4 {
 			continue
 		}
-		if at == index {
-			return hearing > len(n.controllers)/2
+		if controller == index {
+			return responsive > len(n.controllers)/2
 		}
-		hearing++
+		responsive++
 	}
 	return false
 }
 
-func (n *Node) fill(ask *wire.NewsRequest) {
-	ask.Odds = n.keeper.Serial()
-	ask.Parts, ask.Seats, ask.Serial, ask.Staged = nil, nil, 0, 0
-	signed, staged, ballot := n.claims.Held()
-	ask.Ballot = ballot
+func (n *Node) fillNewsRequest(request *wire.NewsRequest) {
+	request.Odds = n.sampler.Serial()
+	request.Parts, request.Seats, request.Serial, request.Staged = nil, nil, 0, 0
+	signed, staged, ballot := n.confirmations.Held()
+	request.Ballot = ballot
 	if staged != nil {
-		ask.Staged = staged.Serial
+		request.Staged = staged.Serial
 	}
 	if signed != nil {
-		ask.Serial = signed.Serial
+		request.Serial = signed.Serial
 		for _, part := range signed.Sealed.Parts {
-			ask.Parts = append(ask.Parts, part.Name)
+			request.Parts = append(request.Parts, part.Name)
 		}
 	}
 	for _, seat := range n.member.Status().Seats {
-		if !slices.Contains(ask.Seats, seat.Service) {
-			ask.Seats = append(ask.Seats, seat.Service)
+		if !slices.Contains(request.Seats, seat.Service) {
+			request.Seats = append(request.Seats, seat.Service)
 		}
 	}
 }
 
-func (n *Node) learn(news *wire.NewsReply) {
-	n.load(news.Odds)
+func (n *Node) applyNews(news *wire.NewsReply) {
+	n.updateProbabilities(news.Odds)
 	now := n.scope.Clock.Mono()
-	n.atlas.Update(func(rows map[string]outlook) {
+	n.sightings.Update(func(rows map[string]receivedSighting) {
 		for _, sighting := range news.Sightings {
 			name := sighting.Roster.Node
-			known, had := rows[name]
-			if had && known.sighting.Roster.Incarnation == sighting.Roster.Incarnation && known.sighting.Roster.Serial > sighting.Roster.Serial {
+			known, ok := rows[name]
+			if ok && known.sighting.Roster.Incarnation == sighting.Roster.Incarnation && known.sighting.Roster.Serial > sighting.Roster.Serial {
 				continue
 			}
-			rows[name] = outlook{sighting, now}
+			rows[name] = receivedSighting{sighting, now}
 		}
 	})
 }
 
-func (n *Node) risen(signed *bundle.Bundle) {
+func (n *Node) adopt(signed *bundle.Bundle) {
 	if signed == nil {
 		return
 	}
-	n.adopting.Lock()
-	defer n.adopting.Unlock()
-	if held := n.slice.Load(); held != nil && held.Serial > signed.Serial {
+	n.adoptMu.Lock()
+	defer n.adoptMu.Unlock()
+	if held := n.bundle.Load(); held != nil && held.Serial > signed.Serial {
 		return
 	}
-	n.repeats.Set(signed)
-	n.budget.Set(signed)
+	n.retryBudget.SetLimits(signed)
+	n.spanBudget.SetShares(signed)
 	n.member.SetMachines(signed.Machines())
-	n.slice.Store(signed)
+	n.bundle.Store(signed)
 	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Holding = signed.Serial })
 	n.scope.Record("in-force", "", strconv.FormatUint(signed.Serial, 10))
-	n.kept.Notify()
-	n.risenBell.Notify()
+	n.bundleUnsaved.Notify()
+	n.bundleAdopted.Notify()
 }
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -21,142 +21,142 @@
 // chunkSize is the size in bytes of the pieces that answers are carried in.
 const chunkSize = 64 << 10
 
-// emit sends a piece of an answer to the asking node.
-type emit func(*wire.CarryReply) error
+// sendFunc sends a piece of an answer to the asking node.
+type sendFunc func(*wire.CarryReply) error
 
-func faultPiece(attempt string, fault *base.Fault) *wire.CarryReply {
+func faultReply(attempt string, fault *base.Fault) *wire.CarryReply {
 	return &wire.CarryReply{Piece: &wire.CarryReply_Mishap{Mishap: &wire.CarryMishap{
 		Attempt: attempt, Kind: string(fault.Kind), Reason: fault.Reason, Run: fault.Run, AfterUs: uint64(fault.After.Microseconds()),
 	}}}
 }
 
-func (n *Node) serve(ctx context.Context, ask *wire.CarryRequest, tell emit) error {
-	if fault := n.carry(ctx, ask, tell); fault != nil {
-		n.scope.Record("far-"+string(fault.Kind), ask.Trail.GetTrace(), ask.Attempt+": "+fault.Reason)
-		return tell(faultPiece(ask.Attempt, fault))
+func (n *Node) serveCarry(ctx context.Context, request *wire.CarryRequest, send sendFunc) error {
+	if fault := n.acceptAttempt(ctx, request, send); fault != nil {
+		n.scope.Record("far-"+string(fault.Kind), request.Trail.GetTrace(), request.Attempt+": "+fault.Reason)
+		return send(faultReply(request.Attempt, fault))
 	}
 	return nil
 }
 
-func (n *Node) carry(ctx context.Context, ask *wire.CarryRequest, tell emit) *base.Fault {
+func (n *Node) acceptAttempt(ctx context.Context, request *wire.CarryRequest, send sendFunc) *base.Fault {
 	s := n.scope.WithContext(ctx)
-	if n.stopping.Load() && ask.NotAfterUs > time.Duration(n.ends.Load()).Microseconds() {
+	if n.stopping.Load() && request.NotAfterUs > time.Duration(n.stopDeadline.Load()).Microseconds() {
 		return base.NewFault(base.Stopping, "", "this node stops before the attempt's deadline")
 	}
-	if ask.Incarnation != n.member.Incarnation() {
+	if request.Incarnation != n.member.Incarnation() {
 		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
-	if !n.fences.Start(ask.Attempt) {
+	if !n.fences.Register(request.Attempt) {
 		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
-		fault.Run = !n.fences.Fence(ask.Attempt)
+		fault.Run = !n.fences.Fence(request.Attempt)
 		return fault
 	}
-	leave := n.enter()
-	defer leave()
-	until := time.Duration(ask.NotAfterUs) * time.Microsecond
-	left := until - s.Clock.Mono()
-	if left <= 0 {
+	done := n.trackRequest()
+	defer done()
+	deadline := time.Duration(request.NotAfterUs) * time.Microsecond
+	timeLeft := deadline - s.Clock.Mono()
+	if timeLeft <= 0 {
 		return base.NewFault(base.Expired, "", "the attempt came after its deadline")
 	}
-	s, cancel := s.WithTimeout(left)
+	s, cancel := s.WithTimeout(timeLeft)
 	defer cancel()
-	return n.carryOn(s, ask, until, tell)
+	return n.runAttemptHere(s, request, deadline, send)
 }
 
-// carryOn carries an attempt that may run, under the bundle it was sent under:
+// runAttemptHere carries an attempt that may run, under the bundle it was sent under:
 // in its turn at the upstream's gate, and apart from requests that it can't be
 // told from.
-func (n *Node) carryOn(s base.Scope, ask *wire.CarryRequest, until time.Duration, tell emit) *base.Fault {
-	if fault := n.abreast(s, ask.Serial); fault != nil {
+func (n *Node) runAttemptHere(s base.Scope, request *wire.CarryRequest, deadline time.Duration, send sendFunc) *base.Fault {
+	if fault := n.awaitSerial(s, request.Serial); fault != nil {
 		return fault
 	}
-	bundle := n.slice.Load()
-	if bundle.Serial != ask.Serial {
-		return base.NewFault(base.Stale, "", "serial %d is in force here", bundle.Serial)
+	signed := n.bundle.Load()
+	if signed.Serial != request.Serial {
+		return base.NewFault(base.Stale, "", "serial %d is in force here", signed.Serial)
 	}
-	way, known := bundle.Way(ask.Service, ask.Route)
+	match, known := signed.Way(request.Service, request.Route)
 	if !known {
-		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", ask.Service, ask.Route)
+		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", request.Service, request.Route)
 	}
-	at, fault := n.seats.Find(ask.Service, ask.Seat)
+	instance, fault := n.instances.Find(request.Service, request.Seat)
 	if fault != nil {
 		return fault
 	}
-	out, fault := at.gate.Enter(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
+	releaseSlot, fault := instance.queue.Acquire(s, match.Group, signed.Share(match.Group).GetCarried(), deadline)
 	if fault != nil {
 		return fault
 	}
-	defer out()
-	target, err := url.ParseRequestURI(ask.Target)
+	defer releaseSlot()
+	target, err := url.ParseRequestURI(request.Target)
 	if err != nil {
 		return base.NewFault(base.Malformed, "", "%s", err)
 	}
-	f := &callInProgress{span: n.scope.Rand.Name(8), trail: ask.Trail, way: way, seat: at}
+	call := &callInProgress{spanID: n.scope.Rand.Name(8), trail: request.Trail, match: match, instance: instance}
 	headers := http.Header{}
-	put(ask.Headers, headers)
-	holes := bundle.Holes(way, target.Path)
-	f.fields = func(name string) string { return lookup(name, holes, target.Query(), headers) }
-	join, fault := n.ties.Apart(s, f, until, ask.Patient)
+	setHeaders(request.Headers, headers)
+	pathParams := signed.Holes(match, target.Path)
+	call.field = func(name string) string { return fieldValue(name, pathParams, target.Query(), headers) }
+	releaseTurn, fault := n.callTracker.Serialize(s, call, deadline, request.Patient)
 	if fault != nil {
 		return fault
 	}
-	defer join()
-	if header := bundle.Tracing().GetHeader(); header != "" && ask.Trail != nil {
-		headers.Set(header, traceparent(ask.Trail, f.span))
+	defer releaseTurn()
+	if header := signed.Tracing().GetHeader(); header != "" && request.Trail != nil {
+		headers.Set(header, traceparent(request.Trail, call.spanID))
 	}
-	return n.hand(s, ask, at, f, target, headers, tell)
+	return n.deliver(s, request, instance, call, target, headers, send)
 }
 
-func (n *Node) hand(s base.Scope, ask *wire.CarryRequest, at *instance, f *callInProgress, target *url.URL, headers http.Header, tell emit) *base.Fault {
-	conn, err := n.outward.NewClientConn(s, "http", at.said().Address)
+func (n *Node) deliver(s base.Scope, carryRequest *wire.CarryRequest, upstream *instance, call *callInProgress, target *url.URL, headers http.Header, send sendFunc) *base.Fault {
+	conn, err := n.upstreamTransport.NewClientConn(s, "http", upstream.lastReport().Address)
 	if err != nil {
-		n.scope.Record("dial-failed", ask.Service, strconv.Itoa(int(ask.Ordinal)))
+		n.scope.Record("dial-failed", carryRequest.Service, strconv.Itoa(int(carryRequest.Ordinal)))
 		if s.Err() == nil {
-			n.seats.Void(at, "dial: "+err.Error())
+			n.instances.Invalidate(upstream, "dial: "+err.Error())
 		}
 		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
 	}
 	defer conn.Close()
-	if !n.seats.Held(at) {
-		n.seats.Void(at, "another process listens there now")
+	if !n.instances.StillListening(upstream) {
+		n.instances.Invalidate(upstream, "another process listens there now")
 	}
-	if now, fault := n.seats.Find(ask.Service, ask.Seat); fault != nil || now != at {
+	if now, fault := n.instances.Find(carryRequest.Service, carryRequest.Seat); fault != nil || now != upstream {
 		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
 	}
-	headers.Set(serialHeader, strconv.FormatUint(ask.Serial, 10))
+	headers.Set(serialHeader, strconv.FormatUint(carryRequest.Serial, 10))
 	request := (&http.Request{
-		Method: ask.Method, Host: ask.Service, URL: &url.URL{Scheme: "http", Host: at.said().Address, Path: target.Path, RawPath: target.RawPath, RawQuery: target.RawQuery},
-		Header: headers, Body: http.NoBody, ContentLength: int64(len(ask.Body)),
+		Method: carryRequest.Method, Host: carryRequest.Service, URL: &url.URL{Scheme: "http", Host: upstream.lastReport().Address, Path: target.Path, RawPath: target.RawPath, RawQuery: target.RawQuery},
+		Header: headers, Body: http.NoBody, ContentLength: int64(len(carryRequest.Body)),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Close: true,
 	}).WithContext(s)
-	if len(ask.Body) > 0 {
-		request.Body = io.NopCloser(bytes.NewReader(ask.Body))
+	if len(carryRequest.Body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(carryRequest.Body))
 	}
-	if !n.claims.Good(ask.Serial) {
-		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", ask.Serial)
+	if !n.confirmations.IsCurrent(carryRequest.Serial) {
+		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", carryRequest.Serial)
 	}
-	if s.Err() != nil || !n.fences.Hand(ask.Attempt) {
+	if s.Err() != nil || !n.fences.Deliver(carryRequest.Attempt) {
 		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
-	keeps := f.trail.GetSampled() && n.keeper.Keep(f.way.Identifier()) && n.budget.Spend(f.way.Group)
-	n.ties.Begin(f)
-	n.scope.Record("handed", ask.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", ask.Attempt, at.said().Address, ask.Serial))
-	status, fault := n.exchange(s, conn, request, ask, tell)
-	self, uncertain := n.ties.End(f)
-	if keeps {
-		n.sink.Push(n.span(f, status, self, uncertain))
+	sampled := call.trail.GetSampled() && n.sampler.Keep(call.match.Identifier()) && n.spanBudget.Spend(call.match.Group)
+	n.callTracker.Begin(call)
+	n.scope.Record("handed", carryRequest.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", carryRequest.Attempt, upstream.lastReport().Address, carryRequest.Serial))
+	status, fault := n.exchange(s, conn, request, carryRequest, send)
+	selfTime, uncertain := n.callTracker.End(call)
+	if sampled {
+		n.exporter.Push(n.upstreamSpan(call, status, selfTime, uncertain))
 	}
 	return fault
 }
 
-func (n *Node) span(f *callInProgress, status int, self time.Duration, uncertain bool) *wire.Span {
-	took := n.scope.Clock.Mono() - f.began
+func (n *Node) upstreamSpan(call *callInProgress, status int, selfTime time.Duration, uncertain bool) *wire.Span {
+	duration := n.scope.Clock.Mono() - call.startedAt
 	span := &wire.Span{
-		Trace: f.trail.Trace, Id: f.span, Parent: f.trail.Parent, Service: f.way.Service.Name, Route: f.way.Route.Name,
-		Node: n.self, Seat: f.seat.said().Address, Group: f.way.Group,
-		StartedUs: n.scope.Clock.Wall().Add(-took).UnixMicro(), DurationUs: uint64(took.Microseconds()), SelfUs: uint64(self.Microseconds()),
-		Status: uint32(status), Tags: map[string]string{"zone": f.seat.said().Zone, "seat": f.seat.said().Address},
-		Candidates: f.trail.Candidates,
+		Trace: call.trail.Trace, Id: call.spanID, Parent: call.trail.Parent, Service: call.match.Service.Name, Route: call.match.Route.Name,
+		Node: n.self, Seat: call.instance.lastReport().Address, Group: call.match.Group,
+		StartedUs: n.scope.Clock.Wall().Add(-duration).UnixMicro(), DurationUs: uint64(duration.Microseconds()), SelfUs: uint64(selfTime.Microseconds()),
+		Status: uint32(status), Tags: map[string]string{"zone": call.instance.lastReport().Zone, "seat": call.instance.lastReport().Address},
+		Candidates: call.trail.Candidates,
 	}
 	if uncertain {
 		span.Tags[tracing.UncertainTag] = "true"
@@ -164,8 +164,8 @@
 	return span
 }
 
-// ran returns an error about a request that may have run.
-func ran(kind base.Kind, format string, args ...any) *base.Fault {
+// mayHaveRun returns an error about a request that may have run.
+func mayHaveRun(kind base.Kind, format string, args ...any) *base.Fault {
 	fault := base.NewFault(kind, "", format, args...)
 	fault.Run = true
 	return fault
@@ -173,78 +173,78 @@
 
 // exchange sends the request and passes the answer on. It returns the answer's
 // status, 0 if there was none.
-func (n *Node) exchange(s base.Scope, conn *http.ClientConn, request *http.Request, ask *wire.CarryRequest, tell emit) (int, *base.Fault) {
+func (n *Node) exchange(s base.Scope, conn *http.ClientConn, request *http.Request, carryRequest *wire.CarryRequest, send sendFunc) (int, *base.Fault) {
 	response, err := conn.RoundTrip(request)
 	if err != nil {
 		if s.Err() != nil {
-			return 0, ran(base.Expired, "the upstream did not answer in time")
+			return 0, mayHaveRun(base.Expired, "the upstream did not answer in time")
 		}
-		return 0, ran(base.Lost, "the upstream's answer was lost: %s", err)
+		return 0, mayHaveRun(base.Lost, "the upstream's answer was lost: %s", err)
 	}
 	defer response.Body.Close()
-	return response.StatusCode, relay(response, ask.Attempt, tell)
+	return response.StatusCode, relayResponse(response, carryRequest.Attempt, send)
 }
 
-// relay passes an answer on under a seal over its head and body.
-func relay(response *http.Response, attempt string, tell emit) *base.Fault {
-	digest, given := promised(response.Header)
-	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || given
+// relayResponse passes an answer on under a seal over its head and body.
+func relayResponse(response *http.Response, attempt string, send sendFunc) *base.Fault {
+	declared, hasDigest := contentDigest(response.Header)
+	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || hasDigest
 	if !framed || response.StatusCode == http.StatusSwitchingProtocols {
-		return ran(base.Garbled, "the upstream's answer has no certain end")
+		return mayHaveRun(base.Garbled, "the upstream's answer has no certain end")
 	}
-	head := &wire.CarryHead{Attempt: attempt, Status: uint32(response.StatusCode), Headers: headersOf(response.Header), Size: response.ContentLength}
-	sealing, whole := newSeal(head), sha256.New()
-	if err := tell(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
-		return ran(base.Lost, "the asking node went away")
+	head := &wire.CarryHead{Attempt: attempt, Status: uint32(response.StatusCode), Headers: forwardedHeaders(response.Header), Size: response.ContentLength}
+	digest, bodyDigest := newResponseDigest(head), sha256.New()
+	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
+		return mayHaveRun(base.Lost, "the asking node went away")
 	}
-	size, fault := relayBody(response.Body, io.MultiWriter(sealing, whole), tell)
+	size, fault := relayBody(response.Body, io.MultiWriter(digest, bodyDigest), send)
 	if fault != nil {
 		return fault
 	}
-	if given && !bytes.Equal(digest, whole.Sum(nil)) {
-		return ran(base.Garbled, "the upstream's answer does not fit its digest")
+	if hasDigest && !bytes.Equal(declared, bodyDigest.Sum(nil)) {
+		return mayHaveRun(base.Garbled, "the upstream's answer does not fit its digest")
 	}
-	tail := &wire.CarryTail{Attempt: attempt, Digest: sealing.sum(), Size: size}
-	if err := tell(&wire.CarryReply{Piece: &wire.CarryReply_Tail{Tail: tail}}); err != nil {
-		return ran(base.Lost, "the asking node went away")
+	tail := &wire.CarryTail{Attempt: attempt, Digest: digest.sum(), Size: size}
+	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Tail{Tail: tail}}); err != nil {
+		return mayHaveRun(base.Lost, "the asking node went away")
 	}
 	return nil
 }
 
 // relayBody passes a body on in pieces, also to the digests, and returns its
 // size in bytes.
-func relayBody(body io.Reader, digests io.Writer, tell emit) (size uint64, fault *base.Fault) {
+func relayBody(body io.Reader, digests io.Writer, send sendFunc) (size uint64, fault *base.Fault) {
 	chunk := make([]byte, chunkSize)
 	for {
-		got, err := body.Read(chunk)
-		if got > 0 {
-			size += uint64(got)
-			_, _ = digests.Write(chunk[:got])
-			if tell(&wire.CarryReply{Piece: &wire.CarryReply_Chunk{Chunk: bytes.Clone(chunk[:got])}}) != nil {
-				return size, ran(base.Lost, "the asking node went away")
+		n, err := body.Read(chunk)
+		if n > 0 {
+			size += uint64(n)
+			_, _ = digests.Write(chunk[:n])
+			if send(&wire.CarryReply{Piece: &wire.CarryReply_Chunk{Chunk: bytes.Clone(chunk[:n])}}) != nil {
+				return size, mayHaveRun(base.Lost, "the asking node went away")
 			}
 		}
 		if err == io.EOF {
 			return size, nil
 		}
 		if err != nil {
-			return size, ran(base.Garbled, "the upstream's answer broke off: %s", err)
+			return size, mayHaveRun(base.Garbled, "the upstream's answer broke off: %s", err)
 		}
 	}
 }
 
 type peerServer struct{ node *Node }
 
-func (v peerServer) Carry(ctx context.Context, request *connect.Request[wire.CarryRequest], stream *connect.ServerStream[wire.CarryReply]) error {
-	return v.node.serve(ctx, request.Msg, stream.Send)
+func (p peerServer) Carry(ctx context.Context, request *connect.Request[wire.CarryRequest], stream *connect.ServerStream[wire.CarryReply]) error {
+	return p.node.serveCarry(ctx, request.Msg, stream.Send)
 }
 
-func (v peerServer) Fence(_ context.Context, request *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error) {
-	ask := request.Msg
-	if ask.Incarnation != v.node.member.Incarnation() {
+func (p peerServer) Fence(_ context.Context, request *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error) {
+	req := request.Msg
+	if req.Incarnation != p.node.member.Incarnation() {
 		return connect.NewResponse(&wire.FenceReply{}), nil
 	}
-	never := v.node.fences.Fence(ask.Attempt)
-	v.node.scope.Record("fence", ask.Attempt, fmt.Sprintf("never=%t", never))
+	never := p.node.fences.Fence(req.Attempt)
+	p.node.scope.Record("fence", req.Attempt, fmt.Sprintf("never=%t", never))
 	return connect.NewResponse(&wire.FenceReply{Never: never}), nil
 }
--- a/internal/listednode/peer_server_test.go
+++ b/internal/listednode/peer_server_test.go
@@ -14,7 +14,7 @@
 	"curlewreach/base"
 )
 
-func flakyUpstream() (address string, seen *atomic.Int64, end func()) {
+func startFlakyUpstream() (address string, seen *atomic.Int64, end func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	seen = &atomic.Int64{}
@@ -57,7 +57,7 @@
 		}
 	}
 	ginkgo.It("given an ordinary pooled transport, when a reused connection breaks, then the upstream sees the request twice", func() {
-		address, seen, end := flakyUpstream()
+		address, seen, end := startFlakyUpstream()
 		defer end()
 		trip := &http.Transport{}
 		ask(trip, address, "/warm")
@@ -65,9 +65,9 @@
 		Expect(seen.Load()).To(Equal(int64(2)))
 	})
 	ginkgo.It("given our one-shot connections, when a connection breaks, then the upstream sees it once", func() {
-		address, seen, end := flakyUpstream()
+		address, seen, end := startFlakyUpstream()
 		defer end()
-		outward := outwards(base.RealNet())
+		outward := newUpstreamTransport(base.RealNet())
 		for _, path := range []string{"/warm", "/loan"} {
 			conn, err := outward.NewClientConn(context.Background(), "http", address)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/listednode/recall.go
+++ b/internal/listednode/persistence.go
@@ -11,8 +11,8 @@
 	"curlewreach/proto/wire"
 )
 
-func (n *Node) recallOdds() {
-	raw, err := n.scope.Disk.Read(oddsFile)
+func (n *Node) loadProbabilities() {
+	raw, err := n.scope.Disk.Read(probabilitiesFile)
 	odds := &wire.Odds{}
 	if err != nil {
 		return
@@ -21,39 +21,39 @@
 		n.scope.Record("odds-bounced", "", "from disk: "+err.Error())
 		return
 	}
-	n.load(odds)
+	n.updateProbabilities(odds)
 }
 
-func (n *Node) load(odds *wire.Odds) {
-	if odds.GetSerial() <= n.keeper.Serial() {
+func (n *Node) updateProbabilities(odds *wire.Odds) {
+	if odds.GetSerial() <= n.sampler.Serial() {
 		return
 	}
-	if fault := n.keeper.Load(odds); fault != nil {
+	if fault := n.sampler.Load(odds); fault != nil {
 		n.scope.Record("odds-bounced", "", fault.Error())
 		return
 	}
 	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Odds = odds.Serial })
-	n.keptOdds.Notify()
+	n.probabilitiesUnsaved.Notify()
 }
 
-func (n *Node) recall() {
-	n.recallOdds()
+func (n *Node) loadFromDisk() {
+	n.loadProbabilities()
 	raw, err := n.scope.Disk.Read(sliceFile)
 	sealed := &wire.Sealed{}
 	if err != nil || proto.Unmarshal(raw, sealed) != nil {
 		return
 	}
-	if signed := n.open(sealed); signed != nil {
-		n.claims.Recall(signed)
+	if signed := n.verifyBundle(sealed); signed != nil {
+		n.confirmations.SetFromDisk(signed)
 		n.scope.Record("recalled", "", "a slice from disk, in force once a majority confirms it")
 	}
 }
 
-func (n *Node) open(sealed *wire.Sealed) *bundle.Bundle {
+func (n *Node) verifyBundle(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
 	}
-	if _, fault := n.dials.Load().Trust.Verify(sealed); fault != nil {
+	if _, fault := n.tunables.Load().Trust.Verify(sealed); fault != nil {
 		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
 	}
@@ -65,42 +65,42 @@
 	return bundle.Index(sealed, raw)
 }
 
-func (n *Node) remember(s base.Scope) {
+func (n *Node) saveChanges(s base.Scope) {
 	if !storage.HasFolder(n.scope.Disk) {
 		return
 	}
-	var crew base.Group
-	crew.Go(func() {
-		n.keepEach(s, &n.kept, sliceFile, func() ([]byte, error) {
-			signed := n.slice.Load()
+	var group base.Group
+	group.Go(func() {
+		n.saveOnChange(s, &n.bundleUnsaved, sliceFile, func() ([]byte, error) {
+			signed := n.bundle.Load()
 			if signed == nil {
 				return nil, nil
 			}
 			return proto.Marshal(signed.Sealed)
 		})
 	})
-	crew.Go(func() {
-		n.keepEach(s, &n.keptOdds, oddsFile, func() ([]byte, error) {
-			odds := n.keeper.Odds()
+	group.Go(func() {
+		n.saveOnChange(s, &n.probabilitiesUnsaved, probabilitiesFile, func() ([]byte, error) {
+			odds := n.sampler.Odds()
 			if odds == nil {
 				return nil, nil
 			}
 			return storage.Frame(odds)
 		})
 	})
-	crew.Wait()
+	group.Wait()
 }
 
-func (n *Node) keepEach(s base.Scope, bell *base.Broadcast, file string, body func() ([]byte, error)) {
+func (n *Node) saveOnChange(s base.Scope, changed *base.Broadcast, file string, encode func() ([]byte, error)) {
 	for s.Err() == nil {
-		heard := bell.Next()
-		raw, err := body()
+		next := changed.Next()
+		raw, err := encode()
 		if err == nil && raw != nil {
 			err = storage.WriteAtomically(n.scope.Disk, file, raw)
 		}
 		if err != nil {
 			n.scope.Record(file+"-unkept", "", err.Error())
 		}
-		base.Await(s, time.Hour, heard)
+		base.Await(s, time.Hour, next)
 	}
 }
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// elsewhere is the cost added to an instance in another zone, as a part of
+	// otherZonePenalty is the cost added to an instance in another zone, as a part of
 	// its own.
-	elsewhere = 0.5
-	// cooling is the cost added to an instance that lately failed.
-	cooling = 4.0
-	// standingBy multiplies cooling for a machine that isn't well.
-	standingBy = 2.0
+	otherZonePenalty = 0.5
+	// failurePenalty is the cost added to an instance that lately failed.
+	failurePenalty = 4.0
+	// notAliveFactor multiplies cooling for a machine that isn't well.
+	notAliveFactor = 2.0
 )
 
 // candidate is an instance that a request may be carried to.
@@ -25,34 +25,34 @@
 	node        string
 	address     string
 	incarnation string
-	offset      time.Duration
+	clockOffset time.Duration
 	standing    string
-	seat        *wire.Seat
+	instance    *wire.Seat
 }
 
-// record is what this node itself knows of a candidate.
-type record struct {
-	used   time.Duration
-	flying int
-	cool   time.Duration
+// candidateStats is what this node itself knows of a candidate.
+type candidateStats struct {
+	lastUsed   time.Duration
+	inFlight   int
+	avoidUntil time.Duration
 }
 
-// places iterates over the instances of a service: those beside this node,
+// candidates iterates over the instances of a service: those beside this node,
 // then those beside others, by the nodes' names.
-func (n *Node) places(service string) iter.Seq[candidate] {
+func (n *Node) candidates(service string) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		own := n.member.Status()
-		if !besides(own, service, candidate{node: n.self, incarnation: own.Incarnation, standing: membership.Alive}, yield) {
+		if !yieldInstances(own, service, candidate{node: n.self, incarnation: own.Incarnation, standing: membership.Alive}, yield) {
 			return
 		}
-		for name, each := range n.atlas.All() {
-			registry := each.sighting.Roster
-			if name == n.self || registry.Stopping {
+		for name, received := range n.sightings.All() {
+			status := received.sighting.Roster
+			if name == n.self || status.Stopping {
 				continue
 			}
-			if !besides(registry, service, candidate{
-				node: name, address: registry.Address, incarnation: registry.Incarnation, standing: each.sighting.Standing,
-				offset: time.Duration(registry.ClockUs)*time.Microsecond - each.heard,
+			if !yieldInstances(status, service, candidate{
+				node: name, address: status.Address, incarnation: status.Incarnation, standing: received.sighting.Standing,
+				clockOffset: time.Duration(status.ClockUs)*time.Microsecond - received.receivedAt,
 			}, yield) {
 				return
 			}
@@ -60,24 +60,24 @@
 	}
 }
 
-// besides yields the instances of a service beside one node, at the candidate given.
-func besides(registry *wire.Roster, service string, at candidate, yield func(candidate) bool) bool {
-	for _, seat := range registry.Seats {
-		at.seat = seat
-		if seat.Service == service && !seat.Leaving && !yield(at) {
+// yieldInstances yields the instances of a service beside one node, at the candidate given.
+func yieldInstances(status *wire.Roster, service string, template candidate, yield func(candidate) bool) bool {
+	for _, seat := range status.Seats {
+		template.instance = seat
+		if seat.Service == service && !seat.Leaving && !yield(template) {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *Node) pick(signed *bundle.Bundle, way bundle.Way, ledger *Ledger) (candidate, bool) {
+func (n *Node) pick(signed *bundle.Bundle, match bundle.Way, ledger *Ledger) (candidate, bool) {
 	var best candidate
 	lowest, found := 0.0, false
-	n.picking.Lock()
-	defer n.picking.Unlock()
-	for each := range n.places(way.Service.Name) {
-		if ledger.Tried(each.seat.Address) || (each.node != n.self && signed.Machine(each.node) == nil) {
+	n.pickMu.Lock()
+	defer n.pickMu.Unlock()
+	for each := range n.candidates(match.Service.Name) {
+		if ledger.Tried(each.instance.Address) || (each.node != n.self && signed.Machine(each.node) == nil) {
 			continue
 		}
 		score := n.score(each) * (1 + 0.01*n.scope.Rand.Float64())
@@ -86,44 +86,44 @@
 		}
 	}
 	if found {
-		n.recordOf(best).flying++
+		n.statsOf(best).inFlight++
 	}
 	return best, found
 }
 
-func (n *Node) recordOf(each candidate) *record {
-	key := each.node + " " + each.seat.Address
-	at := n.records[key]
-	if at == nil {
-		at = &record{}
-		n.records[key] = at
+func (n *Node) statsOf(each candidate) *candidateStats {
+	key := each.node + " " + each.instance.Address
+	stats := n.stats[key]
+	if stats == nil {
+		stats = &candidateStats{}
+		n.stats[key] = stats
 	}
-	at.used = n.scope.Clock.Mono()
-	return at
+	stats.lastUsed = n.scope.Clock.Mono()
+	return stats
 }
 
 func (n *Node) score(each candidate) float64 {
-	at := n.recordOf(each)
-	score := (float64(at.flying) + 1) / float64(max(each.seat.Capacity, 1))
-	score *= 1 + each.seat.Weight
-	if each.seat.Zone != n.zone {
-		score *= 1 + elsewhere
+	stats := n.statsOf(each)
+	score := (float64(stats.inFlight) + 1) / float64(max(each.instance.Capacity, 1))
+	score *= 1 + each.instance.Weight
+	if each.instance.Zone != n.zone {
+		score *= 1 + otherZonePenalty
 	}
 	if each.standing != membership.Alive {
-		score *= 1 + cooling*standingBy
+		score *= 1 + failurePenalty*notAliveFactor
 	}
-	if at.cool > n.scope.Clock.Mono() {
-		score *= 1 + cooling
+	if stats.avoidUntil > n.scope.Clock.Mono() {
+		score *= 1 + failurePenalty
 	}
 	return score
 }
 
-func (n *Node) judge(picked candidate, attempt *Attempt) {
-	n.picking.Lock()
-	defer n.picking.Unlock()
-	at := n.recordOf(picked)
-	at.flying--
+func (n *Node) recordOutcome(picked candidate, attempt *Attempt) {
+	n.pickMu.Lock()
+	defer n.pickMu.Unlock()
+	stats := n.statsOf(picked)
+	stats.inFlight--
 	if attempt.State != Answered && attempt.Fault.Kind != base.Overloaded && attempt.Fault.Kind != base.Stale && attempt.Fault.Kind != base.KeptApart {
-		at.cool = n.scope.Clock.Mono() + n.patience
+		stats.avoidUntil = n.scope.Clock.Mono() + n.peerTimeout
 	}
 }
--- a/internal/listednode/process.go
+++ b/internal/listednode/process.go
@@ -17,18 +17,18 @@
 // to end.
 const stopRatio = 0.95
 
-type opening struct {
+type endpointConfig struct {
 	address string
 	handler http.Handler
 }
 
 // Process is a running application machine: a node and its servers.
 type Process struct {
-	Node   *Node
-	params *wire.VaneParams
-	cancel context.CancelFunc
-	doors  []*httpserver.Server
-	crew   base.Group
+	Node    *Node
+	params  *wire.VaneParams
+	cancel  context.CancelFunc
+	servers []*httpserver.Server
+	group   base.Group
 }
 
 // Start starts an application machine. On an error nothing is left running.
@@ -42,33 +42,33 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	v := &Process{Node: NewNode(s, httpserver.NewClient(s), params, trust), params: params, cancel: cancel}
-	for _, each := range []opening{
-		{params.Mates, v.Node.PeerHandler()},
-		{params.Ops, v.Node.OperatorHandler()},
-		{params.Upstreams, v.closingWhileStopping(v.Node.InstanceHandler())},
-		{params.Visitors, v.closingWhileStopping(v.Node.ClientHandler())},
+	p := &Process{Node: NewNode(s, httpserver.NewClient(s), params, trust), params: params, cancel: cancel}
+	for _, each := range []endpointConfig{
+		{params.Mates, p.Node.PeerHandler()},
+		{params.Ops, p.Node.OperatorHandler()},
+		{params.Upstreams, p.closingWhileStopping(p.Node.InstanceHandler())},
+		{params.Visitors, p.closingWhileStopping(p.Node.ClientHandler())},
 	} {
-		door, err := httpserver.Serve(s, each.address, each.handler)
+		server, err := httpserver.Serve(s, each.address, each.handler)
 		if err != nil {
-			v.Kill()
+			p.Kill()
 			return nil, err
 		}
-		v.doors = append(v.doors, door)
+		p.servers = append(p.servers, server)
 	}
-	v.crew.Go(func() { v.Node.Run(s) })
+	p.group.Go(func() { p.Node.Run(s) })
 	s.Log.Info("started", "name", params.Name, "zone", params.Zone)
-	return v, nil
+	return p, nil
 }
 
 // Reload puts the params in force that can change while running. It returns an
 // error if others differ that can't.
-func (v *Process) Reload(params *wire.VaneParams) error {
+func (p *Process) Reload(params *wire.VaneParams) error {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return err
 	}
-	old := v.params
+	old := p.params
 	if params.Name != old.Name || params.Zone != old.Zone || params.Mates != old.Mates || params.Visitors != old.Visitors ||
 		params.Upstreams != old.Upstreams || params.Ops != old.Ops || params.Folder != old.Folder {
 		return errors.New("names, addresses and the folder change only with a restart")
@@ -77,17 +77,17 @@
 	if err != nil {
 		return err
 	}
-	v.Node.Turn(params, trust)
-	v.params = params
+	p.Node.UpdateParams(params, trust)
+	p.params = params
 	return nil
 }
 
 // closingWhileStopping tells clients of a node that stops to go elsewhere after
 // each answer. Their idle connections stay open: closing one races with a
 // request that is just being read from it.
-func (v *Process) closingWhileStopping(handler http.Handler) http.Handler {
+func (p *Process) closingWhileStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if v.Node.stopping.Load() {
+		if p.Node.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
@@ -96,21 +96,21 @@
 
 // Stop lets requests in callInProgress end and ends the process's parts within the
 // grace.
-func (v *Process) Stop() {
-	grace := time.Duration(float64(v.params.Bounds.Grace.AsDuration()) * stopRatio)
+func (p *Process) Stop() {
+	grace := time.Duration(float64(p.params.Bounds.Grace.AsDuration()) * stopRatio)
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	v.Node.Stop(ctx, grace)
-	s := v.Node.scope.WithContext(ctx)
-	base.Parallel(v.doors, func(door *httpserver.Server) { door.CloseWhenIdle(s) })
-	v.Kill()
+	p.Node.Stop(ctx, grace)
+	s := p.Node.scope.WithContext(ctx)
+	base.Parallel(p.servers, func(server *httpserver.Server) { server.CloseWhenIdle(s) })
+	p.Kill()
 }
 
 // Kill ends everything at once.
-func (v *Process) Kill() {
-	v.cancel()
-	for _, door := range v.doors {
-		door.Close()
+func (p *Process) Kill() {
+	p.cancel()
+	for _, server := range p.servers {
+		server.Close()
 	}
-	v.crew.Wait()
+	p.group.Wait()
 }
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -11,88 +11,88 @@
 // responseReader takes in the pieces of one attempt's answer, checks them, and holds
 // them back until the seal is checked or there are too many.
 type responseReader struct {
-	node    *Node
-	errand  *clientRequest
-	attempt *Attempt
-	head    *wire.CarryHead
-	sealing seal
-	held    bytes.Buffer
-	size    uint64
-	flowing bool
-	roomy   int64
-	whole   bool
-	fault   *base.Fault
+	node      *Node
+	incoming  *clientRequest
+	attempt   *Attempt
+	head      *wire.CarryHead
+	digest    responseDigest
+	buffered  bytes.Buffer
+	size      uint64
+	streaming bool
+	reserved  int64
+	complete  bool
+	fault     *base.Fault
 }
 
-var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
+var errUnexpectedPiece = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
 
-func (c *responseReader) take(reply *wire.CarryReply) error {
+func (r *responseReader) accept(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
 	case *wire.CarryReply_Head:
-		if c.head != nil || piece.Head.Attempt != c.attempt.Name {
-			return errForeign
+		if r.head != nil || piece.Head.Attempt != r.attempt.ID {
+			return errUnexpectedPiece
 		}
-		c.head, c.sealing = piece.Head, newSeal(piece.Head)
+		r.head, r.digest = piece.Head, newResponseDigest(piece.Head)
 	case *wire.CarryReply_Chunk:
-		return c.takeChunk(piece.Chunk)
+		return r.acceptChunk(piece.Chunk)
 	case *wire.CarryReply_Tail:
-		return c.takeTail(piece.Tail)
+		return r.acceptTail(piece.Tail)
 	case *wire.CarryReply_Mishap:
-		if piece.Mishap.Attempt != c.attempt.Name {
-			return errForeign
+		if piece.Mishap.Attempt != r.attempt.ID {
+			return errUnexpectedPiece
 		}
-		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
+		r.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
 	}
 	return nil
 }
 
-// takeChunk holds a piece of the body back, or passes it on with those held if
+// acceptChunk holds a piece of the body back, or passes it on with those held if
 // they are too many.
-func (c *responseReader) takeChunk(chunk []byte) error {
-	if c.head == nil || c.whole {
-		return errForeign
+func (r *responseReader) acceptChunk(chunk []byte) error {
+	if r.head == nil || r.complete {
+		return errUnexpectedPiece
 	}
-	_, _ = c.sealing.Write(chunk)
-	c.size += uint64(len(chunk))
-	if c.flowing || c.held.Len()+len(chunk) > c.node.dials.Load().Held || !c.hold(len(chunk)) {
-		if err := c.flow(); err != nil {
+	_, _ = r.digest.Write(chunk)
+	r.size += uint64(len(chunk))
+	if r.streaming || r.buffered.Len()+len(chunk) > r.node.tunables.Load().MaxBufferedBytes || !r.reserve(len(chunk)) {
+		if err := r.flush(); err != nil {
 			return err
 		}
 	}
-	c.held.Write(chunk)
+	r.buffered.Write(chunk)
 	return nil
 }
 
-// takeTail checks the seal. Of an answer that is being streamed, the last piece
+// acceptTail checks the seal. Of an answer that is being streamed, the last piece
 // is passed on only now.
-func (c *responseReader) takeTail(tail *wire.CarryTail) error {
-	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
+func (r *responseReader) acceptTail(tail *wire.CarryTail) error {
+	if r.head == nil || tail.Attempt != r.attempt.ID || tail.Size != r.size || !bytes.Equal(tail.Digest, r.digest.sum()) {
 		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
 	}
-	c.whole = true
-	if c.flowing {
-		return c.flow()
+	r.complete = true
+	if r.streaming {
+		return r.flush()
 	}
 	return nil
 }
 
-func (c *responseReader) hold(size int) bool {
-	if !c.node.room.take(int64(size)) {
+func (r *responseReader) reserve(size int) bool {
+	if !r.node.memory.reserve(int64(size)) {
 		return false
 	}
-	c.roomy += int64(size)
+	r.reserved += int64(size)
 	return true
 }
 
-func (c *responseReader) flow() error {
-	c.node.room.give(c.roomy)
-	c.roomy = 0
-	if !c.flowing {
-		c.flowing = true
-		put(c.head.Headers, c.errand.w.Header())
-		c.errand.w.WriteHeader(int(c.head.Status))
+func (r *responseReader) flush() error {
+	r.node.memory.release(r.reserved)
+	r.reserved = 0
+	if !r.streaming {
+		r.streaming = true
+		setHeaders(r.head.Headers, r.incoming.w.Header())
+		r.incoming.w.WriteHeader(int(r.head.Status))
 	}
-	_, err := c.errand.w.Write(c.held.Bytes())
-	c.held.Reset()
+	_, err := r.incoming.w.Write(r.buffered.Bytes())
+	r.buffered.Reset()
 	return err
 }
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -7,35 +7,35 @@
 )
 
 type serviceBudget struct {
-	tokens float64
-	depth  float64
-	ratio  float64
+	tokens    float64
+	maxTokens float64
+	ratio     float64
 }
 
 // RetryBudget bounds repeated attempts for each service by tokens: each first
 // attempt earns a part of one, each repeat costs one. It is safe for concurrent
 // use.
 type RetryBudget struct {
-	mu           sync.Mutex
-	retryBudgets map[string]*serviceBudget
+	mu       sync.Mutex
+	services map[string]*serviceBudget
 }
 
 // NewRetryBudget returns a store of tokens that is empty.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{retryBudgets: map[string]*serviceBudget{}} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{services: map[string]*serviceBudget{}} }
 
-// Set sets the ratios and the most that may be saved, by a bundle.
-func (r *RetryBudget) Set(signed *bundle.Bundle) {
+// SetLimits sets the ratios and the most that may be saved, by a bundle.
+func (r *RetryBudget) SetLimits(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, service := range signed.Raw.Services {
-		at := r.retryBudgets[service.Name]
-		if at == nil {
-			at = &serviceBudget{}
-			r.retryBudgets[service.Name] = at
+		budget := r.services[service.Name]
+		if budget == nil {
+			budget = &serviceBudget{}
+			r.services[service.Name] = budget
 		}
-		at.ratio = service.Repeats
-		at.depth = float64(service.Allowance) / float64(max(signed.Vanes(), 1))
-		at.tokens = min(at.tokens, at.depth)
+		budget.ratio = service.Repeats
+		budget.maxTokens = float64(service.Allowance) / float64(max(signed.Vanes(), 1))
+		budget.tokens = min(budget.tokens, budget.maxTokens)
 	}
 }
 
@@ -43,17 +43,17 @@
 func (r *RetryBudget) Earn(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at := r.retryBudgets[service]; at != nil {
-		at.tokens = min(at.tokens+at.ratio, at.depth)
+	if budget := r.services[service]; budget != nil {
+		budget.tokens = min(budget.tokens+budget.ratio, budget.maxTokens)
 	}
 }
 
-// Refund takes it back, as the request didn't arrive.
-func (r *RetryBudget) Refund(service string) {
+// RevokeEarned takes it back, as the request didn't arrive.
+func (r *RetryBudget) RevokeEarned(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at := r.retryBudgets[service]; at != nil {
-		at.tokens = max(at.tokens-at.ratio, -at.depth)
+	if budget := r.services[service]; budget != nil {
+		budget.tokens = max(budget.tokens-budget.ratio, -budget.maxTokens)
 	}
 }
 
@@ -61,10 +61,10 @@
 func (r *RetryBudget) Spend(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.retryBudgets[service]
-	if at == nil || at.tokens < 1 {
+	budget := r.services[service]
+	if budget == nil || budget.tokens < 1 {
 		return false
 	}
-	at.tokens--
+	budget.tokens--
 	return true
 }
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -23,7 +23,7 @@
 // and further calls.
 func (n *Node) InstanceHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+ReportPath, n.report)
+	mux.HandleFunc("POST "+ReportPath, n.handleReport)
 	mux.Handle("/", n.handler(true))
 	return mux
 }
@@ -45,7 +45,7 @@
 		if !ready {
 			status = http.StatusServiceUnavailable
 		}
-		httpserver.Reply(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.keeper.Serial()})
+		httpserver.Reply(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.sampler.Serial()})
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 		httpserver.Reply(w, http.StatusOK, n.scope.Journal.Counts())
@@ -56,8 +56,8 @@
 	return mux
 }
 
-func (n *Node) report(w http.ResponseWriter, r *http.Request) {
-	var said struct {
+func (n *Node) handleReport(w http.ResponseWriter, r *http.Request) {
+	var input struct {
 		Service  string  `json:"service"`
 		Address  string  `json:"address"`
 		Zone     string  `json:"zone"`
@@ -67,24 +67,24 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 4096))
 	if err == nil {
-		err = json.Unmarshal(body, &said)
+		err = json.Unmarshal(body, &input)
 	}
 	if err == nil {
 		err = validation.Errors{
-			"service":  validation.Validate(said.Service, validation.Required, base.IsName),
-			"address":  validation.Validate(said.Address, validation.Required, base.IsAddress),
-			"zone":     validation.Validate(said.Zone, base.IsName),
-			"capacity": validation.Validate(said.Capacity, validation.Max(uint32(mostCapacity))),
-			"weight":   validation.Validate(said.Weight, validation.Min(0.0), validation.Max(float64(mostWeight))),
+			"service":  validation.Validate(input.Service, validation.Required, base.IsName),
+			"address":  validation.Validate(input.Address, validation.Required, base.IsAddress),
+			"zone":     validation.Validate(input.Zone, base.IsName),
+			"capacity": validation.Validate(input.Capacity, validation.Max(uint32(maxCapacity))),
+			"weight":   validation.Validate(input.Weight, validation.Min(0.0), validation.Max(float64(maxWeight))),
 		}.Filter()
 	}
 	if err != nil {
-		rejectTo(w, base.NewFault(base.Malformed, "", "%s", strings.Join(base.ErrorLines(err), "; ")))
+		writeFault(w, base.NewFault(base.Malformed, "", "%s", strings.Join(base.ErrorLines(err), "; ")))
 		return
 	}
-	seat := &wire.Seat{Service: said.Service, Address: said.Address, Zone: said.Zone, Capacity: max(said.Capacity, 1), Leaving: said.Leaving, Weight: max(said.Weight, 0)}
-	if fault := n.seats.Report(n.scope.WithContext(r.Context()), seat); fault != nil {
-		rejectTo(w, fault)
+	report := &wire.Seat{Service: input.Service, Address: input.Address, Zone: input.Zone, Capacity: max(input.Capacity, 1), Leaving: input.Leaving, Weight: max(input.Weight, 0)}
+	if fault := n.instances.Report(n.scope.WithContext(r.Context()), report); fault != nil {
+		writeFault(w, fault)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/listednode/span.go
+++ b/internal/listednode/span.go
@@ -10,33 +10,33 @@
 	"curlewreach/proto/wire"
 )
 
-func (n *Node) watched(span *wire.Span, ledger *Ledger, began time.Duration) {
+func (n *Node) recordSpans(span *wire.Span, ledger *Ledger, startedAt time.Duration) {
 	now := n.scope.Clock.Mono()
-	var tries []interval
+	var attempts []interval
 	for _, attempt := range ledger.Attempts {
-		ended := attempt.Ended
+		endedAt := attempt.EndedAt
 		if attempt.State == Running {
-			ended = now
+			endedAt = now
 		}
-		tries = append(tries, interval{attempt.Started, ended})
+		attempts = append(attempts, interval{attempt.StartedAt, endedAt})
 		child := proto.Clone(span).(*wire.Span)
-		child.Id, child.Parent, child.Side, child.Seat = attempt.Name, span.Id, tracing.AttemptSide, attempt.Seat
+		child.Id, child.Parent, child.Side, child.Seat = attempt.ID, span.Id, tracing.AttemptSide, attempt.Instance
 		child.Tags = map[string]string{"node": attempt.Node, "state": attempt.State.String()}
 		if attempt.Fault != nil {
 			child.Tags["kind"] = string(attempt.Fault.Kind)
 		}
-		n.timed(child, attempt.Started, ended, 0)
-		n.sink.Push(child)
+		n.setTimes(child, attempt.StartedAt, endedAt, 0)
+		n.exporter.Push(child)
 	}
 	span.Tags = map[string]string{"attempts": strconv.Itoa(len(ledger.Attempts))}
 	if last := ledger.Last(); last != nil {
 		span.Tags["state"] = last.State.String()
 	}
-	n.timed(span, began, now, union(tries, began, now))
-	n.sink.Push(span)
+	n.setTimes(span, startedAt, now, coveredTime(attempts, startedAt, now))
+	n.exporter.Push(span)
 }
 
-func (n *Node) timed(span *wire.Span, from, till, others time.Duration) {
+func (n *Node) setTimes(span *wire.Span, from, to, excluded time.Duration) {
 	span.StartedUs = n.scope.Clock.Wall().Add(from - n.scope.Clock.Mono()).UnixMicro()
-	span.DurationUs, span.SelfUs = uint64((till - from).Microseconds()), uint64((till - from - others).Microseconds())
+	span.DurationUs, span.SelfUs = uint64((to - from).Microseconds()), uint64((to - from - excluded).Microseconds())
 }
--- a/internal/listednode/suite_test.go
+++ b/internal/listednode/suite_test.go
@@ -22,9 +22,9 @@
 	ginkgo.RunSpecs(t, "flow")
 }
 
-func bubble(tell func(s base.Scope)) {
+func runInBubble(body func(s base.Scope)) {
 	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		tell(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: random.Seeded(1), Journal: base.NewJournal(100)})
+		body(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: random.Seeded(1), Journal: base.NewJournal(100)})
 	})
 }
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -8,84 +8,84 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// unusedRatio, times the in-force bound, is how long what no bundle names is
+// retentionRatio, times the in-force bound, is how long what no bundle names is
 // remembered.
-const unusedRatio = 30
+const retentionRatio = 30
 
-func (n *Node) sweep() {
-	signed := n.slice.Load()
+func (n *Node) removeUnused() {
+	signed := n.bundle.Load()
 	if signed == nil {
 		return
 	}
-	oldest := n.scope.Clock.Mono() - unusedRatio*n.force
-	n.picking.Lock()
-	maps.DeleteFunc(n.records, func(_ string, at *record) bool { return at.flying == 0 && at.used < oldest })
-	n.picking.Unlock()
+	oldest := n.scope.Clock.Mono() - retentionRatio*n.inForceBound
+	n.pickMu.Lock()
+	maps.DeleteFunc(n.stats, func(_ string, stats *candidateStats) bool { return stats.inFlight == 0 && stats.lastUsed < oldest })
+	n.pickMu.Unlock()
 	known := map[string]bool{}
 	for machine := range signed.Machines() {
 		known[machine.Address] = true
 	}
-	for _, each := range n.atlas.Snapshot() {
+	for _, each := range n.sightings.Snapshot() {
 		known[each.sighting.Roster.Address] = true
 	}
-	for address := range n.peers.Snapshot() {
+	for address := range n.peerClients.Snapshot() {
 		if !known[address] {
-			n.peers.Update(func(rows map[string]wireconnect.FlowClient) { delete(rows, address) })
+			n.peerClients.Update(func(rows map[string]wireconnect.FlowClient) { delete(rows, address) })
 		}
 	}
-	for name, each := range n.atlas.Snapshot() {
-		if signed.Machine(name) == nil && each.heard < oldest {
-			n.atlas.Update(func(rows map[string]outlook) { delete(rows, name) })
+	for name, each := range n.sightings.Snapshot() {
+		if signed.Machine(name) == nil && each.receivedAt < oldest {
+			n.sightings.Update(func(rows map[string]receivedSighting) { delete(rows, name) })
 		}
 	}
-	n.gate.Forget(signed)
-	n.repeats.Forget(signed)
-	n.ties.Forget(signed)
+	n.admission.Prune(signed)
+	n.retryBudget.Prune(signed)
+	n.callTracker.Prune(signed)
 }
 
-// Forget drops groups that a bundle doesn't name.
-func (g *AdmissionQueue) Forget(signed *bundle.Bundle) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	maps.DeleteFunc(g.lanes, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
+// Prune drops groups that a bundle doesn't name.
+func (q *AdmissionQueue) Prune(signed *bundle.Bundle) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	maps.DeleteFunc(q.groups, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
 }
 
-// Forget drops services that a bundle doesn't name.
-func (r *RetryBudget) Forget(signed *bundle.Bundle) {
+// Prune drops services that a bundle doesn't name.
+func (r *RetryBudget) Prune(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.retryBudgets, func(service string, at *serviceBudget) bool {
-		return at.depth > 0 && at.tokens >= 0 && signed.Service(service) == nil
+	maps.DeleteFunc(r.services, func(service string, at *serviceBudget) bool {
+		return at.maxTokens > 0 && at.tokens >= 0 && signed.Service(service) == nil
 	})
 }
 
-// Forget drops routes that a bundle doesn't name.
-func (t *CallTracker) Forget(signed *bundle.Bundle) {
+// Prune drops routes that a bundle doesn't name.
+func (t *CallTracker) Prune(signed *bundle.Bundle) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.turns, func(identifier string, _ time.Duration) bool { return !signed.Names(identifier) })
+	maps.DeleteFunc(t.holdTimes, func(identifier string, _ time.Duration) bool { return !signed.Names(identifier) })
 }
 
 // Sizes returns how many rows each table holds, to watch for leaks.
 func (n *Node) Sizes() map[string]int {
-	sizes := map[string]int{"mates": len(n.peers.Snapshot()), "atlas": len(n.atlas.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.sink.Waiting()), "room": int(n.room.used.Load())}
-	n.picking.Lock()
-	sizes["records"] = len(n.records)
-	n.picking.Unlock()
+	sizes := map[string]int{"mates": len(n.peerClients.Snapshot()), "atlas": len(n.sightings.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.exporter.Waiting()), "room": int(n.memory.used.Load())}
+	n.pickMu.Lock()
+	sizes["records"] = len(n.stats)
+	n.pickMu.Unlock()
 	n.fences.mu.Lock()
-	sizes["fences"] = len(n.fences.fences)
+	sizes["fences"] = len(n.fences.entries)
 	n.fences.mu.Unlock()
-	n.seats.mu.Lock()
-	sizes["seats"] = len(n.seats.seats)
-	n.seats.mu.Unlock()
-	n.ties.mu.Lock()
-	sizes["flights"], sizes["apart"], sizes["turns"] = len(n.ties.flights), len(n.ties.apart), len(n.ties.turns)
-	n.ties.mu.Unlock()
-	n.gate.mu.Lock()
-	sizes["lanes"] = len(n.gate.lanes)
-	n.gate.mu.Unlock()
-	n.repeats.mu.Lock()
-	sizes["purses"] = len(n.repeats.retryBudgets)
-	n.repeats.mu.Unlock()
+	n.instances.mu.Lock()
+	sizes["seats"] = len(n.instances.byAddress)
+	n.instances.mu.Unlock()
+	n.callTracker.mu.Lock()
+	sizes["flights"], sizes["apart"], sizes["turns"] = len(n.callTracker.inFlight), len(n.callTracker.queues), len(n.callTracker.holdTimes)
+	n.callTracker.mu.Unlock()
+	n.admission.mu.Lock()
+	sizes["lanes"] = len(n.admission.groups)
+	n.admission.mu.Unlock()
+	n.retryBudget.mu.Lock()
+	sizes["purses"] = len(n.retryBudget.services)
+	n.retryBudget.mu.Unlock()
 	return sizes
 }
