--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -10,49 +10,50 @@
 )
 
 const (
-	// serviceTimeSmoothing is the weight of the newest request in the moving average of
-	// how long one holds its candidate.
+	// serviceTimeSmoothing is the weight of the newest request in the average service time.
 	serviceTimeSmoothing = 0.1
-	// minTimeLeftRatio, of that average, is the time to its deadline that a waiter
-	// must have left to be let in.
+	// minTimeLeftRatio is the time left to its deadline that a waiting request needs in order to be
+	// admitted, as a ratio of the average service time.
 	minTimeLeftRatio = 0.5
 )
 
+// waiter is a request that waits for admission.
 type waiter struct {
 	deadline  time.Duration
-	grant     chan *base.Fault
-	abandoned bool
+	grant     chan *base.Fault // receives nil on admission, otherwise the reason of rejection
+	abandoned bool             // it stopped waiting but is still in the queue
 }
 
+// groupQueue holds the waiting requests of a group, for stride scheduling: the group with the lowest pass
+// is next, and each admission adds 1/weight to its pass.
 type groupQueue struct {
 	group   string
 	waiting deque.Deque[*waiter]
 	weight  float64
 	pass    float64
-	granted uint64
+	granted uint64 // number of admissions so far
 }
 
-// AdmissionQueue is the admission queue in front of an upstream or a node: a bounded
-// number of requests are inside, others wait. Groups get their turns by the
-// weights of their shares. It is safe for concurrent use.
+// AdmissionQueue bounds the requests in flight at an upstream or a node. Others wait in a bounded queue.
+// Groups are served in proportion to the weights of their shares. It is safe for concurrent use.
 type AdmissionQueue struct {
 	mu          sync.Mutex
 	clock       base.Clock
-	limit       int
+	limit       int // of requests in flight
 	maxWaiting  int
 	inFlight    int
 	waiting     int
-	virtualTime float64
-	serviceTime float64
-	groups      map[string]*groupQueue
+	virtualTime float64                // the highest pass, before its admission, of a group served so far
+	serviceTime float64                // average in seconds, 0 before the first request has ended
+	groups      map[string]*groupQueue // by name
 }
 
-// NewAdmissionQueue returns a gate that lets limit requests in and bound wait.
+// NewAdmissionQueue returns a queue that admits limit requests at a time and lets maxWaiting others wait.
 func NewAdmissionQueue(clock base.Clock, limit, maxWaiting int) *AdmissionQueue {
 	return &AdmissionQueue{clock: clock, limit: max(limit, 1), maxWaiting: maxWaiting, groups: map[string]*groupQueue{}}
 }
 
-// SetLimit sets how many requests may be inside.
+// SetLimit sets how many requests may be in flight.
 func (q *AdmissionQueue) SetLimit(limit int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,14 +61,14 @@
 	q.admitWaiting()
 }
 
-// InFlight returns how many requests are inside.
+// InFlight returns the number of requests in flight.
 func (q *AdmissionQueue) InFlight() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.inFlight
 }
 
-// Granted returns how many were let in so far, by group.
+// Granted returns the number of admissions so far, by group.
 func (q *AdmissionQueue) Granted() map[string]uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,9 +79,9 @@
 	return granted
 }
 
-// Acquire waits to be let in until the time given. The caller calls leave when
-// its request has ended. The error is of kind Crowded if it can't be let in in
-// time or the queue is full, and Expired if the time passed.
+// Acquire waits for admission until the deadline. The caller calls release when its request has ended. The
+// error is of kind Overloaded if the queue is full or the wait would exceed the deadline, and Expired if
+// the deadline has passed.
 func (q *AdmissionQueue) Acquire(s base.Scope, group string, weight float64, deadline time.Duration) (release func(), fault *base.Fault) {
 	q.mu.Lock()
 	queue := q.groups[group]
@@ -99,7 +100,7 @@
 	retryAfter := time.Duration(wait * float64(time.Second))
 	if q.serviceTime > 0 && wait > timeLeft {
 		q.mu.Unlock()
-		return nil, base.NewFault(base.Overloaded, "", "the wait would outlast the deadline").WithRetryAfter(retryAfter)
+		return nil, base.NewFault(base.Overloaded, "", "the wait in the queue would exceed the deadline").WithRetryAfter(retryAfter)
 	}
 	if q.waiting >= q.maxWaiting && !q.evict(queue) {
 		q.mu.Unlock()
@@ -139,6 +140,8 @@
 	return nil, base.NewFault(base.Expired, "", "the deadline passed in the queue")
 }
 
+// turnsAhead estimates the number of admissions until a request that is added to the queue now is admitted.
+// q.mu must be held.
 func (q *AdmissionQueue) turnsAhead(queue *groupQueue) float64 {
 	total := 0.0
 	for _, each := range q.groups {
@@ -149,6 +152,8 @@
 	return float64(queue.waiting.Len()+1) * total / queue.weight
 }
 
+// evict removes the newest request of the group with the longest queue for its weight, if that is longer
+// than the newcomer's would become, and reports whether it did. q.mu must be held.
 func (q *AdmissionQueue) evict(newcomer *groupQueue) bool {
 	var fullest *groupQueue
 	for _, each := range q.groups {
@@ -162,13 +167,15 @@
 	last := fullest.waiting.PopBack()
 	if !last.abandoned {
 		q.waiting--
-		last.grant <- base.NewFault(base.Overloaded, "", "the queue is full and another group is owed its place")
+		last.grant <- base.NewFault(base.Overloaded, "", "the queue is full and another group is entitled to the place")
 	}
 	return true
 }
 
+// relativeLength returns the length of a queue in proportion to the group's weight.
 func relativeLength(queue *groupQueue) float64 { return float64(queue.waiting.Len()) / queue.weight }
 
+// admit counts an admission of a group. q.mu must be held.
 func (q *AdmissionQueue) admit(queue *groupQueue) {
 	queue.pass = max(queue.pass, q.virtualTime) + 1/queue.weight
 	q.virtualTime = max(q.virtualTime, queue.pass-1/queue.weight)
@@ -176,6 +183,8 @@
 	q.inFlight++
 }
 
+// releaseFunc returns the function that ends an admitted request, records its service time and admits the
+// next one.
 func (q *AdmissionQueue) releaseFunc() func() {
 	startedAt := q.clock.Mono()
 	var once sync.Once
@@ -194,6 +203,8 @@
 	}
 }
 
+// dropLate rejects the requests at the head of a queue that have too little time left, and drops abandoned
+// ones. q.mu must be held.
 func (q *AdmissionQueue) dropLate(queue *groupQueue) {
 	minDeadline := q.clock.Mono() + time.Duration(minTimeLeftRatio*q.serviceTime*float64(time.Second))
 	for queue.waiting.Len() > 0 {
@@ -204,11 +215,12 @@
 		queue.waiting.PopFront()
 		if !first.abandoned {
 			q.waiting--
-			first.grant <- base.NewFault(base.Overloaded, "", "too little time was left when its turn came")
+			first.grant <- base.NewFault(base.Overloaded, "", "too little time was left after the wait in the queue")
 		}
 	}
 }
 
+// admitWaiting admits waiting requests while the limit allows it. q.mu must be held.
 func (q *AdmissionQueue) admitWaiting() {
 	for q.inFlight < q.limit {
 		var next *groupQueue
--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -10,6 +10,8 @@
 	"curlewreach/base"
 )
 
+// loadGroup starts callers that each make a number of requests of 10 ms for a group, and returns the count
+// of those served.
 func loadGroup(s base.Scope, q *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
 	served := &atomic.Int64{}
 	for range callers {
@@ -29,8 +31,8 @@
 	return served
 }
 
-var _ = ginkgo.Describe("the gate", func() {
-	ginkgo.It("given two groups that flood it, when weights are 3 to 1, then they are served 3 to 1", func() {
+var _ = ginkgo.Describe("the admission queue", func() {
+	ginkgo.It("given two groups that overload it, when their weights are 3 to 1, then they are served 3 to 1", func() {
 		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 100)
 			heavy, light := loadGroup(s, g, "heavy", 3, 20, 300), loadGroup(s, g, "light", 1, 20, 300)
@@ -41,18 +43,18 @@
 		})
 	})
 
-	ginkgo.It("given one group that floods with forty callers, when another asks a little, then it is served at once", func() {
+	ginkgo.It("given a group that overloads it with forty callers, when another group has one caller, then that one is served at once", func() {
 		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
 			loadGroup(s, g, "flood", 1, 40, 300)
-			calm := loadGroup(s, g, "calm", 1, 1, 100)
+			steady := loadGroup(s, g, "calm", 1, 1, 100)
 			time.Sleep(4 * time.Second)
-			Expect(calm.Load()).To(Equal(int64(100)))
+			Expect(steady.Load()).To(Equal(int64(100)))
 			time.Sleep(time.Hour)
 		})
 	})
 
-	ginkgo.It("given room to spare, when one group asks, then it may use all of it", func() {
+	ginkgo.It("given a single group with a low weight, when it makes requests, then it may use the whole limit", func() {
 		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
 			served := loadGroup(s, g, "only", 0.1, 8, 100)
@@ -62,10 +64,10 @@
 		})
 	})
 
-	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
+	ginkgo.It("given a full queue, when more requests come, then they are rejected at once and none waits past its deadline", func() {
 		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 1, 5)
-			leave, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
+			release, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
@@ -78,11 +80,11 @@
 			Expect(kinds).To(HaveLen(15))
 			time.Sleep(time.Second)
 			Expect(kinds).To(HaveLen(20))
-			leave()
+			release()
 			Expect(g.InFlight()).To(BeZero())
-			again, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
+			releaseAgain, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
-			again()
+			releaseAgain()
 		})
 	})
 })
--- a/internal/listednode/body_memory.go
+++ b/internal/listednode/body_memory.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// bodyMemory bounds the bytes of requests and answers held in memory.
+// bodyMemory limits the memory for the bodies of requests and responses.
 type bodyMemory struct {
-	limit int64
-	used  atomic.Int64
+	limit int64        // in bytes
+	used  atomic.Int64 // in bytes
 }
 
+// reserve reserves size bytes and reports whether that was possible.
 func (r *bodyMemory) reserve(size int64) bool {
 	if r.used.Add(size) <= r.limit {
 		return true
@@ -16,4 +17,5 @@
 	return false
 }
 
+// release gives size bytes back.
 func (r *bodyMemory) release(size int64) { r.used.Add(-size) }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -15,26 +15,29 @@
 	"curlewreach/proto/wire"
 )
 
+// interval is a period between two readings of the monotonic clock.
 type interval struct{ from, to time.Duration }
 
-// callInProgress is a request at an upstream, which may make further calls.
+// callInProgress is a request that an upstream processes, which may make further calls.
 type callInProgress struct {
 	spanID         string
 	trail          *wire.Trail
 	match          bundle.Way
 	instance       *instance
-	field          func(name string) string
+	field          func(name string) string // a field of the request: "path:NAME", "query:NAME" or "header:NAME"
 	startedAt      time.Duration
-	calls          []interval
-	uncertain      bool
-	callCounts     map[int]int
-	releaseByIndex map[int]func()
+	calls          []interval     // the times of its further calls
+	uncertain      bool           // set if a further call may belong to it or to another request
+	callCounts     map[int]int    // further calls seen, by index in the route's list
+	releaseByIndex map[int]func() // locks to release once these calls have been seen
 }
 
+// selfTime returns the time that the request took without its further calls.
 func (c *callInProgress) selfTime(endedAt time.Duration) time.Duration {
 	return endedAt - c.startedAt - coveredTime(c.calls, c.startedAt, endedAt)
 }
 
+// coveredTime returns how much of the time between from and to the intervals cover.
 func coveredTime(intervals []interval, from, to time.Duration) time.Duration {
 	ordered := slices.SortedFunc(slices.Values(intervals), func(a, b interval) int { return cmp.Compare(a.from, b.from) })
 	total, coveredUntil := time.Duration(0), from
@@ -48,34 +51,34 @@
 	return total
 }
 
-// keyQueue lets one of the requests that are kept apart through at a time.
+// keyQueue admits one at a time of the requests with a key, whose further calls could not be told apart.
 type keyQueue struct {
 	mutex base.ContextMutex
-	users int
+	users int // the holder of the mutex and those that wait for it
 }
 
-// holdTimeSmoothing is the weight of the newest request in the moving average of how
-// long a turn takes.
+// holdTimeSmoothing is the weight of the newest request in the average time for which requests of a route
+// hold a keyQueue.
 const holdTimeSmoothing = 0.2
 
-// CallTracker finds, for a further call of an instance, the request it is made for: by
-// the trace header if the instance passes it on, else by the route's declared
-// further calls and their key fields. Where these wouldn't tell, it keeps
-// requests apart. It is safe for concurrent use. docs/design.md tells why.
+// CallTracker finds the request that a further call of an instance belongs to: by the trace header if the
+// instance passes it on, otherwise by the further calls that routes declare and their key fields. Requests
+// whose calls could not be told apart that way run one at a time. It is safe for concurrent use.
+// docs/design.md has the reasons.
 type CallTracker struct {
 	clock     base.Clock
 	mu        sync.Mutex
-	inFlight  map[string]*callInProgress
-	queues    map[string]*keyQueue
-	holdTimes map[string]time.Duration
+	inFlight  map[string]*callInProgress // by span ID
+	queues    map[string]*keyQueue       // by serialization key
+	holdTimes map[string]time.Duration   // averages, by route
 }
 
-// NewCallTracker returns ties without requests.
+// NewCallTracker returns a tracker without requests.
 func NewCallTracker(clock base.Clock) *CallTracker {
 	return &CallTracker{clock: clock, inFlight: map[string]*callInProgress{}, queues: map[string]*keyQueue{}, holdTimes: map[string]time.Duration{}}
 }
 
-// Begin notes that a request is handed to the upstream.
+// Begin records that a request is about to be sent to the upstream.
 func (t *CallTracker) Begin(c *callInProgress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,8 +86,8 @@
 	t.inFlight[c.spanID] = c
 }
 
-// End notes that it has ended, and returns its self time and whether that is
-// uncertain.
+// End records that a request has ended. It returns its self time, and whether that is uncertain because a
+// call could not be attributed.
 func (t *CallTracker) End(c *callInProgress) (selfTime time.Duration, uncertain bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,6 +95,8 @@
 	return c.selfTime(t.clock.Mono()), c.uncertain
 }
 
+// expects reports whether the request may make the call, and the index of the first such further call of
+// its route.
 func (c *callInProgress) expects(match bundle.Way, childField func(string) string) (index int, expected bool) {
 	for at, further := range c.match.Route.Further {
 		if further.Service == match.Service.Name && further.Route == match.Route.Name && keysMatch(further, c.field, childField) &&
@@ -102,6 +107,8 @@
 	return 0, false
 }
 
+// recordArrival counts a further call. After the last one of its kind, the next request with the same key
+// may run.
 func (c *callInProgress) recordArrival(index int) {
 	if c.callCounts == nil {
 		c.callCounts = map[int]int{}
@@ -114,16 +121,17 @@
 	}
 }
 
-// Attribution is what was found out about a further call: its parent if it is Tied, or
-// the spans of the candidates if there are several.
+// Attribution is the result of FindParent. Certain is set if Parent is the request that made the call;
+// otherwise Candidates has the spans of those that may have made it.
 type Attribution struct {
 	Parent     *callInProgress
 	Candidates []string
 	Certain    bool
 }
 
-// FindParent ties a further call, given its route, its path's placeholders and the
-// name of the trace header.
+// FindParent finds the request that made a further call, given the call's route, the placeholder values of
+// its path and the name of the trace header. If several requests match, it marks them uncertain and picks
+// none.
 func (t *CallTracker) FindParent(r *http.Request, match bundle.Way, pathParams map[string]string, header string) Attribution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,14 +164,14 @@
 	return Attribution{Candidates: names}
 }
 
-// RecordCall notes that a further call for parent took from the time given until
-// now.
+// RecordCall records that a further call of parent took from the time given until now.
 func (t *CallTracker) RecordCall(parent *callInProgress, from time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	parent.calls = append(parent.calls, interval{from, t.clock.Mono()})
 }
 
+// keysMatch reports whether all key fields of the parent are set and equal those of the child.
 func keysMatch(further *wire.Further, parent, child func(string) string) bool {
 	for _, keyMatch := range further.Keys {
 		if value := parent(keyMatch.Parent); value == "" || value != child(keyMatch.Child) {
@@ -173,11 +181,13 @@
 	return true
 }
 
+// requestFields returns a function that returns fields of a request, as fieldValue does.
 func requestFields(r *http.Request, pathParams map[string]string) func(string) string {
 	query, headers := r.URL.Query(), r.Header
 	return func(name string) string { return fieldValue(name, pathParams, query, headers) }
 }
 
+// fieldValue returns the field "path:NAME", "query:NAME" or "header:NAME" of a request, "" if it isn't set.
 func fieldValue(field string, pathParams map[string]string, query url.Values, headers http.Header) string {
 	source, key, _ := strings.Cut(field, ":")
 	switch source {
@@ -191,6 +201,7 @@
 	return ""
 }
 
+// spanIDOf returns the span ID in a traceparent header, "" if it is malformed.
 func spanIDOf(traceparent string) string {
 	parts := strings.Split(traceparent, "-")
 	if len(parts) != 4 {
@@ -199,6 +210,7 @@
 	return parts[2]
 }
 
+// traceparent returns the value of a traceparent header.
 func traceparent(trail *wire.Trail, spanID string) string {
 	flags := "00"
 	if trail.Sampled {
@@ -207,9 +219,10 @@
 	return "00-" + trail.Trace + "-" + spanID + "-" + flags
 }
 
-// Serialize waits until no other request is at work whose further calls couldn't be
-// told from those of f. The caller calls leave when f has ended. An impatient
-// caller is turned back at once, with kind Apart.
+// Serialize waits until no request is running whose further calls could not be told from those of c. The
+// caller calls release when the request has ended. The error is of kind KeptApart if the wait would exceed
+// the deadline, or if the caller may not wait and there is such a request; it is of kind Expired if the
+// deadline has passed.
 func (t *CallTracker) Serialize(s base.Scope, c *callInProgress, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
 	keys := t.serializationKeys(c)
 	releaseByIndex := map[int]func(){}
@@ -224,25 +237,25 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		drop, fault := t.acquire(s, key, c.match.Identifier(), deadline, mayWait)
+		unlock, fault := t.acquire(s, key, c.match.Identifier(), deadline, mayWait)
 		if fault != nil {
 			c.releaseByIndex = releaseByIndex
 			release()
 			return nil, fault
 		}
 		if index := keys[key]; index >= 0 {
-			releaseByIndex[index] = drop
+			releaseByIndex[index] = unlock
 		} else {
-			releaseAtEnd = append(releaseAtEnd, drop)
+			releaseAtEnd = append(releaseAtEnd, unlock)
 		}
 	}
 	c.releaseByIndex = releaseByIndex
 	return release, nil
 }
 
-// serializationKeys returns what must differ between f and other requests, for their
-// further calls to be told apart: for each key the further call it stands for,
-// by its index, or -1 if for several.
+// serializationKeys returns the keys that c must not share with a running request, each with the index of
+// the further call that it identifies, -1 if it identifies several. There are none if the route allows
+// concurrency or the instance passes the trace header on.
 func (t *CallTracker) serializationKeys(c *callInProgress) map[string]int {
 	keys := map[string]int{}
 	if c.match.Route.Together || t.passesTraceHeader(c.instance) {
@@ -261,19 +274,20 @@
 	return keys
 }
 
+// acquire locks the queue of one key, as Serialize does for all.
 func (t *CallTracker) acquire(s base.Scope, key, routeID string, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
 	queue, ahead, averageHold := t.join(key, routeID)
 	if ahead > 0 && !mayWait {
 		t.leave(key)
-		return nil, base.NewFault(base.KeptApart, "", "another such request has the turn here")
+		return nil, base.NewFault(base.KeptApart, "", "a request whose further calls could not be told apart is running")
 	}
 	if t.clock.Mono()+time.Duration(ahead)*averageHold > deadline {
 		t.leave(key)
-		return nil, base.NewFault(base.KeptApart, "", "its turn would come after the deadline")
+		return nil, base.NewFault(base.KeptApart, "", "the wait for requests whose further calls could not be told apart would exceed the deadline")
 	}
 	if !queue.mutex.Lock(s) {
 		t.leave(key)
-		return nil, base.NewFault(base.Expired, "", "the deadline passed while kept apart")
+		return nil, base.NewFault(base.Expired, "", "the deadline passed while waiting for requests whose further calls could not be told apart")
 	}
 	acquiredAt := t.clock.Mono()
 	return func() {
@@ -289,12 +303,15 @@
 	}, nil
 }
 
+// passesTraceHeader reports whether the instance is known to pass the trace header on.
 func (t *CallTracker) passesTraceHeader(instance *instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return instance.passesTraceHeader
 }
 
+// join adds a user to the queue of a key. It returns the number of users ahead, and the average time for
+// which requests of the route hold a queue.
 func (t *CallTracker) join(key, routeID string) (queue *keyQueue, ahead int, averageHold time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -307,6 +324,7 @@
 	return queue, queue.users - 1, t.holdTimes[routeID]
 }
 
+// leave removes a user from the queue of a key, and the queue after its last user.
 func (t *CallTracker) leave(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -18,28 +18,30 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// clientRequest is a request to this node: of a visitor, or (inner) a further call of
-// an instance.
+// clientRequest is a request to this node, from a client or as a further call from a local instance.
 type clientRequest struct {
 	request      *http.Request
 	fromInstance bool
 	w            http.ResponseWriter
 }
 
+// clientResponse is a complete, buffered response of an upstream.
 type clientResponse struct {
 	head *wire.CarryHead
 	body []byte
 }
 
-func (n *Node) handler(inner bool) http.Handler {
+// handler returns the handler of requests from clients, or from local instances if fromInstance is set.
+func (n *Node) handler(fromInstance bool) http.Handler {
 	var handle endpoint.Endpoint = n.handleRequest
 	handle = n.instrument(handle)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		response, err := handle(r.Context(), &clientRequest{request: r, fromInstance: inner, w: w})
+		response, err := handle(r.Context(), &clientRequest{request: r, fromInstance: fromInstance, w: w})
 		if err != nil {
 			writeFault(w, base.FaultOf(err))
 			return
 		}
+		// A nil response has already been streamed to w.
 		if buffered := response.(*clientResponse); buffered != nil {
 			setHeaders(buffered.head.Headers, w.Header())
 			w.WriteHeader(int(buffered.head.Status))
@@ -48,6 +50,7 @@
 	})
 }
 
+// instrument counts requests in flight and records rejections.
 func (n *Node) instrument(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		done := n.trackRequest()
@@ -61,14 +64,17 @@
 	}
 }
 
+// handleRequest serves a request: it matches a route, waits for admission, reads the body and makes
+// attempts. It returns a *clientResponse, which is nil if the response was streamed.
 func (n *Node) handleRequest(ctx context.Context, request any) (any, error) {
 	incoming := request.(*clientRequest)
 	s := n.scope.WithContext(ctx)
 	signed := n.bundle.Load()
 	if signed == nil {
-		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
+		return nil, base.NewFault(base.Uncertain, "", "this node has no bundle yet")
 	}
 	if !n.confirmations.IsCurrent(signed.Serial) {
+		// Stale means that a newer bundle is held by now, which is loaded below.
 		if fault := n.awaitSerial(s, signed.Serial); fault != nil && fault.Kind != base.Stale {
 			return nil, fault
 		}
@@ -97,8 +103,8 @@
 	return n.handleAdmitted(s, incoming, signed, &Ledger{Match: match, Deadline: deadline}, body)
 }
 
-// readBody reads a request's body within the time given. The caller calls give when
-// it is no longer needed.
+// readBody reads a request's body within the timeout and reserves memory for it. The caller calls release
+// when the body is no longer needed.
 func (n *Node) readBody(incoming *clientRequest, timeout time.Duration) (body []byte, release func(), fault *base.Fault) {
 	maxBytes := n.tunables.Load().MaxBodyBytes
 	reserved := int64(maxBytes) + 1
@@ -106,25 +112,25 @@
 		reserved = min(reserved, incoming.request.ContentLength)
 	}
 	if !n.memory.reserve(reserved) {
-		return nil, nil, base.NewFault(base.Overloaded, "", "no room in memory for the request's body")
+		return nil, nil, base.NewFault(base.Overloaded, "", "not enough memory for the request's body")
 	}
 	release = func() { n.memory.release(reserved) }
 	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(io.LimitReader(incoming.request.Body, int64(maxBytes)+1))
 	if err != nil {
 		release()
-		return nil, nil, base.NewFault(base.Malformed, "", "the request's body broke off")
+		return nil, nil, base.NewFault(base.Malformed, "", "the request's body is incomplete")
 	}
 	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Time{})
 	if len(body) > maxBytes {
 		release()
-		return nil, nil, base.NewFault(base.TooLarge, "", "%d bytes at most", maxBytes)
+		return nil, nil, base.NewFault(base.TooLarge, "", "the request's body is larger than %d bytes", maxBytes)
 	}
 	return body, release, nil
 }
 
-// handleAdmitted answers a request that was let in, and records a span of it if the
-// odds and the group's budget say so.
+// handleAdmitted makes attempts for an admitted request. It records a span if the trace is sampled, the
+// sampler selects the route, and the group's budget has a span left.
 func (n *Node) handleAdmitted(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
 	match := ledger.Match
 	trail, recordCall := n.traceContext(incoming, signed, match)
@@ -143,6 +149,9 @@
 	return n.runAttempts(s, incoming, signed, ledger, body, trail)
 }
 
+// traceContext returns the trace of a request: that of its parent if it is a further call whose parent was
+// found, otherwise a new one, with the candidates if there are several. The caller calls recordCall when
+// the request has ended.
 func (n *Node) traceContext(incoming *clientRequest, signed *bundle.Bundle, match bundle.Way) (*wire.Trail, func()) {
 	if incoming.fromInstance {
 		attribution := n.callTracker.FindParent(incoming.request, match, signed.Holes(match, incoming.request.URL.Path), signed.Tracing().GetHeader())
@@ -162,9 +171,11 @@
 	return &wire.Trail{Trace: n.scope.Rand.Name(16), Sampled: sampled}, func() {}
 }
 
-// runAttempts makes attempts until there is an answer to relay or nothing more to try.
+// runAttempts makes attempts until there is a response to relay or the ledger gives up. A response that was
+// streamed is returned as nil.
 func (n *Node) runAttempts(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
 	defer func() {
+		// A request that reached no upstream must not pay for retries of others.
 		if ledger.Last() != nil && !ledger.MayHaveReachedUpstream() {
 			n.retryBudget.RevokeEarned(ledger.Match.Service.Name)
 		}
@@ -193,9 +204,8 @@
 	}
 }
 
-// nextCandidate picks an instance for the next attempt, under the bundle to use for it.
-// The error is what to tell the caller if there is none, or if no repeat is
-// left to spend.
+// nextCandidate picks an instance for the next attempt and returns the bundle under which to make it. The
+// error, for the client, says that there is no instance left or that the retry budget is used up.
 func (n *Node) nextCandidate(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
 	if last := ledger.Last(); last != nil && last.Fault.Kind == base.Stale {
 		newer, fault := n.awaitNewerBundle(s, ledger)
@@ -214,8 +224,8 @@
 	return signed, picked, nil
 }
 
-// awaitNewerBundle waits a moment for a newer bundle and looks the request's route up in
-// the one held then.
+// awaitNewerBundle waits for a newer bundle, for a quarter of the time that a request may wait for one, and
+// then looks up the request's route in the bundle held.
 func (n *Node) awaitNewerBundle(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
 	base.Await(s, time.Duration(float64(n.confirmations.validity)*bundleWaitRatio/4), n.bundleAdopted.Next())
 	signed := n.bundle.Load()
@@ -227,8 +237,8 @@
 	return signed, nil
 }
 
-// pickOrWait picks an instance. If all that is left would turn the request
-// back to keep it apart, the request waits there from now on.
+// pickOrWait picks an instance. If the only ones left rejected the request with kind KeptApart, because it
+// may not run concurrently with others there, the next attempts may wait for their turn.
 func (n *Node) pickOrWait(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
 	picked, found := n.pick(signed, ledger.Match, ledger)
 	if found || ledger.MayWait || !ledger.WasKeptApart() {
@@ -238,8 +248,11 @@
 	return n.pick(signed, ledger.Match, ledger)
 }
 
-type carryFunc func(ctx context.Context, ask *wire.CarryRequest, tell sendFunc) error
+// carryFunc makes one attempt and passes the pieces of the reply to send.
+type carryFunc func(ctx context.Context, request *wire.CarryRequest, send sendFunc) error
 
+// carryFuncFor returns the function that reaches a candidate: a local call if it is beside this node,
+// otherwise a call of its node.
 func (n *Node) carryFuncFor(picked candidate) carryFunc {
 	if picked.node == n.self {
 		return n.serveCarry
@@ -260,15 +273,19 @@
 	}
 }
 
+// peerClient returns the cached client for a node.
 func (n *Node) peerClient(address string) wireconnect.FlowClient {
 	if client, ok := n.peerClients.Get(address); ok {
 		return client
 	}
-	callee := wireconnect.NewFlowClient(n.httpClient, "http://"+address)
-	n.peerClients.Put(address, callee)
-	return callee
+	client := wireconnect.NewFlowClient(n.httpClient, "http://"+address)
+	n.peerClients.Put(address, client)
+	return client
 }
 
+// runAttempt makes one attempt and sets its state and fault. It returns the response, or nil if the attempt
+// failed or the response was streamed. If a streamed response fails its check, it panics with
+// http.ErrAbortHandler, so that the client sees a truncated response.
 func (n *Node) runAttempt(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, match bundle.Way, deadline time.Duration, body []byte, trail *wire.Trail, ordinal int, mayWait bool) *clientResponse {
 	reader := &responseReader{node: n, incoming: incoming, attempt: attempt}
 	defer func() { n.memory.release(reader.reserved) }()
@@ -296,7 +313,7 @@
 			attempt.State = Indeterminate
 		}
 	default:
-		reason := "the carrying node broke off"
+		reason := "the peer ended the attempt without a complete response"
 		if err != nil {
 			reason = err.Error()
 		}
@@ -314,11 +331,14 @@
 	return nil
 }
 
+// isDialError reports whether the connection could not be opened, so that nothing was sent.
 func isDialError(err error) bool {
 	var opError *net.OpError
 	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
+// fenceAtPeer asks the node of a failed attempt to fence it, and reports whether the request was not
+// delivered to the upstream and never will be. It works after the request's deadline too.
 func (n *Node) fenceAtPeer(s base.Scope, picked candidate, attempt *Attempt) bool {
 	if picked.node == n.self {
 		return false
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -14,69 +14,68 @@
 )
 
 const (
-	// validityRatio, of the slide-back bound, is how long what core machines and
-	// nodes vouched for holds.
+	// validityRatio is how long the confirmation of a controller or node is valid, as a ratio of the
+	// slide-back bound.
 	validityRatio = 0.8
-	// renewalLeadRatio, of that time, is how long before its end a node begins to ask
-	// other nodes.
+	// renewalLeadRatio is how long before the controllers' confirmations expire a node starts to ask other
+	// nodes, as a ratio of the validity.
 	renewalLeadRatio = 0.5
-	// vouchRatio, of that time, is the interval at which it asks them.
+	// confirmIntervalRatio is the interval at which it asks them, as a ratio of the validity.
 	confirmIntervalRatio = 0.35
-	// bundleWaitRatio, of that time, is how long a request waits for the bundle in
-	// force.
+	// bundleWaitRatio is how long a request waits for the bundle in force, as a ratio of the validity.
 	bundleWaitRatio = 0.2
 
-	// spareConfirmers is how many more nodes are asked than a majority needs.
+	// spareConfirmers is how many more nodes are asked than are needed for a majority.
 	spareConfirmers = 1
 )
 
-// confirmation is what a core machine or a node said of the newest bundle it knows, and
-// when.
+// confirmation is the newest serial that a controller or node reported to know.
 type confirmation struct {
-	validFrom time.Duration
+	validFrom time.Duration // when the reported state was current
 	serial    uint64
-	definite  bool
+	definite  bool // the sender can rule out a newer serial that it has lost or missed
 }
 
-// Confirmations decides which bundle is in force on a node: the newest that a majority
-// of core machines, or of nodes, lately vouched for. A node that can't tell
-// serves nothing. It is safe for concurrent use.
+// Confirmations decides which bundle is in force on a node: the newest one, if a majority of the
+// controllers or of the nodes recently confirmed that they know of none newer. A node without such a
+// majority serves nothing. It is safe for concurrent use.
 type Confirmations struct {
 	clock            base.Clock
-	validity         time.Duration
+	validity         time.Duration // of a confirmation
 	self             string
 	mu               sync.Mutex
 	controllers      []confirmation
-	peers            map[string]confirmation
-	held             *bundle.Bundle
-	staged           *bundle.Bundle
-	fromDisk         *bundle.Bundle
-	ballot           *wire.Ballot
-	inForce          uint64
-	definite         bool
-	settledAt        time.Duration
-	maxWithoutCore   time.Duration
-	lastCoreMajority time.Duration
+	peers            map[string]confirmation // by node
+	held             *bundle.Bundle          // nil until one is adopted
+	staged           *bundle.Bundle          // a newer bundle that is being rolled out, if known
+	fromDisk         *bundle.Bundle          // loaded at the start
+	ballot           *wire.Ballot            // the newest one that a controller reported
+	inForce          uint64                  // the newest serial known to be in force
+	definite         bool                    // this node knows of the newest serial, so that it can confirm to others
+	settledAt        time.Duration           // the earliest time at which the controllers make definite true
+	maxWithoutCore   time.Duration           // 0 for no limit
+	lastCoreMajority time.Duration           // when a majority of controllers last confirmed
 }
 
-// NewConfirmations returns the claims of a node that was just started. They hold for
-// length; settling must pass before the node vouches to others; without the
-// core it goes on for alone at most, or without limit if that is 0.
+// NewConfirmations returns the state of a node that was just started. A confirmation counts for the
+// validity. After settlingTime a majority of controllers makes this node definite, that is, able to confirm
+// to other nodes. Without a majority of controllers the node goes on for at most maxWithoutCore, or without
+// limit if that is 0.
 func NewConfirmations(clock base.Clock, self string, controllers int, validity, settlingTime, maxWithoutCore time.Duration) *Confirmations {
 	return &Confirmations{maxWithoutCore: maxWithoutCore, lastCoreMajority: clock.Mono(), clock: clock, settledAt: clock.Mono() + settlingTime, self: self, controllers: make([]confirmation, controllers), peers: map[string]confirmation{}, validity: validity}
 }
 
-// Held returns the bundle held, the one staged, and the newest ballot heard.
+// Held returns the bundle held, the one staged, either of which may be nil, and the newest ballot.
 func (c *Confirmations) Held() (held, staged *bundle.Bundle, ballot *wire.Ballot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.held, c.staged, c.ballot
 }
 
-// IsCurrent reports whether the bundle of that serial number is held and sure to be
-// the newest.
+// IsCurrent reports whether the bundle with the serial is held and confirmed to be the newest.
 func (c *Confirmations) IsCurrent(serial uint64) bool { return c.isCurrentIn(serial, 0) }
 
+// isCurrentIn reports whether that will still be so after the time ahead, without further confirmations.
 func (c *Confirmations) isCurrentIn(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,6 +85,8 @@
 	return c.confirmedByCore(serial, ahead) || (c.definite && (c.staged == nil || c.staged.Serial <= serial) && c.confirmedByPeers(c.held, ahead, 1))
 }
 
+// confirmedByCore reports whether a majority of controllers confirms, until the time ahead from now, that
+// there is no bundle newer than serial. c.mu must be held.
 func (c *Confirmations) confirmedByCore(serial uint64, ahead time.Duration) bool {
 	oldest, confirmed := c.clock.Mono()+ahead-c.validity, 0
 	for _, each := range c.controllers {
@@ -96,10 +97,14 @@
 	return confirmed >= len(c.controllers)/2+1
 }
 
+// withoutCoreTooLong reports whether the last majority of controllers was more than maxWithoutCore ago.
+// c.mu must be held.
 func (c *Confirmations) withoutCoreTooLong() bool {
 	return c.maxWithoutCore > 0 && c.clock.Mono()-c.lastCoreMajority > c.maxWithoutCore
 }
 
+// confirmedByPeers reports the same of a majority of the bundle's application machines, among which this
+// node counts ownVote. c.mu must be held.
 func (c *Confirmations) confirmedByPeers(signed *bundle.Bundle, ahead time.Duration, ownVote int) bool {
 	if c.withoutCoreTooLong() {
 		return false
@@ -120,12 +125,13 @@
 	return confirmed >= signed.Vanes()/2+1
 }
 
-// ApplyNews takes in news of a core machine that were asked for at the time given.
-// It returns the bundle held if that changed.
-func (c *Confirmations) ApplyNews(controller int, askedAt time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
-	slice, staged := open(news.Slice), open(news.Staged)
+// ApplyNews processes a controller's reply to a request sent at askedAt. verify decodes a bundle and
+// returns nil for an invalid one. It returns the bundle held if that has changed, otherwise nil.
+func (c *Confirmations) ApplyNews(controller int, askedAt time.Duration, news *wire.NewsReply, verify func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
+	slice, staged := verify(news.Slice), verify(news.Staged)
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	// The reply's state dates from after the time that the controller held the request.
 	c.controllers[controller] = confirmation{validFrom: askedAt + time.Duration(news.HeldUs)*time.Microsecond, serial: news.Accepted, definite: news.Vouches}
 	if quorum.CompareBallots(news.Ballot, c.ballot) > 0 {
 		c.ballot, c.inForce = news.Ballot, max(c.inForce, news.Serial)
@@ -144,6 +150,9 @@
 	return adopted
 }
 
+// adoptNewest holds the bundle in force if it is among those offered, staged or from disk. A bundle with
+// the serial of the one held replaces it if it has more parts. It returns the bundle held if that has
+// changed. c.mu must be held.
 func (c *Confirmations) adoptNewest(offered ...*bundle.Bundle) (adopted *bundle.Bundle) {
 	for _, each := range append(offered, c.staged, c.fromDisk) {
 		if each == nil || each.Serial != c.inForce {
@@ -159,24 +168,25 @@
 	return adopted
 }
 
+// updateDefinite makes the node definite once it has settled, holds the bundle in force and has it
+// confirmed by a majority of controllers. c.mu must be held.
 func (c *Confirmations) updateDefinite() {
 	if c.clock.Mono() >= c.settledAt && c.held != nil && c.held.Serial >= c.inForce && c.confirmedByCore(c.held.Serial, 0) {
 		c.definite = true
 	}
 }
 
-// SetFromDisk sets a bundle read from disk, which is held once a majority confirms
-// it.
+// SetFromDisk sets a bundle loaded from disk, which is held once it is known to be the one in force.
 func (c *Confirmations) SetFromDisk(signed *bundle.Bundle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fromDisk = signed
 }
 
-// ApplyConfirmation takes in another node's confirmation that was asked for at the time given. It
-// returns the bundle held if that changed.
-func (c *Confirmations) ApplyConfirmation(askedAt time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
-	slice := open(reply.Slice)
+// ApplyConfirmation processes another node's reply to a request sent at askedAt. verify decodes a bundle
+// and returns nil for an invalid one. It returns the bundle held if that has changed, otherwise nil.
+func (c *Confirmations) ApplyConfirmation(askedAt time.Duration, reply *wire.VouchReply, verify func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
+	slice := verify(reply.Slice)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers[reply.Node] = confirmation{validFrom: askedAt, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
@@ -184,13 +194,15 @@
 		c.inForce = reply.Serial
 	}
 	adopted = c.adoptNewest(slice)
+	// A majority without this node's own vote suffices to make it definite.
 	if c.held != nil && !c.definite && c.held.Serial >= c.inForce && c.confirmedByPeers(c.held, 0, 0) {
 		c.definite = true
 	}
 	return adopted
 }
 
-// Confirm returns this node's confirmation for another node.
+// Confirm returns this node's confirmation for another node, with its bundle if that is newer than the
+// other's.
 func (c *Confirmations) Confirm(request *wire.VouchRequest) *wire.VouchReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,6 +219,7 @@
 	return reply
 }
 
+// newestKnown returns the bundle held, or the one from disk if none is held yet.
 func (c *Confirmations) newestKnown() *bundle.Bundle {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,9 +229,11 @@
 	return c.held
 }
 
+// requestConfirmations asks other nodes for confirmations while those of the controllers are missing or
+// about to expire, until the scope ends.
 func (n *Node) requestConfirmations(s base.Scope) {
-	interval := time.Duration(float64(n.confirmations.validity) * confirmIntervalRatio)
-	base.Tick(s, interval, func(s base.Scope) {
+	askInterval := time.Duration(float64(n.confirmations.validity) * confirmIntervalRatio)
+	base.Tick(s, askInterval, func(s base.Scope) {
 		known := n.confirmations.newestKnown()
 		if known == nil {
 			return
@@ -238,7 +253,7 @@
 	})
 }
 
-// askVouch asks another node for its confirmation.
+// requestConfirmation asks another node for its confirmation and adopts what it returns.
 func (n *Node) requestConfirmation(s base.Scope, machine *wire.Machine, serial uint64, askedAt time.Duration) {
 	ctx, cancel := context.WithTimeout(s, n.confirmations.validity)
 	defer cancel()
@@ -249,6 +264,8 @@
 	}
 }
 
+// confirmers returns the nodes to ask: just enough of those that confirmed lately if the serial is current,
+// otherwise all. The list starts after this node's own place, so that nodes don't all ask the same ones.
 func (c *Confirmations) confirmers(known *bundle.Bundle, serial uint64) []*wire.Machine {
 	current := c.IsCurrent(serial)
 	c.mu.Lock()
@@ -275,20 +292,27 @@
 	return all
 }
 
+// currentByCore reports whether a majority of controllers confirms, until the time ahead from now, that
+// serial is the newest.
 func (c *Confirmations) currentByCore(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inForce <= serial && c.confirmedByCore(serial, ahead)
 }
 
+// Vouch returns this node's confirmation, with its sampling probabilities if they are newer than the
+// caller's.
 func (p peerServer) Vouch(_ context.Context, request *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error) {
 	reply := p.node.confirmations.Confirm(request.Msg)
-	if odds := p.node.sampler.Odds(); odds.GetSerial() > request.Msg.Odds {
-		reply.Odds = odds
+	if probabilities := p.node.sampler.Odds(); probabilities.GetSerial() > request.Msg.Odds {
+		reply.Odds = probabilities
 	}
 	return connect.NewResponse(reply), nil
 }
 
+// awaitSerial waits until the bundle with the serial is held and confirmed, for at most bundleWaitRatio of
+// the validity. The error is of kind Stale if a newer bundle is held, and Uncertain if none is confirmed in
+// time.
 func (n *Node) awaitSerial(s base.Scope, serial uint64) *base.Fault {
 	deadline := s.Clock.Mono() + time.Duration(float64(n.confirmations.validity)*bundleWaitRatio)
 	for {
@@ -302,7 +326,7 @@
 		}
 		timeLeft := deadline - s.Clock.Mono()
 		if timeLeft <= 0 || s.Err() != nil {
-			return base.NewFault(base.Uncertain, "", "no majority vouches here that serial %d is the newest", serial)
+			return base.NewFault(base.Uncertain, "", "no majority has confirmed to this node that serial %d is the newest", serial)
 		}
 		base.Await(s, timeLeft, adopted)
 	}
--- a/internal/listednode/fences.go
+++ b/internal/listednode/fences.go
@@ -7,15 +7,16 @@
 	"curlewreach/base"
 )
 
+// fence is the state of an attempt.
 type fence struct {
 	expiresAt time.Duration
-	delivered bool
-	blocked   bool
+	delivered bool // the request was delivered to the upstream or is about to be
+	blocked   bool // the request must not be delivered
 }
 
-// Fences keeps, for each attempt, whether its request may still be handed to
-// the upstream, so that no attempt runs twice and a caller can make sure that
-// it never will. It is safe for concurrent use.
+// Fences records for each attempt whether its request may still be delivered to the upstream. No attempt is
+// delivered twice, and a caller can make sure that an attempt is never delivered. It is safe for concurrent
+// use.
 type Fences struct {
 	clock     base.Clock
 	retention time.Duration
@@ -23,13 +24,13 @@
 	entries   map[string]*fence
 }
 
-// NewFences returns fences that remember attempts for the time given, which
-// must be longer than any request takes.
+// NewFences returns fences that remember attempts for retention, which must be longer than any request
+// takes.
 func NewFences(clock base.Clock, retention time.Duration) *Fences {
 	return &Fences{clock: clock, retention: retention, entries: map[string]*fence{}}
 }
 
-// Register notes a new attempt, and reports false if it was known.
+// Register records a new attempt and reports false if it is known already.
 func (f *Fences) Register(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,8 +41,8 @@
 	return true
 }
 
-// Deliver allows handing the request to the upstream, once and unless it was
-// barred.
+// Deliver allows the delivery of an attempt's request. It reports false if the attempt is unknown, fenced,
+// or has been delivered.
 func (f *Fences) Deliver(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,8 @@
 	return true
 }
 
-// Fence forbids it, and reports whether it can't have been handed before.
+// Fence prevents the delivery of an attempt, which need not be known yet. It reports whether the request
+// was not delivered before.
 func (f *Fences) Fence(attempt string) (never bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,7 +66,7 @@
 	return true
 }
 
-// Sweep forgets old attempts.
+// Sweep forgets attempts after the retention.
 func (f *Fences) Sweep() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/listednode/fences_test.go
+++ b/internal/listednode/fences_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = ginkgo.Describe("fences", func() {
-	ginkgo.It("given an attempt barred before it came, when it comes, then it never starts, and one handed over can't be barred", func() {
+	ginkgo.It("given an attempt that is fenced before it arrives, when it arrives, then it is never delivered, and a delivered one can't be fenced", func() {
 		fences := NewFences(simnet.NewClock(time.Now()), time.Minute)
 		Expect(fences.Fence("late")).To(BeTrue())
 		Expect(fences.Fence("late")).To(BeTrue())
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -10,42 +10,41 @@
 	"curlewreach/proto/wire"
 )
 
-// instance is an instance beside this node. A probe connection to it is kept open,
-// and the identity of its listening socket (holder) noted, to tell it from a
-// successor at the same address.
+// instance is an instance beside this node. A probe connection to it is kept open, and the identity of its
+// listening socket is kept to tell it from a successor at the same address.
 type instance struct {
 	report            atomic.Pointer[wire.Seat]
-	reportedAt        time.Duration
+	reportedAt        time.Duration // by the monotonic clock
 	probe             net.Conn
-	invalidReason     string
+	invalidReason     string // "" while the instance is valid
 	queue             *AdmissionQueue
-	passesTraceHeader bool
-	listener          string
+	passesTraceHeader bool   // guarded by the call tracker's mutex
+	listener          string // as returned by base.Net.Holder
 }
 
+// lastReport returns the instance's newest report.
 func (i *instance) lastReport() *wire.Seat { return i.report.Load() }
 
-// Instances keeps the instances beside this node, by their reports. It is safe for
-// concurrent use.
+// Instances holds the instances beside this node, as they reported themselves. It is safe for concurrent
+// use.
 type Instances struct {
 	scope        base.Scope
 	maxReportAge time.Duration
-	maxWaiting   int
+	maxWaiting   int // bound of each instance's admission queue
 	onChange     func([]*wire.Seat)
 	mu           sync.Mutex
 	byAddress    map[string]*instance
 	closed       bool
 }
 
-// NewInstances returns a store without instances. A report holds for the time
-// oldest; queue bounds the admission queue of each instance, and changed is
-// told the instances after each change.
+// NewInstances returns a store without instances. A report is valid for maxReportAge, maxWaiting bounds the
+// admission queue of each instance, and onChange is called with the valid instances after each change.
 func NewInstances(s base.Scope, maxReportAge time.Duration, maxWaiting int, onChange func([]*wire.Seat)) *Instances {
 	return &Instances{scope: s, maxReportAge: maxReportAge, maxWaiting: maxWaiting, onChange: onChange, byAddress: map[string]*instance{}}
 }
 
-// Report takes in an instance's report. A new one must accept a connection. The
-// error is of kind Unreachable.
+// Report stores an instance's report. A new instance must accept a connection; otherwise the error is of
+// kind Unreachable.
 func (t *Instances) Report(s base.Scope, report *wire.Seat) *base.Fault {
 	t.mu.Lock()
 	known := t.byAddress[report.Address]
@@ -69,7 +68,7 @@
 	}
 	if s.Err() != nil || t.scope.Net.Holder(report.Address) != listener {
 		_ = probe.Close()
-		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
+		return base.NewFault(base.Unreachable, "address", "the instance disconnected or another process took over its address")
 	}
 	next := &instance{reportedAt: t.scope.Clock.Mono(), probe: probe, listener: listener, queue: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.maxWaiting)}
 	next.report.Store(report)
@@ -86,6 +85,8 @@
 	return nil
 }
 
+// watchProbe waits until the probe connection closes and opens a new one if the same socket still listens;
+// otherwise it invalidates the instance.
 func (t *Instances) watchProbe(s base.Scope, i *instance) {
 	for probe := i.probe; probe != nil; probe = t.reconnectProbe(s, i) {
 		var buffer [1]byte
@@ -95,6 +96,8 @@
 	t.Invalidate(i, "the probe connection closed")
 }
 
+// reconnectProbe opens a new probe connection. It returns nil if the instance is invalid, can't be reached,
+// or another socket listens at its address.
 func (t *Instances) reconnectProbe(s base.Scope, i *instance) net.Conn {
 	if i.listener == "" || !t.StillListening(i) {
 		return nil
@@ -120,7 +123,7 @@
 	return t.scope.Net.Holder(i.lastReport().Address) == i.listener
 }
 
-// Invalidate ends an instance, until it reports again.
+// Invalidate removes an instance from use until it reports again.
 func (t *Instances) Invalidate(i *instance, reason string) {
 	t.mu.Lock()
 	if i.invalidReason != "" {
@@ -134,12 +137,12 @@
 	t.publish()
 }
 
+// isLive reports whether the instance is valid and its report is recent. t.mu must be held.
 func (t *Instances) isLive(i *instance) bool {
 	return i.invalidReason == "" && t.scope.Clock.Mono()-i.reportedAt <= t.maxReportAge
 }
 
-// Find returns the instance of a service at an address. The error is of kind
-// NoSeat.
+// Find returns the instance of a service at an address. The error is of kind NoInstance.
 func (t *Instances) Find(service, address string) (*instance, *base.Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +158,8 @@
 	return i, nil
 }
 
-// Sweep ends instances without a report in time.
+// Sweep invalidates the instances whose report has expired, and forgets those that have been invalid for
+// long.
 func (t *Instances) Sweep() {
 	t.mu.Lock()
 	var expired []*instance
@@ -168,11 +172,12 @@
 		}
 	}
 	t.mu.Unlock()
-	for _, at := range expired {
-		t.Invalidate(at, "no report came in time")
+	for _, each := range expired {
+		t.Invalidate(each, "no report came in time")
 	}
 }
 
+// publish calls onChange with the valid instances.
 func (t *Instances) publish() {
 	t.mu.Lock()
 	var reports []*wire.Seat
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -8,34 +8,35 @@
 	"curlewreach/internal/bundle"
 )
 
-// State is what became of an attempt.
+// State is the outcome of an attempt.
 type State int
 
 // The states of an attempt.
 const (
-	// Running is an attempt without an outcome yet.
+	// Running means that there is no outcome yet.
 	Running State = iota
-	// Answered is an attempt with a whole answer.
+	// Answered means that there is a complete response.
 	Answered
-	// NotRun is an attempt that surely didn't run.
+	// NotRun means that the request is known not to have run.
 	NotRun
-	// Indeterminate is an attempt that may have run.
+	// Indeterminate means that the request may have run, but there is no response.
 	Indeterminate
 )
 
-// String returns the state's name.
+// String returns the state's name as it stands in spans.
 func (s State) String() string {
 	return [...]string{"running", "answered", "not run", "doubtful"}[s]
 }
 
-// Attempt is one try to carry a request to an instance.
+// Attempt is one attempt to have a request processed by an instance. Times are readings of the monotonic
+// clock.
 type Attempt struct {
 	ID   string
 	Node string
 	// Instance is the instance's address.
 	Instance string
-	// NoWait attempts are turned back rather than kept waiting where such
-	// requests are kept apart.
+	// NoWait makes the instance's node reject the attempt, with kind KeptApart, if it would have to wait
+	// for requests whose further calls could not be told from those of this one.
 	NoWait    bool
 	StartedAt time.Duration
 	EndedAt   time.Duration
@@ -43,39 +44,41 @@
 	Fault     *base.Fault
 }
 
-// Decision is what to do next about a request.
+// Decision is the next step of a request.
 type Decision int
 
-// The moves.
+// The decisions.
 const (
 	// Try makes another attempt.
 	Try Decision = iota
-	// Relay passes on the answer.
+	// Relay passes the response on to the client.
 	Relay
-	// GiveUp tells the caller what is known.
+	// GiveUp responds with the error of FinalFault.
 	GiveUp
 )
 
-// maxAttempts is the most attempts for one request, not counting those turned
-// back.
+// maxAttempts bounds the attempts of a request, not counting early rejections.
 const maxAttempts = 4
 
-// Ledger lists the attempts for one request. What to do next is read off it
-// alone.
+// Ledger records the attempts of a request. The next step depends on nothing else. It is not safe for
+// concurrent use.
 type Ledger struct {
 	Match bundle.Way
 	// Deadline is the request's deadline by the monotonic clock.
 	Deadline time.Duration
 	Attempts []*Attempt
-	// MayWait lets the next attempts wait where such requests are kept apart.
+	// MayWait lets the next attempts wait for requests whose further calls could not be told from those of
+	// this one.
 	MayWait bool
 }
 
+// rejectedEarly reports whether the attempt was rejected only because the nodes' bundles differ or because
+// it was not allowed to wait.
 func (a *Attempt) rejectedEarly() bool {
 	return a.Fault != nil && (a.Fault.Kind == base.Stale || a.Fault.Kind == base.KeptApart && a.NoWait)
 }
 
-// Last returns the newest attempt, or nil.
+// Last returns the newest attempt, nil if there is none.
 func (l *Ledger) Last() *Attempt {
 	if len(l.Attempts) == 0 {
 		return nil
@@ -86,7 +89,7 @@
 // Add appends an attempt.
 func (l *Ledger) Add(attempt *Attempt) { l.Attempts = append(l.Attempts, attempt) }
 
-// MayHaveRun reports whether any attempt may have run without an answer.
+// MayHaveRun reports whether the request may have run without a response to pass on.
 func (l *Ledger) MayHaveRun() bool {
 	for _, attempt := range l.Attempts {
 		if attempt.State == Indeterminate || attempt.State == Running {
@@ -96,7 +99,7 @@
 	return false
 }
 
-// MayHaveReachedUpstream reports whether any attempt may have reached an upstream.
+// MayHaveReachedUpstream reports whether an attempt reached an upstream or may have.
 func (l *Ledger) MayHaveReachedUpstream() bool {
 	for _, attempt := range l.Attempts {
 		if attempt.State != NotRun {
@@ -106,22 +109,23 @@
 	return false
 }
 
-// WasKeptApart reports whether any attempt was turned back as such requests are kept
-// apart.
+// WasKeptApart reports whether an attempt was rejected with kind KeptApart.
 func (l *Ledger) WasKeptApart() bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.KeptApart })
 }
 
-// Tried reports whether an instance was tried and needn't be again.
-func (l *Ledger) Tried(seat string) bool {
+// Tried reports whether an instance is excluded because an attempt was made there. Attempts that were
+// rejected for a stale bundle don't count, nor do other early rejections once attempts may wait.
+func (l *Ledger) Tried(address string) bool {
 	for _, attempt := range l.Attempts {
-		if attempt.Instance == seat && attempt.Fault.Kind != base.Stale && !(l.MayWait && attempt.rejectedEarly()) {
+		if attempt.Instance == address && attempt.Fault.Kind != base.Stale && !(l.MayWait && attempt.rejectedEarly()) {
 			return true
 		}
 	}
 	return false
 }
 
+// countedAttempts returns the number of attempts that count towards maxAttempts.
 func (l *Ledger) countedAttempts() int {
 	count := 0
 	for _, attempt := range l.Attempts {
@@ -132,8 +136,7 @@
 	return count
 }
 
-// Next returns what to do now. A request that may have run is tried again only
-// if its route is repeatable.
+// Next returns the next step. A request that may have run is tried again only if its route is repeatable.
 func (l *Ledger) Next(now time.Duration) Decision {
 	last := l.Last()
 	switch {
@@ -149,14 +152,15 @@
 	return Try
 }
 
-// FinalFault returns the error to tell the caller on giving up.
+// FinalFault returns the error to respond with after giving up: that of the last attempt if there is one.
+// Its Run is set if any attempt may have run.
 func (l *Ledger) FinalFault(now time.Duration) *base.Fault {
-	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Match.Service.Name)
+	fault := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Match.Service.Name)
 	if last := l.Last(); last != nil && last.Fault != nil {
-		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
+		fault = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
 	} else if now >= l.Deadline {
-		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Match.Identifier())
+		fault = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Match.Identifier())
 	}
-	verdict.Run = l.MayHaveRun()
-	return verdict
+	fault.Run = l.MayHaveRun()
+	return fault
 }
--- a/internal/listednode/ledger_test.go
+++ b/internal/listednode/ledger_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = ginkgo.Describe("the ledger", func() {
-	ginkgo.DescribeTable("given attempts, when the next move is asked, then it follows from them alone",
+	ginkgo.DescribeTable("given attempts, when the next step is requested, then it follows from their states",
 		func(repeatable bool, expected Decision, states ...State) {
 			ledger := &Ledger{Match: bundle.Way{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Deadline: time.Second}
 			for _, state := range states {
@@ -23,12 +23,12 @@
 		ginkgo.Entry("first", false, Try),
 		ginkgo.Entry("answered", false, Relay, Answered),
 		ginkgo.Entry("not run", false, Try, NotRun),
-		ginkgo.Entry("doubtful and not repeatable", false, GiveUp, Indeterminate),
-		ginkgo.Entry("doubtful, then not run", false, GiveUp, Indeterminate, NotRun),
-		ginkgo.Entry("doubtful and repeatable", true, Try, Indeterminate),
-		ginkgo.Entry("too many", true, GiveUp, NotRun, NotRun, NotRun, NotRun),
+		ginkgo.Entry("indeterminate and not repeatable", false, GiveUp, Indeterminate),
+		ginkgo.Entry("indeterminate, then not run", false, GiveUp, Indeterminate, NotRun),
+		ginkgo.Entry("indeterminate and repeatable", true, Try, Indeterminate),
+		ginkgo.Entry("the limit of attempts", true, GiveUp, NotRun, NotRun, NotRun, NotRun),
 	)
-	ginkgo.It("given the deadline passed, when asked, then it gives up, and a doubtful attempt is never called not run", func() {
+	ginkgo.It("given that the deadline has passed, when the next step is requested, then it gives up, and an indeterminate attempt is not reported as not run", func() {
 		ledger := &Ledger{Match: bundle.Way{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Deadline: time.Second}
 		ledger.Add(&Attempt{State: Indeterminate, Fault: &base.Fault{Kind: base.Lost}})
 		ledger.Add(&Attempt{State: NotRun, Fault: &base.Fault{Kind: base.NoInstance}})
--- a/internal/listednode/news.go
+++ b/internal/listednode/news.go
@@ -14,6 +14,8 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
+// followController polls one controller for news until the scope ends. Each request blocks at the
+// controller until there is news, for a limited time.
 func (n *Node) followController(s base.Scope, index int, controller wireconnect.HelmClient) {
 	request := &wire.NewsRequest{Node: n.self}
 	var lastInterest string
@@ -22,6 +24,7 @@
 	for s.Err() == nil {
 		n.fillNewsRequest(request)
 		if interest := fmt.Sprint(request.Serial, request.Seats, committed); interest != lastInterest || s.Clock.Mono()-lastFull > fullNewsRatio*n.inForceBound {
+			// Without the controller's incarnation the reply holds all sightings.
 			lastInterest, lastFull, request.Keel = interest, s.Clock.Mono(), ""
 		}
 		request.Patient = n.mayHoldNews(index)
@@ -42,6 +45,9 @@
 	}
 }
 
+// mayHoldNews reports whether a controller may hold this node's request for longer. It may if it is
+// responsive and more than half of the controllers are responsive and precede it, counted from the
+// preferred one.
 func (n *Node) mayHoldNews(index int) bool {
 	responsive := 0
 	for i := range n.controllers {
@@ -57,6 +63,8 @@
 	return false
 }
 
+// fillNewsRequest sets what this node already has, so that the controller replies as soon as there is
+// something newer, and the services of its instances.
 func (n *Node) fillNewsRequest(request *wire.NewsRequest) {
 	request.Odds = n.sampler.Serial()
 	request.Parts, request.Seats, request.Serial, request.Staged = nil, nil, 0, 0
@@ -71,13 +79,15 @@
 			request.Parts = append(request.Parts, part.Name)
 		}
 	}
-	for _, seat := range n.member.Status().Seats {
-		if !slices.Contains(request.Seats, seat.Service) {
-			request.Seats = append(request.Seats, seat.Service)
+	for _, report := range n.member.Status().Seats {
+		if !slices.Contains(request.Seats, report.Service) {
+			request.Seats = append(request.Seats, report.Service)
 		}
 	}
 }
 
+// applyNews stores the sampling probabilities and sightings of a reply. A sighting is ignored if a newer
+// one of the same incarnation is known.
 func (n *Node) applyNews(news *wire.NewsReply) {
 	n.updateProbabilities(news.Odds)
 	now := n.scope.Clock.Mono()
@@ -93,6 +103,7 @@
 	})
 }
 
+// adopt puts a bundle in force unless it is nil or older than the one in force.
 func (n *Node) adopt(signed *bundle.Bundle) {
 	if signed == nil {
 		return
@@ -106,7 +117,7 @@
 	n.spanBudget.SetShares(signed)
 	n.member.SetMachines(signed.Machines())
 	n.bundle.Store(signed)
-	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Holding = signed.Serial })
+	n.member.UpdateStatus(func(status *wire.Roster) { status.Holding = signed.Serial })
 	n.scope.Record("in-force", "", strconv.FormatUint(signed.Serial, 10))
 	n.bundleUnsaved.Notify()
 	n.bundleAdopted.Notify()
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -1,7 +1,7 @@
-// Package listednode is the data path of fleets of listed machines: a node beside the
-// application's instances takes requests of visitors and further calls of
-// instances, chooses an instance of the service, and carries the request
-// through the node beside it. docs/flow.md has the ways weighed.
+// Package listednode is the data plane of fleets whose machines a signed bundle lists. A node runs beside
+// the application's instances of its machine. It accepts requests from clients and further calls from those
+// instances, chooses an instance of the called service, and sends the request to it through the node beside
+// that instance. docs/flow.md discusses the alternatives.
 package listednode
 
 import (
@@ -22,60 +22,61 @@
 )
 
 const (
-	// ReportPath is where instances report themselves.
+	// ReportPath is the path at which instances report their status to the node.
 	ReportPath = "/curlewreach/report"
-	// heartbeatRatio, of the leaving bound, is the interval between heartbeats.
+	// heartbeatRatio is the heartbeat interval as a ratio of the leaving bound.
 	heartbeatRatio = 0.1
-	// reportAgeRatio, of the leaving bound, is how long an instance's report
-	// holds.
+	// reportAgeRatio is how long an instance's report is valid, as a ratio of the leaving bound.
 	reportAgeRatio = 1.5
-	// peerTimeoutRatio, of the leaving bound, is how long another node may take to
-	// answer a short question, and how long an instance that failed is avoided.
+	// peerTimeoutRatio is the timeout of short queries to other nodes, as a ratio of the leaving bound. An
+	// instance whose attempt failed is avoided for the same time.
 	peerTimeoutRatio = 0.25
-	// fullNewsRatio, times the in-force bound, is the interval at which a node
-	// asks for all of the news again.
+	// fullNewsRatio is the interval at which a node asks a controller for all sightings again, as a
+	// multiple of the in-force bound.
 	fullNewsRatio = 8
-	// sliceFile and oddsFile are the files that a node starts from.
+	// sliceFile and probabilitiesFile hold the bundle's slice and the sampling probabilities that a node
+	// starts with.
 	sliceFile         = "slice"
 	probabilitiesFile = "odds"
 
-	// maxCapacity and mostWeight bound what an instance may report.
+	// maxCapacity and maxWeight are the highest values that an instance may report.
 	maxCapacity = 1 << 20
 	maxWeight   = 1 << 20
 )
 
-// receivedSighting is what a core machine said of a machine, and when.
+// receivedSighting is what a controller reported about a machine, and when.
 type receivedSighting struct {
 	sighting   *wire.Sighting
 	receivedAt time.Duration
 }
 
-// Tunables are the params that can change while a node runs.
+// Tunables holds the params that can change while a node runs.
 type Tunables struct {
-	// MaxBufferedBytes is the most bytes of an answer held back until its seal is checked;
-	// longer answers are streamed.
+	// MaxBufferedBytes is how much of a response's body is buffered, in bytes, until its digest is checked;
+	// larger responses are streamed.
 	MaxBufferedBytes int
-	// MaxBodyBytes is the most bytes of a request's body.
+	// MaxBodyBytes is the largest request body in bytes.
 	MaxBodyBytes int
 	Trust        bundle.Trust
 }
 
-// UpdateParams changes the params that can change while the node runs.
+// UpdateParams applies the params that can change while the node runs.
 func (n *Node) UpdateParams(params *wire.VaneParams, trust bundle.Trust) {
 	n.tunables.Store(&Tunables{MaxBufferedBytes: int(params.Held), MaxBodyBytes: int(params.Longest), Trust: trust})
 	n.admission.SetLimit(int(params.Flights))
 	n.scope.Record("params", "", "turned")
 }
 
-// Node is the data path on one machine. Lock order: picking before any other;
-// ties, instances, gates, fences and repeats never nest.
+// Node is the data plane on one machine. Lock order: pickMu is acquired before any other lock; no two of
+// the locks of the call tracker, the instances, the admission queues, the fences and the retry budget are
+// held together.
 type Node struct {
 	scope                base.Scope
 	self                 string
 	zone                 string
 	tunables             atomic.Pointer[Tunables]
 	peerTimeout          time.Duration
-	inForceBound         time.Duration
+	inForceBound         time.Duration // within which a new bundle is in force on all nodes
 	httpClient           *http.Client
 	upstreamTransport    *http.Transport
 	member               *membership.Member
@@ -90,23 +91,23 @@
 	exporter             *tracing.Sink
 	bundle               atomic.Pointer[bundle.Bundle]
 	stopping             atomic.Bool
-	stopDeadline         atomic.Int64
+	stopDeadline         atomic.Int64 // by the monotonic clock, valid while stopping is set
 	inFlight             atomic.Int64
 	adoptMu              sync.Mutex
 	peerClients          base.Table[wireconnect.FlowClient]
 	sightings            base.Table[receivedSighting]
 	controllers          []wireconnect.HelmClient
-	lastNewsAt           []atomic.Int64
-	preferred            int
-	bundleUnsaved        base.Broadcast
-	probabilitiesUnsaved base.Broadcast
+	lastNewsAt           []atomic.Int64 // by the monotonic clock, by controller; 0 if the last request failed
+	preferred            int            // index of the first controller that this node relies on
+	bundleUnsaved        base.Broadcast // wakes saveChanges
+	probabilitiesUnsaved base.Broadcast // wakes saveChanges
 	confirmations        *Confirmations
-	bundleAdopted        base.Broadcast
-	pickMu               sync.Mutex
-	stats                map[string]*candidateStats
+	bundleAdopted        base.Broadcast             // wakes requests that wait for a bundle
+	pickMu               sync.Mutex                 // guards stats
+	stats                map[string]*candidateStats // by node and address of the instance
 }
 
-// NewNode returns a node; Run makes it work.
+// NewNode returns a node; Run starts its background work.
 func NewNode(s base.Scope, httpClient *http.Client, params *wire.VaneParams, trust bundle.Trust) *Node {
 	bounds := params.Bounds
 	leaving := bounds.Leaving.AsDuration()
@@ -126,9 +127,9 @@
 	n.member.Enrich = func(reply *wire.TellReply) {
 		reply.Carried, reply.Watched = n.admission.Granted(), n.spanBudget.Granted()
 	}
-	n.instances = NewInstances(s, time.Duration(float64(leaving)*reportAgeRatio), int(params.Queue), func(rows []*wire.Seat) {
-		slices.SortFunc(rows, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
-		n.member.UpdateStatus(func(registry *wire.Roster) { registry.Seats = rows })
+	n.instances = NewInstances(s, time.Duration(float64(leaving)*reportAgeRatio), int(params.Queue), func(reports []*wire.Seat) {
+		slices.SortFunc(reports, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
+		n.member.UpdateStatus(func(status *wire.Roster) { status.Seats = reports })
 	})
 	n.lastNewsAt, n.preferred = make([]atomic.Int64, len(params.Seeds)), membership.HashBucket(params.Name, len(params.Seeds))
 	for _, seed := range params.Seeds {
@@ -137,17 +138,19 @@
 	return n
 }
 
+// newUpstreamTransport returns the transport for connections to instances. They are never reused: on a
+// reused connection that breaks, http.Transport may send a request again by itself.
 func newUpstreamTransport(net base.Net) *http.Transport {
 	return &http.Transport{DialContext: net.Dial, DisableKeepAlives: true, DisableCompression: true}
 }
 
+// trackRequest counts a request as in flight until the returned function is called.
 func (n *Node) trackRequest() func() {
 	n.inFlight.Add(1)
 	return func() { n.inFlight.Add(-1) }
 }
 
-// Run follows the core machines' news and keeps the node's tables until the
-// scope ends.
+// Run does the node's background work, such as following the controllers' news, until the scope ends.
 func (n *Node) Run(s base.Scope) {
 	n.loadFromDisk()
 	var group base.Group
@@ -169,12 +172,13 @@
 	n.instances.Close()
 }
 
-// Stop says that the node is stopping, and waits until the requests inside have
-// ended or ctx has.
+// Stop announces that the node is stopping and waits until no request is in flight or ctx ends, but at
+// least for peerTimeout. From now on the node rejects requests from clients, and attempts from other nodes,
+// whose deadline is after the end of grace.
 func (n *Node) Stop(ctx context.Context, grace time.Duration) {
 	n.stopDeadline.Store(int64(n.scope.Clock.Mono() + grace))
 	n.stopping.Store(true)
-	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Stopping = true })
+	n.member.UpdateStatus(func(status *wire.Roster) { status.Stopping = true })
 	n.scope.Record("stopping", "", "")
 	s := n.scope.WithContext(ctx)
 	for base.Await(s, n.peerTimeout); n.inFlight.Load() > 0 && s.Err() == nil; {
@@ -182,14 +186,14 @@
 	}
 }
 
-// Ready reports whether the node would serve a request now.
+// Ready reports whether the node serves requests now.
 func (n *Node) Ready() bool {
 	_, _, ready := n.Serving()
 	return ready
 }
 
-// Serving returns the bundle held, by number and digest, and whether the node
-// would serve a request under it now.
+// Serving returns the serial and digest of the bundle held, 0 and "" if there is none, and whether the node
+// serves requests under it now.
 func (n *Node) Serving() (serial uint64, digest string, ready bool) {
 	signed := n.bundle.Load()
 	if signed == nil {
@@ -198,14 +202,14 @@
 	return signed.Serial, bundle.Digest(signed.Sealed), n.confirmations.IsCurrent(signed.Serial) && !n.stopping.Load()
 }
 
-// Bundle returns the bundle held, nil before the first.
+// Bundle returns the bundle held, nil if there is none yet.
 func (n *Node) Bundle() *bundle.Bundle { return n.bundle.Load() }
 
-// Sampler returns the odds in force.
+// Sampler returns the sampler of spans.
 func (n *Node) Sampler() *tracing.Keeper { return n.sampler }
 
-// Incarnation returns the random name of this process.
+// Incarnation returns the random name of this process, new at each start.
 func (n *Node) Incarnation() string { return n.member.Incarnation() }
 
-// RecordedSpans returns the spans recorded so far, by group.
+// RecordedSpans returns the number of spans recorded so far, by group.
 func (n *Node) RecordedSpans() map[string]uint64 { return n.spanBudget.Granted() }
--- a/internal/listednode/params.go
+++ b/internal/listednode/params.go
@@ -7,7 +7,7 @@
 	"curlewreach/proto/wire"
 )
 
-// SetDefaults sets the params that aren't set to their defaults.
+// SetDefaults sets params that are not set to their defaults.
 func SetDefaults(p *wire.VaneParams) {
 	p.Bounds = base.DefaultBounds(p.Bounds)
 	base.SetDefault(&p.Held, 1<<20)
@@ -18,7 +18,7 @@
 	base.SetDefault(&p.Log, "info")
 }
 
-// Check returns validation errors that name each bad param.
+// Check returns an error that names each invalid param, nil if there is none.
 func Check(p *wire.VaneParams) error {
 	return validation.ValidateStruct(p,
 		validation.Field(&p.Name, validation.Required, base.IsName),
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -18,18 +18,20 @@
 	"curlewreach/proto/wire"
 )
 
-// chunkSize is the size in bytes of the pieces that answers are carried in.
+// chunkSize is the size of the pieces in which a response's body is sent, in bytes.
 const chunkSize = 64 << 10
 
-// sendFunc sends a piece of an answer to the asking node.
+// sendFunc sends a piece of a response to the requesting node.
 type sendFunc func(*wire.CarryReply) error
 
+// faultReply returns the piece that reports the failure of an attempt.
 func faultReply(attempt string, fault *base.Fault) *wire.CarryReply {
 	return &wire.CarryReply{Piece: &wire.CarryReply_Mishap{Mishap: &wire.CarryMishap{
 		Attempt: attempt, Kind: string(fault.Kind), Reason: fault.Reason, Run: fault.Run, AfterUs: uint64(fault.After.Microseconds()),
 	}}}
 }
 
+// serveCarry runs an attempt at a local instance and sends the response or the fault.
 func (n *Node) serveCarry(ctx context.Context, request *wire.CarryRequest, send sendFunc) error {
 	if fault := n.acceptAttempt(ctx, request, send); fault != nil {
 		n.scope.Record("far-"+string(fault.Kind), request.Trail.GetTrace(), request.Attempt+": "+fault.Reason)
@@ -38,16 +40,18 @@
 	return nil
 }
 
+// acceptAttempt runs an attempt unless it is addressed to an earlier process of this node, has been seen or
+// fenced, or comes too late.
 func (n *Node) acceptAttempt(ctx context.Context, request *wire.CarryRequest, send sendFunc) *base.Fault {
 	s := n.scope.WithContext(ctx)
 	if n.stopping.Load() && request.NotAfterUs > time.Duration(n.stopDeadline.Load()).Microseconds() {
 		return base.NewFault(base.Stopping, "", "this node stops before the attempt's deadline")
 	}
 	if request.Incarnation != n.member.Incarnation() {
-		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
+		return base.NewFault(base.Fenced, "", "the attempt is addressed to an earlier process of this node")
 	}
 	if !n.fences.Register(request.Attempt) {
-		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
+		fault := base.NewFault(base.Fenced, "", "the attempt was fenced or arrived twice")
 		fault.Run = !n.fences.Fence(request.Attempt)
 		return fault
 	}
@@ -56,16 +60,15 @@
 	deadline := time.Duration(request.NotAfterUs) * time.Microsecond
 	timeLeft := deadline - s.Clock.Mono()
 	if timeLeft <= 0 {
-		return base.NewFault(base.Expired, "", "the attempt came after its deadline")
+		return base.NewFault(base.Expired, "", "the attempt arrived after its deadline")
 	}
 	s, cancel := s.WithTimeout(timeLeft)
 	defer cancel()
 	return n.runAttemptHere(s, request, deadline, send)
 }
 
-// runAttemptHere carries an attempt that may run, under the bundle it was sent under:
-// in its turn at the upstream's gate, and apart from requests that it can't be
-// told from.
+// runAttemptHere runs an accepted attempt under the bundle that the requesting node used. It waits for a
+// slot at the instance, and for requests whose further calls could not be told from those of this one.
 func (n *Node) runAttemptHere(s base.Scope, request *wire.CarryRequest, deadline time.Duration, send sendFunc) *base.Fault {
 	if fault := n.awaitSerial(s, request.Serial); fault != nil {
 		return fault
@@ -76,7 +79,7 @@
 	}
 	match, known := signed.Way(request.Service, request.Route)
 	if !known {
-		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", request.Service, request.Route)
+		return base.NewFault(base.NoRoute, "", "the bundle has no route %s/%s", request.Service, request.Route)
 	}
 	instance, fault := n.instances.Find(request.Service, request.Seat)
 	if fault != nil {
@@ -107,6 +110,9 @@
 	return n.deliver(s, request, instance, call, target, headers, send)
 }
 
+// deliver sends the request to the instance and its response to the requesting node. Directly before it, it
+// checks that the instance is the one that reported, that the bundle is still current, and that the attempt
+// is not fenced.
 func (n *Node) deliver(s base.Scope, carryRequest *wire.CarryRequest, upstream *instance, call *callInProgress, target *url.URL, headers http.Header, send sendFunc) *base.Fault {
 	conn, err := n.upstreamTransport.NewClientConn(s, "http", upstream.lastReport().Address)
 	if err != nil {
@@ -114,14 +120,14 @@
 		if s.Err() == nil {
 			n.instances.Invalidate(upstream, "dial: "+err.Error())
 		}
-		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
+		return base.NewFault(base.Unreachable, "", "could not connect to the upstream")
 	}
 	defer conn.Close()
 	if !n.instances.StillListening(upstream) {
 		n.instances.Invalidate(upstream, "another process listens there now")
 	}
 	if now, fault := n.instances.Find(carryRequest.Service, carryRequest.Seat); fault != nil || now != upstream {
-		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
+		return base.NewFault(base.NoInstance, "", "the upstream instance was replaced or is gone")
 	}
 	headers.Set(serialHeader, strconv.FormatUint(carryRequest.Serial, 10))
 	request := (&http.Request{
@@ -133,10 +139,10 @@
 		request.Body = io.NopCloser(bytes.NewReader(carryRequest.Body))
 	}
 	if !n.confirmations.IsCurrent(carryRequest.Serial) {
-		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", carryRequest.Serial)
+		return base.NewFault(base.Stale, "", "serial %d is no longer confirmed to be the newest", carryRequest.Serial)
 	}
 	if s.Err() != nil || !n.fences.Deliver(carryRequest.Attempt) {
-		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
+		return base.NewFault(base.Fenced, "", "the attempt was fenced or its deadline has passed")
 	}
 	sampled := call.trail.GetSampled() && n.sampler.Keep(call.match.Identifier()) && n.spanBudget.Spend(call.match.Group)
 	n.callTracker.Begin(call)
@@ -149,6 +155,7 @@
 	return fault
 }
 
+// upstreamSpan returns the span of a request that an instance has processed.
 func (n *Node) upstreamSpan(call *callInProgress, status int, selfTime time.Duration, uncertain bool) *wire.Span {
 	duration := n.scope.Clock.Mono() - call.startedAt
 	span := &wire.Span{
@@ -164,55 +171,55 @@
 	return span
 }
 
-// mayHaveRun returns an error about a request that may have run.
-func mayHaveRun(kind base.Kind, format string, args ...any) *base.Fault {
+// faultAfterDelivery returns an error about a request that may have run.
+func faultAfterDelivery(kind base.Kind, format string, args ...any) *base.Fault {
 	fault := base.NewFault(kind, "", format, args...)
 	fault.Run = true
 	return fault
 }
 
-// exchange sends the request and passes the answer on. It returns the answer's
-// status, 0 if there was none.
+// exchange sends the request and relays the response. It returns the response's status, 0 if there is none.
 func (n *Node) exchange(s base.Scope, conn *http.ClientConn, request *http.Request, carryRequest *wire.CarryRequest, send sendFunc) (int, *base.Fault) {
 	response, err := conn.RoundTrip(request)
 	if err != nil {
 		if s.Err() != nil {
-			return 0, mayHaveRun(base.Expired, "the upstream did not answer in time")
+			return 0, faultAfterDelivery(base.Expired, "the upstream did not answer in time")
 		}
-		return 0, mayHaveRun(base.Lost, "the upstream's answer was lost: %s", err)
+		return 0, faultAfterDelivery(base.Lost, "no response from the upstream: %s", err)
 	}
 	defer response.Body.Close()
 	return response.StatusCode, relayResponse(response, carryRequest.Attempt, send)
 }
 
-// relayResponse passes an answer on under a seal over its head and body.
+// relayResponse sends a response to the requesting node, followed by a digest of its head and body. It
+// fails if the end of the body can't be verified or if the body doesn't match the digest that the upstream
+// declared.
 func relayResponse(response *http.Response, attempt string, send sendFunc) *base.Fault {
 	declared, hasDigest := contentDigest(response.Header)
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || hasDigest
 	if !framed || response.StatusCode == http.StatusSwitchingProtocols {
-		return mayHaveRun(base.Garbled, "the upstream's answer has no certain end")
+		return faultAfterDelivery(base.Garbled, "the upstream's response has no length, chunked encoding or digest, or switches protocols")
 	}
 	head := &wire.CarryHead{Attempt: attempt, Status: uint32(response.StatusCode), Headers: forwardedHeaders(response.Header), Size: response.ContentLength}
 	digest, bodyDigest := newResponseDigest(head), sha256.New()
 	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
-		return mayHaveRun(base.Lost, "the asking node went away")
+		return faultAfterDelivery(base.Lost, "the requesting node closed the stream")
 	}
 	size, fault := relayBody(response.Body, io.MultiWriter(digest, bodyDigest), send)
 	if fault != nil {
 		return fault
 	}
 	if hasDigest && !bytes.Equal(declared, bodyDigest.Sum(nil)) {
-		return mayHaveRun(base.Garbled, "the upstream's answer does not fit its digest")
+		return faultAfterDelivery(base.Garbled, "the upstream's response does not match its digest")
 	}
 	tail := &wire.CarryTail{Attempt: attempt, Digest: digest.sum(), Size: size}
 	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Tail{Tail: tail}}); err != nil {
-		return mayHaveRun(base.Lost, "the asking node went away")
+		return faultAfterDelivery(base.Lost, "the requesting node closed the stream")
 	}
 	return nil
 }
 
-// relayBody passes a body on in pieces, also to the digests, and returns its
-// size in bytes.
+// relayBody sends a body in pieces, which it also writes to digests, and returns its size in bytes.
 func relayBody(body io.Reader, digests io.Writer, send sendFunc) (size uint64, fault *base.Fault) {
 	chunk := make([]byte, chunkSize)
 	for {
@@ -221,24 +228,28 @@
 			size += uint64(n)
 			_, _ = digests.Write(chunk[:n])
 			if send(&wire.CarryReply{Piece: &wire.CarryReply_Chunk{Chunk: bytes.Clone(chunk[:n])}}) != nil {
-				return size, mayHaveRun(base.Lost, "the asking node went away")
+				return size, faultAfterDelivery(base.Lost, "the requesting node closed the stream")
 			}
 		}
 		if err == io.EOF {
 			return size, nil
 		}
 		if err != nil {
-			return size, mayHaveRun(base.Garbled, "the upstream's answer broke off: %s", err)
+			return size, faultAfterDelivery(base.Garbled, "the upstream's response ended early: %s", err)
 		}
 	}
 }
 
+// peerServer serves the calls of other nodes.
 type peerServer struct{ node *Node }
 
+// Carry runs an attempt at a local instance.
 func (p peerServer) Carry(ctx context.Context, request *connect.Request[wire.CarryRequest], stream *connect.ServerStream[wire.CarryReply]) error {
 	return p.node.serveCarry(ctx, request.Msg, stream.Send)
 }
 
+// Fence prevents an attempt from being delivered and replies whether it never was. The reply is false if
+// the attempt was addressed to an earlier process of this node.
 func (p peerServer) Fence(_ context.Context, request *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error) {
 	req := request.Msg
 	if req.Incarnation != p.node.member.Incarnation() {
--- a/internal/listednode/peer_server_test.go
+++ b/internal/listednode/peer_server_test.go
@@ -14,6 +14,8 @@
 	"curlewreach/base"
 )
 
+// startFlakyUpstream starts an upstream that breaks connections. It returns the count of the requests that
+// it broke off.
 func startFlakyUpstream() (address string, seen *atomic.Int64, end func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -30,7 +32,7 @@
 	return listener.Addr().String(), seen, func() { _ = listener.Close() }
 }
 
-// serveFlaky answers requests of /warm and breaks the connection at any other, which it counts.
+// serveFlaky answers requests of /warm. At any other request, which it counts, it closes the connection.
 func serveFlaky(conn net.Conn, seen *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -47,33 +49,33 @@
 	}
 }
 
-var _ = ginkgo.Describe("the transport's silent retries", func() {
-	ask := func(trip http.RoundTripper, address, path string) {
+var _ = ginkgo.Describe("retries by the HTTP transport", func() {
+	send := func(transport http.RoundTripper, address, path string) {
 		request, err := http.NewRequest("GET", "http://"+address+path, nil)
 		Expect(err).NotTo(HaveOccurred())
-		if response, err := trip.RoundTrip(request); err == nil {
+		if response, err := transport.RoundTrip(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 		}
 	}
-	ginkgo.It("given an ordinary pooled transport, when a reused connection breaks, then the upstream sees the request twice", func() {
-		address, seen, end := startFlakyUpstream()
-		defer end()
-		trip := &http.Transport{}
-		ask(trip, address, "/warm")
-		ask(trip, address, "/loan")
-		Expect(seen.Load()).To(Equal(int64(2)))
+	ginkgo.It("given a transport that reuses connections, when a reused connection breaks, then the upstream receives the request twice", func() {
+		address, received, stop := startFlakyUpstream()
+		defer stop()
+		transport := &http.Transport{}
+		send(transport, address, "/warm")
+		send(transport, address, "/loan")
+		Expect(received.Load()).To(Equal(int64(2)))
 	})
-	ginkgo.It("given our one-shot connections, when a connection breaks, then the upstream sees it once", func() {
-		address, seen, end := startFlakyUpstream()
-		defer end()
-		outward := newUpstreamTransport(base.RealNet())
+	ginkgo.It("given a connection for each request, when it breaks, then the upstream receives the request once", func() {
+		address, received, stop := startFlakyUpstream()
+		defer stop()
+		transport := newUpstreamTransport(base.RealNet())
 		for _, path := range []string{"/warm", "/loan"} {
-			conn, err := outward.NewClientConn(context.Background(), "http", address)
+			conn, err := transport.NewClientConn(context.Background(), "http", address)
 			Expect(err).NotTo(HaveOccurred())
-			ask(conn, address, path)
+			send(conn, address, path)
 			_ = conn.Close()
 		}
-		Expect(seen.Load()).To(Equal(int64(1)))
+		Expect(received.Load()).To(Equal(int64(1)))
 	})
 })
--- a/internal/listednode/persistence.go
+++ b/internal/listednode/persistence.go
@@ -11,31 +11,36 @@
 	"curlewreach/proto/wire"
 )
 
+// loadProbabilities loads the sampling probabilities from disk, if there are valid ones.
 func (n *Node) loadProbabilities() {
 	raw, err := n.scope.Disk.Read(probabilitiesFile)
-	odds := &wire.Odds{}
+	probabilities := &wire.Odds{}
 	if err != nil {
 		return
 	}
-	if err := storage.Unframe(raw, odds); err != nil {
+	if err := storage.Unframe(raw, probabilities); err != nil {
 		n.scope.Record("odds-bounced", "", "from disk: "+err.Error())
 		return
 	}
-	n.updateProbabilities(odds)
+	n.updateProbabilities(probabilities)
 }
 
-func (n *Node) updateProbabilities(odds *wire.Odds) {
-	if odds.GetSerial() <= n.sampler.Serial() {
+// updateProbabilities applies sampling probabilities that are newer than those in use, unless they are
+// invalid.
+func (n *Node) updateProbabilities(probabilities *wire.Odds) {
+	if probabilities.GetSerial() <= n.sampler.Serial() {
 		return
 	}
-	if fault := n.sampler.Load(odds); fault != nil {
+	if fault := n.sampler.Load(probabilities); fault != nil {
 		n.scope.Record("odds-bounced", "", fault.Error())
 		return
 	}
-	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Odds = odds.Serial })
+	n.member.UpdateStatus(func(status *wire.Roster) { status.Odds = probabilities.Serial })
 	n.probabilitiesUnsaved.Notify()
 }
 
+// loadFromDisk loads the sampling probabilities and the bundle that the last process saved. The bundle is
+// not in force before a majority confirms it.
 func (n *Node) loadFromDisk() {
 	n.loadProbabilities()
 	raw, err := n.scope.Disk.Read(sliceFile)
@@ -49,6 +54,8 @@
 	}
 }
 
+// verifyBundle verifies, decodes and indexes a bundle. It returns nil, and records the fault, if that
+// fails.
 func (n *Node) verifyBundle(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
@@ -65,6 +72,8 @@
 	return bundle.Index(sealed, raw)
 }
 
+// saveChanges saves the bundle and the sampling probabilities after each change, if the process has a data
+// folder.
 func (n *Node) saveChanges(s base.Scope) {
 	if !storage.HasFolder(n.scope.Disk) {
 		return
@@ -81,16 +90,18 @@
 	})
 	group.Go(func() {
 		n.saveOnChange(s, &n.probabilitiesUnsaved, probabilitiesFile, func() ([]byte, error) {
-			odds := n.sampler.Odds()
-			if odds == nil {
+			probabilities := n.sampler.Odds()
+			if probabilities == nil {
 				return nil, nil
 			}
-			return storage.Frame(odds)
+			return storage.Frame(probabilities)
 		})
 	})
 	group.Wait()
 }
 
+// saveOnChange writes what encode returns to a file, at first, after each change and after an hour without
+// one, until the scope ends. It writes nothing if encode returns nil.
 func (n *Node) saveOnChange(s base.Scope, changed *base.Broadcast, file string, encode func() ([]byte, error)) {
 	for s.Err() == nil {
 		next := changed.Next()
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// otherZonePenalty is the cost added to an instance in another zone, as a part of
-	// its own.
+	// otherZonePenalty is the increase in cost of an instance in another zone, as a ratio of its cost.
 	otherZonePenalty = 0.5
-	// failurePenalty is the cost added to an instance that lately failed.
+	// failurePenalty is the increase in cost of an instance with a recent failure.
 	failurePenalty = 4.0
-	// notAliveFactor multiplies cooling for a machine that isn't well.
+	// notAliveFactor multiplies failurePenalty for the instances of a node that is not reported alive.
 	notAliveFactor = 2.0
 )
 
-// candidate is an instance that a request may be carried to.
+// candidate is an instance that a request may be sent to.
 type candidate struct {
-	node        string
-	address     string
-	incarnation string
-	clockOffset time.Duration
-	standing    string
+	node        string        // name
+	address     string        // of the node
+	incarnation string        // of the node
+	clockOffset time.Duration // of the node's monotonic clock from this node's, underestimated by the age of the sighting
+	standing    string        // of the node, as membership has it
 	instance    *wire.Seat
 }
 
-// candidateStats is what this node itself knows of a candidate.
+// candidateStats is what this node observed itself of a candidate. Times are readings of the monotonic
+// clock.
 type candidateStats struct {
 	lastUsed   time.Duration
-	inFlight   int
+	inFlight   int // attempts of this node
 	avoidUntil time.Duration
 }
 
-// candidates iterates over the instances of a service: those beside this node,
-// then those beside others, by the nodes' names.
+// candidates iterates over the instances of a service: first those beside this node, then those beside
+// others in the order of the nodes' names.
 func (n *Node) candidates(service string) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		own := n.member.Status()
@@ -60,17 +60,21 @@
 	}
 }
 
-// yieldInstances yields the instances of a service beside one node, at the candidate given.
+// yieldInstances yields the instances of a service beside one node, as copies of template, and reports
+// whether to continue.
 func yieldInstances(status *wire.Roster, service string, template candidate, yield func(candidate) bool) bool {
-	for _, seat := range status.Seats {
-		template.instance = seat
-		if seat.Service == service && !seat.Leaving && !yield(template) {
+	for _, report := range status.Seats {
+		template.instance = report
+		if report.Service == service && !report.Leaving && !yield(template) {
 			return false
 		}
 	}
 	return true
 }
 
+// pick returns the candidate with the lowest score that the ledger has not tried, and counts an attempt in
+// flight there, which recordOutcome ends. A random factor of up to 1% spreads the choice among equal
+// scores.
 func (n *Node) pick(signed *bundle.Bundle, match bundle.Way, ledger *Ledger) (candidate, bool) {
 	var best candidate
 	lowest, found := 0.0, false
@@ -91,6 +95,7 @@
 	return best, found
 }
 
+// statsOf returns the stats of a candidate and marks them as used. n.pickMu must be held.
 func (n *Node) statsOf(each candidate) *candidateStats {
 	key := each.node + " " + each.instance.Address
 	stats := n.stats[key]
@@ -102,6 +107,8 @@
 	return stats
 }
 
+// score returns the cost of a candidate, mainly its attempts in flight in proportion to its capacity.
+// n.pickMu must be held.
 func (n *Node) score(each candidate) float64 {
 	stats := n.statsOf(each)
 	score := (float64(stats.inFlight) + 1) / float64(max(each.instance.Capacity, 1))
@@ -118,6 +125,8 @@
 	return score
 }
 
+// recordOutcome ends an attempt in flight. After a failure the instance is avoided for a while; rejections
+// that say nothing about its health don't count.
 func (n *Node) recordOutcome(picked candidate, attempt *Attempt) {
 	n.pickMu.Lock()
 	defer n.pickMu.Unlock()
--- a/internal/listednode/process.go
+++ b/internal/listednode/process.go
@@ -13,16 +13,16 @@
 	"curlewreach/proto/wire"
 )
 
-// stopRatio, of the grace, is the time to stop in; the rest is for the process
-// to end.
+// stopRatio is the part of the grace in which the node stops; the rest is left for the process to end.
 const stopRatio = 0.95
 
+// endpointConfig is an address to serve with its handler.
 type endpointConfig struct {
 	address string
 	handler http.Handler
 }
 
-// Process is a running application machine: a node and its servers.
+// Process is a running application machine: a node and its HTTP servers.
 type Process struct {
 	Node    *Node
 	params  *wire.VaneParams
@@ -31,7 +31,7 @@
 	group   base.Group
 }
 
-// Start starts an application machine. On an error nothing is left running.
+// Start starts an application machine. After an error nothing is left running.
 func Start(s base.Scope, params *wire.VaneParams) (*Process, error) {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
@@ -61,8 +61,8 @@
 	return p, nil
 }
 
-// Reload puts the params in force that can change while running. It returns an
-// error if others differ that can't.
+// Reload applies the params that can change while the process runs. It returns an error if a name, an
+// address or the folder differs.
 func (p *Process) Reload(params *wire.VaneParams) error {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// closingWhileStopping tells clients of a node that stops to go elsewhere after
-// each answer. Their idle connections stay open: closing one races with a
-// request that is just being read from it.
+// closingWhileStopping makes a handler ask clients to close the connection after each response while the
+// node is stopping. It leaves idle connections open: closing one could race with a request that is just
+// arriving on it.
 func (p *Process) closingWhileStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.Node.stopping.Load() {
@@ -94,8 +94,7 @@
 	})
 }
 
-// Stop lets requests in callInProgress end and ends the process's parts within the
-// grace.
+// Stop announces the stop, lets requests in flight end, and ends the process within the grace.
 func (p *Process) Stop() {
 	grace := time.Duration(float64(p.params.Bounds.Grace.AsDuration()) * stopRatio)
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
@@ -106,7 +105,7 @@
 	p.Kill()
 }
 
-// Kill ends everything at once.
+// Kill stops the process at once.
 func (p *Process) Kill() {
 	p.cancel()
 	for _, server := range p.servers {
--- a/internal/listednode/response.go
+++ b/internal/listednode/response.go
@@ -16,15 +16,20 @@
 	"curlewreach/proto/wire"
 )
 
+// Headers that the node sets in its own responses and in requests to instances.
 const (
-	outcomeHeader  = "Curlew-Outcome"
-	serialHeader   = "Curlew-Serial"
-	traceHeader    = "Curlew-Trace"
+	outcomeHeader = "Curlew-Outcome"
+	serialHeader  = "Curlew-Serial"
+	traceHeader   = "Curlew-Trace"
+	// reservedPrefix marks the headers that the node does not forward.
 	reservedPrefix = "Curlew-"
 )
 
+// hopByHopHeaders are the headers that apply to one connection only and are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
+// forwardedHeaders returns the headers to forward, sorted by name. It leaves out hop-by-hop headers, those
+// that the Connection header names, and those with the reserved prefix.
 func forwardedHeaders(from http.Header) []*wire.Header {
 	excluded := slices.Clone(hopByHopHeaders)
 	for _, list := range from.Values("Connection") {
@@ -42,41 +47,47 @@
 	return headers
 }
 
+// setHeaders sets headers in to.
 func setHeaders(headers []*wire.Header, to http.Header) {
 	for _, header := range headers {
 		to[header.Name] = header.Values
 	}
 }
 
-// responseDigest digests an answer with its head, so that the asking node can check that
-// it is whole and of its attempt.
+// responseDigest is a SHA-256 digest of a response with its head and attempt, by which the requesting node
+// checks that the response is complete and belongs to the attempt.
 type responseDigest struct{ hash hash.Hash }
 
+// newResponseDigest returns the digest of a head, to which the body is to be written.
 func newResponseDigest(head *wire.CarryHead) responseDigest {
-	s := responseDigest{sha256.New()}
-	s.writeString(head.Attempt)
-	s.writeUint64(uint64(head.Status))
-	s.writeUint64(uint64(head.Size))
+	d := responseDigest{sha256.New()}
+	d.writeString(head.Attempt)
+	d.writeUint64(uint64(head.Status))
+	d.writeUint64(uint64(head.Size))
 	for _, header := range head.Headers {
-		s.writeString(header.Name)
+		d.writeString(header.Name)
 		for _, value := range header.Values {
-			s.writeString(value)
+			d.writeString(value)
 		}
 	}
-	return s
+	return d
 }
 
-func (s responseDigest) writeUint64(n uint64) { s.hash.Write(binary.BigEndian.AppendUint64(nil, n)) }
+func (d responseDigest) writeUint64(n uint64) { d.hash.Write(binary.BigEndian.AppendUint64(nil, n)) }
 
-func (s responseDigest) writeString(text string) {
-	s.writeUint64(uint64(len(text)))
-	s.hash.Write([]byte(text))
+// writeString writes the length of the text before the text, so that the digest is unambiguous.
+func (d responseDigest) writeString(text string) {
+	d.writeUint64(uint64(len(text)))
+	d.hash.Write([]byte(text))
 }
 
-func (s responseDigest) Write(chunk []byte) (int, error) { return s.hash.Write(chunk) }
+// Write adds a piece of the body.
+func (d responseDigest) Write(chunk []byte) (int, error) { return d.hash.Write(chunk) }
 
-func (s responseDigest) sum() []byte { return s.hash.Sum(nil) }
+func (d responseDigest) sum() []byte { return d.hash.Sum(nil) }
 
+// contentDigest returns the SHA-256 digest in the Content-Digest headers, and whether there is one. One
+// that can't be decoded is returned as nil, which no body matches.
 func contentDigest(from http.Header) (digest []byte, declared bool) {
 	for _, list := range from.Values("Content-Digest") {
 		for item := range strings.SplitSeq(list, ",") {
@@ -94,6 +105,7 @@
 	return nil, false
 }
 
+// writeFault responds with an error of the node itself.
 func writeFault(w http.ResponseWriter, fault *base.Fault) {
 	httpAnswer := base.Answers[fault.Kind]
 	outcome := "not-run"
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -8,8 +8,9 @@
 	"curlewreach/proto/wire"
 )
 
-// responseReader takes in the pieces of one attempt's answer, checks them, and holds
-// them back until the seal is checked or there are too many.
+// responseReader receives the pieces of one attempt's response and checks them. It buffers the body until
+// the digest is checked; it streams to the client a body that is too large to be buffered or that there is
+// no memory for.
 type responseReader struct {
 	node      *Node
 	incoming  *clientRequest
@@ -17,15 +18,17 @@
 	head      *wire.CarryHead
 	digest    responseDigest
 	buffered  bytes.Buffer
-	size      uint64
-	streaming bool
-	reserved  int64
-	complete  bool
-	fault     *base.Fault
+	size      uint64      // of the body so far, in bytes
+	streaming bool        // the head and part of the body were written to the client
+	reserved  int64       // memory reserved for the buffer, in bytes
+	complete  bool        // the digest was checked
+	fault     *base.Fault // reported by the node that ran the attempt
 }
 
-var errUnexpectedPiece = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
+// errUnexpectedPiece reports a piece of another attempt, or one out of order.
+var errUnexpectedPiece = base.NewFault(base.Garbled, "", "unexpected piece, perhaps of another attempt's response")
 
+// accept processes one piece.
 func (r *responseReader) accept(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
 	case *wire.CarryReply_Head:
@@ -46,8 +49,8 @@
 	return nil
 }
 
-// acceptChunk holds a piece of the body back, or passes it on with those held if
-// they are too many.
+// acceptChunk buffers a piece of the body. If it can't be buffered, the buffer is streamed first; the piece
+// itself stays buffered until the next one or the tail.
 func (r *responseReader) acceptChunk(chunk []byte) error {
 	if r.head == nil || r.complete {
 		return errUnexpectedPiece
@@ -63,11 +66,11 @@
 	return nil
 }
 
-// acceptTail checks the seal. Of an answer that is being streamed, the last piece
-// is passed on only now.
+// acceptTail checks the digest. The last piece of a streamed response is written only now, so that the
+// client never gets a complete response that fails the check.
 func (r *responseReader) acceptTail(tail *wire.CarryTail) error {
 	if r.head == nil || tail.Attempt != r.attempt.ID || tail.Size != r.size || !bytes.Equal(tail.Digest, r.digest.sum()) {
-		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
+		return base.NewFault(base.Garbled, "", "the response does not match its digest")
 	}
 	r.complete = true
 	if r.streaming {
@@ -76,6 +79,7 @@
 	return nil
 }
 
+// reserve reserves memory for size bytes and reports whether that was possible.
 func (r *responseReader) reserve(size int) bool {
 	if !r.node.memory.reserve(int64(size)) {
 		return false
@@ -84,6 +88,7 @@
 	return true
 }
 
+// flush writes the buffer to the client, the first time after the head, and releases its memory.
 func (r *responseReader) flush() error {
 	r.node.memory.release(r.reserved)
 	r.reserved = 0
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -6,24 +6,25 @@
 	"curlewreach/internal/bundle"
 )
 
+// serviceBudget is the retry budget of one service. Each retry costs one token.
 type serviceBudget struct {
 	tokens    float64
-	maxTokens float64
-	ratio     float64
+	maxTokens float64 // this node's part of the fleet's allowance
+	ratio     float64 // tokens earned by a first attempt
 }
 
-// RetryBudget bounds repeated attempts for each service by tokens: each first
-// attempt earns a part of one, each repeat costs one. It is safe for concurrent
-// use.
+// RetryBudget limits the retries of each service by tokens: a first attempt earns a fraction of a token, a
+// retry costs one. It is safe for concurrent use.
 type RetryBudget struct {
 	mu       sync.Mutex
 	services map[string]*serviceBudget
 }
 
-// NewRetryBudget returns a store of tokens that is empty.
+// NewRetryBudget returns a budget without tokens.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{services: map[string]*serviceBudget{}} }
 
-// SetLimits sets the ratios and the most that may be saved, by a bundle.
+// SetLimits sets the ratio and the most tokens of each service of a bundle. The fleet's allowance is
+// divided among the nodes.
 func (r *RetryBudget) SetLimits(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +49,8 @@
 	}
 }
 
-// RevokeEarned takes it back, as the request didn't arrive.
+// RevokeEarned takes back what a first attempt earned whose request reached no upstream. The tokens may
+// become negative.
 func (r *RetryBudget) RevokeEarned(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +59,7 @@
 	}
 }
 
-// Spend takes the token for a repeat, and reports false if there is none.
+// Spend takes the token for a retry and reports false if there is none.
 func (r *RetryBudget) Spend(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/listednode/retry_budget_test.go
+++ b/internal/listednode/retry_budget_test.go
@@ -9,8 +9,8 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("repeats", func() {
-	ginkgo.It("given any pattern of requests and repeats, when every window is checked, then none exceeds a fifth and the allowance", func() {
+var _ = ginkgo.Describe("the retry budget", func() {
+	ginkgo.It("given random first attempts and retries, when every window is checked, then retries never exceed a fifth of the first attempts by more than the node's allowance", func() {
 		signed := bundle.Index(nil, &wire.Bundle{
 			Common:   &wire.Common{Machines: []*wire.Machine{{Name: "a"}, {Name: "b"}}},
 			Services: []*wire.Service{{Name: "s", Repeats: 0.2, Allowance: 4}},
@@ -28,20 +28,20 @@
 					events = append(events, true)
 				}
 			}
-			spent, worst := 0, 0.0
+			spent, maxExcess := 0, 0.0
 			for from := range events {
-				asked, repeats := 0.0, 0.0
-				for _, repeat := range events[from:] {
-					if repeat {
-						repeats++
+				requests, retries := 0.0, 0.0
+				for _, isRetry := range events[from:] {
+					if isRetry {
+						retries++
 					} else {
-						asked++
+						requests++
 					}
-					worst = max(worst, repeats-0.2*asked)
+					maxExcess = max(maxExcess, retries-0.2*requests)
 				}
-				spent += int(repeats)
+				spent += int(retries)
 			}
-			Expect(worst).To(BeNumerically("<=", 2+1e-9))
+			Expect(maxExcess).To(BeNumerically("<=", 2+1e-9))
 			Expect(spent).To(BeNumerically(">", 0))
 		}
 	})
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -16,11 +16,10 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// ClientHandler returns the handler of visitors' requests.
+// ClientHandler returns the handler of clients' requests.
 func (n *Node) ClientHandler() http.Handler { return n.handler(false) }
 
-// InstanceHandler returns the handler for instances beside this node: their reports
-// and further calls.
+// InstanceHandler returns the handler for the instances beside this node: their reports and further calls.
 func (n *Node) InstanceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+ReportPath, n.handleReport)
@@ -36,7 +35,7 @@
 	return mux
 }
 
-// OperatorHandler returns the handler for readiness and counts.
+// OperatorHandler returns the handler of readiness, event counts and the journal.
 func (n *Node) OperatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -56,6 +55,7 @@
 	return mux
 }
 
+// handleReport validates and stores an instance's report.
 func (n *Node) handleReport(w http.ResponseWriter, r *http.Request) {
 	var input struct {
 		Service  string  `json:"service"`
--- a/internal/listednode/span.go
+++ b/internal/listednode/span.go
@@ -10,6 +10,8 @@
 	"curlewreach/proto/wire"
 )
 
+// recordSpans exports the span of a request and one for each of its attempts. The attempts don't count
+// towards the request's self time.
 func (n *Node) recordSpans(span *wire.Span, ledger *Ledger, startedAt time.Duration) {
 	now := n.scope.Clock.Mono()
 	var attempts []interval
@@ -36,6 +38,7 @@
 	n.exporter.Push(span)
 }
 
+// setTimes sets the times of a span. Its self time is its duration without excluded.
 func (n *Node) setTimes(span *wire.Span, from, to, excluded time.Duration) {
 	span.StartedUs = n.scope.Clock.Wall().Add(from - n.scope.Clock.Mono()).UnixMicro()
 	span.DurationUs, span.SelfUs = uint64((to - from).Microseconds()), uint64((to - from - excluded).Microseconds())
--- a/internal/listednode/span_budget.go
+++ b/internal/listednode/span_budget.go
@@ -8,8 +8,11 @@
 	"curlewreach/internal/bundle"
 )
 
+// spanCounter counts spans in the current second and in the one before. Each element holds the number of
+// the second in its upper 32 bits and the count in the lower ones.
 type spanCounter struct{ seconds [2]atomic.Uint64 }
 
+// spend counts a span in a second and reports true, unless the limit is reached.
 func (m *spanCounter) spend(second uint64, limit uint32) bool {
 	slot := &m.seconds[second%2]
 	for {
@@ -27,6 +30,8 @@
 	}
 }
 
+// used returns the number of spans in a second, 0 if the second is neither the current one nor the one
+// before.
 func (m *spanCounter) used(second uint64) uint32 {
 	state := m.seconds[second%2].Load()
 	if state>>32 != second {
@@ -35,25 +40,26 @@
 	return uint32(state)
 }
 
+// groupBudget is the budget of one group.
 type groupBudget struct {
 	counter *spanCounter
-	granted *atomic.Uint64
-	limit   uint32
+	granted *atomic.Uint64 // spans granted in total
+	limit   uint32         // spans per second
 }
 
-// SpanBudget divides the spans that a node may record each second among the groups
-// by the weights of their shares. What a group left unused in a second is lent
-// to all in the next. It takes no lock.
+// SpanBudget divides the number of spans that a node may record each second among the groups, by the
+// weights of their shares. What a group leaves unused in a second is available to all groups in the next.
+// It takes no lock and is safe for concurrent use.
 type SpanBudget struct {
 	clock  base.Clock
-	lent   spanCounter
-	groups atomic.Pointer[map[string]groupBudget]
+	lent   spanCounter                            // spans granted beyond the limits of their groups
+	groups atomic.Pointer[map[string]groupBudget] // by name
 }
 
-// NewSpanBudget returns a budget that grants nothing before Set.
+// NewSpanBudget returns a budget that grants nothing before SetShares.
 func NewSpanBudget(clock base.Clock) *SpanBudget { return &SpanBudget{clock: clock} }
 
-// SetShares divides by a bundle's shares.
+// SetShares divides the budget by the shares of a bundle.
 func (b *SpanBudget) SetShares(signed *bundle.Bundle) {
 	total := 0.0
 	shares := signed.Raw.GetCommon().GetShares()
@@ -73,7 +79,7 @@
 	b.groups.Store(&groups)
 }
 
-// Spend takes one span for a group, and reports whether there was one left.
+// Spend takes one span for a group and reports whether there was one left.
 func (b *SpanBudget) Spend(group string) bool {
 	groups := b.groups.Load()
 	if groups == nil {
@@ -88,6 +94,7 @@
 	return true
 }
 
+// unused returns the number of spans that the groups left unused in a second.
 func (b *SpanBudget) unused(groups map[string]groupBudget, second uint64) (unused uint32) {
 	for _, budget := range groups {
 		if used := budget.counter.used(second); used < budget.limit {
@@ -97,7 +104,7 @@
 	return unused
 }
 
-// Granted returns the spans granted so far, by group.
+// Granted returns the number of spans granted so far, by group.
 func (b *SpanBudget) Granted() map[string]uint64 {
 	granted := map[string]uint64{}
 	if groups := b.groups.Load(); groups != nil {
--- a/internal/listednode/span_budget_test.go
+++ b/internal/listednode/span_budget_test.go
@@ -13,7 +13,7 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("close watching", func() {
+var _ = ginkgo.Describe("the span budget", func() {
 	shares := func(weights ...float64) *bundle.Bundle {
 		b := &wire.Bundle{Common: &wire.Common{Tracing: &wire.Tracing{Budget: 90}}}
 		for i, weight := range weights {
@@ -21,36 +21,36 @@
 		}
 		return bundle.Index(nil, b)
 	}
-	play := func(budget *SpanBudget, clock *simnet.Clock, seconds int, asks map[string]int) (got map[string]int) {
-		got = map[string]int{}
+	spendFor := func(budget *SpanBudget, clock *simnet.Clock, seconds int, requests map[string]int) (granted map[string]int) {
+		granted = map[string]int{}
 		for range seconds {
 			for _, group := range []string{"a", "b", "c"} {
-				for range asks[group] {
+				for range requests[group] {
 					if budget.Spend(group) {
-						got[group]++
+						granted[group]++
 					}
 				}
 			}
 			time.Sleep(time.Second)
 		}
-		return got
+		return granted
 	}
-	ginkgo.It("given groups that want all, some or nothing, when a second passes, then each keeps its part and what is left is lent", func() {
+	ginkgo.It("given groups that use all, some or none of their budgets, when a second has passed, then each keeps its part and the unused rest is available to all", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
 			clock := simnet.NewClock(time.Now())
 			budget := NewSpanBudget(clock)
 			budget.SetShares(shares(1, 1, 1))
-			play(budget, clock, 2, map[string]int{"a": 200, "b": 200, "c": 200})
-			all := play(budget, clock, 10, map[string]int{"a": 200, "b": 200, "c": 200})
-			Expect(all).To(Equal(map[string]int{"a": 300, "b": 300, "c": 300}))
-			play(budget, clock, 1, map[string]int{"a": 200, "b": 10})
-			flood := play(budget, clock, 10, map[string]int{"a": 200, "b": 10})
-			Expect(flood["b"]).To(Equal(100), "who asks little gets all of it")
-			Expect(flood["a"]).To(Equal(800), "the flood gets its part, the rest of b's and all of c's")
-			back := play(budget, clock, 10, map[string]int{"a": 200, "b": 10, "c": 200})
-			Expect(back["c"]).To(BeNumerically(">=", 300), "a group that returns has its part at once")
-			Expect(back["b"]).To(Equal(100))
+			spendFor(budget, clock, 2, map[string]int{"a": 200, "b": 200, "c": 200})
+			allFull := spendFor(budget, clock, 10, map[string]int{"a": 200, "b": 200, "c": 200})
+			Expect(allFull).To(Equal(map[string]int{"a": 300, "b": 300, "c": 300}))
+			spendFor(budget, clock, 1, map[string]int{"a": 200, "b": 10})
+			partial := spendFor(budget, clock, 10, map[string]int{"a": 200, "b": 10})
+			Expect(partial["b"]).To(Equal(100), "a group below its part gets all that it asks for")
+			Expect(partial["a"]).To(Equal(800), "the overloading group gets its part, the rest of b's and all of c's")
+			returned := spendFor(budget, clock, 10, map[string]int{"a": 200, "b": 10, "c": 200})
+			Expect(returned["c"]).To(BeNumerically(">=", 300), "a group that becomes active again has its part at once")
+			Expect(returned["b"]).To(Equal(100))
 		})
 	})
 })
--- a/internal/listednode/suite_test.go
+++ b/internal/listednode/suite_test.go
@@ -14,14 +14,16 @@
 	"curlewreach/internal/testing/simnet"
 )
 
+// suite is the test that the synctest bubbles of specs belong to.
 var suite *testing.T
 
-func TestFlow(t *testing.T) {
+func TestListedNode(t *testing.T) {
 	suite = t
 	RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "flow")
+	ginkgo.RunSpecs(t, "listednode")
 }
 
+// runInBubble runs body in a synctest bubble, in a scope with a simulated clock.
 func runInBubble(body func(s base.Scope)) {
 	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -8,10 +8,11 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// retentionRatio, times the in-force bound, is how long what no bundle names is
-// remembered.
+// retentionRatio is how long data is kept that is no longer used or named by the bundle, as a multiple of
+// the in-force bound.
 const retentionRatio = 30
 
+// removeUnused removes data about instances, nodes, groups, services and routes that are gone.
 func (n *Node) removeUnused() {
 	signed := n.bundle.Load()
 	if signed == nil {
@@ -43,14 +44,14 @@
 	n.callTracker.Prune(signed)
 }
 
-// Prune drops groups that a bundle doesn't name.
+// Prune removes the groups that are not in a bundle and have no waiting requests.
 func (q *AdmissionQueue) Prune(signed *bundle.Bundle) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	maps.DeleteFunc(q.groups, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
 }
 
-// Prune drops services that a bundle doesn't name.
+// Prune removes the services that are not in a bundle, except those with negative tokens.
 func (r *RetryBudget) Prune(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,14 +60,14 @@
 	})
 }
 
-// Prune drops routes that a bundle doesn't name.
+// Prune removes the averages of routes that are not in a bundle.
 func (t *CallTracker) Prune(signed *bundle.Bundle) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maps.DeleteFunc(t.holdTimes, func(identifier string, _ time.Duration) bool { return !signed.Names(identifier) })
 }
 
-// Sizes returns how many rows each table holds, to watch for leaks.
+// Sizes returns the number of entries in each table, by which tests detect leaks.
 func (n *Node) Sizes() map[string]int {
 	sizes := map[string]int{"mates": len(n.peerClients.Snapshot()), "atlas": len(n.sightings.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.exporter.Waiting()), "room": int(n.memory.used.Load())}
 	n.pickMu.Lock()
