--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -251,8 +251,8 @@
 // carryFunc makes one attempt and passes the pieces of the reply to send.
 type carryFunc func(ctx context.Context, request *wire.CarryRequest, send sendFunc) error
 
-// carryFuncFor returns the function that reaches a candidate: a local call if it is beside this node,
-// otherwise a call of its node.
+// carryFuncFor returns the function that reaches a candidate: a local call for a local instance, otherwise
+// a call of the instance's node.
 func (n *Node) carryFuncFor(picked candidate) carryFunc {
 	if picked.node == n.self {
 		return n.serveCarry
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -37,8 +37,8 @@
 }
 
 // Confirmations decides which bundle is in force on a node: the newest one, if a majority of the
-// controllers or of the nodes recently confirmed that they know of none newer. A node without such a
-// majority serves nothing. It is safe for concurrent use.
+// controllers (the core machines) or of the nodes recently confirmed that they know of none newer. A node
+// without such a majority serves nothing. It is safe for concurrent use.
 type Confirmations struct {
 	clock            base.Clock
 	validity         time.Duration // of a confirmation
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -10,8 +10,8 @@
 	"curlewreach/proto/wire"
 )
 
-// instance is an instance beside this node. A probe connection to it is kept open, and the identity of its
-// listening socket is kept to tell it from a successor at the same address.
+// instance is a local instance. A probe connection to it is kept open, and the identity of its listening
+// socket is kept to tell it from a successor at the same address.
 type instance struct {
 	report            atomic.Pointer[wire.Seat]
 	reportedAt        time.Duration // by the monotonic clock
@@ -25,8 +25,7 @@
 // lastReport returns the instance's newest report.
 func (i *instance) lastReport() *wire.Seat { return i.report.Load() }
 
-// Instances holds the instances beside this node, as they reported themselves. It is safe for concurrent
-// use.
+// Instances holds the local instances, as they reported themselves. It is safe for concurrent use.
 type Instances struct {
 	scope        base.Scope
 	maxReportAge time.Duration
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -1,7 +1,7 @@
-// Package listednode is the data plane of fleets whose machines a signed bundle lists. A node runs beside
-// the application's instances of its machine. It accepts requests from clients and further calls from those
-// instances, chooses an instance of the called service, and sends the request to it through the node beside
-// that instance. docs/flow.md discusses the alternatives.
+// Package listednode is the data plane of fleets whose machines a signed bundle lists. Each node serves the
+// application's instances on its machine, the local instances. It accepts requests from clients and further
+// calls from local instances, chooses an instance of the called service, and sends the request to it
+// through that instance's node. docs/flow.md discusses the alternatives.
 package listednode
 
 import (
@@ -67,9 +67,9 @@
 	n.scope.Record("params", "", "turned")
 }
 
-// Node is the data plane on one machine. Lock order: pickMu is acquired before any other lock; no two of
+// Node is the data plane on one machine. Lock order: pickMu is acquired before any other lock. No two of
 // the locks of the call tracker, the instances, the admission queues, the fences and the retry budget are
-// held together.
+// held together, except that Instances.Report changes the limit of an admission queue.
 type Node struct {
 	scope                base.Scope
 	self                 string
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -110,8 +110,8 @@
 	return n.deliver(s, request, instance, call, target, headers, send)
 }
 
-// deliver sends the request to the instance and its response to the requesting node. Directly before it, it
-// checks that the instance is the one that reported, that the bundle is still current, and that the attempt
+// deliver sends the request to the instance and its response to the requesting node. Directly before that,
+// it checks that the instance is still the one that reported, the bundle is still current, and the attempt
 // is not fenced.
 func (n *Node) deliver(s base.Scope, carryRequest *wire.CarryRequest, upstream *instance, call *callInProgress, target *url.URL, headers http.Header, send sendFunc) *base.Fault {
 	conn, err := n.upstreamTransport.NewClientConn(s, "http", upstream.lastReport().Address)
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -37,8 +37,8 @@
 	avoidUntil time.Duration
 }
 
-// candidates iterates over the instances of a service: first those beside this node, then those beside
-// others in the order of the nodes' names.
+// candidates iterates over the instances of a service: first the local ones, then those of other nodes in
+// the order of the nodes' names. It leaves out nodes that are stopping.
 func (n *Node) candidates(service string) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		own := n.member.Status()
@@ -60,8 +60,8 @@
 	}
 }
 
-// yieldInstances yields the instances of a service beside one node, as copies of template, and reports
-// whether to continue.
+// yieldInstances yields the instances of a service on one node, except leaving ones, as copies of template,
+// and reports whether to continue.
 func yieldInstances(status *wire.Roster, service string, template candidate, yield func(candidate) bool) bool {
 	for _, report := range status.Seats {
 		template.instance = report
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -19,7 +19,7 @@
 // ClientHandler returns the handler of clients' requests.
 func (n *Node) ClientHandler() http.Handler { return n.handler(false) }
 
-// InstanceHandler returns the handler for the instances beside this node: their reports and further calls.
+// InstanceHandler returns the handler for local instances: their reports and further calls.
 func (n *Node) InstanceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+ReportPath, n.handleReport)
