--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	shown, fault := bundle.Open(draft.Sealed)
+	shown, fault := bundle.Decode(draft.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -152,7 +152,7 @@
 func (h *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
 		"confirms": len(h.confirms.Snapshot()), "indexes": len(h.index.Snapshot()), "journal": h.scope.Journal.Len(),
-		"mates": h.member.View().Len(), "spans": h.traces.Len(), "owed": h.traces.Owed(),
+		"mates": h.member.View().Len(), "spans": h.traces.Len(), "owed": h.traces.PendingCopies(),
 	}
 }
 
@@ -226,7 +226,7 @@
 	if indexed, ok := h.index.Get(key); ok {
 		return indexed
 	}
-	raw, fault := bundle.Open(sealed)
+	raw, fault := bundle.Decode(sealed)
 	if fault != nil {
 		h.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
@@ -263,15 +263,15 @@
 		return nil, base.NewFault(base.Malformed, "bundle", "give a bundle or a change")
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
-	bundle.Normalise(next, h.limits)
+	bundle.SetDefaults(next, h.limits)
 	if fault := bundle.Check(next, h.limits); fault != nil {
 		return nil, fault
 	}
-	sealed, err := bundle.Pack(next)
+	sealed, err := bundle.Encode(next)
 	if err != nil {
 		return nil, err
 	}
-	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
+	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Diff(current, next)}, nil
 }
 
 func rejected(submission string, fault *base.Fault) *wire.Outcome {
@@ -289,10 +289,10 @@
 	if fault != nil {
 		return nil, fault
 	}
-	if !bundle.Whole(request.Sealed, manifest) {
+	if !bundle.IsComplete(request.Sealed, manifest) {
 		return nil, base.NewFault(base.Malformed, "sealed.parts", "parts are missing")
 	}
-	raw, fault := bundle.Open(request.Sealed)
+	raw, fault := bundle.Decode(request.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
@@ -317,7 +317,7 @@
 		if err != nil || head.Sealed == nil {
 			continue
 		}
-		raw, fault := bundle.Open(head.Sealed)
+		raw, fault := bundle.Decode(head.Sealed)
 		if fault == nil && raw.Serial == serial && serial < current.Serial {
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
--- a/internal/listedcore/learn.go
+++ b/internal/listedcore/learn.go
@@ -101,7 +101,7 @@
 			return nil, nil
 		}
 		prior.Holder = h.self
-		return proto.Marshal(tracing.Learn(prior, spans, settings, s.Rand, current.Names))
+		return proto.Marshal(tracing.Learn(prior, spans, settings, s.Rand, current.HasRoute))
 	})
 	if err != nil {
 		h.scope.Record("learner-stuck", "", err.Error())
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -89,7 +89,7 @@
 	if current == nil {
 		return func(string) bool { return true }, false
 	}
-	concerns = current.Concerns(ask.Node, ask.Seats)
+	concerns = current.NeededServices(ask.Node, ask.Seats)
 	slice := bundle.Slice(current.Sealed, concerns)
 	fresh = current.Serial > ask.Serial || (current.Serial == ask.Serial && lacking(slice, ask.Parts))
 	if fresh && current.Serial != ask.Staged {
@@ -108,7 +108,7 @@
 	if next == nil {
 		return false
 	}
-	reply.Staged = bundle.Slice(next.Sealed, next.Concerns(ask.Node, ask.Seats))
+	reply.Staged = bundle.Slice(next.Sealed, next.NeededServices(ask.Node, ask.Seats))
 	return true
 }
 
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -67,17 +67,17 @@
 		return h.State(), nil
 	}, whole)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, h.scope.Journal.Counts())
+		httpserver.ReplyJSON(w, http.StatusOK, h.scope.Journal.Counts())
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
 		if !h.Ready() {
 			status = http.StatusServiceUnavailable
 		}
-		httpserver.Reply(w, status, map[string]any{"ready": h.Ready(), "name": h.self})
+		httpserver.ReplyJSON(w, status, map[string]any{"ready": h.Ready(), "name": h.self})
 	})
 	return mux
 }
@@ -85,7 +85,7 @@
 // State returns this machine's view of the stored keys.
 func (h *ControlPlane) State() *wire.StateReply {
 	seen := h.Settled()
-	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.store.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.Owed())}
+	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.store.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.PendingCopies())}
 	for _, key := range h.store.Store().Keys() {
 		owner, epoch, _ := h.store.Owner(key)
 		_, entry := h.store.Store().Peek(key)
@@ -161,5 +161,5 @@
 
 func refuse(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
-	httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
+	httpserver.ReplyJSON(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -113,10 +113,10 @@
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
 	k.ReplicatedStore = quorum.New(s, store, web, params.Mates, peers, time.Duration(float64(force)*roundRatio))
 	k.Traces = tracing.OpenStore(s, int(params.Traces))
-	k.Traces.Peers(web, relays)
+	k.Traces.SetPeers(web, relays)
 	member := membership.NewMember(s, web, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
 		params.Seeds, relays, time.Duration(float64(bounds.Leaving.AsDuration())*beatRatio))
-	limits := bundle.UsualLimits(bounds.Grace.AsDuration())
+	limits := bundle.DefaultLimits(bounds.Grace.AsDuration())
 	limits.Bytes = int(params.Bundle)
 	k.Helm = New(s, web, Parts{
 		Self: params.Name, Address: params.Mates, Peers: peers, ReplicatedStore: k.ReplicatedStore, Member: member, Traces: k.Traces,
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if len(forsaken) == 0 {
-		return have, current.Vanes()/2 + 1
+		return have, current.ApplicationMachines()/2 + 1
 	}
 	if left == 0 {
 		return 0, 0
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -22,7 +22,7 @@
 type callInProgress struct {
 	spanID         string
 	trail          *wire.Trail
-	match          bundle.Way
+	match          bundle.RouteMatch
 	instance       *instance
 	field          func(name string) string // a field of the request: "path:NAME", "query:NAME" or "header:NAME"
 	startedAt      time.Duration
@@ -97,7 +97,7 @@
 
 // expects reports whether the request may make the call, and the index of the first such further call of
 // its route.
-func (c *callInProgress) expects(match bundle.Way, childField func(string) string) (index int, expected bool) {
+func (c *callInProgress) expects(match bundle.RouteMatch, childField func(string) string) (index int, expected bool) {
 	for at, further := range c.match.Route.Further {
 		if further.Service == match.Service.Name && further.Route == match.Route.Name && keysMatch(further, c.field, childField) &&
 			(further.Most == 0 || c.callCounts[at] < int(further.Most)) {
@@ -132,7 +132,7 @@
 // FindParent finds the request that made a further call, given the call's route, the placeholder values of
 // its path and the name of the trace header. If several requests match, it marks them uncertain and picks
 // none.
-func (t *CallTracker) FindParent(r *http.Request, match bundle.Way, pathParams map[string]string, header string) Attribution {
+func (t *CallTracker) FindParent(r *http.Request, match bundle.RouteMatch, pathParams map[string]string, header string) Attribution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if parent := t.inFlight[spanIDOf(r.Header.Get(header))]; parent != nil {
--- a/internal/listednode/call_tracker_test.go
+++ b/internal/listednode/call_tracker_test.go
@@ -24,13 +24,13 @@
 })
 
 // routeWithFurtherCall returns a route that declares one further call with the given keys.
-func routeWithFurtherCall(keys ...*wire.KeyMatch) bundle.Way {
-	return bundle.Way{Service: &wire.Service{Name: "lending"}, Route: &wire.Route{Name: "borrow", Further: []*wire.Further{{Service: "catalogue", Route: "count", Keys: keys}}}}
+func routeWithFurtherCall(keys ...*wire.KeyMatch) bundle.RouteMatch {
+	return bundle.RouteMatch{Service: &wire.Service{Name: "lending"}, Route: &wire.Route{Name: "borrow", Further: []*wire.Further{{Service: "catalogue", Route: "count", Keys: keys}}}}
 }
 
 var _ = ginkgo.Describe("the call tracker", func() {
-	callee := bundle.Way{Service: &wire.Service{Name: "catalogue"}, Route: &wire.Route{Name: "count"}}
-	begin := func(t *CallTracker, span string, match bundle.Way, fieldValue string) *callInProgress {
+	callee := bundle.RouteMatch{Service: &wire.Service{Name: "catalogue"}, Route: &wire.Route{Name: "count"}}
+	begin := func(t *CallTracker, span string, match bundle.RouteMatch, fieldValue string) *callInProgress {
 		c := &callInProgress{spanID: span, match: match, instance: &instance{}, trail: &wire.Trail{Trace: "t" + span}, field: func(string) string { return fieldValue }}
 		t.Begin(c)
 		return c
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -136,12 +136,12 @@
 	trail, recordCall := n.traceContext(incoming, signed, match)
 	defer recordCall()
 	incoming.w.Header().Set(traceHeader, trail.Trace)
-	if !trail.Sampled || !n.sampler.Keep(match.Identifier()) || !n.spanBudget.Spend(match.Group) {
+	if !trail.Sampled || !n.sampler.Sample(match.Identifier()) || !n.spanBudget.Spend(match.Group) {
 		return n.runAttempts(s, incoming, signed, ledger, body, trail)
 	}
 	span := &wire.Span{
-		Trace: trail.Trace, Id: n.scope.Rand.Name(8), Parent: trail.Parent, Service: match.Service.Name, Route: match.Route.Name,
-		Node: n.self, Group: match.Group, Side: tracing.NearSide, Candidates: trail.Candidates,
+		Trace: trail.Trace, Id: n.scope.Rand.Hex(8), Parent: trail.Parent, Service: match.Service.Name, Route: match.Route.Name,
+		Node: n.self, Group: match.Group, Side: tracing.CallerSide, Candidates: trail.Candidates,
 	}
 	startedAt := s.Clock.Mono()
 	trail.Parent = span.Id
@@ -152,9 +152,9 @@
 // traceContext returns the trace of a request: that of its parent if it is a further call whose parent was
 // found, otherwise a new one, with the candidates if there are several. The caller calls recordCall when
 // the request has ended.
-func (n *Node) traceContext(incoming *clientRequest, signed *bundle.Bundle, match bundle.Way) (*wire.Trail, func()) {
+func (n *Node) traceContext(incoming *clientRequest, signed *bundle.Bundle, match bundle.RouteMatch) (*wire.Trail, func()) {
 	if incoming.fromInstance {
-		attribution := n.callTracker.FindParent(incoming.request, match, signed.Holes(match, incoming.request.URL.Path), signed.Tracing().GetHeader())
+		attribution := n.callTracker.FindParent(incoming.request, match, signed.PathParams(match, incoming.request.URL.Path), signed.Tracing().GetHeader())
 		if attribution.Certain {
 			n.scope.Record("tied", match.Identifier(), attribution.Parent.spanID)
 			startedAt := n.scope.Clock.Mono()
@@ -163,12 +163,12 @@
 		}
 		if len(attribution.Candidates) > 0 {
 			n.scope.Record("ambiguous", match.Identifier(), "")
-			return &wire.Trail{Trace: n.scope.Rand.Name(16), Candidates: attribution.Candidates, Sampled: true}, func() {}
+			return &wire.Trail{Trace: n.scope.Rand.Hex(16), Candidates: attribution.Candidates, Sampled: true}, func() {}
 		}
 		n.scope.Record("untied", match.Identifier(), "")
 	}
 	sampled := n.scope.Rand.Float64() < signed.Tracing().GetSample()
-	return &wire.Trail{Trace: n.scope.Rand.Name(16), Sampled: sampled}, func() {}
+	return &wire.Trail{Trace: n.scope.Rand.Hex(16), Sampled: sampled}, func() {}
 }
 
 // runAttempts makes attempts until there is a response to relay or the ledger gives up. A response that was
@@ -193,7 +193,7 @@
 			return nil, fault
 		}
 		signed = newer
-		attempt := &Attempt{ID: n.scope.Rand.Name(8), Node: picked.node, Instance: picked.instance.Address, StartedAt: s.Clock.Mono(), NoWait: !ledger.MayWait}
+		attempt := &Attempt{ID: n.scope.Rand.Hex(8), Node: picked.node, Instance: picked.instance.Address, StartedAt: s.Clock.Mono(), NoWait: !ledger.MayWait}
 		if ledger.Last() == nil {
 			n.retryBudget.Earn(ledger.Match.Service.Name)
 		}
@@ -229,7 +229,7 @@
 func (n *Node) awaitNewerBundle(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
 	base.Await(s, time.Duration(float64(n.confirmations.validity)*bundleWaitRatio/4), n.bundleAdopted.Next())
 	signed := n.bundle.Load()
-	match, known := signed.Way(ledger.Match.Service.Name, ledger.Match.Route.Name)
+	match, known := signed.Route(ledger.Match.Service.Name, ledger.Match.Route.Name)
 	if !known {
 		return nil, base.NewFault(base.NoRoute, "", "serial %d has no such route", signed.Serial)
 	}
@@ -286,7 +286,7 @@
 // runAttempt makes one attempt and sets its state and fault. It returns the response, or nil if the attempt
 // failed or the response was streamed. If a streamed response fails its check, it panics with
 // http.ErrAbortHandler, so that the client sees a truncated response.
-func (n *Node) runAttempt(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, match bundle.Way, deadline time.Duration, body []byte, trail *wire.Trail, ordinal int, mayWait bool) *clientResponse {
+func (n *Node) runAttempt(s base.Scope, incoming *clientRequest, signed *bundle.Bundle, picked candidate, attempt *Attempt, match bundle.RouteMatch, deadline time.Duration, body []byte, trail *wire.Trail, ordinal int, mayWait bool) *clientResponse {
 	reader := &responseReader{node: n, incoming: incoming, attempt: attempt}
 	defer func() { n.memory.release(reader.reserved) }()
 	request := &wire.CarryRequest{
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -122,7 +122,7 @@
 			confirmed++
 		}
 	}
-	return confirmed >= signed.Vanes()/2+1
+	return confirmed >= signed.ApplicationMachines()/2+1
 }
 
 // ApplyNews processes a controller's reply to a request sent at askedAt. verify decodes a bundle and
@@ -286,7 +286,7 @@
 			recent = append(recent, machine)
 		}
 	}
-	if needed := known.Vanes()/2 + spareConfirmers; current && len(recent) >= needed {
+	if needed := known.ApplicationMachines()/2 + spareConfirmers; current && len(recent) >= needed {
 		return recent[:needed]
 	}
 	return all
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -63,7 +63,7 @@
 // Ledger records the attempts of a request. The next step depends on nothing else. It is not safe for
 // concurrent use.
 type Ledger struct {
-	Match bundle.Way
+	Match bundle.RouteMatch
 	// Deadline is the request's deadline by the monotonic clock.
 	Deadline time.Duration
 	Attempts []*Attempt
--- a/internal/listednode/ledger_test.go
+++ b/internal/listednode/ledger_test.go
@@ -14,7 +14,7 @@
 var _ = ginkgo.Describe("the ledger", func() {
 	ginkgo.DescribeTable("given attempts, when the next step is requested, then it follows from their states",
 		func(repeatable bool, expected Decision, states ...State) {
-			ledger := &Ledger{Match: bundle.Way{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Deadline: time.Second}
+			ledger := &Ledger{Match: bundle.RouteMatch{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Deadline: time.Second}
 			for _, state := range states {
 				ledger.Add(&Attempt{State: state, Fault: &base.Fault{Kind: base.Lost}})
 			}
@@ -29,7 +29,7 @@
 		ginkgo.Entry("the limit of attempts", true, GiveUp, NotRun, NotRun, NotRun, NotRun),
 	)
 	ginkgo.It("given that the deadline has passed, when the next step is requested, then it gives up, and an indeterminate attempt is not reported as not run", func() {
-		ledger := &Ledger{Match: bundle.Way{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Deadline: time.Second}
+		ledger := &Ledger{Match: bundle.RouteMatch{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Deadline: time.Second}
 		ledger.Add(&Attempt{State: Indeterminate, Fault: &base.Fault{Kind: base.Lost}})
 		ledger.Add(&Attempt{State: NotRun, Fault: &base.Fault{Kind: base.NoInstance}})
 		Expect(ledger.Next(time.Second)).To(Equal(GiveUp))
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -87,8 +87,8 @@
 	retryBudget          *RetryBudget
 	memory               bodyMemory
 	spanBudget           *SpanBudget
-	sampler              *tracing.Keeper
-	exporter             *tracing.Sink
+	sampler              *tracing.Sampler
+	exporter             *tracing.Exporter
 	bundle               atomic.Pointer[bundle.Bundle]
 	stopping             atomic.Bool
 	stopDeadline         atomic.Int64 // by the monotonic clock, valid while stopping is set
@@ -118,7 +118,7 @@
 		upstreamTransport: newUpstreamTransport(s.Net),
 		fences:            NewFences(s.Clock, 2*bounds.Grace.AsDuration()), callTracker: NewCallTracker(s.Clock),
 		admission: NewAdmissionQueue(s.Clock, int(params.Flights), int(params.Queue)), retryBudget: NewRetryBudget(), spanBudget: NewSpanBudget(s.Clock),
-		sampler: tracing.NewKeeper(s.Rand), exporter: tracing.NewSink(s, httpClient, tracing.Always(params.Seeds), int(params.Queue)), stats: map[string]*candidateStats{},
+		sampler: tracing.NewSampler(s.Rand), exporter: tracing.NewExporter(s, httpClient, tracing.StaticTargets(params.Seeds), int(params.Queue)), stats: map[string]*candidateStats{},
 	}
 	n.confirmations = NewConfirmations(s.Clock, params.Name, len(params.Seeds), time.Duration(float64(bounds.SlideBack.AsDuration())*validityRatio), bounds.InForce.AsDuration(), bounds.Alone.AsDuration())
 	n.tunables.Store(&Tunables{MaxBufferedBytes: int(params.Held), MaxBodyBytes: int(params.Longest), Trust: trust})
@@ -206,7 +206,7 @@
 func (n *Node) Bundle() *bundle.Bundle { return n.bundle.Load() }
 
 // Sampler returns the sampler of spans.
-func (n *Node) Sampler() *tracing.Keeper { return n.sampler }
+func (n *Node) Sampler() *tracing.Sampler { return n.sampler }
 
 // Incarnation returns the random name of this process, new at each start.
 func (n *Node) Incarnation() string { return n.member.Incarnation() }
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -77,7 +77,7 @@
 	if signed.Serial != request.Serial {
 		return base.NewFault(base.Stale, "", "serial %d is in force here", signed.Serial)
 	}
-	match, known := signed.Way(request.Service, request.Route)
+	match, known := signed.Route(request.Service, request.Route)
 	if !known {
 		return base.NewFault(base.NoRoute, "", "the bundle has no route %s/%s", request.Service, request.Route)
 	}
@@ -94,10 +94,10 @@
 	if err != nil {
 		return base.NewFault(base.Malformed, "", "%s", err)
 	}
-	call := &callInProgress{spanID: n.scope.Rand.Name(8), trail: request.Trail, match: match, instance: instance}
+	call := &callInProgress{spanID: n.scope.Rand.Hex(8), trail: request.Trail, match: match, instance: instance}
 	headers := http.Header{}
 	setHeaders(request.Headers, headers)
-	pathParams := signed.Holes(match, target.Path)
+	pathParams := signed.PathParams(match, target.Path)
 	call.field = func(name string) string { return fieldValue(name, pathParams, target.Query(), headers) }
 	releaseTurn, fault := n.callTracker.Serialize(s, call, deadline, request.Patient)
 	if fault != nil {
@@ -144,13 +144,13 @@
 	if s.Err() != nil || !n.fences.Deliver(carryRequest.Attempt) {
 		return base.NewFault(base.Fenced, "", "the attempt was fenced or its deadline has passed")
 	}
-	sampled := call.trail.GetSampled() && n.sampler.Keep(call.match.Identifier()) && n.spanBudget.Spend(call.match.Group)
+	sampled := call.trail.GetSampled() && n.sampler.Sample(call.match.Identifier()) && n.spanBudget.Spend(call.match.Group)
 	n.callTracker.Begin(call)
 	n.scope.Record("handed", carryRequest.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", carryRequest.Attempt, upstream.lastReport().Address, carryRequest.Serial))
 	status, fault := n.exchange(s, conn, request, carryRequest, send)
 	selfTime, uncertain := n.callTracker.End(call)
 	if sampled {
-		n.exporter.Push(n.upstreamSpan(call, status, selfTime, uncertain))
+		n.exporter.Enqueue(n.upstreamSpan(call, status, selfTime, uncertain))
 	}
 	return fault
 }
--- a/internal/listednode/persistence.go
+++ b/internal/listednode/persistence.go
@@ -31,7 +31,7 @@
 	if probabilities.GetSerial() <= n.sampler.Serial() {
 		return
 	}
-	if fault := n.sampler.Load(probabilities); fault != nil {
+	if fault := n.sampler.Update(probabilities); fault != nil {
 		n.scope.Record("odds-bounced", "", fault.Error())
 		return
 	}
@@ -64,7 +64,7 @@
 		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
 	}
-	raw, fault := bundle.Open(sealed)
+	raw, fault := bundle.Decode(sealed)
 	if fault != nil {
 		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -75,7 +75,7 @@
 // pick returns the candidate with the lowest score that the ledger has not tried, and counts an attempt in
 // flight there, which recordOutcome ends. A random factor of up to 1% spreads the choice among equal
 // scores.
-func (n *Node) pick(signed *bundle.Bundle, match bundle.Way, ledger *Ledger) (candidate, bool) {
+func (n *Node) pick(signed *bundle.Bundle, match bundle.RouteMatch, ledger *Ledger) (candidate, bool) {
 	var best candidate
 	lowest, found := 0.0, false
 	n.pickMu.Lock()
--- a/internal/listednode/response.go
+++ b/internal/listednode/response.go
@@ -116,5 +116,5 @@
 	if httpAnswer.Retriable {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.After.Seconds())))))
 	}
-	httpserver.Reply(w, httpAnswer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
+	httpserver.ReplyJSON(w, httpAnswer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -35,7 +35,7 @@
 			r.services[service.Name] = budget
 		}
 		budget.ratio = service.Repeats
-		budget.maxTokens = float64(service.Allowance) / float64(max(signed.Vanes(), 1))
+		budget.maxTokens = float64(service.Allowance) / float64(max(signed.ApplicationMachines(), 1))
 		budget.tokens = min(budget.tokens, budget.maxTokens)
 	}
 }
--- a/internal/listednode/span.go
+++ b/internal/listednode/span.go
@@ -28,14 +28,14 @@
 			child.Tags["kind"] = string(attempt.Fault.Kind)
 		}
 		n.setTimes(child, attempt.StartedAt, endedAt, 0)
-		n.exporter.Push(child)
+		n.exporter.Enqueue(child)
 	}
 	span.Tags = map[string]string{"attempts": strconv.Itoa(len(ledger.Attempts))}
 	if last := ledger.Last(); last != nil {
 		span.Tags["state"] = last.State.String()
 	}
 	n.setTimes(span, startedAt, now, coveredTime(attempts, startedAt, now))
-	n.exporter.Push(span)
+	n.exporter.Enqueue(span)
 }
 
 // setTimes sets the times of a span. Its self time is its duration without excluded.
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -64,12 +64,12 @@
 func (t *CallTracker) Prune(signed *bundle.Bundle) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.holdTimes, func(identifier string, _ time.Duration) bool { return !signed.Names(identifier) })
+	maps.DeleteFunc(t.holdTimes, func(identifier string, _ time.Duration) bool { return !signed.HasRoute(identifier) })
 }
 
 // Sizes returns the number of entries in each table, by which tests detect leaks.
 func (n *Node) Sizes() map[string]int {
-	sizes := map[string]int{"mates": len(n.peerClients.Snapshot()), "atlas": len(n.sightings.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.exporter.Waiting()), "room": int(n.memory.used.Load())}
+	sizes := map[string]int{"mates": len(n.peerClients.Snapshot()), "atlas": len(n.sightings.Snapshot()), "journal": n.scope.Journal.Len(), "spans": len(n.exporter.Queue()), "room": int(n.memory.used.Load())}
 	n.pickMu.Lock()
 	sizes["records"] = len(n.stats)
 	n.pickMu.Unlock()
--- a/internal/quorum/band_test.go
+++ b/internal/quorum/band_test.go
@@ -22,12 +22,12 @@
 type fiveReplicas struct {
 	seed    uint64
 	born    time.Time
-	world   *simnet.World
+	world   *simnet.Network
 	members []*member
 }
 
 func newFiveReplicas(seed uint64, count int) *fiveReplicas {
-	b := &fiveReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	b := &fiveReplicas{seed: seed, born: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
 		b.members = append(b.members, &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))})
 	}
@@ -242,7 +242,7 @@
 		Expect(b.until(func() bool { return len(b.holders("new")) == 2 })).To(BeTrue())
 		b.kill(0)
 		b.kill(1)
-		Expect(b.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		Expect(b.members[1].disk.FlipBits("/v-")).NotTo(BeEmpty())
 		b.raise(1)
 		b.raise(2)
 		time.Sleep(time.Second)
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -197,7 +197,7 @@
 }
 
 func (t *Store) setPhase(phase wire.Phase) error {
-	brand := &wire.Brand{Phase: phase, Incarnation: t.scope.Rand.Name(8)}
+	brand := &wire.Brand{Phase: phase, Incarnation: t.scope.Rand.Hex(8)}
 	if err := t.addToManifest("", nil); err != nil {
 		return err
 	}
