--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -10,18 +10,20 @@
 	"curlewreach/base"
 )
 
-func flood(s base.Scope, g *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
+// loadGroup starts callers that each make a number of requests of 10 ms for a group, and returns the count
+// of those served.
+func loadGroup(s base.Scope, q *AdmissionQueue, group string, weight float64, callers int, rounds int) *atomic.Int64 {
 	served := &atomic.Int64{}
 	for range callers {
 		go func() {
 			for range rounds {
-				leave, fault := g.Enter(s, group, weight, s.Clock.Mono()+time.Second)
+				release, fault := q.Acquire(s, group, weight, s.Clock.Mono()+time.Second)
 				if fault != nil {
 					time.Sleep(time.Millisecond)
 					continue
 				}
 				time.Sleep(10 * time.Millisecond)
-				leave()
+				release()
 				served.Add(1)
 			}
 		}()
@@ -29,11 +31,11 @@
 	return served
 }
 
-var _ = ginkgo.Describe("the gate", func() {
-	ginkgo.It("given two groups that flood it, when weights are 3 to 1, then they are served 3 to 1", func() {
-		bubble(func(s base.Scope) {
+var _ = ginkgo.Describe("the admission queue", func() {
+	ginkgo.It("given two groups that overload it, when their weights are 3 to 1, then they are served 3 to 1", func() {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 100)
-			heavy, light := flood(s, g, "heavy", 3, 20, 300), flood(s, g, "light", 1, 20, 300)
+			heavy, light := loadGroup(s, g, "heavy", 3, 20, 300), loadGroup(s, g, "light", 1, 20, 300)
 			time.Sleep(5 * time.Second)
 			Expect(float64(heavy.Load()) / float64(light.Load())).To(BeNumerically("~", 3, 0.3))
 			time.Sleep(time.Hour)
@@ -41,36 +43,36 @@
 		})
 	})
 
-	ginkgo.It("given one group that floods with forty callers, when another asks a little, then it is served at once", func() {
-		bubble(func(s base.Scope) {
+	ginkgo.It("given a group that overloads it with forty callers, when another group has one caller, then that one is served at once", func() {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
-			flood(s, g, "flood", 1, 40, 300)
-			calm := flood(s, g, "calm", 1, 1, 100)
+			loadGroup(s, g, "flood", 1, 40, 300)
+			steady := loadGroup(s, g, "calm", 1, 1, 100)
 			time.Sleep(4 * time.Second)
-			Expect(calm.Load()).To(Equal(int64(100)))
+			Expect(steady.Load()).To(Equal(int64(100)))
 			time.Sleep(time.Hour)
 		})
 	})
 
-	ginkgo.It("given room to spare, when one group asks, then it may use all of it", func() {
-		bubble(func(s base.Scope) {
+	ginkgo.It("given a single group with a low weight, when it makes requests, then it may use the whole limit", func() {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 4, 60)
-			served := flood(s, g, "only", 0.1, 8, 100)
+			served := loadGroup(s, g, "only", 0.1, 8, 100)
 			time.Sleep(2010 * time.Millisecond)
 			Expect(served.Load()).To(BeNumerically("~", 800, 8))
 			time.Sleep(time.Hour)
 		})
 	})
 
-	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
-		bubble(func(s base.Scope) {
+	ginkgo.It("given a full queue, when more requests come, then they are rejected at once and none waits past its deadline", func() {
+		runInBubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 1, 5)
-			leave, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			release, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
 				go func() {
-					_, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+					_, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 					kinds <- fault.Kind
 				}()
 			}
@@ -78,11 +80,11 @@
 			Expect(kinds).To(HaveLen(15))
 			time.Sleep(time.Second)
 			Expect(kinds).To(HaveLen(20))
-			leave()
+			release()
 			Expect(g.InFlight()).To(BeZero())
-			again, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			releaseAgain, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
-			again()
+			releaseAgain()
 		})
 	})
 })
--- a/internal/listednode/body_memory.go
+++ b/internal/listednode/body_memory.go
@@ -2,18 +2,20 @@
 
 import "sync/atomic"
 
-// bodyMemory bounds the bytes of requests and answers held in memory.
+// bodyMemory limits the memory for the bodies of requests and responses.
 type bodyMemory struct {
-	most int64
-	used atomic.Int64
+	limit int64        // in bytes
+	used  atomic.Int64 // in bytes
 }
 
-func (r *bodyMemory) take(size int64) bool {
-	if r.used.Add(size) <= r.most {
+// reserve reserves size bytes and reports whether that was possible.
+func (r *bodyMemory) reserve(size int64) bool {
+	if r.used.Add(size) <= r.limit {
 		return true
 	}
 	r.used.Add(-size)
 	return false
 }
 
-func (r *bodyMemory) give(size int64) { r.used.Add(-size) }
+// release gives size bytes back.
+func (r *bodyMemory) release(size int64) { r.used.Add(-size) }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -15,303 +15,321 @@
 	"curlewreach/proto/wire"
 )
 
-type interval struct{ from, till time.Duration }
+// interval is a period between two readings of the monotonic clock.
+type interval struct{ from, to time.Duration }
 
-// callInProgress is a request at an upstream, which may make further calls.
+// callInProgress is a request that an upstream processes, which may make further calls.
 type callInProgress struct {
-	span      string
-	trail     *wire.Trail
-	way       bundle.RouteMatch
-	seat      *instance
-	fields    func(name string) string
-	began     time.Duration
-	further   []interval
-	uncertain bool
-	arrived   map[int]int
-	turns     map[int]func()
+	spanID         string
+	trail          *wire.Trail
+	match          bundle.RouteMatch
+	instance       *instance
+	field          func(name string) string // a field of the request: "path:NAME", "query:NAME" or "header:NAME"
+	startedAt      time.Duration
+	calls          []interval     // the times of its further calls
+	uncertain      bool           // set if a further call may belong to it or to another request
+	callCounts     map[int]int    // further calls seen, by index in the route's list
+	releaseByIndex map[int]func() // locks to release once these calls have been seen
 }
 
-func (f *callInProgress) self(ended time.Duration) time.Duration {
-	return ended - f.began - union(f.further, f.began, ended)
+// selfTime returns the time that the request took without its further calls.
+func (c *callInProgress) selfTime(endedAt time.Duration) time.Duration {
+	return endedAt - c.startedAt - coveredTime(c.calls, c.startedAt, endedAt)
 }
 
-func union(intervals []interval, from, till time.Duration) time.Duration {
+// coveredTime returns how much of the time between from and to the intervals cover.
+func coveredTime(intervals []interval, from, to time.Duration) time.Duration {
 	ordered := slices.SortedFunc(slices.Values(intervals), func(a, b interval) int { return cmp.Compare(a.from, b.from) })
-	total, reached := time.Duration(0), from
+	total, coveredUntil := time.Duration(0), from
 	for _, each := range ordered {
-		start, end := max(each.from, reached), min(each.till, till)
+		start, end := max(each.from, coveredUntil), min(each.to, to)
 		if end > start {
 			total += end - start
-			reached = end
+			coveredUntil = end
 		}
 	}
 	return total
 }
 
-// keyQueue lets one of the requests that are kept apart through at a time.
+// keyQueue admits one at a time of the requests with a key, whose further calls could not be told apart.
 type keyQueue struct {
-	latch base.ContextMutex
-	users int
+	mutex base.ContextMutex
+	users int // the holder of the mutex and those that wait for it
 }
 
-// turnMemory is the weight of the newest request in the moving average of how
-// long a turn takes.
-const turnMemory = 0.2
+// holdTimeSmoothing is the weight of the newest request in the average time for which requests of a route
+// hold a keyQueue.
+const holdTimeSmoothing = 0.2
 
-// CallTracker finds, for a further call of an instance, the request it is made for: by
-// the trace header if the instance passes it on, else by the route's declared
-// further calls and their key fields. Where these wouldn't tell, it keeps
-// requests apart. It is safe for concurrent use. docs/design.md tells why.
+// CallTracker finds the request that a further call of an instance belongs to: by the trace header if the
+// instance passes it on, otherwise by the further calls that routes declare and their key fields. Requests
+// whose calls could not be told apart that way run one at a time. It is safe for concurrent use.
+// docs/design.md has the reasons.
 type CallTracker struct {
-	clock   base.Clock
-	mu      sync.Mutex
-	flights map[string]*callInProgress
-	apart   map[string]*keyQueue
-	turns   map[string]time.Duration
+	clock     base.Clock
+	mu        sync.Mutex
+	inFlight  map[string]*callInProgress // by span ID
+	queues    map[string]*keyQueue       // by serialization key
+	holdTimes map[string]time.Duration   // averages, by route
 }
 
-// NewCallTracker returns ties without requests.
+// NewCallTracker returns a tracker without requests.
 func NewCallTracker(clock base.Clock) *CallTracker {
-	return &CallTracker{clock: clock, flights: map[string]*callInProgress{}, apart: map[string]*keyQueue{}, turns: map[string]time.Duration{}}
+	return &CallTracker{clock: clock, inFlight: map[string]*callInProgress{}, queues: map[string]*keyQueue{}, holdTimes: map[string]time.Duration{}}
 }
 
-// Begin notes that a request is handed to the upstream.
-func (t *CallTracker) Begin(f *callInProgress) {
+// Begin records that a request is about to be sent to the upstream.
+func (t *CallTracker) Begin(c *callInProgress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f.began = t.clock.Mono()
-	t.flights[f.span] = f
+	c.startedAt = t.clock.Mono()
+	t.inFlight[c.spanID] = c
 }
 
-// End notes that it has ended, and returns its self time and whether that is
-// uncertain.
-func (t *CallTracker) End(f *callInProgress) (self time.Duration, uncertain bool) {
+// End records that a request has ended. It returns its self time, and whether that is uncertain because a
+// call could not be attributed.
+func (t *CallTracker) End(c *callInProgress) (selfTime time.Duration, uncertain bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.flights, f.span)
-	return f.self(t.clock.Mono()), f.uncertain
+	delete(t.inFlight, c.spanID)
+	return c.selfTime(t.clock.Mono()), c.uncertain
 }
 
-func (f *callInProgress) awaits(way bundle.RouteMatch, child func(string) string) (at int, awaits bool) {
-	for at, further := range f.way.Route.Further {
-		if further.Service == way.Service.Name && further.Route == way.Route.Name && fits(further, f.fields, child) &&
-			(further.Most == 0 || f.arrived[at] < int(further.Most)) {
+// expects reports whether the request may make the call, and the index of the first such further call of
+// its route.
+func (c *callInProgress) expects(match bundle.RouteMatch, childField func(string) string) (index int, expected bool) {
+	for at, further := range c.match.Route.Further {
+		if further.Service == match.Service.Name && further.Route == match.Route.Name && keysMatch(further, c.field, childField) &&
+			(further.Most == 0 || c.callCounts[at] < int(further.Most)) {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-func (f *callInProgress) arrive(at int) {
-	if f.arrived == nil {
-		f.arrived = map[int]int{}
+// recordArrival counts a further call. After the last one of its kind, the next request with the same key
+// may run.
+func (c *callInProgress) recordArrival(index int) {
+	if c.callCounts == nil {
+		c.callCounts = map[int]int{}
 	}
-	f.arrived[at]++
-	further := f.way.Route.Further[at]
-	if drop := f.turns[at]; drop != nil && further.Most > 0 && f.arrived[at] >= int(further.Most) {
-		delete(f.turns, at)
-		go drop()
+	c.callCounts[index]++
+	further := c.match.Route.Further[index]
+	if release := c.releaseByIndex[index]; release != nil && further.Most > 0 && c.callCounts[index] >= int(further.Most) {
+		delete(c.releaseByIndex, index)
+		go release()
 	}
 }
 
-// Parent is what was found out about a further call: its parent if it is Tied, or
-// the spans of the candidates if there are several.
-type Parent struct {
+// Attribution is the result of FindParent. Certain is set if Parent is the request that made the call;
+// otherwise Candidates has the spans of those that may have made it.
+type Attribution struct {
 	Parent     *callInProgress
 	Candidates []string
-	Tied       bool
+	Certain    bool
 }
 
-// Find ties a further call, given its route, its path's placeholders and the
-// name of the trace header.
-func (t *CallTracker) Find(r *http.Request, way bundle.RouteMatch, holes map[string]string, header string) Parent {
+// FindParent finds the request that made a further call, given the call's route, the placeholder values of
+// its path and the name of the trace header. If several requests match, it marks them uncertain and picks
+// none.
+func (t *CallTracker) FindParent(r *http.Request, match bundle.RouteMatch, pathParams map[string]string, header string) Attribution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if parent := t.flights[spanIn(r.Header.Get(header))]; parent != nil {
-		parent.seat.passes = true
-		return Parent{Parent: parent, Tied: true}
+	if parent := t.inFlight[spanIDOf(r.Header.Get(header))]; parent != nil {
+		parent.instance.passesTraceHeader = true
+		return Attribution{Parent: parent, Certain: true}
 	}
-	child := fieldsOf(r, holes)
+	childField := requestFields(r, pathParams)
 	var candidates []*callInProgress
-	called := 0
-	for _, each := range t.flights {
-		if at, fit := each.awaits(way, child); fit {
-			candidates, called = append(candidates, each), at
+	furtherIndex := 0
+	for _, each := range t.inFlight {
+		if index, fits := each.expects(match, childField); fits {
+			candidates, furtherIndex = append(candidates, each), index
 		}
 	}
 	switch len(candidates) {
 	case 0:
-		return Parent{}
+		return Attribution{}
 	case 1:
-		candidates[0].arrive(called)
-		return Parent{Parent: candidates[0], Tied: true}
+		candidates[0].recordArrival(furtherIndex)
+		return Attribution{Parent: candidates[0], Certain: true}
 	}
 	names := make([]string, len(candidates))
 	for i, each := range candidates {
-		names[i] = each.span
+		names[i] = each.spanID
 		each.uncertain = true
-		each.seat.passes = false
+		each.instance.passesTraceHeader = false
 	}
 	slices.Sort(names)
-	return Parent{Candidates: names}
+	return Attribution{Candidates: names}
 }
 
-// Spent notes that a further call for parent took from the time given until
-// now.
-func (t *CallTracker) Spent(parent *callInProgress, from time.Duration) {
+// RecordCall records that a further call of parent took from the time given until now.
+func (t *CallTracker) RecordCall(parent *callInProgress, from time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	parent.further = append(parent.further, interval{from, t.clock.Mono()})
+	parent.calls = append(parent.calls, interval{from, t.clock.Mono()})
 }
 
-func fits(further *wire.Further, parent, child func(string) string) bool {
-	for _, match := range further.Keys {
-		if value := parent(match.Parent); value == "" || value != child(match.Child) {
+// keysMatch reports whether all key fields of the parent are set and equal those of the child.
+func keysMatch(further *wire.Further, parent, child func(string) string) bool {
+	for _, keyMatch := range further.Keys {
+		if value := parent(keyMatch.Parent); value == "" || value != child(keyMatch.Child) {
 			return false
 		}
 	}
 	return true
 }
 
-func fieldsOf(r *http.Request, holes map[string]string) func(string) string {
+// requestFields returns a function that returns fields of a request, as fieldValue does.
+func requestFields(r *http.Request, pathParams map[string]string) func(string) string {
 	query, headers := r.URL.Query(), r.Header
-	return func(name string) string { return lookup(name, holes, query, headers) }
+	return func(name string) string { return fieldValue(name, pathParams, query, headers) }
 }
 
-func lookup(name string, holes map[string]string, query url.Values, headers http.Header) string {
-	where, what, _ := strings.Cut(name, ":")
-	switch where {
+// fieldValue returns the field "path:NAME", "query:NAME" or "header:NAME" of a request, "" if it isn't set.
+func fieldValue(field string, pathParams map[string]string, query url.Values, headers http.Header) string {
+	source, key, _ := strings.Cut(field, ":")
+	switch source {
 	case "path":
-		return holes[what]
+		return pathParams[key]
 	case "query":
-		return query.Get(what)
+		return query.Get(key)
 	case "header":
-		return headers.Get(what)
+		return headers.Get(key)
 	}
 	return ""
 }
 
-func spanIn(traceparent string) string {
-	pieces := strings.Split(traceparent, "-")
-	if len(pieces) != 4 {
+// spanIDOf returns the span ID in a traceparent header, "" if it is malformed.
+func spanIDOf(traceparent string) string {
+	parts := strings.Split(traceparent, "-")
+	if len(parts) != 4 {
 		return ""
 	}
-	return pieces[2]
+	return parts[2]
 }
 
-func traceparent(trail *wire.Trail, span string) string {
+// traceparent returns the value of a traceparent header.
+func traceparent(trail *wire.Trail, spanID string) string {
 	flags := "00"
 	if trail.Sampled {
 		flags = "01"
 	}
-	return "00-" + trail.Trace + "-" + span + "-" + flags
+	return "00-" + trail.Trace + "-" + spanID + "-" + flags
 }
 
-// Apart waits until no other request is at work whose further calls couldn't be
-// told from those of f. The caller calls leave when f has ended. An impatient
-// caller is turned back at once, with kind Apart.
-func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), fault *base.Fault) {
-	keys := t.keysOf(f)
-	turns := map[int]func(){}
-	var kept []func()
-	leave = func() {
+// Serialize waits until no request is running whose further calls could not be told from those of c. The
+// caller calls release when the request has ended. The error is of kind KeptApart if the wait would exceed
+// the deadline, or if the caller may not wait and there is such a request; it is of kind Expired if the
+// deadline has passed.
+func (t *CallTracker) Serialize(s base.Scope, c *callInProgress, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
+	keys := t.serializationKeys(c)
+	releaseByIndex := map[int]func(){}
+	var releaseAtEnd []func()
+	release = func() {
 		t.mu.Lock()
-		left := append(kept, slices.Collect(maps.Values(f.turns))...)
-		f.turns, kept = nil, nil
+		held := append(releaseAtEnd, slices.Collect(maps.Values(c.releaseByIndex))...)
+		c.releaseByIndex, releaseAtEnd = nil, nil
 		t.mu.Unlock()
-		for _, drop := range left {
-			drop()
+		for _, unlock := range held {
+			unlock()
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		drop, fault := t.take(s, key, f.way.Identifier(), until, patient)
+		unlock, fault := t.acquire(s, key, c.match.Identifier(), deadline, mayWait)
 		if fault != nil {
-			f.turns = turns
-			leave()
+			c.releaseByIndex = releaseByIndex
+			release()
 			return nil, fault
 		}
-		if at := keys[key]; at >= 0 {
-			turns[at] = drop
+		if index := keys[key]; index >= 0 {
+			releaseByIndex[index] = unlock
 		} else {
-			kept = append(kept, drop)
+			releaseAtEnd = append(releaseAtEnd, unlock)
 		}
 	}
-	f.turns = turns
-	return leave, nil
+	c.releaseByIndex = releaseByIndex
+	return release, nil
 }
 
-// keysOf returns what must differ between f and other requests, for their
-// further calls to be told apart: for each key the further call it stands for,
-// by its index, or -1 if for several.
-func (t *CallTracker) keysOf(f *callInProgress) map[string]int {
+// serializationKeys returns the keys that c must not share with a running request, each with the index of
+// the further call that it identifies, -1 if it identifies several. There are none if the route allows
+// concurrency or the instance passes the trace header on.
+func (t *CallTracker) serializationKeys(c *callInProgress) map[string]int {
 	keys := map[string]int{}
-	if f.way.Route.Together || t.passes(f.seat) {
+	if c.match.Route.Together || t.passesTraceHeader(c.instance) {
 		return keys
 	}
-	for at, further := range f.way.Route.Further {
+	for index, further := range c.match.Route.Further {
 		key := further.Service + "/" + further.Route
-		for _, match := range further.Keys {
-			key += "\x00" + match.Child + "=" + f.fields(match.Parent)
+		for _, keyMatch := range further.Keys {
+			key += "\x00" + keyMatch.Child + "=" + c.field(keyMatch.Parent)
 		}
-		if _, twice := keys[key]; twice {
-			at = -1
+		if _, seen := keys[key]; seen {
+			index = -1
 		}
-		keys[key] = at
+		keys[key] = index
 	}
 	return keys
 }
 
-func (t *CallTracker) take(s base.Scope, key, identifier string, until time.Duration, patient bool) (drop func(), fault *base.Fault) {
-	at, ahead, usual := t.turn(key, identifier)
-	if ahead > 0 && !patient {
-		t.quit(key)
-		return nil, base.NewFault(base.KeptApart, "", "another such request has the turn here")
+// acquire locks the queue of one key, as Serialize does for all.
+func (t *CallTracker) acquire(s base.Scope, key, routeID string, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
+	queue, ahead, averageHold := t.join(key, routeID)
+	if ahead > 0 && !mayWait {
+		t.leave(key)
+		return nil, base.NewFault(base.KeptApart, "", "a request whose further calls could not be told apart is running")
 	}
-	if t.clock.Mono()+time.Duration(ahead)*usual > until {
-		t.quit(key)
-		return nil, base.NewFault(base.KeptApart, "", "its turn would come after the deadline")
+	if t.clock.Mono()+time.Duration(ahead)*averageHold > deadline {
+		t.leave(key)
+		return nil, base.NewFault(base.KeptApart, "", "the wait for requests whose further calls could not be told apart would exceed the deadline")
 	}
-	if !at.latch.Lock(s) {
-		t.quit(key)
-		return nil, base.NewFault(base.Expired, "", "the deadline passed while kept apart")
+	if !queue.mutex.Lock(s) {
+		t.leave(key)
+		return nil, base.NewFault(base.Expired, "", "the deadline passed while waiting for requests whose further calls could not be told apart")
 	}
-	began := t.clock.Mono()
+	acquiredAt := t.clock.Mono()
 	return func() {
-		at.latch.Unlock()
-		t.quit(key)
+		queue.mutex.Unlock()
+		t.leave(key)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		took := t.clock.Mono() - began
-		if t.turns[identifier] == 0 {
-			t.turns[identifier] = took
+		held := t.clock.Mono() - acquiredAt
+		if t.holdTimes[routeID] == 0 {
+			t.holdTimes[routeID] = held
 		}
-		t.turns[identifier] += time.Duration(turnMemory * float64(took-t.turns[identifier]))
+		t.holdTimes[routeID] += time.Duration(holdTimeSmoothing * float64(held-t.holdTimes[routeID]))
 	}, nil
 }
 
-func (t *CallTracker) passes(at *instance) bool {
+// passesTraceHeader reports whether the instance is known to pass the trace header on.
+func (t *CallTracker) passesTraceHeader(instance *instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return at.passes
+	return instance.passesTraceHeader
 }
 
-func (t *CallTracker) turn(key, identifier string) (at *keyQueue, ahead int, usual time.Duration) {
+// join adds a user to the queue of a key. It returns the number of users ahead, and the average time for
+// which requests of the route hold a queue.
+func (t *CallTracker) join(key, routeID string) (queue *keyQueue, ahead int, averageHold time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at = t.apart[key]
-	if at == nil {
-		at = &keyQueue{latch: base.NewContextMutex()}
-		t.apart[key] = at
+	queue = t.queues[key]
+	if queue == nil {
+		queue = &keyQueue{mutex: base.NewContextMutex()}
+		t.queues[key] = queue
 	}
-	at.users++
-	return at, at.users - 1, t.turns[identifier]
+	queue.users++
+	return queue, queue.users - 1, t.holdTimes[routeID]
 }
 
-func (t *CallTracker) quit(key string) {
+// leave removes a user from the queue of a key, and the queue after its last user.
+func (t *CallTracker) leave(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.apart[key]
-	if at.users--; at.users == 0 {
-		delete(t.apart, key)
+	queue := t.queues[key]
+	if queue.users--; queue.users == 0 {
+		delete(t.queues, key)
 	}
 }
--- a/internal/listednode/fences.go
+++ b/internal/listednode/fences.go
@@ -7,71 +7,73 @@
 	"curlewreach/base"
 )
 
+// fence is the state of an attempt.
 type fence struct {
-	until  time.Duration
-	handed bool
-	barred bool
+	expiresAt time.Duration
+	delivered bool // the request was delivered to the upstream or is about to be
+	blocked   bool // the request must not be delivered
 }
 
-// Fences keeps, for each attempt, whether its request may still be handed to
-// the upstream, so that no attempt runs twice and a caller can make sure that
-// it never will. It is safe for concurrent use.
+// Fences records for each attempt whether its request may still be delivered to the upstream. No attempt is
+// delivered twice, and a caller can make sure that an attempt is never delivered. It is safe for concurrent
+// use.
 type Fences struct {
-	clock  base.Clock
-	keep   time.Duration
-	mu     sync.Mutex
-	fences map[string]*fence
+	clock     base.Clock
+	retention time.Duration
+	mu        sync.Mutex
+	entries   map[string]*fence
 }
 
-// NewFences returns fences that remember attempts for the time given, which
-// must be longer than any request takes.
-func NewFences(clock base.Clock, keep time.Duration) *Fences {
-	return &Fences{clock: clock, keep: keep, fences: map[string]*fence{}}
+// NewFences returns fences that remember attempts for retention, which must be longer than any request
+// takes.
+func NewFences(clock base.Clock, retention time.Duration) *Fences {
+	return &Fences{clock: clock, retention: retention, entries: map[string]*fence{}}
 }
 
-// Start notes a new attempt, and reports false if it was known.
-func (f *Fences) Start(attempt string) bool {
+// Register records a new attempt and reports false if it is known already.
+func (f *Fences) Register(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fences[attempt] != nil {
+	if f.entries[attempt] != nil {
 		return false
 	}
-	f.fences[attempt] = &fence{until: f.clock.Mono() + f.keep}
+	f.entries[attempt] = &fence{expiresAt: f.clock.Mono() + f.retention}
 	return true
 }
 
-// Hand allows handing the request to the upstream, once and unless it was
-// barred.
-func (f *Fences) Hand(attempt string) bool {
+// Deliver allows the delivery of an attempt's request. It reports false if the attempt is unknown, fenced,
+// or has been delivered.
+func (f *Fences) Deliver(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.fences[attempt]
-	if at == nil || at.handed || at.barred {
+	entry := f.entries[attempt]
+	if entry == nil || entry.delivered || entry.blocked {
 		return false
 	}
-	at.handed = true
+	entry.delivered = true
 	return true
 }
 
-// Fence forbids it, and reports whether it can't have been handed before.
+// Fence prevents the delivery of an attempt, which need not be known yet. It reports whether the request
+// was not delivered before.
 func (f *Fences) Fence(attempt string) (never bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := f.fences[attempt]; at != nil && at.handed {
+	if entry := f.entries[attempt]; entry != nil && entry.delivered {
 		return false
 	}
-	f.fences[attempt] = &fence{until: f.clock.Mono() + f.keep, barred: true}
+	f.entries[attempt] = &fence{expiresAt: f.clock.Mono() + f.retention, blocked: true}
 	return true
 }
 
-// Sweep forgets old attempts.
+// Sweep forgets attempts after the retention.
 func (f *Fences) Sweep() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Mono()
-	for attempt, at := range f.fences {
-		if now > at.until {
-			delete(f.fences, attempt)
+	for attempt, entry := range f.entries {
+		if now > entry.expiresAt {
+			delete(f.entries, attempt)
 		}
 	}
 }
--- a/internal/listednode/fences_test.go
+++ b/internal/listednode/fences_test.go
@@ -10,17 +10,17 @@
 )
 
 var _ = ginkgo.Describe("fences", func() {
-	ginkgo.It("given an attempt barred before it came, when it comes, then it never starts, and one handed over can't be barred", func() {
+	ginkgo.It("given an attempt that is fenced before it arrives, when it arrives, then it is never delivered, and a delivered one can't be fenced", func() {
 		fences := NewFences(simnet.NewClock(time.Now()), time.Minute)
 		Expect(fences.Fence("late")).To(BeTrue())
 		Expect(fences.Fence("late")).To(BeTrue())
-		Expect(fences.Start("late")).To(BeFalse())
-		Expect(fences.Hand("late")).To(BeFalse())
-		Expect(fences.Start("run")).To(BeTrue())
-		Expect(fences.Hand("run")).To(BeTrue())
+		Expect(fences.Register("late")).To(BeFalse())
+		Expect(fences.Deliver("late")).To(BeFalse())
+		Expect(fences.Register("run")).To(BeTrue())
+		Expect(fences.Deliver("run")).To(BeTrue())
 		Expect(fences.Fence("run")).To(BeFalse())
-		Expect(fences.Start("queued")).To(BeTrue())
+		Expect(fences.Register("queued")).To(BeTrue())
 		Expect(fences.Fence("queued")).To(BeTrue())
-		Expect(fences.Hand("queued")).To(BeFalse())
+		Expect(fences.Deliver("queued")).To(BeFalse())
 	})
 })
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -8,74 +8,77 @@
 	"curlewreach/internal/bundle"
 )
 
-// State is what became of an attempt.
+// State is the outcome of an attempt.
 type State int
 
 // The states of an attempt.
 const (
-	// Running is an attempt without an outcome yet.
+	// Running means that there is no outcome yet.
 	Running State = iota
-	// Answered is an attempt with a whole answer.
+	// Answered means that there is a complete response.
 	Answered
-	// NotRun is an attempt that surely didn't run.
+	// NotRun means that the request is known not to have run.
 	NotRun
-	// Doubtful is an attempt that may have run.
-	Doubtful
+	// Indeterminate means that the request may have run, but there is no response.
+	Indeterminate
 )
 
-// String returns the state's name.
+// String returns the state's name as it stands in spans.
 func (s State) String() string {
 	return [...]string{"running", "answered", "not run", "doubtful"}[s]
 }
 
-// Attempt is one try to carry a request to an instance.
+// Attempt is one attempt to have a request processed by an instance. Times are readings of the monotonic
+// clock.
 type Attempt struct {
-	Name string
+	ID   string
 	Node string
-	// Seat is the instance's address.
-	Seat string
-	// Impatient attempts are turned back rather than kept waiting where such
-	// requests are kept apart.
-	Impatient bool
-	Started   time.Duration
-	Ended     time.Duration
+	// Instance is the instance's address.
+	Instance string
+	// NoWait makes the instance's node reject the attempt, with kind KeptApart, if it would have to wait
+	// for requests whose further calls could not be told from those of this one.
+	NoWait    bool
+	StartedAt time.Duration
+	EndedAt   time.Duration
 	State     State
 	Fault     *base.Fault
 }
 
-// Decision is what to do next about a request.
+// Decision is the next step of a request.
 type Decision int
 
-// The moves.
+// The decisions.
 const (
 	// Try makes another attempt.
 	Try Decision = iota
-	// Relay passes on the answer.
+	// Relay passes the response on to the client.
 	Relay
-	// GiveUp tells the caller what is known.
+	// GiveUp responds with the error of FinalFault.
 	GiveUp
 )
 
-// mostAttempts is the most attempts for one request, not counting those turned
-// back.
-const mostAttempts = 4
+// maxAttempts bounds the attempts of a request, not counting early rejections.
+const maxAttempts = 4
 
-// Ledger lists the attempts for one request. What to do next is read off it
-// alone.
+// Ledger records the attempts of a request. The next step depends on nothing else. It is not safe for
+// concurrent use.
 type Ledger struct {
-	Way bundle.RouteMatch
-	// Until is the request's deadline by the monotonic clock.
-	Until    time.Duration
+	Match bundle.RouteMatch
+	// Deadline is the request's deadline by the monotonic clock.
+	Deadline time.Duration
 	Attempts []*Attempt
-	// Patient lets the next attempts wait where such requests are kept apart.
-	Patient bool
+	// MayWait lets the next attempts wait for requests whose further calls could not be told from those of
+	// this one.
+	MayWait bool
 }
 
-func (a *Attempt) turnedBack() bool {
-	return a.Fault != nil && (a.Fault.Kind == base.Stale || a.Fault.Kind == base.KeptApart && a.Impatient)
+// rejectedEarly reports whether the attempt was rejected only because the nodes' bundles differ or because
+// it was not allowed to wait.
+func (a *Attempt) rejectedEarly() bool {
+	return a.Fault != nil && (a.Fault.Kind == base.Stale || a.Fault.Kind == base.KeptApart && a.NoWait)
 }
 
-// Last returns the newest attempt, or nil.
+// Last returns the newest attempt, nil if there is none.
 func (l *Ledger) Last() *Attempt {
 	if len(l.Attempts) == 0 {
 		return nil
@@ -86,18 +89,18 @@
 // Add appends an attempt.
 func (l *Ledger) Add(attempt *Attempt) { l.Attempts = append(l.Attempts, attempt) }
 
-// Doubtful reports whether any attempt may have run without an answer.
-func (l *Ledger) Doubtful() bool {
+// MayHaveRun reports whether the request may have run without a response to pass on.
+func (l *Ledger) MayHaveRun() bool {
 	for _, attempt := range l.Attempts {
-		if attempt.State == Doubtful || attempt.State == Running {
+		if attempt.State == Indeterminate || attempt.State == Running {
 			return true
 		}
 	}
 	return false
 }
 
-// Arrived reports whether any attempt may have reached an upstream.
-func (l *Ledger) Arrived() bool {
+// MayHaveReachedUpstream reports whether an attempt reached an upstream or may have.
+func (l *Ledger) MayHaveReachedUpstream() bool {
 	for _, attempt := range l.Attempts {
 		if attempt.State != NotRun {
 			return true
@@ -106,34 +109,34 @@
 	return false
 }
 
-// Apart reports whether any attempt was turned back as such requests are kept
-// apart.
-func (l *Ledger) Apart() bool {
+// WasKeptApart reports whether an attempt was rejected with kind KeptApart.
+func (l *Ledger) WasKeptApart() bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.KeptApart })
 }
 
-// Tried reports whether an instance was tried and needn't be again.
-func (l *Ledger) Tried(seat string) bool {
+// Tried reports whether an instance is excluded because an attempt was made there. Attempts that were
+// rejected for a stale bundle don't count, nor do other early rejections once attempts may wait.
+func (l *Ledger) Tried(address string) bool {
 	for _, attempt := range l.Attempts {
-		if attempt.Seat == seat && attempt.Fault.Kind != base.Stale && !(l.Patient && attempt.turnedBack()) {
+		if attempt.Instance == address && attempt.Fault.Kind != base.Stale && !(l.MayWait && attempt.rejectedEarly()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Ledger) counted() int {
+// countedAttempts returns the number of attempts that count towards maxAttempts.
+func (l *Ledger) countedAttempts() int {
 	count := 0
 	for _, attempt := range l.Attempts {
-		if !attempt.turnedBack() {
+		if !attempt.rejectedEarly() {
 			count++
 		}
 	}
 	return count
 }
 
-// Next returns what to do now. A request that may have run is tried again only
-// if its route is repeatable.
+// Next returns the next step. A request that may have run is tried again only if its route is repeatable.
 func (l *Ledger) Next(now time.Duration) Decision {
 	last := l.Last()
 	switch {
@@ -141,22 +144,23 @@
 		return Try
 	case last.State == Answered:
 		return Relay
-	case now >= l.Until, l.counted() >= mostAttempts:
+	case now >= l.Deadline, l.countedAttempts() >= maxAttempts:
 		return GiveUp
-	case l.Doubtful() && !l.Way.Route.Repeatable:
+	case l.MayHaveRun() && !l.Match.Route.Repeatable:
 		return GiveUp
 	}
 	return Try
 }
 
-// Verdict returns the error to tell the caller on giving up.
-func (l *Ledger) Verdict(now time.Duration) *base.Fault {
-	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Way.Service.Name)
+// FinalFault returns the error to respond with after giving up: that of the last attempt if there is one.
+// Its Run is set if any attempt may have run.
+func (l *Ledger) FinalFault(now time.Duration) *base.Fault {
+	fault := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Match.Service.Name)
 	if last := l.Last(); last != nil && last.Fault != nil {
-		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
-	} else if now >= l.Until {
-		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
+		fault = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
+	} else if now >= l.Deadline {
+		fault = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Match.Identifier())
 	}
-	verdict.Run = l.Doubtful()
-	return verdict
+	fault.Run = l.MayHaveRun()
+	return fault
 }
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// elsewhere is the cost added to an instance in another zone, as a part of
-	// its own.
-	elsewhere = 0.5
-	// cooling is the cost added to an instance that lately failed.
-	cooling = 4.0
-	// standingBy multiplies cooling for a machine that isn't well.
-	standingBy = 2.0
+	// otherZonePenalty is the increase in cost of an instance in another zone, as a ratio of its cost.
+	otherZonePenalty = 0.5
+	// failurePenalty is the increase in cost of an instance with a recent failure.
+	failurePenalty = 4.0
+	// notAliveFactor multiplies failurePenalty for the instances of a node that is not reported alive.
+	notAliveFactor = 2.0
 )
 
-// candidate is an instance that a request may be carried to.
+// candidate is an instance that a request may be sent to.
 type candidate struct {
-	node        string
-	address     string
-	incarnation string
-	offset      time.Duration
-	standing    string
-	seat        *wire.Seat
+	node        string        // name
+	address     string        // of the node
+	incarnation string        // of the node
+	clockOffset time.Duration // of the node's monotonic clock from this node's, underestimated by the age of the sighting
+	standing    string        // of the node, as membership has it
+	instance    *wire.Seat
 }
 
-// record is what this node itself knows of a candidate.
-type record struct {
-	used   time.Duration
-	flying int
-	cool   time.Duration
+// candidateStats is what this node observed itself of a candidate. Times are readings of the monotonic
+// clock.
+type candidateStats struct {
+	lastUsed   time.Duration
+	inFlight   int // attempts of this node
+	avoidUntil time.Duration
 }
 
-// places iterates over the instances of a service: those beside this node,
-// then those beside others, by the nodes' names.
-func (n *Node) places(service string) iter.Seq[candidate] {
+// candidates iterates over the instances of a service: first the local ones, then those of other nodes in
+// the order of the nodes' names. It leaves out nodes that are stopping.
+func (n *Node) candidates(service string) iter.Seq[candidate] {
 	return func(yield func(candidate) bool) {
 		own := n.member.Status()
-		if !besides(own, service, candidate{node: n.self, incarnation: own.Incarnation, standing: membership.Alive}, yield) {
+		if !yieldInstances(own, service, candidate{node: n.self, incarnation: own.Incarnation, standing: membership.Alive}, yield) {
 			return
 		}
-		for name, each := range n.atlas.All() {
-			registry := each.sighting.Roster
-			if name == n.self || registry.Stopping {
+		for name, received := range n.sightings.All() {
+			status := received.sighting.Roster
+			if name == n.self || status.Stopping {
 				continue
 			}
-			if !besides(registry, service, candidate{
-				node: name, address: registry.Address, incarnation: registry.Incarnation, standing: each.sighting.Standing,
-				offset: time.Duration(registry.ClockUs)*time.Microsecond - each.heard,
+			if !yieldInstances(status, service, candidate{
+				node: name, address: status.Address, incarnation: status.Incarnation, standing: received.sighting.Standing,
+				clockOffset: time.Duration(status.ClockUs)*time.Microsecond - received.receivedAt,
 			}, yield) {
 				return
 			}
@@ -60,24 +60,28 @@
 	}
 }
 
-// besides yields the instances of a service beside one node, at the candidate given.
-func besides(registry *wire.Roster, service string, at candidate, yield func(candidate) bool) bool {
-	for _, seat := range registry.Seats {
-		at.seat = seat
-		if seat.Service == service && !seat.Leaving && !yield(at) {
+// yieldInstances yields the instances of a service on one node, except leaving ones, as copies of template,
+// and reports whether to continue.
+func yieldInstances(status *wire.Roster, service string, template candidate, yield func(candidate) bool) bool {
+	for _, report := range status.Seats {
+		template.instance = report
+		if report.Service == service && !report.Leaving && !yield(template) {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *Node) pick(signed *bundle.Bundle, way bundle.RouteMatch, ledger *Ledger) (candidate, bool) {
+// pick returns the candidate with the lowest score that the ledger has not tried, and counts an attempt in
+// flight there, which recordOutcome ends. A random factor of up to 1% spreads the choice among equal
+// scores.
+func (n *Node) pick(signed *bundle.Bundle, match bundle.RouteMatch, ledger *Ledger) (candidate, bool) {
 	var best candidate
 	lowest, found := 0.0, false
-	n.picking.Lock()
-	defer n.picking.Unlock()
-	for each := range n.places(way.Service.Name) {
-		if ledger.Tried(each.seat.Address) || (each.node != n.self && signed.Machine(each.node) == nil) {
+	n.pickMu.Lock()
+	defer n.pickMu.Unlock()
+	for each := range n.candidates(match.Service.Name) {
+		if ledger.Tried(each.instance.Address) || (each.node != n.self && signed.Machine(each.node) == nil) {
 			continue
 		}
 		score := n.score(each) * (1 + 0.01*n.scope.Rand.Float64())
@@ -86,44 +90,49 @@
 		}
 	}
 	if found {
-		n.recordOf(best).flying++
+		n.statsOf(best).inFlight++
 	}
 	return best, found
 }
 
-func (n *Node) recordOf(each candidate) *record {
-	key := each.node + " " + each.seat.Address
-	at := n.records[key]
-	if at == nil {
-		at = &record{}
-		n.records[key] = at
+// statsOf returns the stats of a candidate and marks them as used. n.pickMu must be held.
+func (n *Node) statsOf(each candidate) *candidateStats {
+	key := each.node + " " + each.instance.Address
+	stats := n.stats[key]
+	if stats == nil {
+		stats = &candidateStats{}
+		n.stats[key] = stats
 	}
-	at.used = n.scope.Clock.Mono()
-	return at
+	stats.lastUsed = n.scope.Clock.Mono()
+	return stats
 }
 
+// score returns the cost of a candidate, mainly its attempts in flight in proportion to its capacity.
+// n.pickMu must be held.
 func (n *Node) score(each candidate) float64 {
-	at := n.recordOf(each)
-	score := (float64(at.flying) + 1) / float64(max(each.seat.Capacity, 1))
-	score *= 1 + each.seat.Weight
-	if each.seat.Zone != n.zone {
-		score *= 1 + elsewhere
+	stats := n.statsOf(each)
+	score := (float64(stats.inFlight) + 1) / float64(max(each.instance.Capacity, 1))
+	score *= 1 + each.instance.Weight
+	if each.instance.Zone != n.zone {
+		score *= 1 + otherZonePenalty
 	}
 	if each.standing != membership.Alive {
-		score *= 1 + cooling*standingBy
+		score *= 1 + failurePenalty*notAliveFactor
 	}
-	if at.cool > n.scope.Clock.Mono() {
-		score *= 1 + cooling
+	if stats.avoidUntil > n.scope.Clock.Mono() {
+		score *= 1 + failurePenalty
 	}
 	return score
 }
 
-func (n *Node) judge(picked candidate, attempt *Attempt) {
-	n.picking.Lock()
-	defer n.picking.Unlock()
-	at := n.recordOf(picked)
-	at.flying--
+// recordOutcome ends an attempt in flight. After a failure the instance is avoided for a while; rejections
+// that say nothing about its health don't count.
+func (n *Node) recordOutcome(picked candidate, attempt *Attempt) {
+	n.pickMu.Lock()
+	defer n.pickMu.Unlock()
+	stats := n.statsOf(picked)
+	stats.inFlight--
 	if attempt.State != Answered && attempt.Fault.Kind != base.Overloaded && attempt.Fault.Kind != base.Stale && attempt.Fault.Kind != base.KeptApart {
-		at.cool = n.scope.Clock.Mono() + n.patience
+		stats.avoidUntil = n.scope.Clock.Mono() + n.peerTimeout
 	}
 }
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -8,91 +8,96 @@
 	"curlewreach/proto/wire"
 )
 
-// responseReader takes in the pieces of one attempt's answer, checks them, and holds
-// them back until the seal is checked or there are too many.
+// responseReader receives the pieces of one attempt's response and checks them. It buffers the body until
+// the digest is checked; it streams to the client a body that is too large to be buffered or that there is
+// no memory for.
 type responseReader struct {
-	node    *Node
-	errand  *clientRequest
-	attempt *Attempt
-	head    *wire.CarryHead
-	sealing seal
-	held    bytes.Buffer
-	size    uint64
-	flowing bool
-	roomy   int64
-	whole   bool
-	fault   *base.Fault
+	node      *Node
+	incoming  *clientRequest
+	attempt   *Attempt
+	head      *wire.CarryHead
+	digest    responseDigest
+	buffered  bytes.Buffer
+	size      uint64      // of the body so far, in bytes
+	streaming bool        // the head and part of the body were written to the client
+	reserved  int64       // memory reserved for the buffer, in bytes
+	complete  bool        // the digest was checked
+	fault     *base.Fault // reported by the node that ran the attempt
 }
 
-var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
+// errUnexpectedPiece reports a piece of another attempt, or one out of order.
+var errUnexpectedPiece = base.NewFault(base.Garbled, "", "unexpected piece, perhaps of another attempt's response")
 
-func (c *responseReader) take(reply *wire.CarryReply) error {
+// accept processes one piece.
+func (r *responseReader) accept(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
 	case *wire.CarryReply_Head:
-		if c.head != nil || piece.Head.Attempt != c.attempt.Name {
-			return errForeign
+		if r.head != nil || piece.Head.Attempt != r.attempt.ID {
+			return errUnexpectedPiece
 		}
-		c.head, c.sealing = piece.Head, newSeal(piece.Head)
+		r.head, r.digest = piece.Head, newResponseDigest(piece.Head)
 	case *wire.CarryReply_Chunk:
-		return c.takeChunk(piece.Chunk)
+		return r.acceptChunk(piece.Chunk)
 	case *wire.CarryReply_Tail:
-		return c.takeTail(piece.Tail)
+		return r.acceptTail(piece.Tail)
 	case *wire.CarryReply_Mishap:
-		if piece.Mishap.Attempt != c.attempt.Name {
-			return errForeign
+		if piece.Mishap.Attempt != r.attempt.ID {
+			return errUnexpectedPiece
 		}
-		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
+		r.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
 	}
 	return nil
 }
 
-// takeChunk holds a piece of the body back, or passes it on with those held if
-// they are too many.
-func (c *responseReader) takeChunk(chunk []byte) error {
-	if c.head == nil || c.whole {
-		return errForeign
+// acceptChunk buffers a piece of the body. If it can't be buffered, the buffer is streamed first; the piece
+// itself stays buffered until the next one or the tail.
+func (r *responseReader) acceptChunk(chunk []byte) error {
+	if r.head == nil || r.complete {
+		return errUnexpectedPiece
 	}
-	_, _ = c.sealing.Write(chunk)
-	c.size += uint64(len(chunk))
-	if c.flowing || c.held.Len()+len(chunk) > c.node.dials.Load().Held || !c.hold(len(chunk)) {
-		if err := c.flow(); err != nil {
+	_, _ = r.digest.Write(chunk)
+	r.size += uint64(len(chunk))
+	if r.streaming || r.buffered.Len()+len(chunk) > r.node.tunables.Load().MaxBufferedBytes || !r.reserve(len(chunk)) {
+		if err := r.flush(); err != nil {
 			return err
 		}
 	}
-	c.held.Write(chunk)
+	r.buffered.Write(chunk)
 	return nil
 }
 
-// takeTail checks the seal. Of an answer that is being streamed, the last piece
-// is passed on only now.
-func (c *responseReader) takeTail(tail *wire.CarryTail) error {
-	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
-		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
+// acceptTail checks the digest. The last piece of a streamed response is written only now, so that the
+// client never gets a complete response that fails the check.
+func (r *responseReader) acceptTail(tail *wire.CarryTail) error {
+	if r.head == nil || tail.Attempt != r.attempt.ID || tail.Size != r.size || !bytes.Equal(tail.Digest, r.digest.sum()) {
+		return base.NewFault(base.Garbled, "", "the response does not match its digest")
 	}
-	c.whole = true
-	if c.flowing {
-		return c.flow()
+	r.complete = true
+	if r.streaming {
+		return r.flush()
 	}
 	return nil
 }
 
-func (c *responseReader) hold(size int) bool {
-	if !c.node.room.take(int64(size)) {
+// reserve reserves memory for size bytes and reports whether that was possible.
+func (r *responseReader) reserve(size int) bool {
+	if !r.node.memory.reserve(int64(size)) {
 		return false
 	}
-	c.roomy += int64(size)
+	r.reserved += int64(size)
 	return true
 }
 
-func (c *responseReader) flow() error {
-	c.node.room.give(c.roomy)
-	c.roomy = 0
-	if !c.flowing {
-		c.flowing = true
-		put(c.head.Headers, c.errand.w.Header())
-		c.errand.w.WriteHeader(int(c.head.Status))
+// flush writes the buffer to the client, the first time after the head, and releases its memory.
+func (r *responseReader) flush() error {
+	r.node.memory.release(r.reserved)
+	r.reserved = 0
+	if !r.streaming {
+		r.streaming = true
+		setHeaders(r.head.Headers, r.incoming.w.Header())
+		r.incoming.w.WriteHeader(int(r.head.Status))
 	}
-	_, err := c.errand.w.Write(c.held.Bytes())
-	c.held.Reset()
+	_, err := r.incoming.w.Write(r.buffered.Bytes())
+	r.buffered.Reset()
 	return err
 }
--- a/internal/listednode/suite_test.go
+++ b/internal/listednode/suite_test.go
@@ -14,17 +14,19 @@
 	"curlewreach/internal/testing/simnet"
 )
 
+// suite is the test that the synctest bubbles of specs belong to.
 var suite *testing.T
 
-func TestFlow(t *testing.T) {
+func TestListedNode(t *testing.T) {
 	suite = t
 	RegisterFailHandler(ginkgo.Fail)
-	ginkgo.RunSpecs(t, "flow")
+	ginkgo.RunSpecs(t, "listednode")
 }
 
-func bubble(tell func(s base.Scope)) {
+// runInBubble runs body in a synctest bubble, in a scope with a simulated clock.
+func runInBubble(body func(s base.Scope)) {
 	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		tell(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: random.Seeded(1), Journal: base.NewJournal(100)})
+		body(base.Scope{Context: context.Background(), Clock: simnet.NewClock(time.Now()), Rand: random.Seeded(1), Journal: base.NewJournal(100)})
 	})
 }
