--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -28,46 +28,46 @@
 	BundleKey = "bundle"
 	// LearningKey is the stored key of what was learned.
 	LearningKey = "learning"
-	// outcomesKept is the number of outcomes remembered, for submissions handed
+	// maxOutcomes is the number of outcomes remembered, for submissions handed
 	// in again.
-	outcomesKept = 64
-	// indexesKept is the number of bundles kept indexed: the one in force, the
+	maxOutcomes = 64
+	// maxIndexedBundles is the number of bundles kept indexed: the one in force, the
 	// staged one, and some that were read.
-	indexesKept = 4
-	// holdRatio, of the slide-back bound, is how long a node's question for
+	maxIndexedBundles = 4
+	// newsHoldRatio, of the slide-back bound, is how long a node's question for
 	// news is held open, so that it asks again within the bound.
-	holdRatio = 0.3
-	// patientRatio, of the in-force bound, is the same for nodes that say they
+	newsHoldRatio = 0.3
+	// patientHoldRatio, of the in-force bound, is the same for nodes that say they
 	// are patient.
-	patientRatio = 0.125
+	patientHoldRatio = 0.125
 )
 
 // ControlPlane decides on bundles and hands them out. It is safe for concurrent use.
 type ControlPlane struct {
-	scope     base.Scope
-	self      string
-	store     *quorum.Replica
-	member    *membership.Member
-	traces    *tracing.Store
-	trust     atomic.Pointer[bundle.Trust]
-	limits    bundle.Limits
-	force     time.Duration
-	silence   time.Duration
-	born      time.Duration
-	peers     map[string]wireconnect.HelmClient
-	lenses    map[string]wireconnect.LensClient
-	news      base.Broadcast
-	index     base.Table[*bundle.Bundle]
-	settled   atomic.Pointer[configurationView]
-	accepted  atomic.Pointer[configurationView]
-	confirms  base.Table[confirm]
-	confirmed base.Broadcast
-	hold      time.Duration
+	scope             base.Scope
+	self              string
+	replica           *quorum.Replica
+	member            *membership.Member
+	traces            *tracing.Store
+	trust             atomic.Pointer[bundle.Trust]
+	limits            bundle.Limits
+	inForceBound      time.Duration
+	requiredSilence   time.Duration
+	startedAt         time.Duration
+	peers             map[string]wireconnect.HelmClient
+	traceClients      map[string]wireconnect.LensClient
+	newsChanged       base.Broadcast
+	indexedBundles    base.Table[*bundle.Bundle]
+	chosenCache       atomic.Pointer[headView]
+	acceptedCache     atomic.Pointer[headView]
+	confirmations     base.Table[confirmation]
+	confirmationAdded base.Broadcast
+	newsHold          time.Duration
 }
 
-// Parts are what a ControlPlane works with.
-type Parts struct {
-	Self            string
+// Settings are what a ControlPlane works with.
+type Settings struct {
+	Name            string
 	Address         string
 	Peers           []quorum.Peer
 	ReplicatedStore *quorum.Replica
@@ -75,99 +75,99 @@
 	Traces          *tracing.Store
 	Trust           bundle.Trust
 	Limits          bundle.Limits
-	// Force is the bound on a bundle being in force, Slide that on going back,
+	// InForceBound is the bound on a bundle being in force, Slide that on going back,
 	// and Silence the time a machine must be silent before it can be forsaken.
-	Force   time.Duration
-	Slide   time.Duration
-	Silence time.Duration
+	InForceBound    time.Duration
+	SlideBackBound  time.Duration
+	RequiredSilence time.Duration
 }
 
 // New returns a ControlPlane; Run makes it work.
-func New(s base.Scope, web *http.Client, parts Parts) *ControlPlane {
-	h := &ControlPlane{
-		scope: s, self: parts.Self, store: parts.ReplicatedStore, member: parts.Member, traces: parts.Traces,
-		limits: parts.Limits, force: parts.Force, silence: parts.Silence, born: s.Clock.Mono(), hold: time.Duration(float64(parts.Slide) * holdRatio),
-		peers: map[string]wireconnect.HelmClient{}, lenses: map[string]wireconnect.LensClient{},
+func New(s base.Scope, httpClient *http.Client, settings Settings) *ControlPlane {
+	c := &ControlPlane{
+		scope: s, self: settings.Name, replica: settings.ReplicatedStore, member: settings.Member, traces: settings.Traces,
+		limits: settings.Limits, inForceBound: settings.InForceBound, requiredSilence: settings.RequiredSilence, startedAt: s.Clock.Mono(), newsHold: time.Duration(float64(settings.SlideBackBound) * newsHoldRatio),
+		peers: map[string]wireconnect.HelmClient{}, traceClients: map[string]wireconnect.LensClient{},
 	}
-	h.trust.Store(&parts.Trust)
-	for _, peer := range parts.Peers {
-		if peer.Address != parts.Address {
-			h.peers[peer.Name] = wireconnect.NewHelmClient(web, "http://"+peer.Address)
+	c.trust.Store(&settings.Trust)
+	for _, peer := range settings.Peers {
+		if peer.Address != settings.Address {
+			c.peers[peer.Name] = wireconnect.NewHelmClient(httpClient, "http://"+peer.Address)
 		}
-		h.lenses[peer.Name] = wireconnect.NewLensClient(web, "http://"+peer.Address)
+		c.traceClients[peer.Name] = wireconnect.NewLensClient(httpClient, "http://"+peer.Address)
 	}
-	return h
+	return c
 }
 
 // Run recovers the disk, settles what was left unsettled, and learns, until the
 // scope ends.
-func (h *ControlPlane) Run(s base.Scope) {
-	var crew base.Group
-	crew.Go(func() { h.store.Recover(s, h.force/8) })
+func (c *ControlPlane) Run(s base.Scope) {
+	var group base.Group
+	group.Go(func() { c.replica.Recover(s, c.inForceBound/8) })
 	for _, key := range []string{BundleKey, LearningKey} {
-		crew.Go(func() { h.watch(s, key) })
+		group.Go(func() { c.watchKey(s, key) })
 	}
-	crew.Go(func() {
+	group.Go(func() {
 		for s.Err() == nil {
-			heard := h.store.Changed()
-			if current := h.Current(); current != nil {
-				h.member.SetMachines(current.Machines())
-				h.member.UpdateStatus(func(registry *wire.Roster) { registry.Holding = current.Serial })
+			changed := c.replica.Changed()
+			if current := c.Current(); current != nil {
+				c.member.SetMachines(current.Machines())
+				c.member.UpdateStatus(func(status *wire.Roster) { status.Holding = current.Serial })
 			}
-			h.news.Notify()
-			base.Await(s, h.force, heard)
+			c.newsChanged.Notify()
+			base.Await(s, c.inForceBound, changed)
 		}
 	})
-	crew.Go(func() {
+	group.Go(func() {
 		for s.Err() == nil {
-			heard := h.member.View().Changed()
-			h.news.Notify()
-			base.Await(s, h.force, heard)
+			changed := c.member.View().Changed()
+			c.newsChanged.Notify()
+			base.Await(s, c.inForceBound, changed)
 		}
 	})
-	crew.Go(func() { h.learn(s) })
-	crew.Go(func() { h.repair(s) })
-	crew.Wait()
+	group.Go(func() { c.runLearning(s) })
+	group.Go(func() { c.resolveAbandoned(s) })
+	group.Wait()
 }
 
-func (h *ControlPlane) watch(s base.Scope, key string) {
-	since, patience := s.Clock.Mono(), h.force
-	base.Tick(s, h.force/16, func(s base.Scope) {
-		if !h.store.Ready() || h.store.Refresh(s, key) {
-			since, patience = s.Clock.Mono(), time.Duration(float64(h.force)*(0.25+0.5*s.Rand.Float64()))
+func (c *ControlPlane) watchKey(s base.Scope, key string) {
+	lastChosen, recommitAfter := s.Clock.Mono(), c.inForceBound
+	base.Tick(s, c.inForceBound/16, func(s base.Scope) {
+		if !c.replica.Ready() || c.replica.Refresh(s, key) {
+			lastChosen, recommitAfter = s.Clock.Mono(), time.Duration(float64(c.inForceBound)*(0.25+0.5*s.Rand.Float64()))
 			return
 		}
-		if s.Clock.Mono()-since < patience {
+		if s.Clock.Mono()-lastChosen < recommitAfter {
 			return
 		}
-		h.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
-		bounded, cancel := s.WithTimeout(h.force)
+		c.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
+		bounded, cancel := s.WithTimeout(c.inForceBound)
 		defer cancel()
-		_, _ = h.store.Read(bounded, key)
-		since = s.Clock.Mono()
+		_, _ = c.replica.Read(bounded, key)
+		lastChosen = s.Clock.Mono()
 	})
 }
 
 // Sizes returns how many rows each table holds, to watch for leaks.
-func (h *ControlPlane) Sizes() map[string]int {
+func (c *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
-		"confirms": len(h.confirms.Snapshot()), "indexes": len(h.index.Snapshot()), "journal": h.scope.Journal.Len(),
-		"mates": h.member.View().Len(), "spans": h.traces.Len(), "owed": h.traces.Owed(),
+		"confirms": len(c.confirmations.Snapshot()), "indexes": len(c.indexedBundles.Snapshot()), "journal": c.scope.Journal.Len(),
+		"mates": c.member.View().Len(), "spans": c.traces.Len(), "owed": c.traces.Owed(),
 	}
 }
 
 // View returns what is known of the machines.
-func (h *ControlPlane) View() *membership.View { return h.member.View() }
+func (c *ControlPlane) View() *membership.View { return c.member.View() }
 
 // Ready reports whether this machine's disk has recovered.
-func (h *ControlPlane) Ready() bool { return h.store.Ready() }
+func (c *ControlPlane) Ready() bool { return c.replica.Ready() }
 
-func headOf(value []byte) (*wire.Head, error) {
+func decodeHead(value []byte) (*wire.Head, error) {
 	head := &wire.Head{}
 	return head, proto.Unmarshal(value, head)
 }
 
-func serialOf(sealed *wire.Sealed) uint64 {
+func bundleSerial(sealed *wire.Sealed) uint64 {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
 		return 0
@@ -175,65 +175,65 @@
 	return manifest.Serial
 }
 
-type configurationView struct {
+type headView struct {
 	entry     *wire.Entry
 	head      *wire.Head
 	committed uint64
 	staged    uint64
 }
 
-func (h *ControlPlane) outline(entry *wire.Entry) *configurationView {
+func (c *ControlPlane) viewOf(entry *wire.Entry) *headView {
 	if entry == nil {
-		return &configurationView{head: &wire.Head{}}
+		return &headView{head: &wire.Head{}}
 	}
-	for _, row := range []*atomic.Pointer[configurationView]{&h.settled, &h.accepted} {
-		if known := row.Load(); known != nil && known.entry == entry {
+	for _, cached := range []*atomic.Pointer[headView]{&c.chosenCache, &c.acceptedCache} {
+		if known := cached.Load(); known != nil && known.entry == entry {
 			return known
 		}
 	}
-	head, err := headOf(entry.Value)
+	head, err := decodeHead(entry.Value)
 	if err != nil {
-		h.scope.Record("bundle-unreadable", "", err.Error())
+		c.scope.Record("bundle-unreadable", "", err.Error())
 		head = &wire.Head{}
 	}
-	return &configurationView{entry: entry, head: head, committed: serialOf(head.Sealed), staged: serialOf(head.Staged)}
+	return &headView{entry: entry, head: head, committed: bundleSerial(head.Sealed), staged: bundleSerial(head.Staged)}
 }
 
-// Settled returns the newest head known to be on a majority of disks.
-func (h *ControlPlane) Settled() *configurationView {
-	entry, _ := h.store.Settled(BundleKey)
-	seen := h.outline(entry)
-	h.settled.Store(seen)
-	return seen
+// Chosen returns the newest head known to be on a majority of disks.
+func (c *ControlPlane) Chosen() *headView {
+	entry, _ := c.replica.Chosen(BundleKey)
+	view := c.viewOf(entry)
+	c.chosenCache.Store(view)
+	return view
 }
 
 // Accepted returns the head on this machine's disk, which a majority may lack.
-func (h *ControlPlane) Accepted() *configurationView {
-	_, entry := h.store.Store().Peek(BundleKey)
-	seen := h.outline(entry)
-	h.accepted.Store(seen)
-	return seen
+func (c *ControlPlane) Accepted() *headView {
+	_, entry := c.replica.Store().Peek(BundleKey)
+	view := c.viewOf(entry)
+	c.acceptedCache.Store(view)
+	return view
 }
 
 // Current returns the bundle in force, nil before the first.
-func (h *ControlPlane) Current() *bundle.Bundle { return h.bundleOf(h.Settled().head.Sealed) }
+func (c *ControlPlane) Current() *bundle.Bundle { return c.openBundle(c.Chosen().head.Sealed) }
 
-func (h *ControlPlane) bundleOf(sealed *wire.Sealed) *bundle.Bundle {
+func (c *ControlPlane) openBundle(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
 	}
 	key := string(sealed.Signature)
-	if indexed, ok := h.index.Get(key); ok {
+	if indexed, ok := c.indexedBundles.Get(key); ok {
 		return indexed
 	}
 	raw, fault := bundle.Open(sealed)
 	if fault != nil {
-		h.scope.Record("bundle-unreadable", "", fault.Error())
+		c.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
 	}
 	signed := bundle.Index(sealed, raw)
-	h.index.Update(func(rows map[string]*bundle.Bundle) {
-		if len(rows) >= indexesKept {
+	c.indexedBundles.Update(func(rows map[string]*bundle.Bundle) {
+		if len(rows) >= maxIndexedBundles {
 			clear(rows)
 		}
 		rows[key] = signed
@@ -243,9 +243,9 @@
 
 // Draft makes the next bundle out of a whole one or a change. The error is of
 // kind StaleBase if the base isn't the newest, or tells the first fault.
-func (h *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
+func (c *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	current := &wire.Bundle{}
-	if signed := h.Current(); signed != nil {
+	if signed := c.Current(); signed != nil {
 		current = signed.Raw
 	}
 	if request.Base != current.Serial {
@@ -263,8 +263,8 @@
 		return nil, base.NewFault(base.Malformed, "bundle", "give a bundle or a change")
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
-	bundle.Normalise(next, h.limits)
-	if fault := bundle.Check(next, h.limits); fault != nil {
+	bundle.Normalise(next, c.limits)
+	if fault := bundle.Check(next, c.limits); fault != nil {
 		return nil, fault
 	}
 	sealed, err := bundle.Pack(next)
@@ -274,18 +274,18 @@
 	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
 }
 
-func rejected(submission string, fault *base.Fault) *wire.Outcome {
+func rejectedOutcome(submission string, fault *base.Fault) *wire.Outcome {
 	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}}
 }
 
-func (h *ControlPlane) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
+func (c *ControlPlane) validate(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
 	if request.Submission == "" || len(request.Submission) > 128 {
 		return nil, base.NewFault(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
 	}
-	if proto.Size(request.Sealed) > h.limits.Bytes {
-		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", h.limits.Bytes)
+	if proto.Size(request.Sealed) > c.limits.Bytes {
+		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", c.limits.Bytes)
 	}
-	manifest, fault := h.trust.Load().Verify(request.Sealed)
+	manifest, fault := c.trust.Load().Verify(request.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
@@ -299,21 +299,21 @@
 	if manifest.Serial != manifest.Base+1 {
 		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
 	}
-	return manifest, bundle.Check(raw, h.limits)
+	return manifest, bundle.Check(raw, c.limits)
 }
 
 // Read returns the bundle of a serial number, or the newest for 0; of older
 // ones, those still on this disk.
-func (h *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
-	current := h.Current()
+func (c *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
+	current := c.Current()
 	if current == nil {
 		return nil, base.NewFault(base.NotFound, "serial", "no bundle has been taken yet")
 	}
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
 	}
-	for entry := range h.store.Store().History(BundleKey) {
-		head, err := headOf(entry.Value)
+	for entry := range c.replica.Store().History(BundleKey) {
+		head, err := decodeHead(entry.Value)
 		if err != nil || head.Sealed == nil {
 			continue
 		}
@@ -326,16 +326,16 @@
 }
 
 // Holdings returns which node holds which bundle, and the machines never heard.
-func (h *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
+func (c *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
 	reply := &wire.HoldingsReply{}
 	heard := map[string]*wire.Sighting{}
-	for sighting := range h.member.View().All() {
+	for sighting := range c.member.View().All() {
 		heard[sighting.Roster.Node] = sighting
 		reply.Holdings = append(reply.Holdings, &wire.Holding{
 			Node: sighting.Roster.Node, Serial: sighting.Roster.Holding, Odds: sighting.Roster.Odds, Standing: sighting.Standing,
 		})
 	}
-	if current := h.Current(); current != nil {
+	if current := c.Current(); current != nil {
 		reply.Serial = current.Serial
 		for machine := range current.Machines() {
 			if heard[machine.Name] == nil {
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -20,88 +20,88 @@
 )
 
 // OperatorHandler returns the handler of the server for operators.
-func OperatorHandler(h *ControlPlane) http.Handler {
+func OperatorHandler(c *ControlPlane) http.Handler {
 	mux := http.NewServeMux()
-	serve := func(pattern string, ask endpoint.Endpoint, read httptransport.DecodeRequestFunc) {
-		mux.Handle(pattern, httptransport.NewServer(ask, read, encode, httptransport.ServerErrorEncoder(refuse)))
+	serve := func(pattern string, handle endpoint.Endpoint, decode httptransport.DecodeRequestFunc) {
+		mux.Handle(pattern, httptransport.NewServer(handle, decode, encodeReply, httptransport.ServerErrorEncoder(encodeError)))
 	}
 	serve("POST /v1/draft", func(ctx context.Context, request any) (any, error) {
-		return h.Draft(ctx, request.(*wire.DraftRequest))
-	}, h.decode(func() proto.Message { return &wire.DraftRequest{} }))
+		return c.Draft(ctx, request.(*wire.DraftRequest))
+	}, c.bodyDecoder(func() proto.Message { return &wire.DraftRequest{} }))
 	serve("POST /v1/sign", func(ctx context.Context, request any) (any, error) {
-		return h.Sign(ctx, request.(*wire.SignRequest))
-	}, h.decode(func() proto.Message { return &wire.SignRequest{} }))
+		return c.Submit(ctx, request.(*wire.SignRequest))
+	}, c.bodyDecoder(func() proto.Message { return &wire.SignRequest{} }))
 	serve("GET /v1/submission/{id}", func(ctx context.Context, request any) (any, error) {
-		return h.Status(ctx, request.(*http.Request).PathValue("id"))
-	}, whole)
+		return c.Status(ctx, request.(*http.Request).PathValue("id"))
+	}, rawRequest)
 	serve("GET /v1/bundle", func(ctx context.Context, request any) (any, error) {
 		serial, err := strconv.ParseUint("0"+request.(*http.Request).URL.Query().Get("serial"), 10, 64)
 		if err != nil {
 			return nil, base.NewFault(base.Malformed, "serial", "%s", err)
 		}
-		return h.Read(ctx, serial)
-	}, whole)
-	serve("GET /v1/holdings", func(ctx context.Context, _ any) (any, error) { return h.Holdings(ctx), nil }, whole)
+		return c.Read(ctx, serial)
+	}, rawRequest)
+	serve("GET /v1/holdings", func(ctx context.Context, _ any) (any, error) { return c.Holdings(ctx), nil }, rawRequest)
 	serve("GET /v1/odds", func(context.Context, any) (any, error) {
-		if learning := h.Learning(); learning != nil {
+		if learning := c.Learning(); learning != nil {
 			return learning, nil
 		}
 		return &wire.Learning{}, nil
-	}, whole)
+	}, rawRequest)
 	serve("GET /v1/nodes", func(context.Context, any) (any, error) {
-		return &wire.SightRequest{Watcher: h.self, Sightings: slices.Collect(h.member.View().All())}, nil
-	}, whole)
+		return &wire.SightRequest{Watcher: c.self, Sightings: slices.Collect(c.member.View().All())}, nil
+	}, rawRequest)
 	serve("GET /v1/trace/{id}", func(ctx context.Context, request any) (any, error) {
-		return h.Trace(ctx, request.(*http.Request).PathValue("id")), nil
-	}, whole)
+		return c.Trace(ctx, request.(*http.Request).PathValue("id")), nil
+	}, rawRequest)
 	serve("GET /v1/why", func(ctx context.Context, request any) (any, error) {
-		s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force / 2)
+		s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound / 2)
 		defer cancel()
-		return h.member.QueryAll(s, &wire.TellRequest{Subject: request.(*http.Request).URL.Query().Get("subject")}), nil
-	}, whole)
-	serve("GET /v1/state", func(context.Context, any) (any, error) { return h.State(), nil }, whole)
+		return c.member.QueryAll(s, &wire.TellRequest{Subject: request.(*http.Request).URL.Query().Get("subject")}), nil
+	}, rawRequest)
+	serve("GET /v1/state", func(context.Context, any) (any, error) { return c.State(), nil }, rawRequest)
 	serve("POST /v1/adopt", func(ctx context.Context, _ any) (any, error) {
-		if !h.store.Adopt(h.scope.WithContext(ctx)) {
+		if !c.replica.Adopt(c.scope.WithContext(ctx)) {
 			return nil, base.NewFault(base.NoState, "", "this disk could not be adopted now: one whole disk must be reachable")
 		}
-		return h.State(), nil
-	}, whole)
+		return c.State(), nil
+	}, rawRequest)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.Reply(w, http.StatusOK, slices.Collect(c.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, h.scope.Journal.Counts())
+		httpserver.Reply(w, http.StatusOK, c.scope.Journal.Counts())
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
-		if !h.Ready() {
+		if !c.Ready() {
 			status = http.StatusServiceUnavailable
 		}
-		httpserver.Reply(w, status, map[string]any{"ready": h.Ready(), "name": h.self})
+		httpserver.Reply(w, status, map[string]any{"ready": c.Ready(), "name": c.self})
 	})
 	return mux
 }
 
 // State returns this machine's view of the stored keys.
-func (h *ControlPlane) State() *wire.StateReply {
-	seen := h.Settled()
-	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.store.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.Owed())}
-	for _, key := range h.store.Store().Keys() {
-		owner, epoch, _ := h.store.Owner(key)
-		_, entry := h.store.Store().Peek(key)
-		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: h.store.Store().IsDamaged(key), Copies: uint32(h.store.Copies(key))})
+func (c *ControlPlane) State() *wire.StateReply {
+	view := c.Chosen()
+	reply := &wire.StateReply{Keel: c.self, Phase: strings.ToLower(c.replica.Store().Phase().String()), Committed: view.committed, Staged: view.staged, Learner: c.Learning().GetHolder(), Owed: uint32(c.traces.Owed())}
+	for _, key := range c.replica.Store().Keys() {
+		owner, epoch, _ := c.replica.Owner(key)
+		_, entry := c.replica.Store().Peek(key)
+		reply.Keys = append(reply.Keys, &wire.KeyState{Key: key, Owner: owner.Name, Epoch: epoch.GetNumber(), Serial: entry.GetSerial(), Sick: c.replica.Store().IsDamaged(key), Copies: uint32(c.replica.Copies(key))})
 	}
 	return reply
 }
 
 // Trace collects a trace's spans from all core machines that answer in time.
-func (h *ControlPlane) Trace(ctx context.Context, trace string) *wire.TraceReply {
-	s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force / 4)
+func (c *ControlPlane) Trace(ctx context.Context, trace string) *wire.TraceReply {
+	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound / 4)
 	defer cancel()
 	seen := map[string]bool{}
 	reply := &wire.TraceReply{}
-	for _, lens := range h.lenses {
-		found, err := lens.Trace(s, connect.NewRequest(&wire.TraceRequest{Trace: trace}))
+	for _, client := range c.traceClients {
+		found, err := client.Trace(s, connect.NewRequest(&wire.TraceRequest{Trace: trace}))
 		if err != nil {
 			continue
 		}
@@ -115,16 +115,16 @@
 	return reply
 }
 
-func (h *ControlPlane) decode(blank func() proto.Message) httptransport.DecodeRequestFunc {
+func (c *ControlPlane) bodyDecoder(newMessage func() proto.Message) httptransport.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
-		body, err := io.ReadAll(io.LimitReader(r.Body, int64(2*h.limits.Bytes)+1))
+		body, err := io.ReadAll(io.LimitReader(r.Body, int64(2*c.limits.Bytes)+1))
 		if err != nil {
 			return nil, base.NewFault(base.Malformed, "", "%s", err)
 		}
-		if len(body) > 2*h.limits.Bytes {
-			return nil, base.NewFault(base.TooLarge, "", "%d bytes at most", 2*h.limits.Bytes)
+		if len(body) > 2*c.limits.Bytes {
+			return nil, base.NewFault(base.TooLarge, "", "%d bytes at most", 2*c.limits.Bytes)
 		}
-		message := blank()
+		message := newMessage()
 		if err := protojson.Unmarshal(body, message); err != nil {
 			return nil, base.NewFault(base.Malformed, "", "%s", err)
 		}
@@ -132,9 +132,9 @@
 	}
 }
 
-func whole(_ context.Context, r *http.Request) (any, error) { return r, nil }
+func rawRequest(_ context.Context, r *http.Request) (any, error) { return r, nil }
 
-func encode(_ context.Context, w http.ResponseWriter, response any) error {
+func encodeReply(_ context.Context, w http.ResponseWriter, response any) error {
 	body, err := protojson.MarshalOptions{EmitUnpopulated: false}.Marshal(response.(proto.Message))
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 	return http.StatusAccepted
 }
 
-func refuse(_ context.Context, err error, w http.ResponseWriter) {
+func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
 	httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// beatRatio, of the leaving bound, is the interval between heartbeats.
-	beatRatio = 0.1
-	// roundRatio, of the in-force bound, is the longest that one round among
+	// heartbeatRatio, of the leaving bound, is the interval between heartbeats.
+	heartbeatRatio = 0.1
+	// roundTimeoutRatio, of the in-force bound, is the longest that one round among
 	// the disks may take.
-	roundRatio = 0.25
-	// stopRatio, of the grace, is the time to stop in; the rest is for the
+	roundTimeoutRatio = 0.25
+	// shutdownRatio, of the grace, is the time to stop in; the rest is for the
 	// process to end.
-	stopRatio = 0.9
-	// changesEach is the changes kept for each bundle: a roll-out writes its
+	shutdownRatio = 0.9
+	// entriesPerBundle is the changes kept for each bundle: a roll-out writes its
 	// head twice, and a new owner once more.
-	changesEach = 3
+	entriesPerBundle = 3
 )
 
 // SetDefaults sets the params that aren't set to their defaults.
@@ -61,13 +61,13 @@
 
 // Process is a running core machine.
 type Process struct {
-	Helm            *ControlPlane
+	ControlPlane    *ControlPlane
 	ReplicatedStore *quorum.Replica
 	Traces          *tracing.Store
 	params          *wire.KeelParams
 	cancel          context.CancelFunc
-	doors           []*httpserver.Server
-	crew            base.Group
+	servers         []*httpserver.Server
+	group           base.Group
 }
 
 // Start starts a core machine. On an error nothing is left running.
@@ -84,103 +84,103 @@
 		return nil, errors.Errorf("seeds: a keel's own address %s is one of the seeds", params.Mates)
 	}
 	s, cancel := s.WithCancel()
-	store, err := quorum.OpenStore(s, int(params.Serials)*changesEach)
+	store, err := quorum.OpenStore(s, int(params.Serials)*entriesPerBundle)
 	if err != nil {
 		cancel()
 		return nil, errors.Wrap(err, "data folder")
 	}
-	k := &Process{params: params, cancel: cancel}
-	member := k.assemble(s, store, trust)
-	if err := k.open(s, member); err != nil {
-		k.Kill()
+	p := &Process{params: params, cancel: cancel}
+	member := p.assemble(s, store, trust)
+	if err := p.listen(s, member); err != nil {
+		p.Kill()
 		return nil, err
 	}
-	k.crew.Go(func() { member.Run(s) })
-	k.crew.Go(func() { k.Traces.Run(s, params.Bounds.InForce.AsDuration()/2) })
-	k.crew.Go(func() { k.Helm.Run(s) })
+	p.group.Go(func() { member.Run(s) })
+	p.group.Go(func() { p.Traces.Run(s, params.Bounds.InForce.AsDuration()/2) })
+	p.group.Go(func() { p.ControlPlane.Run(s) })
 	s.Log.Info("started", "name", params.Name, "zone", params.Zone)
-	return k, nil
+	return p, nil
 }
 
 // assemble makes the parts of the process; nothing runs yet.
-func (k *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
-	params, web := k.params, httpserver.NewClient(s)
-	bounds, force := params.Bounds, params.Bounds.InForce.AsDuration()
+func (p *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
+	params, httpClient := p.params, httpserver.NewClient(s)
+	bounds, inForceBound := params.Bounds, params.Bounds.InForce.AsDuration()
 	peers := make([]quorum.Peer, len(params.Seeds))
 	for i, seed := range params.Seeds {
 		peers[i] = quorum.Peer{Name: seed, Address: seed}
 	}
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
-	k.ReplicatedStore = quorum.New(s, store, web, params.Mates, peers, time.Duration(float64(force)*roundRatio))
-	k.Traces = tracing.OpenStore(s, int(params.Traces))
-	k.Traces.Peers(web, relays)
-	member := membership.NewMember(s, web, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
-		params.Seeds, relays, time.Duration(float64(bounds.Leaving.AsDuration())*beatRatio))
+	p.ReplicatedStore = quorum.New(s, store, httpClient, params.Mates, peers, time.Duration(float64(inForceBound)*roundTimeoutRatio))
+	p.Traces = tracing.OpenStore(s, int(params.Traces))
+	p.Traces.Peers(httpClient, relays)
+	member := membership.NewMember(s, httpClient, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
+		params.Seeds, relays, time.Duration(float64(bounds.Leaving.AsDuration())*heartbeatRatio))
 	limits := bundle.UsualLimits(bounds.Grace.AsDuration())
 	limits.Bytes = int(params.Bundle)
-	k.Helm = New(s, web, Parts{
-		Self: params.Name, Address: params.Mates, Peers: peers, ReplicatedStore: k.ReplicatedStore, Member: member, Traces: k.Traces,
-		Trust: trust, Limits: limits, Force: force, Slide: bounds.SlideBack.AsDuration(),
-		Silence: max(bounds.Recovery.AsDuration(), bounds.Alone.AsDuration()),
+	p.ControlPlane = New(s, httpClient, Settings{
+		Name: params.Name, Address: params.Mates, Peers: peers, ReplicatedStore: p.ReplicatedStore, Member: member, Traces: p.Traces,
+		Trust: trust, Limits: limits, InForceBound: inForceBound, SlideBackBound: bounds.SlideBack.AsDuration(),
+		RequiredSilence: max(bounds.Recovery.AsDuration(), bounds.Alone.AsDuration()),
 	})
 	return member
 }
 
-// open opens the servers for other nodes and for operators.
-func (k *Process) open(s base.Scope, member *membership.Member) error {
+// listen opens the servers for other nodes and for operators.
+func (p *Process) listen(s base.Scope, member *membership.Member) error {
 	mux := http.NewServeMux()
-	mux.Handle(quorum.Handler(k.ReplicatedStore))
+	mux.Handle(quorum.Handler(p.ReplicatedStore))
 	mux.Handle(membership.Handler(member))
-	mux.Handle(tracing.Handler(k.Traces))
-	mux.Handle(Handler(k.Helm))
-	for address, handler := range map[string]http.Handler{k.params.Mates: mux, k.params.Operators: OperatorHandler(k.Helm)} {
-		door, err := httpserver.Serve(s, address, handler)
+	mux.Handle(tracing.Handler(p.Traces))
+	mux.Handle(Handler(p.ControlPlane))
+	for address, handler := range map[string]http.Handler{p.params.Mates: mux, p.params.Operators: OperatorHandler(p.ControlPlane)} {
+		server, err := httpserver.Serve(s, address, handler)
 		if err != nil {
 			return err
 		}
-		k.doors = append(k.doors, door)
+		p.servers = append(p.servers, server)
 	}
 	return nil
 }
 
 // Stop hands its duties over, lets requests in flight end, and ends the
 // process's parts within the grace.
-func (k *Process) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(k.params.Bounds.Grace.AsDuration())*stopRatio))
+func (p *Process) Stop() {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(p.params.Bounds.Grace.AsDuration())*shutdownRatio))
 	defer cancel()
-	k.Helm.HandOver(k.Helm.scope.WithContext(ctx))
-	k.ReplicatedStore.HandOver(k.Helm.scope.WithContext(ctx))
-	k.cancel()
-	for _, door := range k.doors {
-		door.Shutdown(ctx)
+	p.ControlPlane.TransferLearning(p.ControlPlane.scope.WithContext(ctx))
+	p.ReplicatedStore.TransferOwnership(p.ControlPlane.scope.WithContext(ctx))
+	p.cancel()
+	for _, server := range p.servers {
+		server.Shutdown(ctx)
 	}
-	k.Kill()
+	p.Kill()
 }
 
 // Kill ends everything at once.
-func (k *Process) Kill() {
-	k.cancel()
-	for _, door := range k.doors {
-		door.Close()
+func (p *Process) Kill() {
+	p.cancel()
+	for _, server := range p.servers {
+		server.Close()
 	}
-	k.crew.Wait()
+	p.group.Wait()
 }
 
 // Reload puts the params in force that can change while running: the trusted
 // keys. It returns an error if others differ that can't.
-func (k *Process) Reload(params *wire.KeelParams) error {
+func (p *Process) Reload(params *wire.KeelParams) error {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
 		return err
 	}
-	if params.Name != k.params.Name || params.Mates != k.params.Mates || params.Operators != k.params.Operators || params.Folder != k.params.Folder {
+	if params.Name != p.params.Name || params.Mates != p.params.Mates || params.Operators != p.params.Operators || params.Folder != p.params.Folder {
 		return errors.New("names, addresses and the folder change only with a restart")
 	}
 	trust, err := bundle.NewTrust(params.Trusted)
 	if err != nil {
 		return err
 	}
-	k.Helm.trust.Store(&trust)
-	k.params = params
+	p.ControlPlane.trust.Store(&trust)
+	p.params = params
 	return nil
 }
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -17,57 +17,57 @@
 )
 
 const (
-	// stageRatio, of the in-force bound, is how long a staged bundle may stand
+	// stagedTimeoutRatio, of the in-force bound, is how long a staged bundle may stand
 	// before another machine resolves it.
-	stageRatio = 0.5
-	// confirmRatio, of the in-force bound, is how long nodes have to confirm a
+	stagedTimeoutRatio = 0.5
+	// confirmTimeoutRatio, of the in-force bound, is how long nodes have to confirm a
 	// staged bundle before it is withdrawn.
-	confirmRatio = 0.5
-	// pollRatio, of the in-force bound, is the pause between two looks at a
+	confirmTimeoutRatio = 0.5
+	// pollIntervalRatio, of the in-force bound, is the pause between two looks at a
 	// roll-out.
-	pollRatio = 0.005
+	pollIntervalRatio = 0.005
 )
 
-type confirm struct {
+type confirmation struct {
 	serial uint64
 	at     time.Duration
 }
 
-func (h *ControlPlane) confirm(ask *wire.NewsRequest) {
-	serial := max(ask.Staged, ask.Serial)
-	prior, known := h.confirms.Get(ask.Node)
-	now := h.scope.Clock.Mono()
-	h.confirms.Update(func(rows map[string]confirm) {
-		rows[ask.Node] = confirm{serial: serial, at: now}
-		maps.DeleteFunc(rows, func(_ string, each confirm) bool { return now-each.at > 2*h.silence })
+func (c *ControlPlane) recordConfirmation(request *wire.NewsRequest) {
+	serial := max(request.Staged, request.Serial)
+	prior, known := c.confirmations.Get(request.Node)
+	now := c.scope.Clock.Mono()
+	c.confirmations.Update(func(rows map[string]confirmation) {
+		rows[request.Node] = confirmation{serial: serial, at: now}
+		maps.DeleteFunc(rows, func(_ string, each confirmation) bool { return now-each.at > 2*c.requiredSilence })
 	})
 	if !known || serial > prior.serial {
-		h.confirmed.Notify()
+		c.confirmationAdded.Notify()
 	}
 }
 
-func (h *ControlPlane) backing(current *bundle.Bundle, staged *configurationView) (have, need int) {
-	serial, forsaken, left := staged.staged, forsakenBy(staged.head.Staged), 0
+func (c *ControlPlane) countConfirmations(current *bundle.Bundle, staged *headView) (have, need int) {
+	serial, lost, remaining := staged.staged, lostMachines(staged.head.Staged), 0
 	for machine := range current.Machines() {
-		if machine.Core || slices.Contains(forsaken, machine.Name) {
+		if machine.Core || slices.Contains(lost, machine.Name) {
 			continue
 		}
-		left++
-		confirmed, known := h.confirms.Get(machine.Name)
-		if known && confirmed.serial >= serial && h.scope.Clock.Mono()-confirmed.at < h.force/4 {
+		remaining++
+		confirmed, known := c.confirmations.Get(machine.Name)
+		if known && confirmed.serial >= serial && c.scope.Clock.Mono()-confirmed.at < c.inForceBound/4 {
 			have++
 		}
 	}
-	if len(forsaken) == 0 {
+	if len(lost) == 0 {
 		return have, current.Vanes()/2 + 1
 	}
-	if left == 0 {
+	if remaining == 0 {
 		return 0, 0
 	}
-	return have, left/2 + 1
+	return have, remaining/2 + 1
 }
 
-func forsakenBy(sealed *wire.Sealed) []string {
+func lostMachines(sealed *wire.Sealed) []string {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
 		return nil
@@ -75,49 +75,49 @@
 	return manifest.Forsaken
 }
 
-func (h *ControlPlane) returned(forsaken []string) bool {
-	return slices.ContainsFunc(forsaken, func(name string) bool {
-		confirmed, known := h.confirms.Get(name)
-		return known && h.scope.Clock.Mono()-confirmed.at < h.force
+func (c *ControlPlane) anyHeard(lost []string) bool {
+	return slices.ContainsFunc(lost, func(name string) bool {
+		confirmed, known := c.confirmations.Get(name)
+		return known && c.scope.Clock.Mono()-confirmed.at < c.inForceBound
 	})
 }
 
-func (h *ControlPlane) gone(ctx context.Context, forsaken []string) *base.Fault {
-	current := h.Current()
-	if len(forsaken) == 0 || current == nil {
+func (c *ControlPlane) checkLost(ctx context.Context, lost []string) *base.Fault {
+	current := c.Current()
+	if len(lost) == 0 || current == nil {
 		return nil
 	}
-	now := h.scope.Clock.Mono()
-	if now-h.born < h.silence {
-		return base.NewFault(base.Uncertain, "forsaken", "this keel has listened for less than %s", h.silence)
+	now := c.scope.Clock.Mono()
+	if now-c.startedAt < c.requiredSilence {
+		return base.NewFault(base.Uncertain, "forsaken", "this keel has listened for less than %s", c.requiredSilence)
 	}
 	heard := map[string]time.Duration{}
-	for sighting := range h.member.View().All() {
+	for sighting := range c.member.View().All() {
 		heard[sighting.Roster.Node] = time.Duration(sighting.SilenceUs) * time.Microsecond
 	}
-	s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force / 4)
+	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound / 4)
 	defer cancel()
-	for i, name := range forsaken {
+	for i, name := range lost {
 		path := fmt.Sprintf("forsaken[%d]", i)
 		machine := current.Machine(name)
 		if machine == nil || machine.Core {
 			return base.NewFault(base.DanglingReference, path, "%q is no application machine of serial %d", name, current.Serial)
 		}
-		if silence, known := heard[name]; known && silence < h.silence {
-			return base.NewFault(base.StillAlive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), h.silence)
+		if silence, known := heard[name]; known && silence < c.requiredSilence {
+			return base.NewFault(base.StillAlive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), c.requiredSilence)
 		}
-		if confirmed, known := h.confirms.Get(name); known && now-confirmed.at < h.silence {
+		if confirmed, known := c.confirmations.Get(name); known && now-confirmed.at < c.requiredSilence {
 			return base.NewFault(base.StillAlive, path, "%q asked for news %s ago", name, (now - confirmed.at).Round(time.Millisecond))
 		}
 	}
-	return h.answering(s, current, forsaken)
+	return c.checkUnreachable(s, current, lost)
 }
 
-// answering returns an error if any of the machines still answers.
-func (h *ControlPlane) answering(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
+// checkUnreachable returns an error if any of the machines still answers.
+func (c *ControlPlane) checkUnreachable(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
 	var alive atomic.Pointer[string]
 	base.Parallel(names, func(name string) {
-		if h.member.Reachable(s, current.Machine(name).Address) {
+		if c.member.Reachable(s, current.Machine(name).Address) {
 			alive.Store(&name)
 		}
 	})
@@ -127,111 +127,111 @@
 	return nil
 }
 
-// Sign decides on a signed bundle. An outcome of verdict UNKNOWN says that it
+// Submit decides on a signed bundle. An outcome of verdict UNKNOWN says that it
 // isn't decided yet; the error is always nil.
-func (h *ControlPlane) Sign(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
-	manifest, fault := h.vet(request)
+func (c *ControlPlane) Submit(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
+	manifest, fault := c.validate(request)
 	if fault != nil {
-		h.scope.Record("bundle-bounced", request.Submission, fault.Error())
-		return rejected(request.Submission, fault), nil
+		c.scope.Record("bundle-bounced", request.Submission, fault.Error())
+		return rejectedOutcome(request.Submission, fault), nil
 	}
-	return h.decide(ctx, request, manifest), nil
+	return c.decide(ctx, request, manifest), nil
 }
 
 // Status returns what became of a submission, and settles it if it was left
 // midway.
-func (h *ControlPlane) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
-	return h.decide(ctx, &wire.SignRequest{Submission: submission}, nil), nil
+func (c *ControlPlane) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
+	return c.decide(ctx, &wire.SignRequest{Submission: submission}, nil), nil
 }
 
-func (h *ControlPlane) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
-	s, cancel := h.scope.WithContext(ctx).WithTimeout(h.force * 2)
+func (c *ControlPlane) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
+	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound * 2)
 	defer cancel()
-	if owner, _, known := h.store.Owner(BundleKey); known && !h.store.Owns(BundleKey) && h.store.HeardLately(owner, h.force/2) {
-		bounded, cancel := s.WithTimeout(h.force)
-		reply, err := h.peers[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
+	if owner, _, known := c.replica.Owner(BundleKey); known && !c.replica.Owns(BundleKey) && c.replica.HeardWithin(owner, c.inForceBound/2) {
+		bounded, cancel := s.WithTimeout(c.inForceBound)
+		reply, err := c.peers[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
 		cancel()
 		if err == nil {
 			return reply.Msg.Outcome
 		}
-		h.scope.Record("owner-silent", owner.Name, err.Error())
+		c.scope.Record("owner-silent", owner.Name, err.Error())
 	}
-	return h.settle(s, request, manifest)
+	return c.decideLocally(s, request, manifest)
 }
 
-func (h *ControlPlane) settle(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
+func (c *ControlPlane) decideLocally(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	unknown := &wire.Outcome{Submission: request.Submission, Verdict: wire.Verdict_UNKNOWN}
 	for s.Err() == nil {
-		outcome, err := h.step(s, request, manifest)
+		outcome, err := c.tryDecide(s, request, manifest)
 		if err == nil && outcome != nil {
-			h.scope.Record("bundle-"+outcome.Verdict.String(), request.Submission, outcome.GetMishap().GetReason())
+			c.scope.Record("bundle-"+outcome.Verdict.String(), request.Submission, outcome.GetMishap().GetReason())
 			return outcome
 		}
-		pause := time.Duration(float64(h.force) * pollRatio)
+		pause := time.Duration(float64(c.inForceBound) * pollIntervalRatio)
 		if err != nil {
 			fault := base.FaultOf(err)
-			h.scope.Record("change-failed", request.Submission, fault.Error())
+			c.scope.Record("change-failed", request.Submission, fault.Error())
 			unknown.Mishap = &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}
 			pause = time.Duration(float64(pause) * (2 + 8*s.Rand.Float64()))
 		}
-		base.Await(s, pause, h.confirmed.Next())
+		base.Await(s, pause, c.confirmationAdded.Next())
 	}
 	return unknown
 }
 
-func (h *ControlPlane) step(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) (*wire.Outcome, error) {
+func (c *ControlPlane) tryDecide(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) (*wire.Outcome, error) {
 	if manifest == nil {
-		return h.lookUp(s, request.Submission)
+		return c.lookUpOutcome(s, request.Submission)
 	}
-	if fault := h.gone(s, manifest.Forsaken); fault != nil {
-		if past, err := h.lookUp(s, request.Submission); err == nil && past != nil && past.Verdict == wire.Verdict_TAKEN {
-			return past, nil
+	if fault := c.checkLost(s, manifest.Forsaken); fault != nil {
+		if decided, err := c.lookUpOutcome(s, request.Submission); err == nil && decided != nil && decided.Verdict == wire.Verdict_TAKEN {
+			return decided, nil
 		}
-		return rejected(request.Submission, fault), nil
+		return rejectedOutcome(request.Submission, fault), nil
 	}
-	outcome, mine, err := h.stage(s, request, manifest.Base)
+	outcome, own, err := c.stage(s, request, manifest.Base)
 	if err != nil || outcome != nil {
 		return outcome, err
 	}
-	if !mine {
-		_, _ = h.resolve(s, false)
+	if !own {
+		_, _ = c.resolve(s, false)
 		return nil, nil
 	}
-	return h.resolve(s, true)
+	return c.resolve(s, true)
 }
 
 // stage makes the bundle handed in the staged one, unless the submission was
 // decided already or another is staged. It reports whether the staged one is
 // this submission's.
-func (h *ControlPlane) stage(s base.Scope, request *wire.SignRequest, wanted uint64) (outcome *wire.Outcome, mine bool, err error) {
-	err = h.store.Change(s, BundleKey, func(old []byte) ([]byte, error) {
-		head, err := headOf(old)
+func (c *ControlPlane) stage(s base.Scope, request *wire.SignRequest, baseSerial uint64) (outcome *wire.Outcome, own bool, err error) {
+	err = c.replica.Change(s, BundleKey, func(old []byte) ([]byte, error) {
+		head, err := decodeHead(old)
 		if err != nil {
 			return nil, err
 		}
-		if outcome = past(head, request.Submission); outcome != nil {
+		if outcome = findOutcome(head, request.Submission); outcome != nil {
 			return nil, nil
 		}
 		if head.Staged != nil {
-			mine = head.Submission == request.Submission
+			own = head.Submission == request.Submission
 			return nil, nil
 		}
-		if committed := serialOf(head.Sealed); wanted != committed {
-			outcome = rejected(request.Submission, base.NewFault(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
+		if committed := bundleSerial(head.Sealed); baseSerial != committed {
+			outcome = rejectedOutcome(request.Submission, base.NewFault(base.StaleBase, "manifest.base", "the newest serial is %d", committed))
 			return nil, nil
 		}
-		mine = true
+		own = true
 		next := &wire.Head{Sealed: head.Sealed, Outcomes: head.Outcomes, Staged: request.Sealed, Submission: request.Submission}
 		if head.Sealed == nil {
-			next = resolved(next, true)
-			outcome = past(next, request.Submission)
+			next = resolvedHead(next, true)
+			outcome = findOutcome(next, request.Submission)
 		}
 		return proto.Marshal(next)
 	})
-	return outcome, mine, err
+	return outcome, own, err
 }
 
-func past(head *wire.Head, submission string) *wire.Outcome {
+func findOutcome(head *wire.Head, submission string) *wire.Outcome {
 	for _, each := range head.Outcomes {
 		if each.Submission == submission {
 			return each
@@ -240,98 +240,98 @@
 	return nil
 }
 
-func resolved(head *wire.Head, taken bool) *wire.Head {
-	outcome := &wire.Outcome{Submission: head.Submission, Verdict: wire.Verdict_TAKEN, Serial: serialOf(head.Staged)}
+func resolvedHead(head *wire.Head, taken bool) *wire.Head {
+	outcome := &wire.Outcome{Submission: head.Submission, Verdict: wire.Verdict_TAKEN, Serial: bundleSerial(head.Staged)}
 	next := &wire.Head{Sealed: head.Staged}
 	if !taken {
-		outcome = rejected(head.Submission, base.NewFault(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
+		outcome = rejectedOutcome(head.Submission, base.NewFault(base.Unreachable, "", "too few machines confirmed it in time; it was withdrawn"))
 		next.Sealed = head.Sealed
 	}
 	next.Outcomes = append(slices.Clone(head.Outcomes), outcome)
-	if over := len(next.Outcomes) - outcomesKept; over > 0 {
+	if over := len(next.Outcomes) - maxOutcomes; over > 0 {
 		next.Outcomes = next.Outcomes[over:]
 	}
 	return next
 }
 
-func (h *ControlPlane) resolve(s base.Scope, asked bool) (outcome *wire.Outcome, err error) {
-	staged := h.Settled()
+func (c *ControlPlane) resolve(s base.Scope, returnOutcome bool) (outcome *wire.Outcome, err error) {
+	staged := c.Chosen()
 	if staged.staged == 0 {
 		return nil, nil
 	}
-	current := h.Current()
-	until := s.Clock.Mono() + time.Duration(float64(h.force)*confirmRatio)
+	current := c.Current()
+	deadline := s.Clock.Mono() + time.Duration(float64(c.inForceBound)*confirmTimeoutRatio)
 	for {
-		heard := h.confirmed.Next()
-		have, need := h.backing(current, staged)
-		late := s.Clock.Mono() >= until
-		if have >= need || late {
+		confirmed := c.confirmationAdded.Next()
+		have, need := c.countConfirmations(current, staged)
+		timedOut := s.Clock.Mono() >= deadline
+		if have >= need || timedOut {
 			break
 		}
-		if base.Await(s, time.Duration(float64(h.force)*pollRatio), heard); s.Err() != nil {
+		if base.Await(s, time.Duration(float64(c.inForceBound)*pollIntervalRatio), confirmed); s.Err() != nil {
 			return nil, s.Err()
 		}
 	}
-	have, need := h.backing(current, staged)
-	if h.returned(forsakenBy(staged.head.Staged)) {
+	have, need := c.countConfirmations(current, staged)
+	if c.anyHeard(lostMachines(staged.head.Staged)) {
 		have, need = 0, 1
 	}
-	h.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("backed by %d of %d needed", have, need))
-	err = h.store.Change(s, BundleKey, func(old []byte) ([]byte, error) {
-		head, err := headOf(old)
+	c.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("backed by %d of %d needed", have, need))
+	err = c.replica.Change(s, BundleKey, func(old []byte) ([]byte, error) {
+		head, err := decodeHead(old)
 		if err != nil {
 			return nil, err
 		}
-		if head.Submission != staged.head.Submission || serialOf(head.Staged) != staged.staged {
-			outcome = past(head, staged.head.Submission)
+		if head.Submission != staged.head.Submission || bundleSerial(head.Staged) != staged.staged {
+			outcome = findOutcome(head, staged.head.Submission)
 			return nil, nil
 		}
-		next := resolved(head, have >= need)
-		outcome = past(next, staged.head.Submission)
+		next := resolvedHead(head, have >= need)
+		outcome = findOutcome(next, staged.head.Submission)
 		return proto.Marshal(next)
 	})
-	if err != nil || !asked {
+	if err != nil || !returnOutcome {
 		return nil, err
 	}
 	return outcome, nil
 }
 
-func (h *ControlPlane) lookUp(s base.Scope, submission string) (*wire.Outcome, error) {
-	value, err := h.store.Read(s, BundleKey)
+func (c *ControlPlane) lookUpOutcome(s base.Scope, submission string) (*wire.Outcome, error) {
+	value, err := c.replica.Read(s, BundleKey)
 	if err != nil {
 		return nil, err
 	}
-	head, err := headOf(value)
+	head, err := decodeHead(value)
 	if err != nil {
 		return nil, err
 	}
-	if outcome := past(head, submission); outcome != nil {
+	if outcome := findOutcome(head, submission); outcome != nil {
 		return outcome, nil
 	}
 	if head.Staged != nil && head.Submission == submission {
-		_, err := h.resolve(s, false)
+		_, err := c.resolve(s, false)
 		return nil, err
 	}
-	return rejected(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
+	return rejectedOutcome(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
 }
 
-func (h *ControlPlane) repair(s base.Scope) {
-	var since time.Duration
-	var last uint64
+func (c *ControlPlane) resolveAbandoned(s base.Scope) {
+	var stagedSince time.Duration
+	var lastStaged uint64
 	for s.Err() == nil {
-		base.Await(s, h.force/16)
-		staged := h.Settled().staged
-		if staged != last {
-			last, since = staged, s.Clock.Mono()
+		base.Await(s, c.inForceBound/16)
+		staged := c.Chosen().staged
+		if staged != lastStaged {
+			lastStaged, stagedSince = staged, s.Clock.Mono()
 		}
-		patience := time.Duration(float64(h.force) * (stageRatio + confirmRatio*(0.1+s.Rand.Float64())))
-		if staged == 0 || s.Clock.Mono()-since < patience {
+		resolveAfter := time.Duration(float64(c.inForceBound) * (stagedTimeoutRatio + confirmTimeoutRatio*(0.1+s.Rand.Float64())))
+		if staged == 0 || s.Clock.Mono()-stagedSince < resolveAfter {
 			continue
 		}
-		h.scope.Record("mending", "", "a roll-out was left unresolved")
-		bounded, cancel := s.WithTimeout(h.force)
-		_, _ = h.resolve(bounded, false)
+		c.scope.Record("mending", "", "a roll-out was left unresolved")
+		bounded, cancel := s.WithTimeout(c.inForceBound)
+		_, _ = c.resolve(bounded, false)
 		cancel()
-		since = s.Clock.Mono()
+		stagedSince = s.Clock.Mono()
 	}
 }
--- a/internal/quorum/poll.go
+++ b/internal/quorum/poll.go
@@ -10,9 +10,9 @@
 	"curlewreach/proto/wire"
 )
 
-// disk is a machine's disk as this one reaches it: its own directly, others by
+// acceptor is a machine's disk as this one reaches it: its own directly, others by
 // calls.
-type disk interface {
+type acceptor interface {
 	Promise(context.Context, *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error)
 	Accept(context.Context, *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error)
 	Settle(context.Context, *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleReply], error)
@@ -22,57 +22,57 @@
 
 // Reply is one disk's answer.
 type Reply[T any] struct {
-	disk int
-	body *T
-	err  error
+	acceptor int
+	body     *T
+	err      error
 }
 
 // poll asks all disks at a time and returns their answers once enough are
 // without an error, or all have come.
-func poll[T any](s base.Scope, disks []disk, need int, round time.Duration, ask func(context.Context, disk) (*T, error)) []Reply[T] {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.Context), round)
-	replies := make(chan Reply[T], len(disks))
-	for i, each := range disks {
+func poll[T any](s base.Scope, acceptors []acceptor, required int, timeout time.Duration, call func(context.Context, acceptor) (*T, error)) []Reply[T] {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.Context), timeout)
+	replies := make(chan Reply[T], len(acceptors))
+	for i, target := range acceptors {
 		go func() {
-			body, err := retry(ctx, func() (*T, error) { return ask(ctx, each) })
+			body, err := callWithContext(ctx, func() (*T, error) { return call(ctx, target) })
 			replies <- Reply[T]{i, body, err}
 		}()
 	}
-	var got []Reply[T]
-	good := 0
-	for range disks {
+	var received []Reply[T]
+	succeeded := 0
+	for range acceptors {
 		reply := <-replies
-		got = append(got, reply)
+		received = append(received, reply)
 		if reply.err == nil {
-			good++
+			succeeded++
 		}
-		if good >= need {
+		if succeeded >= required {
 			break
 		}
 	}
-	left := len(disks) - len(got)
+	pending := len(acceptors) - len(received)
 	go func() {
-		for range left {
+		for range pending {
 			<-replies
 		}
 		cancel()
 	}()
-	return got
+	return received
 }
 
-func retry[T any](ctx context.Context, ask func() (*T, error)) (*T, error) {
-	type said struct {
+func callWithContext[T any](ctx context.Context, call func() (*T, error)) (*T, error) {
+	type result struct {
 		body *T
 		err  error
 	}
-	answer := make(chan said, 1)
+	done := make(chan result, 1)
 	go func() {
-		body, err := ask()
-		answer <- said{body, err}
+		body, err := call()
+		done <- result{body, err}
 	}()
 	select {
-	case got := <-answer:
-		return got.body, got.err
+	case finished := <-done:
+		return finished.body, finished.err
 	case <-ctx.Done():
 		return nil, base.NewFault(base.Unreachable, "", "a disk did not answer in time")
 	}
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -11,9 +11,9 @@
 	"curlewreach/base"
 )
 
-func (t *threeReplicas) until(reached func() bool) bool {
+func (c *threeDiskCluster) eventually(condition func() bool) bool {
 	for range 2000 {
-		if reached() {
+		if condition() {
 			return true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -21,233 +21,233 @@
 	return false
 }
 
-func (t *threeReplicas) last(i int) (value string) {
-	t.until(func() bool {
-		read, err := t.read(i)
+func (c *threeDiskCluster) readEventually(i int) (value string) {
+	c.eventually(func() bool {
+		read, err := c.read(i)
 		value = read
 		return err == nil
 	})
 	return value
 }
 
-func (t *threeReplicas) held(i int) string {
-	_, entry := t.members[i].replica.store.Peek("key")
+func (c *threeDiskCluster) storedValue(i int) string {
+	_, entry := c.members[i].replica.store.Peek("key")
 	return string(entry.GetValue())
 }
 
-func (t *threeReplicas) founded() {
-	Expect(t.until(func() bool { return t.ready(0, 1, 2) })).To(BeTrue(), "three blank disks make a new fleet")
+func (c *threeDiskCluster) waitForBootstrap() {
+	Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue(), "three blank disks make a new fleet")
 }
 
 var _ = ginkgo.Describe("a key", func() {
-	story("given an owner, when another keel takes over, then it reads what was acked and fences the old owner", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		Expect(t.read(1)).To(Equal("one"))
-		Expect(t.write(1, "two")).To(Succeed())
-		err := t.write(0, "three")
+	scenario("given an owner, when another keel takes over, then it reads what was acked and fences the old owner", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		Expect(c.read(1)).To(Equal("one"))
+		Expect(c.write(1, "two")).To(Succeed())
+		err := c.write(0, "three")
 		if err != nil {
 			Expect(base.FaultOf(err).Kind).To(BeElementOf(base.Superseded, base.Uncertain))
-			Expect(t.last(2)).To(Equal("two"))
+			Expect(c.readEventually(2)).To(Equal("two"))
 		} else {
-			Expect(t.last(2)).To(Equal("three"))
+			Expect(c.readEventually(2)).To(Equal("three"))
 		}
 	})
 
-	story("given one disk down, when a change is acked and then another disk's machine is lost, then the change is still read", func(t *threeReplicas) {
-		t.founded()
-		t.kill(2)
-		Expect(t.write(0, "kept")).To(Succeed())
-		t.kill(0)
-		t.members[0].disk.PowerLoss()
-		t.raise(0)
-		t.kill(1)
-		t.members[1].disk.PowerLoss()
-		t.raise(2)
-		Expect(t.until(func() bool { return t.ready(0, 2) })).To(BeTrue())
-		Expect(t.last(2)).To(Equal("kept"))
+	scenario("given one disk down, when a change is acked and then another disk's machine is lost, then the change is still read", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		c.crash(2)
+		Expect(c.write(0, "kept")).To(Succeed())
+		c.crash(0)
+		c.members[0].disk.PowerLoss()
+		c.start(0)
+		c.crash(1)
+		c.members[1].disk.PowerLoss()
+		c.start(2)
+		Expect(c.eventually(func() bool { return c.ready(0, 2) })).To(BeTrue())
+		Expect(c.readEventually(2)).To(Equal("kept"))
 	})
 
-	story("given many changes, when the bound is reached, then old files go and the newest stay readable", func(t *threeReplicas) {
-		t.founded()
+	scenario("given many changes, when the bound is reached, then old files go and the newest stay readable", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
 		for i := range 20 {
-			Expect(t.write(0, strings.Repeat("x", i+1))).To(Succeed())
+			Expect(c.write(0, strings.Repeat("x", i+1))).To(Succeed())
 		}
-		for _, m := range t.members {
-			values, rolls := 0, 0
+		for _, m := range c.members {
+			values, manifests := 0, 0
 			for _, name := range m.disk.Names() {
 				if strings.Contains(name, "/v-") {
 					values++
 				}
-				if strings.HasPrefix(name, rollPrefix) {
-					rolls++
+				if strings.HasPrefix(name, manifestPrefix) {
+					manifests++
 				}
 			}
 			Expect(values).To(And(BeNumerically(">", 0), BeNumerically("<=", 4)))
-			Expect(rolls).To(BeNumerically("<=", rollsKept+1))
+			Expect(manifests).To(BeNumerically("<=", manifestsKept+1))
 		}
-		var past []int
-		for entry := range t.members[0].replica.store.History("key") {
-			past = append(past, len(entry.Value))
+		var lengths []int
+		for entry := range c.members[0].replica.store.History("key") {
+			lengths = append(lengths, len(entry.Value))
 		}
-		Expect(past).To(Equal([]int{20, 19, 18, 17}))
+		Expect(lengths).To(Equal([]int{20, 19, 18, 17}))
 	})
 
-	story("given no majority, when a change is tried, then it is never acked", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		t.kill(1)
-		t.kill(2)
-		Expect(t.write(0, "two")).NotTo(Succeed())
+	scenario("given no majority, when a change is tried, then it is never acked", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		c.crash(1)
+		c.crash(2)
+		Expect(c.write(0, "two")).NotTo(Succeed())
 	})
 
-	story("given an owner cut off mid-change, when a majority goes on, then the old owner's change never returns", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
+	scenario("given an owner cut off mid-change, when a majority goes on, then the old owner's change never returns", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
 		for _, other := range []int{1, 2} {
-			t.world.Cut(ip(0), ip(other))
-			t.world.Cut(ip(other), ip(0))
+			c.world.Cut(ip(0), ip(other))
+			c.world.Cut(ip(other), ip(0))
 		}
-		Expect(t.write(0, "lost")).NotTo(Succeed())
-		Expect(t.write(1, "two")).To(Succeed())
-		t.world.HealAll()
-		Expect(t.last(0)).To(Equal("two"))
-		Expect(t.last(1)).To(Equal("two"))
+		Expect(c.write(0, "lost")).NotTo(Succeed())
+		Expect(c.write(1, "two")).To(Succeed())
+		c.world.HealAll()
+		Expect(c.readEventually(0)).To(Equal("two"))
+		Expect(c.readEventually(1)).To(Equal("two"))
 	})
 })
 
 var _ = ginkgo.Describe("amnesia", func() {
-	story("given a wiped disk, when it returns, then it votes only after reading every key from both others", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		t.kill(2)
-		t.members[2].disk.Wipe()
-		t.kill(1)
-		t.raise(2)
+	scenario("given a wiped disk, when it returns, then it votes only after reading every key from both others", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		c.crash(2)
+		c.members[2].disk.Wipe()
+		c.crash(1)
+		c.start(2)
 		time.Sleep(3 * time.Second)
-		Expect(t.members[2].replica.Ready()).To(BeFalse())
-		Expect(t.write(0, "two")).NotTo(Succeed(), "a blank disk must not make the majority")
-		t.raise(1)
-		Expect(t.until(func() bool { return t.ready(1, 2) })).To(BeTrue())
-		_, entry := t.members[2].replica.store.Peek("key")
+		Expect(c.members[2].replica.Ready()).To(BeFalse())
+		Expect(c.write(0, "two")).NotTo(Succeed(), "a blank disk must not make the majority")
+		c.start(1)
+		Expect(c.eventually(func() bool { return c.ready(1, 2) })).To(BeTrue())
+		_, entry := c.members[2].replica.store.Peek("key")
 		Expect(string(entry.Value)).To(Or(Equal("one"), Equal("two")))
 	})
 
-	story("given two blank disks, when they start, then they wait for an operator's word", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
+	scenario("given two blank disks, when they start, then they wait for an operator's word", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
 		for _, i := range []int{1, 2} {
-			t.kill(i)
-			t.members[i].disk.Wipe()
+			c.crash(i)
+			c.members[i].disk.Wipe()
 		}
-		t.raise(1)
-		t.raise(2)
+		c.start(1)
+		c.start(2)
 		time.Sleep(5 * time.Second)
-		Expect(t.members[1].replica.Ready()).To(BeFalse())
-		Expect(t.members[2].replica.Ready()).To(BeFalse())
-		Expect(t.members[1].replica.Adopt(t.members[1].replica.scope)).To(BeTrue())
-		Expect(t.until(func() bool { return t.ready(1, 2) })).To(BeTrue())
-		Expect(t.read(1)).To(Equal("one"))
+		Expect(c.members[1].replica.Ready()).To(BeFalse())
+		Expect(c.members[2].replica.Ready()).To(BeFalse())
+		Expect(c.members[1].replica.Adopt(c.members[1].replica.scope)).To(BeTrue())
+		Expect(c.eventually(func() bool { return c.ready(1, 2) })).To(BeTrue())
+		Expect(c.read(1)).To(Equal("one"))
 	})
 
-	story("given a flipped bit in the newest file, when the keel starts, then the file is set aside and repaired from peers", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		Expect(t.until(func() bool { _, entry := t.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
-		t.kill(1)
-		Expect(t.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
-		t.raise(1)
-		Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
-		_, entry := t.members[1].replica.store.Peek("key")
+	scenario("given a flipped bit in the newest file, when the keel starts, then the file is set aside and repaired from peers", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		Expect(c.eventually(func() bool { _, entry := c.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
+		c.crash(1)
+		Expect(c.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		c.start(1)
+		Expect(c.eventually(func() bool { return c.ready(1) })).To(BeTrue())
+		_, entry := c.members[1].replica.store.Peek("key")
 		Expect(string(entry.Value)).To(Equal("one"))
-		Expect(t.members[1].disk.Names()).To(ContainElement(HaveSuffix(badSuffix)))
+		Expect(c.members[1].disk.Names()).To(ContainElement(HaveSuffix(corruptSuffix)))
 	})
 
-	story("given a bad newest roll or a lost brand, when the disk recovers and the keel starts once more, then no older roll left there is believed", func(t *threeReplicas) {
-		for round, spoil := range []string{rollPrefix, brandFile, rollPrefix} {
-			t.founded()
+	scenario("given a bad newest roll or a lost brand, when the disk recovers and the keel starts once more, then no older roll left there is believed", func(c *threeDiskCluster) {
+		for round, prefix := range []string{manifestPrefix, phaseFile, manifestPrefix} {
+			c.waitForBootstrap()
 			for i := range 4 {
-				Expect(t.write(0, fmt.Sprint("old ", round, i))).To(Succeed())
+				Expect(c.write(0, fmt.Sprint("old ", round, i))).To(Succeed())
 			}
-			m := t.members[1]
-			Expect(t.until(func() bool { return t.held(1) == fmt.Sprint("old ", round, 3) })).To(BeTrue())
-			t.kill(1)
+			m := c.members[1]
+			Expect(c.eventually(func() bool { return c.storedValue(1) == fmt.Sprint("old ", round, 3) })).To(BeTrue())
+			c.crash(1)
 			newest := ""
 			for _, name := range m.disk.Names() {
-				if strings.HasPrefix(name, spoil) && !strings.HasSuffix(name, badSuffix) {
+				if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, corruptSuffix) {
 					newest = max(newest, name)
 				}
 			}
 			Expect(m.disk.Flip(newest)).To(HaveLen(1))
-			t.raise(1)
-			Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
-			Expect(t.write(0, "newest")).To(Succeed())
-			Expect(t.until(func() bool { return t.held(1) == "newest" })).To(BeTrue())
+			c.start(1)
+			Expect(c.eventually(func() bool { return c.ready(1) })).To(BeTrue())
+			Expect(c.write(0, "newest")).To(Succeed())
+			Expect(c.eventually(func() bool { return c.storedValue(1) == "newest" })).To(BeTrue())
 			promised, _ := m.replica.store.Peek("key")
-			t.kill(1)
+			c.crash(1)
 			m.disk.PowerLoss()
-			t.raise(1)
-			Expect(t.members[1].replica.Ready()).To(BeTrue(), "what it wrote after it recovered is what it finds")
-			Expect(t.held(1)).To(Equal("newest"))
-			again, _ := m.replica.store.Peek("key")
-			Expect(compareEpochs(again, promised)).To(BeNumerically(">=", 0), "a promise must not be forgotten")
+			c.start(1)
+			Expect(c.members[1].replica.Ready()).To(BeTrue(), "what it wrote after it recovered is what it finds")
+			Expect(c.storedValue(1)).To(Equal("newest"))
+			promisedAfterRestart, _ := m.replica.store.Peek("key")
+			Expect(compareEpochs(promisedAfterRestart, promised)).To(BeNumerically(">=", 0), "a promise must not be forgotten")
 		}
 	})
 
-	story("given a lost newest file, when the keel starts, then the key is damaged until repaired", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		t.kill(0)
-		for _, name := range t.members[0].disk.Names() {
+	scenario("given a lost newest file, when the keel starts, then the key is damaged until repaired", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		c.crash(0)
+		for _, name := range c.members[0].disk.Names() {
 			if strings.Contains(name, "/v-") {
-				Expect(t.members[0].disk.Remove(name)).To(Succeed())
+				Expect(c.members[0].disk.Remove(name)).To(Succeed())
 			}
 		}
-		t.kill(1)
-		t.raise(0)
+		c.crash(1)
+		c.start(0)
 		time.Sleep(2 * time.Second)
-		Expect(t.members[0].replica.store.DamagedKeys()).To(ConsistOf("key"))
-		t.raise(1)
-		Expect(t.until(func() bool { return t.ready(0) })).To(BeTrue())
-		Expect(t.read(0)).To(Equal("one"))
+		Expect(c.members[0].replica.store.DamagedKeys()).To(ConsistOf("key"))
+		c.start(1)
+		Expect(c.eventually(func() bool { return c.ready(0) })).To(BeTrue())
+		Expect(c.read(0)).To(Equal("one"))
 	})
 })
 
 var _ = ginkgo.Describe("a disk in trouble", func() {
-	story("given power loss at any moment, when the machine returns, then no half file is believed", func(t *threeReplicas) {
-		t.founded()
+	scenario("given power loss at any moment, when the machine returns, then no half file is believed", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
 		for round := range 6 {
-			go func() { _ = t.write(0, "value") }()
+			go func() { _ = c.write(0, "value") }()
 			time.Sleep(time.Duration(round) * 300 * time.Microsecond)
-			t.kill(1)
-			t.members[1].disk.PowerLoss()
-			t.raise(1)
-			Expect(t.until(func() bool { return t.ready(0, 1, 2) })).To(BeTrue())
+			c.crash(1)
+			c.members[1].disk.PowerLoss()
+			c.start(1)
+			Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue())
 		}
-		Expect(t.until(func() bool { return t.write(1, "last") == nil })).To(BeTrue())
-		Expect(t.last(2)).To(Equal("last"))
+		Expect(c.eventually(func() bool { return c.write(1, "last") == nil })).To(BeTrue())
+		Expect(c.readEventually(2)).To(Equal("last"))
 	})
 
-	story("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		t.members[0].disk.Fill(true)
-		t.members[1].disk.Fill(true)
-		Expect(t.write(0, "two")).NotTo(Succeed())
-		t.members[0].disk.Fill(false)
-		t.members[1].disk.Fill(false)
-		Expect(t.write(0, "three")).To(Succeed())
+	scenario("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		c.members[0].disk.Fill(true)
+		c.members[1].disk.Fill(true)
+		Expect(c.write(0, "two")).NotTo(Succeed())
+		c.members[0].disk.Fill(false)
+		c.members[1].disk.Fill(false)
+		Expect(c.write(0, "three")).To(Succeed())
 	})
 
-	story("given a stalled disk, when its peers go on, then changes are acked without it and nobody hangs", func(t *threeReplicas) {
-		t.founded()
-		Expect(t.write(0, "one")).To(Succeed())
-		release := t.members[0].disk.Stall()
+	scenario("given a stalled disk, when its peers go on, then changes are acked without it and nobody hangs", func(c *threeDiskCluster) {
+		c.waitForBootstrap()
+		Expect(c.write(0, "one")).To(Succeed())
+		release := c.members[0].disk.Stall()
 		defer release()
-		begun := time.Now()
-		Expect(t.write(0, "two")).To(Succeed(), "two other disks are a majority")
-		Expect(t.write(1, "three")).To(Succeed())
-		Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
-		t.members[0].replica.store.Peek("key")
+		started := time.Now()
+		Expect(c.write(0, "two")).To(Succeed(), "two other disks are a majority")
+		Expect(c.write(1, "three")).To(Succeed())
+		Expect(time.Since(started)).To(BeNumerically("<", 2*time.Second))
+		c.members[0].replica.store.Peek("key")
 	})
 })
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -30,7 +30,7 @@
 // ownerState is what this machine knows of a key as its owner. A nil epoch means that
 // it isn't.
 type ownerState struct {
-	latch  base.ContextMutex
+	lock   base.ContextMutex
 	epoch  *wire.Epoch
 	serial uint64
 	value  []byte
@@ -39,72 +39,72 @@
 // Replica is one core machine's part of the set: its disk, and changes and reads
 // by majority. It is safe for concurrent use.
 type Replica struct {
-	scope   base.Scope
-	store   *Store
-	self    int
-	peers   []Peer
-	disks   []disk
-	round   time.Duration
-	mu      sync.Mutex
-	holds   map[string]*ownerState
-	settled base.Table[*wire.Entry]
-	news    base.Broadcast
-	heard   base.Table[time.Duration]
-	copies  base.Table[int]
-	joining bool
+	scope         base.Scope
+	store         *Store
+	selfIndex     int
+	peers         []Peer
+	acceptors     []acceptor
+	roundTimeout  time.Duration
+	mu            sync.Mutex
+	ownerStates   map[string]*ownerState
+	chosen        base.Table[*wire.Entry]
+	chosenChanged base.Broadcast
+	lastHeard     base.Table[time.Duration]
+	copies        base.Table[int]
+	wiped         bool
 }
 
 // Option changes how a Trove starts.
 type Option func(*Replica)
 
-// Joining says that a blank disk here was wiped and is no new fleet's.
-func Joining(t *Replica) { t.joining = true }
+// DiskWiped says that a blank disk here was wiped and is no new fleet's.
+func DiskWiped(r *Replica) { r.wiped = true }
 
 // New returns the part of the machine self, which is one of peers. A disk that
 // doesn't answer within round counts as lost for that round.
-func New(s base.Scope, store *Store, web *http.Client, self string, peers []Peer, round time.Duration, options ...Option) *Replica {
+func New(s base.Scope, store *Store, httpClient *http.Client, self string, peers []Peer, roundTimeout time.Duration, options ...Option) *Replica {
 	peers = slices.Clone(peers)
 	slices.SortFunc(peers, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
-	t := &Replica{scope: s, store: store, peers: peers, round: round, holds: map[string]*ownerState{}}
+	r := &Replica{scope: s, store: store, peers: peers, roundTimeout: roundTimeout, ownerStates: map[string]*ownerState{}}
 	for i, peer := range peers {
 		if peer.Name == self {
-			t.self = i
-			t.disks = append(t.disks, server{t})
+			r.selfIndex = i
+			r.acceptors = append(r.acceptors, server{r})
 			continue
 		}
-		t.disks = append(t.disks, wireconnect.NewTroveClient(web, "http://"+peer.Address))
+		r.acceptors = append(r.acceptors, wireconnect.NewTroveClient(httpClient, "http://"+peer.Address))
 	}
 	for _, option := range options {
-		option(t)
+		option(r)
 	}
-	return t
+	return r
 }
 
-func place(address string) uint32 {
+func controllerID(address string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(address))
 	return hash.Sum32()
 }
 
 // Store returns this machine's disk.
-func (t *Replica) Store() *Store { return t.store }
+func (r *Replica) Store() *Store { return r.store }
 
 // Changed returns a channel that closes when a newer value is known to be settled.
-func (t *Replica) Changed() <-chan struct{} { return t.news.Next() }
+func (r *Replica) Changed() <-chan struct{} { return r.chosenChanged.Next() }
 
 // Ready reports whether this machine's disk may vote.
-func (t *Replica) Ready() bool { return t.store.Phase() == wire.Phase_FOUNDED }
+func (r *Replica) Ready() bool { return r.store.Phase() == wire.Phase_FOUNDED }
 
-// Settled returns the newest entry of a key known to be on a majority of disks.
+// Chosen returns the newest entry of a key known to be on a majority of disks.
 // A newer one may be.
-func (t *Replica) Settled(key string) (*wire.Entry, bool) { return t.settled.Get(key) }
+func (r *Replica) Chosen(key string) (*wire.Entry, bool) { return r.chosen.Get(key) }
 
 // Owner returns the machine whose epoch of a key this disk has promised, and
 // that epoch.
-func (t *Replica) Owner(key string) (Peer, *wire.Epoch, bool) {
-	promised, _ := t.store.Peek(key)
-	for _, peer := range t.peers {
-		if promised.GetNumber() > 0 && promised.GetKeel() == place(peer.Address) {
+func (r *Replica) Owner(key string) (Peer, *wire.Epoch, bool) {
+	promised, _ := r.store.Peek(key)
+	for _, peer := range r.peers {
+		if promised.GetNumber() > 0 && promised.GetKeel() == controllerID(peer.Address) {
 			return peer, promised, true
 		}
 	}
@@ -112,33 +112,33 @@
 }
 
 // Owns reports whether this machine owns a key, by its own disk's knowledge.
-func (t *Replica) Owns(key string) bool {
-	owner, _, known := t.Owner(key)
-	return known && owner.Name == t.peers[t.self].Name
+func (r *Replica) Owns(key string) bool {
+	owner, _, known := r.Owner(key)
+	return known && owner.Name == r.peers[r.selfIndex].Name
 }
 
-// HeardLately reports whether another machine answered lately.
-func (t *Replica) HeardLately(peer Peer, lately time.Duration) bool {
-	at, known := t.heard.Get(peer.Name)
-	return known && t.scope.Clock.Mono()-at <= lately
+// HeardWithin reports whether another machine answered lately.
+func (r *Replica) HeardWithin(peer Peer, window time.Duration) bool {
+	heardAt, known := r.lastHeard.Get(peer.Name)
+	return known && r.scope.Clock.Mono()-heardAt <= window
 }
 
-func (t *Replica) majority() int { return len(t.disks)/2 + 1 }
+func (r *Replica) majority() int { return len(r.acceptors)/2 + 1 }
 
-func (t *Replica) ownerOf(key string) *ownerState {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	at := t.holds[key]
-	if at == nil {
-		at = &ownerState{latch: base.NewContextMutex()}
-		t.holds[key] = at
+func (r *Replica) ownerStateOf(key string) *ownerState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.ownerStates[key]
+	if state == nil {
+		state = &ownerState{lock: base.NewContextMutex()}
+		r.ownerStates[key] = state
 	}
-	return at
+	return state
 }
 
-func (t *Replica) promises(s base.Scope, disks []disk, need int, request *wire.PromiseRequest) []Reply[wire.PromiseReply] {
-	return poll(s, disks, need, t.round, func(ctx context.Context, d disk) (*wire.PromiseReply, error) {
-		reply, err := d.Promise(ctx, connect.NewRequest(request))
+func (r *Replica) requestPromises(s base.Scope, acceptors []acceptor, required int, request *wire.PromiseRequest) []Reply[wire.PromiseReply] {
+	return poll(s, acceptors, required, r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.PromiseReply, error) {
+		reply, err := target.Promise(ctx, connect.NewRequest(request))
 		if err != nil {
 			return nil, err
 		}
@@ -146,31 +146,31 @@
 	})
 }
 
-func (t *Replica) promise(s base.Scope, key string, at *ownerState) error {
-	promised, _ := t.store.Peek(key)
-	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: place(t.peers[t.self].Address)}
-	own := t.promises(s, t.disks[t.self:t.self+1], 1, &wire.PromiseRequest{Key: key, Epoch: epoch})[0]
+func (r *Replica) acquireOwnership(s base.Scope, key string, state *ownerState) error {
+	promised, _ := r.store.Peek(key)
+	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: controllerID(r.peers[r.selfIndex].Address)}
+	own := r.requestPromises(s, r.acceptors[r.selfIndex:r.selfIndex+1], 1, &wire.PromiseRequest{Key: key, Epoch: epoch})[0]
 	if own.err != nil {
 		return own.err
 	}
 	if !own.body.Granted {
 		return base.NewFault(base.Superseded, key, "a higher epoch came first")
 	}
-	replies := t.promises(s, t.disks, t.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
-	granted, beaten, highest := countGrants(replies, epoch)
-	if granted < t.majority() {
-		if beaten != epoch {
-			_, _, _, _ = t.store.Promise(s, key, &wire.Epoch{Number: beaten.Number, Keel: beaten.Keel})
-			return base.NewFault(base.Superseded, key, "epoch %d of keel %d goes first", beaten.Number, beaten.Keel)
+	replies := r.requestPromises(s, r.acceptors, r.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
+	granted, highestPromised, highest := countGrants(replies, epoch)
+	if granted < r.majority() {
+		if highestPromised != epoch {
+			_, _, _, _ = r.store.Promise(s, key, &wire.Epoch{Number: highestPromised.Number, Keel: highestPromised.Keel})
+			return base.NewFault(base.Superseded, key, "epoch %d of keel %d goes first", highestPromised.Number, highestPromised.Keel)
 		}
 		return base.NewFault(base.Unreachable, key, "no majority of disks promised")
 	}
-	at.epoch, at.serial, at.value = epoch, highest.GetSerial(), highest.GetValue()
-	t.scope.Record("owner", key, t.peers[t.self].Name)
+	state.epoch, state.serial, state.value = epoch, highest.GetSerial(), highest.GetValue()
+	r.scope.Record("owner", key, r.peers[r.selfIndex].Name)
 	if highest == nil {
 		return nil
 	}
-	return t.accept(s, key, at, at.serial, at.value)
+	return r.replicate(s, key, state, state.serial, state.value)
 }
 
 // countGrants returns how many disks granted a promise, the highest epoch promised
@@ -195,10 +195,10 @@
 	return granted, promised, highest
 }
 
-func (t *Replica) accept(s base.Scope, key string, at *ownerState, serial uint64, value []byte) error {
-	entry := &wire.Entry{Key: key, Epoch: at.epoch, Serial: serial, Value: value}
-	replies := poll(s, t.disks, t.majority(), t.round, func(ctx context.Context, d disk) (*wire.AcceptReply, error) {
-		reply, err := d.Accept(ctx, connect.NewRequest(&wire.AcceptRequest{Entry: entry}))
+func (r *Replica) replicate(s base.Scope, key string, state *ownerState, serial uint64, value []byte) error {
+	entry := &wire.Entry{Key: key, Epoch: state.epoch, Serial: serial, Value: value}
+	replies := poll(s, r.acceptors, r.majority(), r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.AcceptReply, error) {
+		reply, err := target.Accept(ctx, connect.NewRequest(&wire.AcceptRequest{Entry: entry}))
 		if err != nil {
 			return nil, err
 		}
@@ -208,41 +208,41 @@
 		return reply.Msg, nil
 	})
 	granted := 0
-	var outranked error
+	var superseded error
 	for _, reply := range replies {
 		if reply.err == nil {
 			granted++
 		} else if base.FaultOf(reply.err).Kind == base.Superseded {
-			outranked = reply.err
+			superseded = reply.err
 		}
 	}
-	if granted < t.majority() {
-		at.epoch = nil
-		if outranked != nil {
-			return outranked
+	if granted < r.majority() {
+		state.epoch = nil
+		if superseded != nil {
+			return superseded
 		}
 		return base.NewFault(base.Uncertain, key, "no majority of disks answered")
 	}
-	at.serial, at.value = serial, value
-	t.settle(entry)
+	state.serial, state.value = serial, value
+	r.markChosen(entry)
 	request := &wire.SettleRequest{Key: key, Epoch: entry.Epoch, Serial: serial}
-	poll(s, t.disks, 0, t.round, func(ctx context.Context, d disk) (*wire.SettleReply, error) {
-		_, err := d.Settle(ctx, connect.NewRequest(request))
+	poll(s, r.acceptors, 0, r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.SettleReply, error) {
+		_, err := target.Settle(ctx, connect.NewRequest(request))
 		return nil, err
 	})
 	return nil
 }
 
-func (t *Replica) settle(entry *wire.Entry) {
-	risen := false
-	t.settled.Update(func(rows map[string]*wire.Entry) {
+func (r *Replica) markChosen(entry *wire.Entry) {
+	newer := false
+	r.chosen.Update(func(rows map[string]*wire.Entry) {
 		if compareEntries(entry, rows[entry.Key]) > 0 {
-			rows[entry.Key], risen = entry, true
+			rows[entry.Key], newer = entry, true
 		}
 	})
-	if risen {
-		t.scope.Record("settled", entry.Key, "")
-		t.news.Notify()
+	if newer {
+		r.scope.Record("settled", entry.Key, "")
+		r.chosenChanged.Notify()
 	}
 }
 
@@ -250,112 +250,112 @@
 // there is none. A nil result changes nothing. It returns nil once a majority
 // of disks has the value. After an error of kind Outranked another machine owns
 // the key; of kind Uncertain, the value may or may not get in force.
-func (t *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
-	at := t.ownerOf(key)
-	if !at.latch.Lock(s) {
+func (r *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
+	state := r.ownerStateOf(key)
+	if !state.lock.Lock(s) {
 		return errBusy(key)
 	}
-	defer at.latch.Unlock()
-	promised, _ := t.store.Peek(key)
-	if at.epoch != nil && compareEpochs(promised, at.epoch) > 0 {
-		at.epoch = nil
+	defer state.lock.Unlock()
+	promised, _ := r.store.Peek(key)
+	if state.epoch != nil && compareEpochs(promised, state.epoch) > 0 {
+		state.epoch = nil
 	}
-	if at.epoch == nil {
-		if err := t.promise(s, key, at); err != nil {
-			at.epoch = nil
+	if state.epoch == nil {
+		if err := r.acquireOwnership(s, key, state); err != nil {
+			state.epoch = nil
 			return err
 		}
 	}
-	value, err := change(at.value)
+	value, err := change(state.value)
 	if err != nil || value == nil {
 		return err
 	}
-	return t.accept(s, key, at, at.serial+1, value)
+	return r.replicate(s, key, state, state.serial+1, value)
 }
 
 // Read returns the newest value of a key, nil if there is none, once a majority
 // has it.
-func (t *Replica) Read(s base.Scope, key string) ([]byte, error) {
-	at := t.ownerOf(key)
-	if !at.latch.Lock(s) {
+func (r *Replica) Read(s base.Scope, key string) ([]byte, error) {
+	state := r.ownerStateOf(key)
+	if !state.lock.Lock(s) {
 		return nil, errBusy(key)
 	}
-	defer at.latch.Unlock()
-	if at.epoch == nil || at.serial == 0 {
-		err := t.promise(s, key, at)
+	defer state.lock.Unlock()
+	if state.epoch == nil || state.serial == 0 {
+		err := r.acquireOwnership(s, key, state)
 		if err != nil {
-			at.epoch = nil
+			state.epoch = nil
 		}
-		return at.value, err
+		return state.value, err
 	}
-	return at.value, t.accept(s, key, at, at.serial, at.value)
+	return state.value, r.replicate(s, key, state, state.serial, state.value)
 }
 
 // Refresh is Survey without the second answer.
-func (t *Replica) Refresh(s base.Scope, key string) (settled bool) {
-	settled, _ = t.Survey(s, key)
-	return settled
+func (r *Replica) Refresh(s base.Scope, key string) (chosen bool) {
+	chosen, _ = r.QuorumRead(s, key)
+	return chosen
 }
 
-// Survey asks all disks for a key's newest entry and takes it in. It reports
+// QuorumRead asks all disks for a key's newest entry and takes it in. It reports
 // whether that is settled (or there is none), and whether a majority of disks
 // answered; both together make a majority read.
-func (t *Replica) Survey(s base.Scope, key string) (settled, agreed bool) {
-	_, mine := t.store.Peek(key)
-	replies := t.promises(s, t.disks, len(t.disks), &wire.PromiseRequest{Key: key, Have: mine.GetEpoch(), HaveSerial: mine.GetSerial()})
+func (r *Replica) QuorumRead(s base.Scope, key string) (chosen, majorityReplied bool) {
+	_, local := r.store.Peek(key)
+	replies := r.requestPromises(s, r.acceptors, len(r.acceptors), &wire.PromiseRequest{Key: key, Have: local.GetEpoch(), HaveSerial: local.GetSerial()})
 	var highest *wire.Entry
-	count, heard := 0, 0
+	copies, replied := 0, 0
 	for _, reply := range replies {
 		if reply.err == nil {
-			heard++
-			t.heard.Put(t.peers[reply.disk].Name, t.scope.Clock.Mono())
+			replied++
+			r.lastHeard.Put(r.peers[reply.acceptor].Name, r.scope.Clock.Mono())
 		}
 		if reply.err != nil || reply.body.Entry == nil {
 			continue
 		}
 		switch compared := compareEntries(reply.body.Entry, highest); {
 		case compared > 0:
-			highest, count = reply.body.Entry, 1
+			highest, copies = reply.body.Entry, 1
 		case compared == 0:
-			count++
+			copies++
 		}
 	}
-	agreed = heard >= t.majority()
-	if highest == nil || count < t.majority() {
-		return highest == nil, agreed
+	majorityReplied = replied >= r.majority()
+	if highest == nil || copies < r.majority() {
+		return highest == nil, majorityReplied
 	}
-	if compareEntries(highest, mine) == 0 {
-		highest = mine
+	if compareEntries(highest, local) == 0 {
+		highest = local
 	}
-	if compareEntries(highest, mine) > 0 {
-		bounded, cancel := s.WithTimeout(t.round)
-		_, _, _ = t.store.Accept(bounded, highest)
+	if compareEntries(highest, local) > 0 {
+		bounded, cancel := s.WithTimeout(r.roundTimeout)
+		_, _, _ = r.store.Accept(bounded, highest)
 		cancel()
 	}
-	t.settle(highest)
-	t.copies.Put(key, count)
-	return true, agreed
+	r.markChosen(highest)
+	r.copies.Put(key, copies)
+	return true, majorityReplied
 }
 
 // Copies returns how many disks had the settled entry of a key at the last
 // Survey.
-func (t *Replica) Copies(key string) int {
-	count, _ := t.copies.Get(key)
+func (r *Replica) Copies(key string) int {
+	count, _ := r.copies.Get(key)
 	return count
 }
 
-// HandOver gives the keys that this machine owns to others that will take them.
-func (t *Replica) HandOver(s base.Scope) {
-	for _, key := range t.store.Keys() {
-		if !t.Owns(key) {
+// TransferOwnership gives the keys that this machine owns to others that will take them.
+func (r *Replica) TransferOwnership(s base.Scope) {
+	for _, key := range r.store.Keys() {
+		if !r.Owns(key) {
 			continue
 		}
-		for i, each := range t.disks {
-			if i == t.self {
+		for i, each := range r.acceptors {
+			if i == r.selfIndex {
 				continue
 			}
 			if _, err := each.TakeOver(s, connect.NewRequest(&wire.TakeOverRequest{Key: key})); err == nil {
-				t.scope.Record("duty", key, "handed to "+t.peers[i].Name)
+				r.scope.Record("duty", key, "handed to "+r.peers[i].Name)
 				break
 			}
 		}
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// brandFile holds the disk's phase, rollPrefix begins the files that list
+	// phaseFile holds the disk's phase, rollPrefix begins the files that list
 	// which files count, keyFolder holds a folder for each key, badSuffix ends
 	// files that can't be read, and rollsKept is the number of lists kept.
-	brandFile  = "brand"
-	rollPrefix = "roll-"
-	keyFolder  = "keys"
-	badSuffix  = ".bad"
-	rollsKept  = 2
+	phaseFile      = "brand"
+	manifestPrefix = "roll-"
+	keyFolder      = "keys"
+	corruptSuffix  = ".bad"
+	manifestsKept  = 2
 )
 
 type keySnapshot struct {
@@ -36,64 +36,64 @@
 
 // keyState is the state of one key; shown is its copy for readers who don't wait.
 type keyState struct {
-	latch    base.ContextMutex
-	promised *wire.Epoch
-	entry    *wire.Entry
-	damaged  atomic.Bool
-	shown    atomic.Pointer[keySnapshot]
+	lock      base.ContextMutex
+	promised  *wire.Epoch
+	entry     *wire.Entry
+	damaged   atomic.Bool
+	published atomic.Pointer[keySnapshot]
 }
 
 func newKeyState() *keyState {
-	at := &keyState{latch: base.NewContextMutex(), promised: &wire.Epoch{}}
-	at.show()
-	return at
+	state := &keyState{lock: base.NewContextMutex(), promised: &wire.Epoch{}}
+	state.publish()
+	return state
 }
 
-func (at *keyState) show() { at.shown.Store(&keySnapshot{at.promised, at.entry}) }
+func (state *keyState) publish() { state.published.Store(&keySnapshot{state.promised, state.entry}) }
 
 // Store is one machine's disk: the promise and the newest entry of each key, in
 // files that the newest roll lists. Lock order: a slot's latch, then rolled,
 // then mu; only mu is never held across I/O.
 type Store struct {
-	scope  base.Scope
-	kept   int
-	mu     sync.Mutex
-	phase  wire.Phase
-	slots  map[string]*keyState
-	roll   *wire.Roll
-	rolled base.ContextMutex
+	scope        base.Scope
+	historyLimit int
+	mu           sync.Mutex
+	phase        wire.Phase
+	keyStates    map[string]*keyState
+	manifest     *wire.Roll
+	manifestLock base.ContextMutex
 }
 
 // OpenStore returns what the disk holds. It keeps so many past values of each
 // key.
-func OpenStore(s base.Scope, kept int) (*Store, error) {
-	store := &Store{scope: s, kept: max(kept, 2), rolled: base.NewContextMutex(), slots: map[string]*keyState{}, roll: &wire.Roll{Lines: map[string]*wire.Line{}}}
+func OpenStore(s base.Scope, historyLimit int) (*Store, error) {
+	store := &Store{scope: s, historyLimit: max(historyLimit, 2), manifestLock: base.NewContextMutex(), keyStates: map[string]*keyState{}, manifest: &wire.Roll{Lines: map[string]*wire.Line{}}}
 	if err := s.Disk.MakeFolder(keyFolder); err != nil {
 		return nil, errors.Wrap(err, "keys folder")
 	}
 	return store, store.load()
 }
 
-func (t *Store) write(name string, message proto.Message) error {
+func (st *Store) write(name string, message proto.Message) error {
 	raw, err := storage.Frame(message)
 	if err == nil {
-		err = storage.WriteAtomically(t.scope.Disk, name, raw)
+		err = storage.WriteAtomically(st.scope.Disk, name, raw)
 	}
 	if err != nil {
-		t.scope.Record("disk-trouble", name, err.Error())
+		st.scope.Record("disk-trouble", name, err.Error())
 		return base.NewFault(base.DiskFailure, name, "%s", err)
 	}
 	return nil
 }
 
-func (t *Store) read(name string, message proto.Message) error {
-	raw, err := t.scope.Disk.Read(name)
+func (st *Store) read(name string, message proto.Message) error {
+	raw, err := st.scope.Disk.Read(name)
 	if err != nil {
 		return err
 	}
 	if err := storage.Unframe(raw, message); err != nil {
-		t.scope.Record("set-aside", name, err.Error())
-		_ = t.scope.Disk.Rename(name, name+badSuffix)
+		st.scope.Record("set-aside", name, err.Error())
+		_ = st.scope.Disk.Rename(name, name+corruptSuffix)
 		return err
 	}
 	return nil
@@ -109,8 +109,8 @@
 	return fmt.Sprintf("%s/p-%016x-%08x", folderOf(key), epoch.GetNumber(), epoch.GetKeel())
 }
 
-func (t *Store) load() error {
-	names, err := t.scope.Disk.List("")
+func (st *Store) load() error {
+	names, err := st.scope.Disk.List("")
 	if err != nil {
 		return errors.Wrap(err, "list")
 	}
@@ -118,105 +118,105 @@
 	slices.Reverse(names)
 	for _, name := range names {
 		var number uint64
-		if _, err := fmt.Sscanf(name, rollPrefix+"%016x", &number); err == nil {
-			t.roll.Number = max(t.roll.Number, number)
+		if _, err := fmt.Sscanf(name, manifestPrefix+"%016x", &number); err == nil {
+			st.manifest.Number = max(st.manifest.Number, number)
 		}
 	}
 	brand := &wire.Brand{}
-	if err := t.read(brandFile, brand); err != nil {
-		t.scope.Record("blank", "", "no brand")
+	if err := st.read(phaseFile, brand); err != nil {
+		st.scope.Record("blank", "", "no brand")
 		return nil
 	}
-	if !t.loadManifest(names) {
-		t.scope.Record("blank", "", "no roll")
+	if !st.loadManifest(names) {
+		st.scope.Record("blank", "", "no roll")
 		return nil
 	}
-	for key, line := range t.roll.Lines {
-		t.slots[key] = t.loadKey(key, line)
+	for key, line := range st.manifest.Lines {
+		st.keyStates[key] = st.loadKey(key, line)
 	}
-	t.phase = brand.Phase
+	st.phase = brand.Phase
 	return nil
 }
 
 // loadManifest reads the newest roll of the names, which are in descending order. An
 // older one is never taken in place of one that can't be read.
-func (t *Store) loadManifest(names []string) bool {
-	at := slices.IndexFunc(names, func(name string) bool {
-		return strings.HasPrefix(name, rollPrefix) && !strings.HasSuffix(name, storage.TemporarySuffix) && !strings.HasSuffix(name, badSuffix)
+func (st *Store) loadManifest(names []string) bool {
+	index := slices.IndexFunc(names, func(name string) bool {
+		return strings.HasPrefix(name, manifestPrefix) && !strings.HasSuffix(name, storage.TemporarySuffix) && !strings.HasSuffix(name, corruptSuffix)
 	})
-	if at < 0 {
+	if index < 0 {
 		return false
 	}
 	roll := &wire.Roll{}
-	if t.read(names[at], roll) != nil {
+	if st.read(names[index], roll) != nil {
 		return false
 	}
 	if roll.Lines == nil {
 		roll.Lines = map[string]*wire.Line{}
 	}
-	t.roll = roll
+	st.manifest = roll
 	return true
 }
 
-func (t *Store) loadKey(key string, line *wire.Line) *keyState {
-	at := newKeyState()
-	defer at.show()
-	if line.Promise != "" && t.read(line.Promise, at.promised) != nil {
-		at.damaged.Store(true)
+func (st *Store) loadKey(key string, line *wire.Line) *keyState {
+	state := newKeyState()
+	defer state.publish()
+	if line.Promise != "" && st.read(line.Promise, state.promised) != nil {
+		state.damaged.Store(true)
 	}
 	if line.Value != "" {
 		entry := &wire.Entry{}
-		if t.read(line.Value, entry) != nil {
-			at.damaged.Store(true)
+		if st.read(line.Value, entry) != nil {
+			state.damaged.Store(true)
 		} else {
-			at.entry = entry
+			state.entry = entry
 		}
 	}
-	if at.damaged.Load() {
-		t.scope.Record("damaged-key", key, "a file is lost or bad")
+	if state.damaged.Load() {
+		st.scope.Record("damaged-key", key, "a file is lost or bad")
 	}
-	return at
+	return state
 }
 
-func (t *Store) key(key string) *keyState {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	at := t.slots[key]
-	if at == nil {
-		at = newKeyState()
-		t.slots[key] = at
+func (st *Store) stateOf(key string) *keyState {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	state := st.keyStates[key]
+	if state == nil {
+		state = newKeyState()
+		st.keyStates[key] = state
 	}
-	return at
+	return state
 }
 
 // Phase returns how far the disk is in becoming one that votes.
-func (t *Store) Phase() wire.Phase {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.phase
+func (st *Store) Phase() wire.Phase {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.phase
 }
 
-func (t *Store) setPhase(phase wire.Phase) error {
-	brand := &wire.Brand{Phase: phase, Incarnation: t.scope.Rand.Name(8)}
-	if err := t.addToManifest("", nil); err != nil {
+func (st *Store) setPhase(phase wire.Phase) error {
+	brand := &wire.Brand{Phase: phase, Incarnation: st.scope.Rand.Name(8)}
+	if err := st.updateManifest("", nil); err != nil {
 		return err
 	}
-	if err := t.write(brandFile, brand); err != nil {
+	if err := st.write(phaseFile, brand); err != nil {
 		return err
 	}
-	t.mu.Lock()
-	t.phase = phase
-	t.mu.Unlock()
-	t.scope.Record("phase", "", phase.String())
+	st.mu.Lock()
+	st.phase = phase
+	st.mu.Unlock()
+	st.scope.Record("phase", "", phase.String())
 	return nil
 }
 
 // Keys returns all keys in order.
-func (t *Store) Keys() []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	keys := make([]string, 0, len(t.slots))
-	for key := range t.slots {
+func (st *Store) Keys() []string {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	keys := make([]string, 0, len(st.keyStates))
+	for key := range st.keyStates {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
@@ -225,13 +225,13 @@
 
 // IsDamaged reports whether a file of the key was lost or bad, so that the disk
 // can't vote on it.
-func (t *Store) IsDamaged(key string) bool { return t.key(key).damaged.Load() }
+func (st *Store) IsDamaged(key string) bool { return st.stateOf(key).damaged.Load() }
 
 // DamagedKeys returns all such keys.
-func (t *Store) DamagedKeys() []string {
+func (st *Store) DamagedKeys() []string {
 	var damaged []string
-	for _, key := range t.Keys() {
-		if t.key(key).damaged.Load() {
+	for _, key := range st.Keys() {
+		if st.stateOf(key).damaged.Load() {
 			damaged = append(damaged, key)
 		}
 	}
@@ -240,17 +240,17 @@
 
 // Peek returns a key's promise and entry without waiting for a change under
 // way.
-func (t *Store) Peek(key string) (promised *wire.Epoch, entry *wire.Entry) {
-	at := t.key(key).shown.Load()
-	return at.promised, at.entry
+func (st *Store) Peek(key string) (promised *wire.Epoch, entry *wire.Entry) {
+	snapshot := st.stateOf(key).published.Load()
+	return snapshot.promised, snapshot.entry
 }
 
-func (t *Store) addToManifest(key string, change func(*wire.Line)) error {
-	t.rolled.Lock(context.Background())
-	defer t.rolled.Unlock()
-	t.mu.Lock()
-	next := proto.Clone(t.roll).(*wire.Roll)
-	t.mu.Unlock()
+func (st *Store) updateManifest(key string, change func(*wire.Line)) error {
+	st.manifestLock.Lock(context.Background())
+	defer st.manifestLock.Unlock()
+	st.mu.Lock()
+	next := proto.Clone(st.manifest).(*wire.Roll)
+	st.mu.Unlock()
 	next.Number++
 	if next.Lines == nil {
 		next.Lines = map[string]*wire.Line{}
@@ -261,21 +261,21 @@
 		}
 		change(next.Lines[key])
 	}
-	name := func(number uint64) string { return fmt.Sprintf("%s%016x", rollPrefix, number) }
-	if err := t.write(name(next.Number), next); err != nil {
+	name := func(number uint64) string { return fmt.Sprintf("%s%016x", manifestPrefix, number) }
+	if err := st.write(name(next.Number), next); err != nil {
 		return err
 	}
-	t.mu.Lock()
-	t.roll = next
-	t.mu.Unlock()
-	if next.Number > rollsKept {
-		_ = t.scope.Disk.Remove(name(next.Number - rollsKept))
+	st.mu.Lock()
+	st.manifest = next
+	st.mu.Unlock()
+	if next.Number > manifestsKept {
+		_ = st.scope.Disk.Remove(name(next.Number - manifestsKept))
 	}
 	return nil
 }
 
-func (t *Store) votes(at *keyState) *base.Fault {
-	if t.Phase() != wire.Phase_FOUNDED || at.damaged.Load() {
+func (st *Store) checkCanVote(state *keyState) *base.Fault {
+	if st.Phase() != wire.Phase_FOUNDED || state.damaged.Load() {
 		return base.NewFault(base.NoState, "", "this disk has not recovered")
 	}
 	return nil
@@ -283,101 +283,101 @@
 
 // Promise grants an epoch unless a higher one is promised, and keeps that on
 // disk before it returns.
-func (t *Store) Promise(ctx context.Context, key string, epoch *wire.Epoch) (granted bool, promised *wire.Epoch, entry *wire.Entry, fault error) {
-	at := t.key(key)
-	if !at.latch.Lock(ctx) {
+func (st *Store) Promise(ctx context.Context, key string, epoch *wire.Epoch) (granted bool, promised *wire.Epoch, entry *wire.Entry, fault error) {
+	state := st.stateOf(key)
+	if !state.lock.Lock(ctx) {
 		return false, nil, nil, errBusy(key)
 	}
-	defer at.latch.Unlock()
-	if rejection := t.votes(at); rejection != nil {
+	defer state.lock.Unlock()
+	if rejection := st.checkCanVote(state); rejection != nil {
 		return false, nil, nil, rejection
 	}
-	if compareEpochs(epoch, at.promised) < 0 {
-		return false, at.promised, at.entry, nil
+	if compareEpochs(epoch, state.promised) < 0 {
+		return false, state.promised, state.entry, nil
 	}
-	if compareEpochs(epoch, at.promised) > 0 {
-		if err := t.keepPromise(key, at, epoch); err != nil {
+	if compareEpochs(epoch, state.promised) > 0 {
+		if err := st.savePromise(key, state, epoch); err != nil {
 			return false, nil, nil, err
 		}
 	}
-	return true, at.promised, at.entry, nil
+	return true, state.promised, state.entry, nil
 }
 
 func errBusy(key string) error {
 	return base.NewFault(base.DiskFailure, key, "the disk is still at an earlier change")
 }
 
-func (t *Store) keepPromise(key string, at *keyState, epoch *wire.Epoch) error {
-	if err := t.scope.Disk.MakeFolder(folderOf(key)); err != nil {
+func (st *Store) savePromise(key string, state *keyState, epoch *wire.Epoch) error {
+	if err := st.scope.Disk.MakeFolder(folderOf(key)); err != nil {
 		return base.NewFault(base.DiskFailure, key, "%s", err)
 	}
-	name, old := promiseName(key, epoch), promiseName(key, at.promised)
-	if err := t.write(name, epoch); err != nil {
+	name, oldName := promiseName(key, epoch), promiseName(key, state.promised)
+	if err := st.write(name, epoch); err != nil {
 		return err
 	}
-	if err := t.addToManifest(key, func(line *wire.Line) { line.Promise = name }); err != nil {
+	if err := st.updateManifest(key, func(line *wire.Line) { line.Promise = name }); err != nil {
 		return err
 	}
-	at.promised = epoch
-	at.show()
-	if old != name {
-		_ = t.scope.Disk.Remove(old)
+	state.promised = epoch
+	state.publish()
+	if oldName != name {
+		_ = st.scope.Disk.Remove(oldName)
 	}
 	return nil
 }
 
 // Accept stores an entry unless a higher epoch is promised or a newer entry is
 // there. It is on disk when Accept returns.
-func (t *Store) Accept(ctx context.Context, entry *wire.Entry) (granted bool, promised *wire.Epoch, fault error) {
-	at := t.key(entry.Key)
-	if !at.latch.Lock(ctx) {
+func (st *Store) Accept(ctx context.Context, entry *wire.Entry) (granted bool, promised *wire.Epoch, fault error) {
+	state := st.stateOf(entry.Key)
+	if !state.lock.Lock(ctx) {
 		return false, nil, errBusy(entry.Key)
 	}
-	defer at.latch.Unlock()
-	if rejection := t.votes(at); rejection != nil {
+	defer state.lock.Unlock()
+	if rejection := st.checkCanVote(state); rejection != nil {
 		return false, nil, rejection
 	}
-	if compareEpochs(entry.Epoch, at.promised) < 0 || compareEntries(entry, at.entry) < 0 {
-		return false, at.promised, nil
+	if compareEpochs(entry.Epoch, state.promised) < 0 || compareEntries(entry, state.entry) < 0 {
+		return false, state.promised, nil
 	}
-	if at.entry != nil && compareEntries(entry, at.entry) == 0 {
-		return true, at.promised, nil
+	if state.entry != nil && compareEntries(entry, state.entry) == 0 {
+		return true, state.promised, nil
 	}
-	return true, at.promised, t.keepEntry(at, entry)
+	return true, state.promised, st.saveEntry(state, entry)
 }
 
-func (t *Store) keepEntry(at *keyState, entry *wire.Entry) error {
-	if err := t.scope.Disk.MakeFolder(folderOf(entry.Key)); err != nil {
+func (st *Store) saveEntry(state *keyState, entry *wire.Entry) error {
+	if err := st.scope.Disk.MakeFolder(folderOf(entry.Key)); err != nil {
 		return base.NewFault(base.DiskFailure, entry.Key, "%s", err)
 	}
 	name := valueName(entry.Key, entry)
-	if err := t.write(name, entry); err != nil {
+	if err := st.write(name, entry); err != nil {
 		return err
 	}
-	if err := t.addToManifest(entry.Key, func(line *wire.Line) { line.Value = name }); err != nil {
+	if err := st.updateManifest(entry.Key, func(line *wire.Line) { line.Value = name }); err != nil {
 		return err
 	}
-	at.entry = entry
-	if compareEpochs(entry.Epoch, at.promised) > 0 {
-		at.promised = entry.Epoch
+	state.entry = entry
+	if compareEpochs(entry.Epoch, state.promised) > 0 {
+		state.promised = entry.Epoch
 	}
-	at.show()
-	t.prune(entry.Key, name)
+	state.publish()
+	st.pruneValues(entry.Key, name)
 	return nil
 }
 
-func (t *Store) prune(key, newest string) {
-	names := t.values(key)
-	for len(names) > t.kept {
+func (st *Store) pruneValues(key, newest string) {
+	names := st.valueFiles(key)
+	for len(names) > st.historyLimit {
 		if path.Join(folderOf(key), names[0]) != newest {
-			_ = t.scope.Disk.Remove(path.Join(folderOf(key), names[0]))
+			_ = st.scope.Disk.Remove(path.Join(folderOf(key), names[0]))
 		}
 		names = names[1:]
 	}
 }
 
-func (t *Store) values(key string) []string {
-	names, err := t.scope.Disk.List(folderOf(key))
+func (st *Store) valueFiles(key string) []string {
+	names, err := st.scope.Disk.List(folderOf(key))
 	if err != nil {
 		return nil
 	}
@@ -390,35 +390,35 @@
 
 // History iterates over the values of a key that are still on disk, the newest
 // first.
-func (t *Store) History(key string) func(yield func(*wire.Entry) bool) {
-	names := t.values(key)
+func (st *Store) History(key string) func(yield func(*wire.Entry) bool) {
+	names := st.valueFiles(key)
 	slices.Reverse(names)
 	return func(yield func(*wire.Entry) bool) {
 		for _, name := range names {
 			entry := &wire.Entry{}
-			if t.read(path.Join(folderOf(key), name), entry) == nil && !yield(entry) {
+			if st.read(path.Join(folderOf(key), name), entry) == nil && !yield(entry) {
 				return
 			}
 		}
 	}
 }
 
-func (t *Store) restore(ctx context.Context, key string, promised *wire.Epoch, entry *wire.Entry) error {
-	at := t.key(key)
-	if !at.latch.Lock(ctx) {
+func (st *Store) restore(ctx context.Context, key string, promised *wire.Epoch, entry *wire.Entry) error {
+	state := st.stateOf(key)
+	if !state.lock.Lock(ctx) {
 		return errBusy(key)
 	}
-	defer at.latch.Unlock()
-	if compareEpochs(promised, at.promised) > 0 || at.damaged.Load() {
-		if err := t.keepPromise(key, at, promised); err != nil {
+	defer state.lock.Unlock()
+	if compareEpochs(promised, state.promised) > 0 || state.damaged.Load() {
+		if err := st.savePromise(key, state, promised); err != nil {
 			return err
 		}
 	}
-	if entry != nil && (at.entry == nil || compareEntries(entry, at.entry) > 0) {
-		if err := t.keepEntry(at, entry); err != nil {
+	if entry != nil && (state.entry == nil || compareEntries(entry, state.entry) > 0) {
+		if err := st.saveEntry(state, entry); err != nil {
 			return err
 		}
 	}
-	at.damaged.Store(false)
+	state.damaged.Store(false)
 	return nil
 }
--- /dev/null
+++ b/internal/quorum/wiped_disk_test.go
@@ -0,0 +1,253 @@
+package quorum
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"curlewreach/base"
+	"curlewreach/internal/httpserver"
+	"curlewreach/internal/random"
+	"curlewreach/internal/testing/simnet"
+	"curlewreach/proto/wire"
+)
+
+type cluster struct {
+	seed      uint64
+	startTime time.Time
+	world     *simnet.World
+	members   []*member
+}
+
+func newCluster(seed uint64, count int) *cluster {
+	c := &cluster{seed: seed, startTime: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	for i := range count {
+		c.members = append(c.members, &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))})
+	}
+	for i := range c.members {
+		c.start(i)
+	}
+	return c
+}
+
+func (c *cluster) start(i int, options ...Option) {
+	c.seed++
+	m := c.members[i]
+	m.mount = simnet.NewMount(m.disk)
+	s := base.Scope{
+		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(c.startTime), Net: c.world.At(ip(i), "keel"), Disk: m.mount,
+		Rand: random.Seeded(c.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
+	}
+	s, m.cancel = s.WithCancel()
+	store, err := OpenStore(s, 4)
+	Expect(err).NotTo(HaveOccurred())
+	var peers []Peer
+	for j := range c.members {
+		peers = append(peers, Peer{Name: address(j), Address: address(j)})
+	}
+	m.replica = New(s, store, httpserver.NewClient(s), address(i), peers, 300*time.Millisecond, options...)
+	mux := http.NewServeMux()
+	mux.Handle(Handler(m.replica))
+	m.server, err = httpserver.Serve(s, address(i), mux)
+	Expect(err).NotTo(HaveOccurred())
+	go m.replica.Recover(s, 100*time.Millisecond)
+}
+
+func (c *cluster) crash(i int) {
+	m := c.members[i]
+	if m.cancel == nil {
+		return
+	}
+	m.cancel()
+	m.mount.Unmount()
+	c.world.Crash(ip(i), "", false)
+	m.server.Close()
+	m.cancel = nil
+}
+
+func (c *cluster) wipe(i int) {
+	c.crash(i)
+	c.members[i].disk.Wipe()
+}
+
+func (c *cluster) close() {
+	for i := range c.members {
+		c.crash(i)
+	}
+	c.world.Close()
+	time.Sleep(time.Minute)
+}
+
+func (c *cluster) eventually(condition func() bool) bool {
+	for range 1000 {
+		if condition() {
+			return true
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	return false
+}
+
+func (c *cluster) ready(indices ...int) bool {
+	for _, i := range indices {
+		if !c.members[i].replica.Ready() {
+			return false
+		}
+	}
+	return true
+}
+
+func (c *cluster) write(i int, value string) error {
+	replica := c.members[i].replica
+	return replica.Change(replica.scope, "key", func([]byte) ([]byte, error) { return []byte(value), nil })
+}
+
+func (c *cluster) readEventually(i int) (value string) {
+	Expect(c.eventually(func() bool {
+		replica := c.members[i].replica
+		read, err := replica.Read(replica.scope, "key")
+		value = string(read)
+		return err == nil
+	})).To(BeTrue())
+	return value
+}
+
+func (c *cluster) holders(value string) (found []int) {
+	for i, m := range c.members {
+		if _, entry := m.replica.store.Peek("key"); string(entry.GetValue()) == value {
+			found = append(found, i)
+		}
+	}
+	return found
+}
+
+func allIndices(count int) (all []int) {
+	for i := range count {
+		all = append(all, i)
+	}
+	return all
+}
+
+func clusterScenario(count int, description string, run func(c *cluster)) {
+	for seed := range uint64(3) {
+		ginkgo.It(fmt.Sprintf("%s (%d disks, seed %d)", description, count, seed+1), func() {
+			synctest.Test(suite, func(*testing.T) {
+				defer ginkgo.GinkgoRecover()
+				c := newCluster(seed*100+1, count)
+				defer c.close()
+				Expect(c.eventually(func() bool { return c.ready(allIndices(count)...) })).To(BeTrue())
+				run(c)
+			})
+		})
+	}
+}
+
+var _ = ginkgo.Describe("amnesia among many", func() {
+	for _, count := range []int{3, 4, 5} {
+		majority := count/2 + 1
+		recoveryQuorum := count - majority + 1
+
+		clusterScenario(count, "given a value on the barest majority, when as many of it are wiped as may be, then those wiped read it again before they vote", func(c *cluster) {
+			Expect(c.write(0, "old")).To(Succeed())
+			for i := majority; i < count; i++ {
+				c.crash(i)
+			}
+			Expect(c.write(0, "new")).To(Succeed())
+			Expect(c.eventually(func() bool { return len(c.holders("new")) == majority })).To(BeTrue())
+			lost := min(majority-1, count-recoveryQuorum)
+			for i := range lost {
+				c.wipe(i)
+			}
+			for i := majority; i < count; i++ {
+				c.start(i)
+			}
+			for i := range lost {
+				c.start(i, DiskWiped)
+			}
+			Expect(c.eventually(func() bool { return c.ready(allIndices(count)...) })).To(BeTrue())
+			for i := range lost {
+				_, entry := c.members[i].replica.store.Peek("key")
+				Expect(string(entry.GetValue())).To(Equal("new"))
+			}
+			Expect(c.readEventually(0)).To(Equal("new"))
+		})
+
+		clusterScenario(count, "given a wiped disk, when fewer others than needed are whole, then it doesn't vote", func(c *cluster) {
+			Expect(c.write(0, "old")).To(Succeed())
+			c.wipe(0)
+			for i := recoveryQuorum; i < count; i++ {
+				c.crash(i)
+			}
+			c.start(0, DiskWiped)
+			time.Sleep(5 * time.Second)
+			Expect(c.ready(0)).To(BeFalse())
+			Expect(c.write(0, "new")).NotTo(Succeed())
+			if recoveryQuorum < count {
+				c.start(recoveryQuorum)
+				Expect(c.eventually(func() bool { return c.ready(0) })).To(BeTrue())
+			}
+		})
+	}
+
+	clusterScenario(3, "given disks that were all wiped, when they join, then they never found a fleet anew; without that word they do", func(c *cluster) {
+		Expect(c.write(0, "old")).To(Succeed())
+		for _, options := range [][]Option{{DiskWiped}, {}} {
+			for i := range c.members {
+				c.wipe(i)
+			}
+			for i := range c.members {
+				c.start(i, options...)
+			}
+			Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(Equal(len(options) == 0))
+		}
+	})
+
+	clusterScenario(3, "given one that was wiped amid the founding, when it joins others that never voted, then the fleet is founded", func(c *cluster) {
+		for i := range c.members {
+			c.wipe(i)
+		}
+		c.start(0)
+		c.start(1)
+		c.start(2)
+		Expect(c.eventually(func() bool {
+			return c.members[0].replica.store.Phase() == wire.Phase_FRESH && c.members[1].replica.store.Phase() == wire.Phase_FRESH
+		})).To(BeTrue())
+		c.wipe(2)
+		c.crash(0)
+		c.crash(1)
+		c.start(0)
+		c.start(1)
+		c.start(2, DiskWiped)
+		Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue())
+	})
+
+	clusterScenario(3, "given a wiped disk, when it joins, then it gives those that count on its lost promises time to give up", func(c *cluster) {
+		c.wipe(0)
+		c.start(0, DiskWiped)
+		time.Sleep(600 * time.Millisecond)
+		Expect(c.ready(0)).To(BeFalse())
+		Expect(c.eventually(func() bool { return c.ready(0) })).To(BeTrue())
+	})
+
+	clusterScenario(3, "given a damaged disk, when a majority is asked by survey, then the damaged one's blank is no answer", func(c *cluster) {
+		c.crash(2)
+		Expect(c.write(0, "new")).To(Succeed())
+		Expect(c.eventually(func() bool { return len(c.holders("new")) == 2 })).To(BeTrue())
+		c.crash(0)
+		c.crash(1)
+		Expect(c.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		c.start(1)
+		c.start(2)
+		time.Sleep(time.Second)
+		replica := c.members[2].replica
+		settled, agreed := replica.QuorumRead(replica.scope, "key")
+		Expect(settled && agreed).To(BeFalse())
+	})
+})
--- a/internal/testing/listedfleet/lens_test.go
+++ b/internal/testing/listedfleet/lens_test.go
@@ -14,8 +14,8 @@
 func (f *Fleet) holder() (*Machine, *wire.Learning) {
 	learning := &wire.Learning{}
 	for _, m := range f.Keels {
-		if m.Controller != nil && m.Controller.Helm.Learning().GetCycle() > learning.Cycle {
-			learning = m.Controller.Helm.Learning()
+		if m.Controller != nil && m.Controller.ControlPlane.Learning().GetCycle() > learning.Cycle {
+			learning = m.Controller.ControlPlane.Learning()
 		}
 	}
 	for _, m := range f.Keels {
