--- a/internal/quorum/compatibility_test.go
+++ b/internal/quorum/compatibility_test.go
@@ -16,8 +16,8 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("files of the first landing", func() {
-	ginkgo.It("given a core disk it wrote, when today's code opens it, then it is founded, whole and promises on", func() {
+var _ = ginkgo.Describe("files of the first version", func() {
+	ginkgo.It("given a disk written by the first version, when the store is opened, then it may vote, no key is damaged, and it promises higher epochs", func() {
 		folder := ginkgo.GinkgoT().TempDir()
 		Expect(os.CopyFS(folder, os.DirFS("../../proto/compat/testdata/core"))).To(Succeed())
 		disk, err := storage.Open(folder)
--- a/internal/quorum/poll.go
+++ b/internal/quorum/poll.go
@@ -10,8 +10,8 @@
 	"curlewreach/proto/wire"
 )
 
-// acceptor is a machine's disk as this one reaches it: its own directly, others by
-// calls.
+// acceptor is one machine's disk in its role as a Paxos acceptor. This machine's
+// own disk is called directly, the others by RPC.
 type acceptor interface {
 	Promise(context.Context, *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error)
 	Accept(context.Context, *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error)
@@ -20,15 +20,18 @@
 	Keys(context.Context, *connect.Request[wire.KeysRequest]) (*connect.Response[wire.KeysReply], error)
 }
 
-// Reply is one disk's answer.
+// Reply is the reply of one acceptor, or the error of the call to it. The field
+// acceptor is its index.
 type Reply[T any] struct {
 	acceptor int
 	body     *T
 	err      error
 }
 
-// poll asks all disks at a time and returns their answers once enough are
-// without an error, or all have come.
+// poll calls all acceptors concurrently. It returns the replies received so far
+// once the required number of calls have succeeded or all calls have ended; it
+// always waits for at least one. The remaining calls continue in the background.
+// Calls are not cancelled together with the scope, but they end at the timeout.
 func poll[T any](s base.Scope, acceptors []acceptor, required int, timeout time.Duration, call func(context.Context, acceptor) (*T, error)) []Reply[T] {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.Context), timeout)
 	replies := make(chan Reply[T], len(acceptors))
@@ -60,6 +63,9 @@
 	return received
 }
 
+// callWithContext returns the result of call, or an error once ctx ends. It does
+// not rely on call to return by then: an operation on a stalled local disk does
+// not.
 func callWithContext[T any](ctx context.Context, call func() (*T, error)) (*T, error) {
 	type result struct {
 		body *T
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -11,6 +11,7 @@
 	"curlewreach/base"
 )
 
+// eventually polls a condition for up to 20 s and reports whether it became true.
 func (c *threeDiskCluster) eventually(condition func() bool) bool {
 	for range 2000 {
 		if condition() {
@@ -21,6 +22,7 @@
 	return false
 }
 
+// readEventually returns the result of the first read that succeeds.
 func (c *threeDiskCluster) readEventually(i int) (value string) {
 	c.eventually(func() bool {
 		read, err := c.read(i)
@@ -30,17 +32,18 @@
 	return value
 }
 
+// storedValue returns the value on a machine's own disk.
 func (c *threeDiskCluster) storedValue(i int) string {
 	_, entry := c.members[i].replica.store.Peek("key")
 	return string(entry.GetValue())
 }
 
 func (c *threeDiskCluster) waitForBootstrap() {
-	Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue(), "three blank disks make a new fleet")
+	Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue(), "three blank disks start a new set")
 }
 
 var _ = ginkgo.Describe("a key", func() {
-	scenario("given an owner, when another keel takes over, then it reads what was acked and fences the old owner", func(c *threeDiskCluster) {
+	scenario("given an owner, when another controller takes over, then it reads the confirmed value and supersedes the old owner", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		Expect(c.read(1)).To(Equal("one"))
@@ -54,7 +57,7 @@
 		}
 	})
 
-	scenario("given one disk down, when a change is acked and then another disk's machine is lost, then the change is still read", func(c *threeDiskCluster) {
+	scenario("given one disk down, when a change is confirmed and then another machine fails, then the change is still read", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		c.crash(2)
 		Expect(c.write(0, "kept")).To(Succeed())
@@ -68,7 +71,7 @@
 		Expect(c.readEventually(2)).To(Equal("kept"))
 	})
 
-	scenario("given many changes, when the bound is reached, then old files go and the newest stay readable", func(c *threeDiskCluster) {
+	scenario("given many changes, when the history limit is reached, then old files are removed and the newest values can be read", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		for i := range 20 {
 			Expect(c.write(0, strings.Repeat("x", i+1))).To(Succeed())
@@ -93,7 +96,7 @@
 		Expect(lengths).To(Equal([]int{20, 19, 18, 17}))
 	})
 
-	scenario("given no majority, when a change is tried, then it is never acked", func(c *threeDiskCluster) {
+	scenario("given no majority, when a change is made, then it fails", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		c.crash(1)
@@ -101,7 +104,7 @@
 		Expect(c.write(0, "two")).NotTo(Succeed())
 	})
 
-	scenario("given an owner cut off mid-change, when a majority goes on, then the old owner's change never returns", func(c *threeDiskCluster) {
+	scenario("given an owner partitioned during a change, when the majority makes another change, then the partitioned owner's change is never read", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		for _, other := range []int{1, 2} {
@@ -116,8 +119,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("amnesia", func() {
-	scenario("given a wiped disk, when it returns, then it votes only after reading every key from both others", func(c *threeDiskCluster) {
+var _ = ginkgo.Describe("recovery of lost files", func() {
+	scenario("given a wiped disk, when its machine restarts, then it votes only after fetching every key from both others", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		c.crash(2)
@@ -126,14 +129,14 @@
 		c.start(2)
 		time.Sleep(3 * time.Second)
 		Expect(c.members[2].replica.Ready()).To(BeFalse())
-		Expect(c.write(0, "two")).NotTo(Succeed(), "a blank disk must not make the majority")
+		Expect(c.write(0, "two")).NotTo(Succeed(), "a blank disk must not count towards the majority")
 		c.start(1)
 		Expect(c.eventually(func() bool { return c.ready(1, 2) })).To(BeTrue())
 		_, entry := c.members[2].replica.store.Peek("key")
 		Expect(string(entry.Value)).To(Or(Equal("one"), Equal("two")))
 	})
 
-	scenario("given two blank disks, when they start, then they wait for an operator's word", func(c *threeDiskCluster) {
+	scenario("given two wiped disks, when their machines start, then they wait until an operator adopts the remaining disk", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		for _, i := range []int{1, 2} {
@@ -150,7 +153,7 @@
 		Expect(c.read(1)).To(Equal("one"))
 	})
 
-	scenario("given a flipped bit in the newest file, when the keel starts, then the file is set aside and repaired from peers", func(c *threeDiskCluster) {
+	scenario("given a flipped bit in the newest file, when the controller starts, then the file is renamed and the key is recovered from the peers", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		Expect(c.eventually(func() bool { _, entry := c.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
@@ -163,7 +166,7 @@
 		Expect(c.members[1].disk.Names()).To(ContainElement(HaveSuffix(corruptSuffix)))
 	})
 
-	scenario("given a bad newest roll or a lost brand, when the disk recovers and the keel starts once more, then no older roll left there is believed", func(c *threeDiskCluster) {
+	scenario("given a corrupt newest manifest or phase file, when the disk recovers and the controller starts once more, then no older manifest is loaded", func(c *threeDiskCluster) {
 		for round, prefix := range []string{manifestPrefix, phaseFile, manifestPrefix} {
 			c.waitForBootstrap()
 			for i := range 4 {
@@ -187,14 +190,14 @@
 			c.crash(1)
 			m.disk.PowerLoss()
 			c.start(1)
-			Expect(c.members[1].replica.Ready()).To(BeTrue(), "what it wrote after it recovered is what it finds")
+			Expect(c.members[1].replica.Ready()).To(BeTrue(), "the state written after the recovery must be loaded")
 			Expect(c.storedValue(1)).To(Equal("newest"))
 			promisedAfterRestart, _ := m.replica.store.Peek("key")
 			Expect(compareEpochs(promisedAfterRestart, promised)).To(BeNumerically(">=", 0), "a promise must not be forgotten")
 		}
 	})
 
-	scenario("given a lost newest file, when the keel starts, then the key is damaged until repaired", func(c *threeDiskCluster) {
+	scenario("given a missing value file, when the controller starts, then the key is damaged until it is recovered", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		c.crash(0)
@@ -213,8 +216,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a disk in trouble", func() {
-	scenario("given power loss at any moment, when the machine returns, then no half file is believed", func(c *threeDiskCluster) {
+var _ = ginkgo.Describe("disk failures", func() {
+	scenario("given power loss at any moment, when the machine restarts, then no partly written file is loaded", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		for round := range 6 {
 			go func() { _ = c.write(0, "value") }()
@@ -228,7 +231,7 @@
 		Expect(c.readEventually(2)).To(Equal("last"))
 	})
 
-	scenario("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(c *threeDiskCluster) {
+	scenario("given full disks on a majority, when the owner changes a key, then the change fails, and succeeds once there is room", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		c.members[0].disk.Fill(true)
@@ -239,7 +242,7 @@
 		Expect(c.write(0, "three")).To(Succeed())
 	})
 
-	scenario("given a stalled disk, when its peers go on, then changes are acked without it and nobody hangs", func(c *threeDiskCluster) {
+	scenario("given a stalled disk on the owner, when changes are made, then the other disks confirm them and no call blocks", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		release := c.members[0].disk.Stall()
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -10,16 +10,18 @@
 	"curlewreach/proto/wire"
 )
 
-// maxFetchAttempts is how often a key is asked for under a higher epoch before the
-// next step of recovery tries again.
+// maxFetchAttempts is the number of increasing epochs under which a key is
+// requested in one recovery attempt.
 const maxFetchAttempts = 8
 
-// Recover brings the disk into a state in which it may vote, trying again after
-// each interval until it is done or the scope ends: a blank disk founds a new
-// set with the others, a lost or damaged one fetches what the others have.
+// Recover brings the disk into the phase FOUNDED, in which it may vote, with no
+// damaged keys. It retries at the given interval until that is done or the scope
+// ends. A blank disk starts a new set together with the others; a disk that has
+// lost files fetches the keys from the others.
 func (r *Replica) Recover(s base.Scope, interval time.Duration) {
 	if r.wiped && r.store.Phase() == wire.Phase_BLANK {
-		// Whoever still counts on a promise of the lost self has given up by then.
+		// By the end of this wait, every round that relies on a promise of the lost
+		// disk has timed out.
 		base.Await(s, 2*r.roundTimeout)
 	}
 	for !r.tryRecover(s, false) {
@@ -29,10 +31,15 @@
 	}
 }
 
-// Adopt makes one try to recover with fewer other disks than needed to rule out
-// that something is lost. An operator orders it after two disks are lost.
+// Adopt makes one recovery attempt that succeeds with a single other disk that
+// may vote, even if that is less than the recovery quorum. Changes that had been
+// confirmed may be lost. An operator requests it after two disks have been lost.
 func (r *Replica) Adopt(s base.Scope) bool { return r.tryRecover(s, true) }
 
+// tryRecover makes one recovery attempt and reports whether the disk may vote on
+// all keys. The phases are BLANK, FRESH once all others were seen to be blank or
+// fresh, and FOUNDED once all others were seen to be fresh or founded. A blank
+// disk whose set exists already becomes founded by fetching all keys.
 func (r *Replica) tryRecover(s base.Scope, adopt bool) (done bool) {
 	phase := r.store.Phase()
 	if phase == wire.Phase_FOUNDED && len(r.store.DamagedKeys()) == 0 {
@@ -58,8 +65,8 @@
 	return false
 }
 
-// pollOthers returns how many of the other disks are in each phase, and all keys
-// that any of them has.
+// pollOthers returns how many of the other disks are in each phase, and every key
+// that at least one of them has.
 func (r *Replica) pollOthers(s base.Scope) (counts map[wire.Phase]int, keys map[string]bool) {
 	replies := poll(s, r.otherAcceptors(), len(r.acceptors)-1, r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.KeysReply, error) {
 		reply, err := target.Keys(ctx, connect.NewRequest(&wire.KeysRequest{}))
@@ -81,10 +88,15 @@
 	return counts, keys
 }
 
-// Any majority that the lost self was part of has one of so many others in it.
+// recoveryQuorum returns the number of other disks to fetch from. Every majority
+// that this disk was part of before it lost its files includes at least one of
+// any that many others.
 func (r *Replica) recoveryQuorum() int { return len(r.acceptors) - r.majority() + 1 }
 
-// A wiped disk may begin anew only with others that have begun and never voted.
+// bootstrapPeers returns how many other disks allow this blank disk to start a new
+// set. For a disk known to be wiped these are only the fresh ones, which have
+// never voted; if it is the only disk of the set it must not start one, and the
+// result is -1.
 func (r *Replica) bootstrapPeers(counts map[wire.Phase]int) int {
 	if r.wiped && len(r.acceptors) > 1 {
 		return counts[wire.Phase_FRESH]
@@ -95,6 +107,7 @@
 	return counts[wire.Phase_BLANK] + counts[wire.Phase_FRESH]
 }
 
+// otherAcceptors returns the acceptors of the other machines.
 func (r *Replica) otherAcceptors() []acceptor {
 	others := make([]acceptor, 0, len(r.acceptors)-1)
 	for i, each := range r.acceptors {
@@ -105,6 +118,8 @@
 	return others
 }
 
+// fetchKeys fetches the keys from the other disks and then lets this one vote. It
+// reports whether it succeeded.
 func (r *Replica) fetchKeys(s base.Scope, keys map[string]bool, required int) bool {
 	for key := range keys {
 		if !r.fetchKey(s, key, required) {
@@ -118,6 +133,8 @@
 	return r.store.setPhase(wire.Phase_FOUNDED) == nil
 }
 
+// fetchKey fetches one key: it gets a new epoch promised by the required number of
+// other disks and stores that epoch with the newest entry among their replies.
 func (r *Replica) fetchKey(s base.Scope, key string, required int) bool {
 	promised, _ := r.store.Peek(key)
 	for range maxFetchAttempts {
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -1,8 +1,9 @@
-// Package quorum keeps a few keyed values on the disks of a fixed set of core
-// machines, so that a change is known once a majority of disks has it. Each key
-// is a register with an owner: an epoch, numbered and named by its owner, is
-// promised by a majority before values are accepted under it (Paxos, one
-// register a key). docs/quorum.md has the ways weighed.
+// Package quorum stores a small number of values by key on the disks of a fixed
+// set of core machines. A change is confirmed once a majority of the disks has
+// it. Each key is a Paxos register with an owner, which is the proposer: the
+// owner has a majority promise its epoch, which consists of a number and the
+// owner's ID, before values are accepted under that epoch. docs/quorum.md compares
+// the alternatives.
 package quorum
 
 import (
@@ -21,14 +22,14 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
-// Peer is a core machine of the set.
+// Peer is a core machine of the set. Epochs identify it by its address.
 type Peer struct {
 	Name    string
 	Address string
 }
 
-// ownerState is what this machine knows of a key as its owner. A nil epoch means that
-// it isn't.
+// ownerState is this machine's state as the owner of a key. The epoch is nil if
+// the machine is not the owner. Lock is held during a whole change or read.
 type ownerState struct {
 	lock   base.ContextMutex
 	epoch  *wire.Epoch
@@ -36,8 +37,8 @@
 	value  []byte
 }
 
-// Replica is one core machine's part of the set: its disk, and changes and reads
-// by majority. It is safe for concurrent use.
+// Replica is one core machine's replica of the values: it stores them on its disk,
+// and changes and reads them by majority. It is safe for concurrent use.
 type Replica struct {
 	scope         base.Scope
 	store         *Store
@@ -54,14 +55,15 @@
 	wiped         bool
 }
 
-// Option changes how a Trove starts.
+// Option changes how a Replica starts.
 type Option func(*Replica)
 
-// DiskWiped says that a blank disk here was wiped and is no new fleet's.
+// DiskWiped is the option that a blank disk of this machine was part of the set
+// and has been wiped. Such a disk doesn't start a new set with other blank disks.
 func DiskWiped(r *Replica) { r.wiped = true }
 
-// New returns the part of the machine self, which is one of peers. A disk that
-// doesn't answer within round counts as lost for that round.
+// New returns the replica of the machine named self, which must be one of peers. A
+// disk that doesn't reply within roundTimeout counts as unreachable in that round.
 func New(s base.Scope, store *Store, httpClient *http.Client, self string, peers []Peer, roundTimeout time.Duration, options ...Option) *Replica {
 	peers = slices.Clone(peers)
 	slices.SortFunc(peers, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
@@ -80,27 +82,32 @@
 	return r
 }
 
+// controllerID returns the ID of a core machine in epochs, which is the FNV-1a hash
+// of its address. So a machine that moves to another address has a new ID, and the
+// IDs of the others don't change.
 func controllerID(address string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(address))
 	return hash.Sum32()
 }
 
-// Store returns this machine's disk.
+// Store returns the store on this machine's disk.
 func (r *Replica) Store() *Store { return r.store }
 
-// Changed returns a channel that closes when a newer value is known to be settled.
+// Changed returns a channel that is closed when this machine learns that a newer
+// entry of any key has been chosen.
 func (r *Replica) Changed() <-chan struct{} { return r.chosenChanged.Next() }
 
-// Ready reports whether this machine's disk may vote.
+// Ready reports whether this machine's disk has recovered and may vote. Damaged
+// keys are excluded from voting one by one.
 func (r *Replica) Ready() bool { return r.store.Phase() == wire.Phase_FOUNDED }
 
-// Chosen returns the newest entry of a key known to be on a majority of disks.
-// A newer one may be.
+// Chosen returns the newest entry of a key that this machine knows to be on a
+// majority of disks. There may be a newer one that it doesn't know of.
 func (r *Replica) Chosen(key string) (*wire.Entry, bool) { return r.chosen.Get(key) }
 
-// Owner returns the machine whose epoch of a key this disk has promised, and
-// that epoch.
+// Owner returns the machine whose epoch this disk has promised for a key, and that
+// epoch. The last result is false if the machine is unknown.
 func (r *Replica) Owner(key string) (Peer, *wire.Epoch, bool) {
 	promised, _ := r.store.Peek(key)
 	for _, peer := range r.peers {
@@ -111,20 +118,24 @@
 	return Peer{}, promised, false
 }
 
-// Owns reports whether this machine owns a key, by its own disk's knowledge.
+// Owns reports whether this machine owns a key according to its own disk. Another
+// machine may have become the owner since.
 func (r *Replica) Owns(key string) bool {
 	owner, _, known := r.Owner(key)
 	return known && owner.Name == r.peers[r.selfIndex].Name
 }
 
-// HeardWithin reports whether another machine answered lately.
+// HeardWithin reports whether another machine replied to a QuorumRead within the
+// given time before now.
 func (r *Replica) HeardWithin(peer Peer, window time.Duration) bool {
 	heardAt, known := r.lastHeard.Get(peer.Name)
 	return known && r.scope.Clock.Mono()-heardAt <= window
 }
 
+// majority returns the number of disks that make a majority.
 func (r *Replica) majority() int { return len(r.acceptors)/2 + 1 }
 
+// ownerStateOf returns the owner state of a key, creating it if needed.
 func (r *Replica) ownerStateOf(key string) *ownerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,6 +147,8 @@
 	return state
 }
 
+// requestPromises sends a promise request to the acceptors. It returns once the
+// required number of them have replied, whether or not they granted it.
 func (r *Replica) requestPromises(s base.Scope, acceptors []acceptor, required int, request *wire.PromiseRequest) []Reply[wire.PromiseReply] {
 	return poll(s, acceptors, required, r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.PromiseReply, error) {
 		reply, err := target.Promise(ctx, connect.NewRequest(request))
@@ -146,6 +159,10 @@
 	})
 }
 
+// acquireOwnership makes this machine the owner of a key under a new epoch: its own
+// disk promises the epoch first, then a majority does. The newest entry among the
+// replies, which a majority may not have yet, is then replicated under the new
+// epoch. The caller holds the lock of state and resets its epoch after an error.
 func (r *Replica) acquireOwnership(s base.Scope, key string, state *ownerState) error {
 	promised, _ := r.store.Peek(key)
 	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: controllerID(r.peers[r.selfIndex].Address)}
@@ -154,16 +171,18 @@
 		return own.err
 	}
 	if !own.body.Granted {
-		return base.NewFault(base.Superseded, key, "a higher epoch came first")
+		return base.NewFault(base.Superseded, key, "a higher epoch was promised")
 	}
 	replies := r.requestPromises(s, r.acceptors, r.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
 	granted, highestPromised, highest := countGrants(replies, epoch)
 	if granted < r.majority() {
 		if highestPromised != epoch {
+			// Save the higher epoch, so that Owner returns its owner and the next
+			// attempt uses a higher one.
 			_, _, _, _ = r.store.Promise(s, key, &wire.Epoch{Number: highestPromised.Number, Keel: highestPromised.Keel})
-			return base.NewFault(base.Superseded, key, "epoch %d of keel %d goes first", highestPromised.Number, highestPromised.Keel)
+			return base.NewFault(base.Superseded, key, "the higher epoch %d of controller %d was promised", highestPromised.Number, highestPromised.Keel)
 		}
-		return base.NewFault(base.Unreachable, key, "no majority of disks promised")
+		return base.NewFault(base.Unreachable, key, "no majority of disks promised the epoch")
 	}
 	state.epoch, state.serial, state.value = epoch, highest.GetSerial(), highest.GetValue()
 	r.scope.Record("owner", key, r.peers[r.selfIndex].Name)
@@ -173,8 +192,9 @@
 	return r.replicate(s, key, state, state.serial, state.value)
 }
 
-// countGrants returns how many disks granted a promise, the highest epoch promised
-// by any (at least the one given), and the highest entry of those that granted.
+// countGrants returns how many disks granted the promise, the highest epoch that
+// any of them has promised (at least the given one), and the newest entry of the
+// disks that granted it.
 func countGrants(replies []Reply[wire.PromiseReply], epoch *wire.Epoch) (granted int, promised *wire.Epoch, highest *wire.Entry) {
 	promised = epoch
 	for _, reply := range replies {
@@ -195,6 +215,10 @@
 	return granted, promised, highest
 }
 
+// replicate sends a value to all disks under the owner's epoch. It succeeds once a
+// majority has accepted the value, and then notifies all machines without waiting
+// for all of them. On failure the machine gives up the epoch. The caller holds the
+// lock of state.
 func (r *Replica) replicate(s base.Scope, key string, state *ownerState, serial uint64, value []byte) error {
 	entry := &wire.Entry{Key: key, Epoch: state.epoch, Serial: serial, Value: value}
 	replies := poll(s, r.acceptors, r.majority(), r.roundTimeout, func(ctx context.Context, target acceptor) (*wire.AcceptReply, error) {
@@ -203,7 +227,7 @@
 			return nil, err
 		}
 		if !reply.Msg.Granted {
-			return nil, base.NewFault(base.Superseded, key, "epoch %d goes first", reply.Msg.GetPromised().GetNumber())
+			return nil, base.NewFault(base.Superseded, key, "the higher epoch %d was promised", reply.Msg.GetPromised().GetNumber())
 		}
 		return reply.Msg, nil
 	})
@@ -233,6 +257,8 @@
 	return nil
 }
 
+// markChosen notes that an entry is on a majority of disks, unless a newer one is
+// known to be.
 func (r *Replica) markChosen(entry *wire.Entry) {
 	newer := false
 	r.chosen.Update(func(rows map[string]*wire.Entry) {
@@ -246,10 +272,12 @@
 	}
 }
 
-// Change replaces a key's value by what change makes of the newest one, nil if
-// there is none. A nil result changes nothing. It returns nil once a majority
-// of disks has the value. After an error of kind Outranked another machine owns
-// the key; of kind Uncertain, the value may or may not get in force.
+// Change replaces the value of a key by the result of change, which gets the
+// newest value, or nil if there is none. If the result is nil, nothing is written;
+// if this machine owned the key already, it doesn't then ask the others whether
+// the value was still the newest. Change returns nil once a majority of disks has
+// the new value. After an error of kind Superseded another machine owns the key;
+// after one of kind Uncertain the new value may or may not be chosen later.
 func (r *Replica) Change(s base.Scope, key string, change func(old []byte) ([]byte, error)) error {
 	state := r.ownerStateOf(key)
 	if !state.lock.Lock(s) {
@@ -273,8 +301,8 @@
 	return r.replicate(s, key, state, state.serial+1, value)
 }
 
-// Read returns the newest value of a key, nil if there is none, once a majority
-// has it.
+// Read returns the newest value of a key, or nil if there is none, once a majority
+// of disks has it. It makes this machine the owner of the key.
 func (r *Replica) Read(s base.Scope, key string) ([]byte, error) {
 	state := r.ownerStateOf(key)
 	if !state.lock.Lock(s) {
@@ -291,15 +319,17 @@
 	return state.value, r.replicate(s, key, state, state.serial, state.value)
 }
 
-// Refresh is Survey without the second answer.
+// Refresh is QuorumRead without the second result.
 func (r *Replica) Refresh(s base.Scope, key string) (chosen bool) {
 	chosen, _ = r.QuorumRead(s, key)
 	return chosen
 }
 
-// QuorumRead asks all disks for a key's newest entry and takes it in. It reports
-// whether that is settled (or there is none), and whether a majority of disks
-// answered; both together make a majority read.
+// QuorumRead asks all disks for the newest entry of a key, without becoming its
+// owner, and stores that entry on this disk if a majority has it. It reports
+// whether the newest entry is on a majority of disks, or no disk has one, and
+// whether a majority of disks replied. If both are true, Chosen then returns an
+// entry at least as new as any chosen before the call.
 func (r *Replica) QuorumRead(s base.Scope, key string) (chosen, majorityReplied bool) {
 	_, local := r.store.Peek(key)
 	replies := r.requestPromises(s, r.acceptors, len(r.acceptors), &wire.PromiseRequest{Key: key, Have: local.GetEpoch(), HaveSerial: local.GetSerial()})
@@ -337,14 +367,15 @@
 	return true, majorityReplied
 }
 
-// Copies returns how many disks had the settled entry of a key at the last
-// Survey.
+// Copies returns how many disks had the newest entry of a key at the last
+// QuorumRead that found it on a majority.
 func (r *Replica) Copies(key string) int {
 	count, _ := r.copies.Get(key)
 	return count
 }
 
-// TransferOwnership gives the keys that this machine owns to others that will take them.
+// TransferOwnership asks the other machines, one after the other, to become the
+// owner of each key that this machine owns, until one of them does.
 func (r *Replica) TransferOwnership(s base.Scope) {
 	for _, key := range r.store.Keys() {
 		if !r.Owns(key) {
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -19,22 +19,28 @@
 )
 
 const (
-	// phaseFile holds the disk's phase, rollPrefix begins the files that list
-	// which files count, keyFolder holds a folder for each key, badSuffix ends
-	// files that can't be read, and rollsKept is the number of lists kept.
-	phaseFile      = "brand"
+	// phaseFile is the file with the disk's phase.
+	phaseFile = "brand"
+	// manifestPrefix begins the names of manifests. A manifest lists the current
+	// files of each key.
 	manifestPrefix = "roll-"
-	keyFolder      = "keys"
-	corruptSuffix  = ".bad"
-	manifestsKept  = 2
+	// keyFolder has a subfolder for each key.
+	keyFolder = "keys"
+	// corruptSuffix is appended to the names of files that can't be decoded.
+	corruptSuffix = ".bad"
+	// manifestsKept is the number of manifests kept.
+	manifestsKept = 2
 )
 
+// keySnapshot is a copy of a key's promise and entry. It is not changed.
 type keySnapshot struct {
 	promised *wire.Epoch
 	entry    *wire.Entry
 }
 
-// keyState is the state of one key; shown is its copy for readers who don't wait.
+// keyState is the state of one key. Lock guards promised and entry and is held
+// during disk operations; published is the copy for readers that must not wait for
+// those. The key is damaged if one of its files was missing or corrupt.
 type keyState struct {
 	lock      base.ContextMutex
 	promised  *wire.Epoch
@@ -49,11 +55,12 @@
 	return state
 }
 
+// publish updates the copy of promised and entry for readers without the lock.
 func (state *keyState) publish() { state.published.Store(&keySnapshot{state.promised, state.entry}) }
 
-// Store is one machine's disk: the promise and the newest entry of each key, in
-// files that the newest roll lists. Lock order: a slot's latch, then rolled,
-// then mu; only mu is never held across I/O.
+// Store stores the promise and the newest entry of each key on one machine's disk,
+// in files that the newest manifest lists. Lock order: the lock of a key, then
+// manifestLock, then mu. Of these, only mu is never held during disk operations.
 type Store struct {
 	scope        base.Scope
 	historyLimit int
@@ -64,8 +71,8 @@
 	manifestLock base.ContextMutex
 }
 
-// OpenStore returns what the disk holds. It keeps so many past values of each
-// key.
+// OpenStore returns a store with the state on the scope's disk. It keeps the last
+// historyLimit values of each key, and at least 2.
 func OpenStore(s base.Scope, historyLimit int) (*Store, error) {
 	store := &Store{scope: s, historyLimit: max(historyLimit, 2), manifestLock: base.NewContextMutex(), keyStates: map[string]*keyState{}, manifest: &wire.Roll{Lines: map[string]*wire.Line{}}}
 	if err := s.Disk.MakeFolder(keyFolder); err != nil {
@@ -74,6 +81,7 @@
 	return store, store.load()
 }
 
+// write writes a message with a checksum and replaces the file atomically.
 func (st *Store) write(name string, message proto.Message) error {
 	raw, err := storage.Frame(message)
 	if err == nil {
@@ -86,6 +94,8 @@
 	return nil
 }
 
+// read reads a file that write wrote. A corrupt one is renamed, so that it is not
+// read again.
 func (st *Store) read(name string, message proto.Message) error {
 	raw, err := st.scope.Disk.Read(name)
 	if err != nil {
@@ -99,16 +109,24 @@
 	return nil
 }
 
+// folderOf returns the folder of a key's files.
 func folderOf(key string) string { return path.Join(keyFolder, hex.EncodeToString([]byte(key))) }
 
+// valueName returns the file name of an entry. The names sort in the order of the
+// entries.
 func valueName(key string, entry *wire.Entry) string {
 	return fmt.Sprintf("%s/v-%016x-%08x-%016x", folderOf(key), entry.GetEpoch().GetNumber(), entry.GetEpoch().GetKeel(), entry.GetSerial())
 }
 
+// promiseName returns the file name of a promise.
 func promiseName(key string, epoch *wire.Epoch) string {
 	return fmt.Sprintf("%s/p-%016x-%08x", folderOf(key), epoch.GetNumber(), epoch.GetKeel())
 }
 
+// load reads the state from disk. A disk without a readable phase file or manifest
+// is blank and must recover from the other disks. The number of the next manifest
+// is above that of every manifest found, also of corrupt ones: otherwise one left
+// from before the recovery would count as the newest at the next start.
 func (st *Store) load() error {
 	names, err := st.scope.Disk.List("")
 	if err != nil {
@@ -122,24 +140,25 @@
 			st.manifest.Number = max(st.manifest.Number, number)
 		}
 	}
-	brand := &wire.Brand{}
-	if err := st.read(phaseFile, brand); err != nil {
-		st.scope.Record("blank", "", "no brand")
+	saved := &wire.Brand{}
+	if err := st.read(phaseFile, saved); err != nil {
+		st.scope.Record("blank", "", "no readable phase file")
 		return nil
 	}
 	if !st.loadManifest(names) {
-		st.scope.Record("blank", "", "no roll")
+		st.scope.Record("blank", "", "no readable manifest")
 		return nil
 	}
 	for key, line := range st.manifest.Lines {
 		st.keyStates[key] = st.loadKey(key, line)
 	}
-	st.phase = brand.Phase
+	st.phase = saved.Phase
 	return nil
 }
 
-// loadManifest reads the newest roll of the names, which are in descending order. An
-// older one is never taken in place of one that can't be read.
+// loadManifest reads the newest manifest among the names, which are in descending
+// order, and reports whether it could. If the newest one can't be read, no older
+// one is used instead, since promises made after it would be forgotten.
 func (st *Store) loadManifest(names []string) bool {
 	index := slices.IndexFunc(names, func(name string) bool {
 		return strings.HasPrefix(name, manifestPrefix) && !strings.HasSuffix(name, storage.TemporarySuffix) && !strings.HasSuffix(name, corruptSuffix)
@@ -147,17 +166,18 @@
 	if index < 0 {
 		return false
 	}
-	roll := &wire.Roll{}
-	if st.read(names[index], roll) != nil {
+	manifest := &wire.Roll{}
+	if st.read(names[index], manifest) != nil {
 		return false
 	}
-	if roll.Lines == nil {
-		roll.Lines = map[string]*wire.Line{}
+	if manifest.Lines == nil {
+		manifest.Lines = map[string]*wire.Line{}
 	}
-	st.manifest = roll
+	st.manifest = manifest
 	return true
 }
 
+// loadKey reads the files that the manifest lists for a key.
 func (st *Store) loadKey(key string, line *wire.Line) *keyState {
 	state := newKeyState()
 	defer state.publish()
@@ -173,11 +193,12 @@
 		}
 	}
 	if state.damaged.Load() {
-		st.scope.Record("damaged-key", key, "a file is lost or bad")
+		st.scope.Record("damaged-key", key, "a file is missing or corrupt")
 	}
 	return state
 }
 
+// stateOf returns the state of a key, creating it if needed.
 func (st *Store) stateOf(key string) *keyState {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -189,19 +210,22 @@
 	return state
 }
 
-// Phase returns how far the disk is in becoming one that votes.
+// Phase returns the phase of the disk: BLANK, FRESH, or FOUNDED once it may vote.
 func (st *Store) Phase() wire.Phase {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.phase
 }
 
+// setPhase saves the phase of the disk. It writes a new manifest first, so that a
+// readable one, newer than all found when the store was opened, is on disk before
+// the phase file.
 func (st *Store) setPhase(phase wire.Phase) error {
-	brand := &wire.Brand{Phase: phase, Incarnation: st.scope.Rand.Name(8)}
+	saved := &wire.Brand{Phase: phase, Incarnation: st.scope.Rand.Name(8)}
 	if err := st.updateManifest("", nil); err != nil {
 		return err
 	}
-	if err := st.write(phaseFile, brand); err != nil {
+	if err := st.write(phaseFile, saved); err != nil {
 		return err
 	}
 	st.mu.Lock()
@@ -211,7 +235,7 @@
 	return nil
 }
 
-// Keys returns all keys in order.
+// Keys returns all keys in ascending order.
 func (st *Store) Keys() []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -223,11 +247,11 @@
 	return keys
 }
 
-// IsDamaged reports whether a file of the key was lost or bad, so that the disk
-// can't vote on it.
+// IsDamaged reports whether a file of the key was missing or corrupt and has not
+// been recovered yet, so that the disk can't vote on the key.
 func (st *Store) IsDamaged(key string) bool { return st.stateOf(key).damaged.Load() }
 
-// DamagedKeys returns all such keys.
+// DamagedKeys returns all damaged keys in ascending order.
 func (st *Store) DamagedKeys() []string {
 	var damaged []string
 	for _, key := range st.Keys() {
@@ -238,13 +262,15 @@
 	return damaged
 }
 
-// Peek returns a key's promise and entry without waiting for a change under
-// way.
+// Peek returns the promise and the entry of a key without waiting for disk
+// operations in progress.
 func (st *Store) Peek(key string) (promised *wire.Epoch, entry *wire.Entry) {
 	snapshot := st.stateOf(key).published.Load()
 	return snapshot.promised, snapshot.entry
 }
 
+// updateManifest writes the next manifest, with a change to the line of a key unless
+// change is nil, and removes the oldest one.
 func (st *Store) updateManifest(key string, change func(*wire.Line)) error {
 	st.manifestLock.Lock(context.Background())
 	defer st.manifestLock.Unlock()
@@ -274,6 +300,7 @@
 	return nil
 }
 
+// checkCanVote returns a fault if the disk may not vote on a key.
 func (st *Store) checkCanVote(state *keyState) *base.Fault {
 	if st.Phase() != wire.Phase_FOUNDED || state.damaged.Load() {
 		return base.NewFault(base.NoState, "", "this disk has not recovered")
@@ -281,8 +308,9 @@
 	return nil
 }
 
-// Promise grants an epoch unless a higher one is promised, and keeps that on
-// disk before it returns.
+// Promise promises an epoch for a key, unless a higher one has been promised. The
+// promise is on disk when Promise returns. It returns the highest epoch promised
+// and the key's entry.
 func (st *Store) Promise(ctx context.Context, key string, epoch *wire.Epoch) (granted bool, promised *wire.Epoch, entry *wire.Entry, fault error) {
 	state := st.stateOf(key)
 	if !state.lock.Lock(ctx) {
@@ -303,10 +331,12 @@
 	return true, state.promised, state.entry, nil
 }
 
+// errBusy returns the error of giving up the wait for the lock of a key.
 func errBusy(key string) error {
-	return base.NewFault(base.DiskFailure, key, "the disk is still at an earlier change")
+	return base.NewFault(base.DiskFailure, key, "the disk is still busy with an earlier operation")
 }
 
+// savePromise writes a promise to disk. The caller holds the lock of the key.
 func (st *Store) savePromise(key string, state *keyState, epoch *wire.Epoch) error {
 	if err := st.scope.Disk.MakeFolder(folderOf(key)); err != nil {
 		return base.NewFault(base.DiskFailure, key, "%s", err)
@@ -326,8 +356,9 @@
 	return nil
 }
 
-// Accept stores an entry unless a higher epoch is promised or a newer entry is
-// there. It is on disk when Accept returns.
+// Accept stores an entry, unless a higher epoch has been promised or a newer entry
+// is stored. The entry is on disk when Accept returns. It returns the highest epoch
+// promised.
 func (st *Store) Accept(ctx context.Context, entry *wire.Entry) (granted bool, promised *wire.Epoch, fault error) {
 	state := st.stateOf(entry.Key)
 	if !state.lock.Lock(ctx) {
@@ -346,6 +377,7 @@
 	return true, state.promised, st.saveEntry(state, entry)
 }
 
+// saveEntry writes an entry to disk. The caller holds the lock of the key.
 func (st *Store) saveEntry(state *keyState, entry *wire.Entry) error {
 	if err := st.scope.Disk.MakeFolder(folderOf(entry.Key)); err != nil {
 		return base.NewFault(base.DiskFailure, entry.Key, "%s", err)
@@ -366,6 +398,8 @@
 	return nil
 }
 
+// pruneValues removes the oldest value files of a key beyond the history limit, but
+// never the newest one.
 func (st *Store) pruneValues(key, newest string) {
 	names := st.valueFiles(key)
 	for len(names) > st.historyLimit {
@@ -376,6 +410,8 @@
 	}
 }
 
+// valueFiles returns the names of the intact value files of a key, the oldest
+// first.
 func (st *Store) valueFiles(key string) []string {
 	names, err := st.scope.Disk.List(folderOf(key))
 	if err != nil {
@@ -388,7 +424,7 @@
 	return names
 }
 
-// History iterates over the values of a key that are still on disk, the newest
+// History iterates over the entries of a key that are still on disk, the newest
 // first.
 func (st *Store) History(key string) func(yield func(*wire.Entry) bool) {
 	names := st.valueFiles(key)
@@ -403,6 +439,9 @@
 	}
 }
 
+// restore stores a promise and an entry that were fetched from the other disks, each
+// if it is newer than the one here, and lets the disk vote on the key again. If the
+// key is damaged, the promise is stored in any case.
 func (st *Store) restore(ctx context.Context, key string, promised *wire.Epoch, entry *wire.Entry) error {
 	state := st.stateOf(key)
 	if !state.lock.Lock(ctx) {
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -26,6 +26,7 @@
 	ginkgo.RunSpecs(t, "quorum")
 }
 
+// member is a simulated core machine with its disk.
 type member struct {
 	disk    *simnet.Disk
 	mount   *simnet.Mount
@@ -34,6 +35,7 @@
 	cancel  context.CancelFunc
 }
 
+// threeDiskCluster is a set of three core machines in a simulated network.
 type threeDiskCluster struct {
 	world     *simnet.World
 	seed      uint64
@@ -54,6 +56,7 @@
 	return c
 }
 
+// start starts a machine with the disk it had.
 func (c *threeDiskCluster) start(i int) {
 	c.seed++
 	m := c.members[i]
@@ -77,6 +80,7 @@
 	go m.replica.Recover(s, 200*time.Millisecond)
 }
 
+// crash ends a machine without a shutdown. Its disk remains.
 func (c *threeDiskCluster) crash(i int) {
 	m := c.members[i]
 	if m.cancel == nil {
@@ -89,6 +93,7 @@
 	m.cancel = nil
 }
 
+// close ends all machines and waits for background calls to end.
 func (c *threeDiskCluster) close() {
 	for i := range c.members {
 		c.crash(i)
@@ -97,6 +102,7 @@
 	time.Sleep(time.Minute)
 }
 
+// ready reports whether the machines with these indices may vote on all keys.
 func (c *threeDiskCluster) ready(indices ...int) bool {
 	for _, i := range indices {
 		if !c.members[i].replica.Ready() || len(c.members[i].replica.store.DamagedKeys()) > 0 {
@@ -115,6 +121,7 @@
 	return string(value), err
 }
 
+// scenario adds a spec for each of three seeds.
 func scenario(description string, run func(c *threeDiskCluster)) {
 	for seed := range uint64(3) {
 		ginkgo.It(description, func() {
--- a/internal/quorum/wiped_disk_test.go
+++ b/internal/quorum/wiped_disk_test.go
@@ -19,6 +19,8 @@
 	"curlewreach/proto/wire"
 )
 
+// cluster is a set of core machines in a simulated network. It differs from
+// threeDiskCluster in the number of machines and in shorter timeouts.
 type cluster struct {
 	seed      uint64
 	startTime time.Time
@@ -37,6 +39,7 @@
 	return c
 }
 
+// start starts a machine with the disk it had.
 func (c *cluster) start(i int, options ...Option) {
 	c.seed++
 	m := c.members[i]
@@ -60,6 +63,7 @@
 	go m.replica.Recover(s, 100*time.Millisecond)
 }
 
+// crash ends a machine without a shutdown. Its disk remains.
 func (c *cluster) crash(i int) {
 	m := c.members[i]
 	if m.cancel == nil {
@@ -72,11 +76,13 @@
 	m.cancel = nil
 }
 
+// wipe ends a machine and erases its disk.
 func (c *cluster) wipe(i int) {
 	c.crash(i)
 	c.members[i].disk.Wipe()
 }
 
+// close ends all machines and waits for background calls to end.
 func (c *cluster) close() {
 	for i := range c.members {
 		c.crash(i)
@@ -85,6 +91,7 @@
 	time.Sleep(time.Minute)
 }
 
+// eventually polls a condition for up to 10 s and reports whether it became true.
 func (c *cluster) eventually(condition func() bool) bool {
 	for range 1000 {
 		if condition() {
@@ -95,6 +102,7 @@
 	return false
 }
 
+// ready reports whether the disks with these indices have recovered.
 func (c *cluster) ready(indices ...int) bool {
 	for _, i := range indices {
 		if !c.members[i].replica.Ready() {
@@ -109,6 +117,7 @@
 	return replica.Change(replica.scope, "key", func([]byte) ([]byte, error) { return []byte(value), nil })
 }
 
+// readEventually returns the result of the first read that succeeds.
 func (c *cluster) readEventually(i int) (value string) {
 	Expect(c.eventually(func() bool {
 		replica := c.members[i].replica
@@ -119,6 +128,7 @@
 	return value
 }
 
+// holders returns the indices of the disks that have a value.
 func (c *cluster) holders(value string) (found []int) {
 	for i, m := range c.members {
 		if _, entry := m.replica.store.Peek("key"); string(entry.GetValue()) == value {
@@ -135,6 +145,8 @@
 	return all
 }
 
+// clusterScenario adds a spec, for each of three seeds, that runs once all disks
+// are ready.
 func clusterScenario(count int, description string, run func(c *cluster)) {
 	for seed := range uint64(3) {
 		ginkgo.It(fmt.Sprintf("%s (%d disks, seed %d)", description, count, seed+1), func() {
@@ -149,12 +161,12 @@
 	}
 }
 
-var _ = ginkgo.Describe("amnesia among many", func() {
+var _ = ginkgo.Describe("recovery of wiped disks", func() {
 	for _, count := range []int{3, 4, 5} {
 		majority := count/2 + 1
 		recoveryQuorum := count - majority + 1
 
-		clusterScenario(count, "given a value on the barest majority, when as many of it are wiped as may be, then those wiped read it again before they vote", func(c *cluster) {
+		clusterScenario(count, "given a value on the smallest majority, when as many of its disks are wiped as can be recovered, then they fetch the value before they vote", func(c *cluster) {
 			Expect(c.write(0, "old")).To(Succeed())
 			for i := majority; i < count; i++ {
 				c.crash(i)
@@ -179,7 +191,7 @@
 			Expect(c.readEventually(0)).To(Equal("new"))
 		})
 
-		clusterScenario(count, "given a wiped disk, when fewer others than needed are whole, then it doesn't vote", func(c *cluster) {
+		clusterScenario(count, "given a wiped disk, when fewer other disks than the recovery quorum are available, then it doesn't vote", func(c *cluster) {
 			Expect(c.write(0, "old")).To(Succeed())
 			c.wipe(0)
 			for i := recoveryQuorum; i < count; i++ {
@@ -196,7 +208,7 @@
 		})
 	}
 
-	clusterScenario(3, "given disks that were all wiped, when they join, then they never found a fleet anew; without that word they do", func(c *cluster) {
+	clusterScenario(3, "given that all disks were wiped, when they start with the option DiskWiped, then they start no new set; without it they do", func(c *cluster) {
 		Expect(c.write(0, "old")).To(Succeed())
 		for _, options := range [][]Option{{DiskWiped}, {}} {
 			for i := range c.members {
@@ -209,7 +221,7 @@
 		}
 	})
 
-	clusterScenario(3, "given one that was wiped amid the founding, when it joins others that never voted, then the fleet is founded", func(c *cluster) {
+	clusterScenario(3, "given a disk that was wiped during the bootstrap, when it joins others that never voted, then the bootstrap completes", func(c *cluster) {
 		for i := range c.members {
 			c.wipe(i)
 		}
@@ -228,7 +240,7 @@
 		Expect(c.eventually(func() bool { return c.ready(0, 1, 2) })).To(BeTrue())
 	})
 
-	clusterScenario(3, "given a wiped disk, when it joins, then it gives those that count on its lost promises time to give up", func(c *cluster) {
+	clusterScenario(3, "given a wiped disk, when it joins, then it first waits until the rounds that rely on its lost promises have timed out", func(c *cluster) {
 		c.wipe(0)
 		c.start(0, DiskWiped)
 		time.Sleep(600 * time.Millisecond)
@@ -236,7 +248,7 @@
 		Expect(c.eventually(func() bool { return c.ready(0) })).To(BeTrue())
 	})
 
-	clusterScenario(3, "given a damaged disk, when a majority is asked by survey, then the damaged one's blank is no answer", func(c *cluster) {
+	clusterScenario(3, "given a disk with a damaged key, when a quorum read is made, then the damaged disk doesn't count as having no entry", func(c *cluster) {
 		c.crash(2)
 		Expect(c.write(0, "new")).To(Succeed())
 		Expect(c.eventually(func() bool { return len(c.holders("new")) == 2 })).To(BeTrue())
