--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -19,34 +19,34 @@
 	"curlewreach/proto/wire"
 )
 
-// Client is the operators' client. It asks the core machines in turn until one
-// answers.
+// Client is the operators' client. It calls the core machines one after the other
+// until one replies.
 type Client struct {
 	HTTPClient *http.Client
-	// Controllers are the addresses of the core machines' servers for operators; for
-	// the methods about open fleets, those for other nodes.
+	// Controllers are the addresses of the core machines' servers for operators, or
+	// for the methods for open fleets, of their servers for other nodes.
 	Controllers []string
-	// OnSigned, if set, is told of each bundle that Apply hands in.
+	// OnSigned, if set, is called by Apply with each bundle before submitting it.
 	OnSigned func(submission string, sealed *wire.Sealed)
 }
 
-// ErrNoController means that no core machine answered. What was handed in may have
-// been taken: ask Status.
-var ErrNoController = errors.New("no keel could be reached")
+// ErrNoController means that no core machine replied. A submission may have been
+// accepted nevertheless: call Status.
+var ErrNoController = errors.New("no controller could be reached")
 
-// message is a pointer to a generated message type T.
+// message is a pointer to a generated message of type T.
 type message[T any] interface {
 	*T
 	proto.Message
 }
 
-// fetch asks the core machines in turn and returns the first one's reply.
+// fetch calls the core machines one after the other and returns the first reply.
 func fetch[T any, M message[T]](ctx context.Context, c *Client, method, path string, request proto.Message) (M, error) {
 	reply := M(new(T))
 	return reply, c.call(ctx, method, path, request, reply)
 }
 
-// call goes from core machine to core machine until one answers.
+// call calls the core machines one after the other until one replies.
 func (c *Client) call(ctx context.Context, method, path string, request, reply proto.Message) error {
 	var body []byte
 	if request != nil {
@@ -67,7 +67,7 @@
 	return ErrNoController
 }
 
-// do makes a request and returns the answer with its whole body.
+// do sends a request and returns the response with its whole body.
 func (c *Client) do(request *http.Request) (*http.Response, []byte, error) {
 	response, err := c.HTTPClient.Do(request)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return response, body, err
 }
 
-// decodeReply decodes an answer. A refusal is returned as the error that it tells,
-// but for outcomes, which tell it themselves.
+// decodeReply decodes a response. An error status is returned as the fault in the
+// body, except for outcomes, which contain the fault themselves.
 func decodeReply(response *http.Response, body []byte, reply proto.Message) error {
 	if _, isOutcome := reply.(*wire.Outcome); response.StatusCode >= http.StatusMultipleChoices && !isOutcome {
 		var rejected struct {
@@ -93,38 +93,38 @@
 	return protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(body, reply)
 }
 
-// Draft asks for a new bundle to sign. Nothing is changed yet.
+// Draft returns a new bundle to sign. Nothing is changed.
 func (c *Client) Draft(ctx context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	return fetch[wire.DraftReply](ctx, c, http.MethodPost, "/v1/draft", request)
 }
 
-// Submit hands in a signed bundle. The same submission is decided once, so it may
-// be handed in again.
+// Submit submits a signed bundle under a submission ID. A submission is decided only
+// once, so it may be repeated.
 func (c *Client) Submit(ctx context.Context, submission string, sealed *wire.Sealed) (*wire.Outcome, error) {
 	return fetch[wire.Outcome](ctx, c, http.MethodPost, "/v1/sign", &wire.SignRequest{Submission: submission, Sealed: sealed})
 }
 
-// Status returns what became of a submission.
+// Status returns the outcome of a submission.
 func (c *Client) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
 	return fetch[wire.Outcome](ctx, c, http.MethodGet, "/v1/submission/"+url.PathEscape(submission), nil)
 }
 
-// Bundle returns the bundle of a serial number, or the newest for 0.
+// Bundle returns the bundle with a serial, or the one in force for 0.
 func (c *Client) Bundle(ctx context.Context, serial uint64) (*wire.BundleReply, error) {
 	return fetch[wire.BundleReply](ctx, c, http.MethodGet, fmt.Sprintf("/v1/bundle?serial=%d", serial), nil)
 }
 
-// Holdings returns which node holds which bundle.
+// Holdings returns the serial of the bundle that each machine has.
 func (c *Client) Holdings(ctx context.Context) (*wire.HoldingsReply, error) {
 	return fetch[wire.HoldingsReply](ctx, c, http.MethodGet, "/v1/holdings", nil)
 }
 
-// Odds returns what was learned, with the odds in force.
+// Odds returns the learner's state, with the odds in force.
 func (c *Client) Odds(ctx context.Context) (*wire.Learning, error) {
 	return fetch[wire.Learning](ctx, c, http.MethodGet, "/v1/odds", nil)
 }
 
-// Nodes returns all machines as a core machine sees them.
+// Nodes returns the status of all machines as known to a core machine.
 func (c *Client) Nodes(ctx context.Context) (*wire.SightRequest, error) {
 	return fetch[wire.SightRequest](ctx, c, http.MethodGet, "/v1/nodes", nil)
 }
@@ -134,23 +134,24 @@
 	return fetch[wire.TraceReply](ctx, c, http.MethodGet, "/v1/trace/"+url.PathEscape(trace), nil)
 }
 
-// QueryJournals returns what all machines have in their journals about a subject.
+// QueryJournals returns the events about a subject from the journals of all machines.
 func (c *Client) QueryJournals(ctx context.Context, subject string) (*wire.ToldReply, error) {
 	return fetch[wire.ToldReply](ctx, c, http.MethodGet, "/v1/why?subject="+url.QueryEscape(subject), nil)
 }
 
-// State returns the state of the first core machine that answers.
+// State returns the state of the first core machine that replies.
 func (c *Client) State(ctx context.Context) (*wire.StateReply, error) {
 	return fetch[wire.StateReply](ctx, c, http.MethodGet, "/v1/state", nil)
 }
 
-// Adopt lets a core machine whose disk is lost recover from the one whole disk
-// that is left.
+// Adopt makes a core machine whose disk was lost recover from the one intact disk that
+// is left. See quorum.Replica.Adopt.
 func (c *Client) Adopt(ctx context.Context) (*wire.StateReply, error) {
 	return fetch[wire.StateReply](ctx, c, http.MethodPost, "/v1/adopt", nil)
 }
 
-// EachController iterates over the core machines, with a client that asks just that one.
+// EachController iterates over the addresses of the core machines, each with a client
+// of that machine only.
 func (c *Client) EachController() func(yield func(string, *Client) bool) {
 	return func(yield func(string, *Client) bool) {
 		for _, controller := range c.Controllers {
@@ -161,8 +162,8 @@
 	}
 }
 
-// Apply drafts, signs and hands in at once. It doesn't sign a bundle other than
-// the one that the draft shows.
+// Apply drafts, signs and submits a bundle. It returns an error instead of signing if
+// the bundle to sign differs from the one that the draft shows.
 func (c *Client) Apply(ctx context.Context, submission string, request *wire.DraftRequest, key ed25519.PrivateKey) (*wire.Outcome, error) {
 	draft, err := c.Draft(ctx, request)
 	if err != nil {
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -1,8 +1,9 @@
-// Package listedcore is the control plane of fleets of listed machines: the core
-// machine's process (Process), what it decides (ControlPlane), and the operators' client
-// (Client). A signed bundle is agreed by a majority of core disks, staged at the
-// nodes, and in force once a majority of them has confirmed it. docs/rollout.md
-// has the ways weighed.
+// Package listedcore is the control plane of fleets whose machines are listed in a
+// signed configuration bundle. It has the process of a core machine, also called a
+// controller (Process), its decisions (ControlPlane), and the operators' client
+// (Client). A new bundle is replicated to a majority of the core machines' disks,
+// staged at the nodes, and comes into force once a majority of the nodes has
+// confirmed that they have it. docs/rollout.md compares the alternatives.
 package listedcore
 
 import (
@@ -23,26 +24,28 @@
 )
 
 const (
-	// BundleKey is the stored key of the bundle, with the one being rolled out
-	// and the newest outcomes.
+	// BundleKey is the key of the head in the replicated store: the bundle in
+	// force, the bundle being rolled out, and the latest outcomes.
 	BundleKey = "bundle"
-	// LearningKey is the stored key of what was learned.
+	// LearningKey is the key of the learner's state in the replicated store.
 	LearningKey = "learning"
-	// maxOutcomes is the number of outcomes remembered, for submissions handed
-	// in again.
+	// maxOutcomes is the number of outcomes stored, so that a repeated submission
+	// gets the outcome of the first one.
 	maxOutcomes = 64
-	// maxIndexedBundles is the number of bundles kept indexed: the one in force, the
-	// staged one, and some that were read.
+	// maxIndexedBundles is the size of the cache of indexed bundles: the one in
+	// force, the staged one, and some earlier ones. A full cache is cleared.
 	maxIndexedBundles = 4
-	// newsHoldRatio, of the slide-back bound, is how long a node's question for
-	// news is held open, so that it asks again within the bound.
+	// newsHoldRatio is the time for which a node's long poll for news is held
+	// open, as a fraction of the slide-back bound. So a node polls again within
+	// that bound.
 	newsHoldRatio = 0.3
-	// patientHoldRatio, of the in-force bound, is the same for nodes that say they
-	// are patient.
+	// patientHoldRatio is the same for polls marked as patient, as a fraction of
+	// the in-force bound.
 	patientHoldRatio = 0.125
 )
 
-// ControlPlane decides on bundles and hands them out. It is safe for concurrent use.
+// ControlPlane decides on submitted bundles and distributes them to the nodes. It is
+// safe for concurrent use.
 type ControlPlane struct {
 	scope             base.Scope
 	self              string
@@ -65,7 +68,7 @@
 	newsHold          time.Duration
 }
 
-// Settings are what a ControlPlane works with.
+// Settings are the dependencies and parameters of a ControlPlane.
 type Settings struct {
 	Name            string
 	Address         string
@@ -75,14 +78,17 @@
 	Traces          *tracing.Store
 	Trust           bundle.Trust
 	Limits          bundle.Limits
-	// InForceBound is the bound on a bundle being in force, Slide that on going back,
-	// and Silence the time a machine must be silent before it can be forsaken.
-	InForceBound    time.Duration
-	SlideBackBound  time.Duration
+	// InForceBound is the longest that a submitted bundle may take to come into
+	// force. Timeouts and intervals are fractions of it.
+	InForceBound time.Duration
+	// SlideBackBound limits for how long a node's poll is held open.
+	SlideBackBound time.Duration
+	// RequiredSilence is how long a machine must have been silent before a bundle
+	// may declare it lost.
 	RequiredSilence time.Duration
 }
 
-// New returns a ControlPlane; Run makes it work.
+// New returns a ControlPlane. Its background work is done by Run.
 func New(s base.Scope, httpClient *http.Client, settings Settings) *ControlPlane {
 	c := &ControlPlane{
 		scope: s, self: settings.Name, replica: settings.ReplicatedStore, member: settings.Member, traces: settings.Traces,
@@ -99,8 +105,8 @@
 	return c
 }
 
-// Run recovers the disk, settles what was left unsettled, and learns, until the
-// scope ends.
+// Run recovers the disk, completes interrupted changes and roll-outs, notifies nodes
+// of changes, and runs the learner, until the scope ends.
 func (c *ControlPlane) Run(s base.Scope) {
 	var group base.Group
 	group.Go(func() { c.replica.Recover(s, c.inForceBound/8) })
@@ -130,6 +136,10 @@
 	group.Wait()
 }
 
+// watchKey checks regularly whether the newest entry of a key is on a majority of
+// disks. If it hasn't been for a while, the last owner may have failed during a
+// change, and this machine reads the key under a new epoch, which completes the
+// change. The wait is random, so that the machines don't compete to do so.
 func (c *ControlPlane) watchKey(s base.Scope, key string) {
 	lastChosen, recommitAfter := s.Clock.Mono(), c.inForceBound
 	base.Tick(s, c.inForceBound/16, func(s base.Scope) {
@@ -140,7 +150,7 @@
 		if s.Clock.Mono()-lastChosen < recommitAfter {
 			return
 		}
-		c.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
+		c.scope.Record("unsettled", key, "its newest entry is held by less than a majority of disks; reading it under a new epoch")
 		bounded, cancel := s.WithTimeout(c.inForceBound)
 		defer cancel()
 		_, _ = c.replica.Read(bounded, key)
@@ -148,7 +158,7 @@
 	})
 }
 
-// Sizes returns how many rows each table holds, to watch for leaks.
+// Sizes returns the number of rows in each table, to detect leaks.
 func (c *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
 		"confirms": len(c.confirmations.Snapshot()), "indexes": len(c.indexedBundles.Snapshot()), "journal": c.scope.Journal.Len(),
@@ -156,17 +166,19 @@
 	}
 }
 
-// View returns what is known of the machines.
+// View returns what is known of the status of all machines.
 func (c *ControlPlane) View() *membership.View { return c.member.View() }
 
 // Ready reports whether this machine's disk has recovered.
 func (c *ControlPlane) Ready() bool { return c.replica.Ready() }
 
+// decodeHead decodes the value of BundleKey.
 func decodeHead(value []byte) (*wire.Head, error) {
 	head := &wire.Head{}
 	return head, proto.Unmarshal(value, head)
 }
 
+// bundleSerial returns the serial in a bundle's manifest, or 0 if there is none.
 func bundleSerial(sealed *wire.Sealed) uint64 {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
@@ -175,6 +187,8 @@
 	return manifest.Serial
 }
 
+// headView is a decoded entry of BundleKey. Committed and staged are the serials of
+// the bundle in force and of the one being rolled out, or 0.
 type headView struct {
 	entry     *wire.Entry
 	head      *wire.Head
@@ -182,6 +196,8 @@
 	staged    uint64
 }
 
+// viewOf decodes an entry unless it is one of those decoded last. An entry that
+// can't be decoded is treated as empty.
 func (c *ControlPlane) viewOf(entry *wire.Entry) *headView {
 	if entry == nil {
 		return &headView{head: &wire.Head{}}
@@ -199,7 +215,8 @@
 	return &headView{entry: entry, head: head, committed: bundleSerial(head.Sealed), staged: bundleSerial(head.Staged)}
 }
 
-// Chosen returns the newest head known to be on a majority of disks.
+// Chosen returns the newest head that this machine knows to be on a majority of
+// disks.
 func (c *ControlPlane) Chosen() *headView {
 	entry, _ := c.replica.Chosen(BundleKey)
 	view := c.viewOf(entry)
@@ -207,7 +224,8 @@
 	return view
 }
 
-// Accepted returns the head on this machine's disk, which a majority may lack.
+// Accepted returns the head on this machine's disk. It may not be on a majority of
+// disks.
 func (c *ControlPlane) Accepted() *headView {
 	_, entry := c.replica.Store().Peek(BundleKey)
 	view := c.viewOf(entry)
@@ -215,9 +233,11 @@
 	return view
 }
 
-// Current returns the bundle in force, nil before the first.
+// Current returns the bundle in force, or nil before the first one.
 func (c *ControlPlane) Current() *bundle.Bundle { return c.openBundle(c.Chosen().head.Sealed) }
 
+// openBundle returns an indexed bundle, from the cache if it is there, or nil if the
+// bundle can't be decoded.
 func (c *ControlPlane) openBundle(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
@@ -241,8 +261,9 @@
 	return signed
 }
 
-// Draft makes the next bundle out of a whole one or a change. The error is of
-// kind StaleBase if the base isn't the newest, or tells the first fault.
+// Draft returns the next bundle, unsigned, made from a whole bundle or from a change
+// to the current one. The error is of kind StaleBase if the request isn't based on
+// the current bundle, and otherwise describes the first fault found.
 func (c *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	current := &wire.Bundle{}
 	if signed := c.Current(); signed != nil {
@@ -274,10 +295,14 @@
 	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
 }
 
+// rejectedOutcome returns the outcome of a submission that was rejected because of a
+// fault.
 func rejectedOutcome(submission string, fault *base.Fault) *wire.Outcome {
 	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}}
 }
 
+// validate checks the signature, completeness and content of a submission, and
+// returns its manifest.
 func (c *ControlPlane) validate(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
 	if request.Submission == "" || len(request.Submission) > 128 {
 		return nil, base.NewFault(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
@@ -297,17 +322,17 @@
 		return nil, fault
 	}
 	if manifest.Serial != manifest.Base+1 {
-		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
+		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial must be base + 1")
 	}
 	return manifest, bundle.Check(raw, c.limits)
 }
 
-// Read returns the bundle of a serial number, or the newest for 0; of older
-// ones, those still on this disk.
+// Read returns the bundle with a serial, or the one in force for 0. Older bundles are
+// found only if they are still on this machine's disk.
 func (c *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
 	current := c.Current()
 	if current == nil {
-		return nil, base.NewFault(base.NotFound, "serial", "no bundle has been taken yet")
+		return nil, base.NewFault(base.NotFound, "serial", "no bundle is in force yet")
 	}
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
@@ -322,15 +347,16 @@
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
 	}
-	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not kept here", serial)
+	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not stored on this controller", serial)
 }
 
-// Holdings returns which node holds which bundle, and the machines never heard.
+// Holdings returns the serial of the bundle that each machine has, and the listed
+// machines that have not been heard from.
 func (c *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
 	reply := &wire.HoldingsReply{}
-	heard := map[string]*wire.Sighting{}
+	sightings := map[string]*wire.Sighting{}
 	for sighting := range c.member.View().All() {
-		heard[sighting.Roster.Node] = sighting
+		sightings[sighting.Roster.Node] = sighting
 		reply.Holdings = append(reply.Holdings, &wire.Holding{
 			Node: sighting.Roster.Node, Serial: sighting.Roster.Holding, Odds: sighting.Roster.Odds, Standing: sighting.Standing,
 		})
@@ -338,7 +364,7 @@
 	if current := c.Current(); current != nil {
 		reply.Serial = current.Serial
 		for machine := range current.Machines() {
-			if heard[machine.Name] == nil {
+			if sightings[machine.Name] == nil {
 				reply.Silent = append(reply.Silent, machine.Name)
 			}
 		}
--- a/internal/listedcore/learning.go
+++ b/internal/listedcore/learning.go
@@ -15,22 +15,26 @@
 )
 
 const (
-	// maxSpansPerRead is the most spans read from one core machine in a cycle.
+	// maxSpansPerRead is the maximum number of spans read from one core machine in
+	// a cycle.
 	maxSpansPerRead = 20000
 	// takeoverCycles is the number of cycles without progress after which another
-	// machine takes learning over.
+	// machine takes over as the learner.
 	takeoverCycles = 3
-	// idleWaitDivisor, dividing the in-force bound, is the wait while there is
-	// nothing to learn.
+	// idleWaitDivisor is the divisor of the in-force bound that gives the wait
+	// while there is no bundle or the disk has not recovered.
 	idleWaitDivisor = 16
 )
 
+// spanCursor is the position after the last span read from the trace store of a core
+// machine, valid for one incarnation of that store.
 type spanCursor struct {
 	after       uint64
 	incarnation string
 }
 
-// Learning returns what was learned, nil if nothing was yet.
+// Learning returns the learner's state that was replicated last, or nil if there is
+// none.
 func (c *ControlPlane) Learning() *wire.Learning {
 	entry, known := c.replica.Chosen(LearningKey)
 	if !known {
@@ -43,6 +47,9 @@
 	return learning
 }
 
+// runLearning runs the learner's cycles while this machine is the learner. It becomes
+// the learner if there has been no progress for takeoverCycles, or if there is no
+// learner yet and it is the first core machine in the bundle.
 func (c *ControlPlane) runLearning(s base.Scope) {
 	cursors := map[string]*spanCursor{}
 	for name := range c.traceClients {
@@ -71,6 +78,8 @@
 	}
 }
 
+// learnerChanged returns a channel that is closed when another machine may have become
+// the learner, or nil if this machine is the learner.
 func (c *ControlPlane) learnerChanged(learner string) <-chan struct{} {
 	if learner == c.self {
 		return nil
@@ -78,6 +87,8 @@
 	return c.replica.Changed()
 }
 
+// isFirstCore reports whether this machine is the first core machine in the bundle,
+// or the bundle lists none.
 func (c *ControlPlane) isFirstCore(b *wire.Bundle) bool {
 	for _, machine := range b.GetCommon().GetMachines() {
 		if machine.Core {
@@ -87,6 +98,8 @@
 	return true
 }
 
+// runCycle runs one cycle of learning and replicates the result, with this machine as
+// the learner. It changes nothing if another machine has become the learner since.
 func (c *ControlPlane) runCycle(s base.Scope, current *bundle.Bundle, cursors map[string]*spanCursor, learner string) {
 	settings := current.Tracing()
 	bounded, cancel := s.WithTimeout(settings.GetCycle().AsDuration())
@@ -108,6 +121,9 @@
 	}
 }
 
+// readSpans returns the spans that were added to the trace stores of all core
+// machines since the last read, without duplicates. Machines that don't reply are
+// skipped.
 func (c *ControlPlane) readSpans(s base.Scope, cursors map[string]*spanCursor) []*wire.Span {
 	seen := map[string]bool{}
 	var spans []*wire.Span
@@ -134,7 +150,8 @@
 	return spans
 }
 
-// TransferLearning gives the duty to learn to another core machine, if this one has it.
+// TransferLearning makes another core machine the learner, if this one is. The other
+// one must be alive and not stopping.
 func (c *ControlPlane) TransferLearning(s base.Scope) {
 	if c.Learning().GetHolder() != c.self {
 		return
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -17,21 +17,25 @@
 	"curlewreach/proto/wire/wireconnect"
 )
 
+// server is the RPC service for nodes and other core machines.
 type server struct{ controlPlane *ControlPlane }
 
-// Handler returns the path and handler that nodes and other core machines call.
+// Handler returns the path and handler of the RPC service for nodes and other core
+// machines.
 func Handler(c *ControlPlane) (string, http.Handler) {
 	return wireconnect.NewHelmHandler(server{c}, httpserver.HandlerOptions())
 }
 
+// Propose handles a submission, or the query of its status, that another core machine
+// forwarded because this one owns the key.
 func (srv server) Propose(ctx context.Context, request *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error) {
 	c := srv.controlPlane
 	sign := request.Msg.Sign
 	if sign == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "nothing was handed in"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "the submission is missing"))
 	}
 	if !c.replica.Owns(BundleKey) {
-		return nil, base.NewFault(base.Superseded, BundleKey, "another keel owns it")
+		return nil, base.NewFault(base.Superseded, BundleKey, "another controller owns the key")
 	}
 	var outcome *wire.Outcome
 	if sign.Sealed == nil {
@@ -42,6 +46,9 @@
 	return connect.NewResponse(&wire.ProposeReply{Outcome: outcome}), nil
 }
 
+// News handles a node's long poll. It replies at once if there is something that the
+// node doesn't know, and otherwise when there is, or after the hold time. The poll
+// also confirms which bundle the node has.
 func (srv server) News(ctx context.Context, request *connect.Request[wire.NewsRequest]) (*connect.Response[wire.NewsReply], error) {
 	c := srv.controlPlane
 	s := c.scope.WithContext(ctx)
@@ -65,25 +72,28 @@
 	}
 }
 
+// newsFor returns the reply to a poll, and whether it has anything that the node
+// doesn't know.
 func (c *ControlPlane) newsFor(request *wire.NewsRequest) (reply *wire.NewsReply, fresh bool) {
 	reply = &wire.NewsReply{Keel: c.member.Incarnation(), Roster: c.member.View().Serial()}
 	reply.Vouches, reply.Accepted = c.replica.Ready() && !c.replica.Store().IsDamaged(BundleKey), c.Accepted().committed
-	settled := c.Chosen()
-	if settled.entry != nil {
-		reply.Ballot = &wire.Ballot{Epoch: settled.entry.Epoch.GetNumber(), Keel: settled.entry.Epoch.GetKeel(), Serial: settled.entry.Serial}
-		reply.Serial, reply.StagedSerial = settled.committed, settled.staged
+	chosen := c.Chosen()
+	if chosen.entry != nil {
+		reply.Ballot = &wire.Ballot{Epoch: chosen.entry.Epoch.GetNumber(), Keel: chosen.entry.Epoch.GetKeel(), Serial: chosen.entry.Serial}
+		reply.Serial, reply.StagedSerial = chosen.committed, chosen.staged
 		fresh = quorum.CompareBallots(reply.Ballot, request.Ballot) > 0
 	}
 	concerns, sliceFresh := c.addSlice(request, reply)
-	fresh = c.addStagedSlice(request, reply, settled) || sliceFresh || fresh
+	fresh = c.addStagedSlice(request, reply, chosen) || sliceFresh || fresh
 	if learning := c.Learning(); learning.GetOdds().GetSerial() > request.Odds {
 		reply.Odds, fresh = learning.Odds, true
 	}
 	return reply, c.addSightings(request, reply, concerns) || fresh
 }
 
-// addSlice adds the node's slice of the bundle in force if it lacks any of it.
-// It returns which services concern the node.
+// addSlice adds the node's slice of the bundle in force if the node lacks that bundle
+// or a part of the slice. The slice is left out if the node has that bundle staged.
+// addSlice returns which services concern the node, and whether it lacked anything.
 func (c *ControlPlane) addSlice(request *wire.NewsRequest, reply *wire.NewsReply) (concerns func(service string) bool, fresh bool) {
 	current := c.Current()
 	if current == nil {
@@ -98,13 +108,13 @@
 	return concerns, fresh
 }
 
-// addStagedSlice adds the node's slice of the bundle being rolled out, if it
-// doesn't have it yet.
-func (c *ControlPlane) addStagedSlice(request *wire.NewsRequest, reply *wire.NewsReply, settled *headView) (fresh bool) {
-	if settled.staged == 0 || settled.staged == request.Staged {
+// addStagedSlice adds the node's slice of the bundle being rolled out if the node
+// doesn't have it. It reports whether it did.
+func (c *ControlPlane) addStagedSlice(request *wire.NewsRequest, reply *wire.NewsReply, chosen *headView) (fresh bool) {
+	if chosen.staged == 0 || chosen.staged == request.Staged {
 		return false
 	}
-	next := c.openBundle(settled.head.Staged)
+	next := c.openBundle(chosen.head.Staged)
 	if next == nil {
 		return false
 	}
@@ -112,8 +122,9 @@
 	return true
 }
 
-// addSightings adds what changed among the machines since the node last asked
-// this process.
+// addSightings adds the machines whose status has changed since the node's last poll,
+// or all of them if that poll was answered by another incarnation. It reports whether
+// the view has changed.
 func (c *ControlPlane) addSightings(request *wire.NewsRequest, reply *wire.NewsReply, concerns func(service string) bool) (fresh bool) {
 	since := request.Roster
 	if request.Keel != reply.Keel {
@@ -127,6 +138,7 @@
 	return true
 }
 
+// lacksPart reports whether the slice has a part that is not named in parts.
 func lacksPart(slice *wire.Sealed, parts []string) bool {
 	return slices.ContainsFunc(slice.Parts, func(part *wire.Part) bool { return !slices.Contains(parts, part.Name) })
 }
--- a/internal/listedcore/open_fleet.go
+++ b/internal/listedcore/open_fleet.go
@@ -9,12 +9,15 @@
 	"curlewreach/proto/wire"
 )
 
-// ControllerView returns the state of an open fleet's core process.
+// The methods in this file are for open fleets, whose machines are not listed in a
+// bundle. Client.Controllers then has the controllers' addresses for other nodes.
+
+// ControllerView returns the state of a controller of an open fleet.
 func (c *Client) ControllerView(ctx context.Context) (*wire.ControllerView, error) {
 	return fetch[wire.ControllerView](ctx, c, http.MethodGet, "/view", nil)
 }
 
-// NodeView returns the state of an open fleet's node.
+// NodeView returns the state of a node of an open fleet.
 func (c *Client) NodeView(ctx context.Context) (*wire.NodeView, error) {
 	return fetch[wire.NodeView](ctx, c, http.MethodGet, "/view", nil)
 }
@@ -24,13 +27,13 @@
 	return fetch[wire.Configuration](ctx, c, http.MethodGet, "/configuration", nil)
 }
 
-// OpenFleetOdds returns what was learned in an open fleet.
+// OpenFleetOdds returns the learner's state of an open fleet.
 func (c *Client) OpenFleetOdds(ctx context.Context) (*wire.Learning, error) {
 	return fetch[wire.Learning](ctx, c, http.MethodGet, "/odds", nil)
 }
 
-// Journal returns the newest events about a subject, or all if that is empty,
-// from a process of an open fleet.
+// Journal returns at most last of the newest events about a subject, or about all
+// subjects if it is empty, from the journal of a process of an open fleet.
 func (c *Client) Journal(ctx context.Context, subject string, last int) (*wire.TellReply, error) {
 	return fetch[wire.TellReply](ctx, c, http.MethodGet, fmt.Sprintf("/journal?subject=%s&last=%d", url.QueryEscape(subject), last), nil)
 }
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -19,7 +19,7 @@
 	"curlewreach/proto/wire"
 )
 
-// OperatorHandler returns the handler of the server for operators.
+// OperatorHandler returns the handler of the HTTP API for operators.
 func OperatorHandler(c *ControlPlane) http.Handler {
 	mux := http.NewServeMux()
 	serve := func(pattern string, handle endpoint.Endpoint, decode httptransport.DecodeRequestFunc) {
@@ -62,7 +62,7 @@
 	serve("GET /v1/state", func(context.Context, any) (any, error) { return c.State(), nil }, rawRequest)
 	serve("POST /v1/adopt", func(ctx context.Context, _ any) (any, error) {
 		if !c.replica.Adopt(c.scope.WithContext(ctx)) {
-			return nil, base.NewFault(base.NoState, "", "this disk could not be adopted now: one whole disk must be reachable")
+			return nil, base.NewFault(base.NoState, "", "this disk could not be recovered now: one intact disk must be reachable")
 		}
 		return c.State(), nil
 	}, rawRequest)
@@ -82,7 +82,8 @@
 	return mux
 }
 
-// State returns this machine's view of the stored keys.
+// State returns the state of this machine's disk, of the roll-out, of the learner and
+// of each stored key, as this machine knows them.
 func (c *ControlPlane) State() *wire.StateReply {
 	view := c.Chosen()
 	reply := &wire.StateReply{Keel: c.self, Phase: strings.ToLower(c.replica.Store().Phase().String()), Committed: view.committed, Staged: view.staged, Learner: c.Learning().GetHolder(), Owed: uint32(c.traces.Owed())}
@@ -94,7 +95,8 @@
 	return reply
 }
 
-// Trace collects a trace's spans from all core machines that answer in time.
+// Trace returns the spans of a trace from all core machines that reply in time,
+// without duplicates.
 func (c *ControlPlane) Trace(ctx context.Context, trace string) *wire.TraceReply {
 	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound / 4)
 	defer cancel()
@@ -115,6 +117,8 @@
 	return reply
 }
 
+// bodyDecoder returns a decoder of JSON request bodies. The size limit is twice that
+// of a bundle, which leaves room for the JSON encoding.
 func (c *ControlPlane) bodyDecoder(newMessage func() proto.Message) httptransport.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, int64(2*c.limits.Bytes)+1))
@@ -132,8 +136,10 @@
 	}
 }
 
+// rawRequest passes the HTTP request itself to the endpoint.
 func rawRequest(_ context.Context, r *http.Request) (any, error) { return r, nil }
 
+// encodeReply writes a reply as JSON. The status of an outcome depends on its verdict.
 func encodeReply(_ context.Context, w http.ResponseWriter, response any) error {
 	body, err := protojson.MarshalOptions{EmitUnpopulated: false}.Marshal(response.(proto.Message))
 	if err != nil {
@@ -147,6 +153,7 @@
 	return err
 }
 
+// outcomeStatus returns the HTTP status of an outcome: 202 if there is no decision yet.
 func outcomeStatus(outcome *wire.Outcome) int {
 	switch outcome.Verdict {
 	case wire.Verdict_TAKEN:
@@ -159,6 +166,7 @@
 	return http.StatusAccepted
 }
 
+// encodeError writes an error as a JSON object with the fault.
 func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
 	httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// heartbeatRatio, of the leaving bound, is the interval between heartbeats.
+	// heartbeatRatio is the interval between heartbeats, as a fraction of the
+	// leaving bound.
 	heartbeatRatio = 0.1
-	// roundTimeoutRatio, of the in-force bound, is the longest that one round among
-	// the disks may take.
+	// roundTimeoutRatio is the timeout of a round of calls to the disks, as a
+	// fraction of the in-force bound.
 	roundTimeoutRatio = 0.25
-	// shutdownRatio, of the grace, is the time to stop in; the rest is for the
-	// process to end.
+	// shutdownRatio is the timeout of an orderly shutdown, as a fraction of the
+	// grace period. The rest is left for the process to exit.
 	shutdownRatio = 0.9
-	// entriesPerBundle is the changes kept for each bundle: a roll-out writes its
-	// head twice, and a new owner once more.
+	// entriesPerBundle is the number of store entries kept for each bundle: a
+	// roll-out writes the head twice, and a change of owner once more.
 	entriesPerBundle = 3
 )
 
-// SetDefaults sets the params that aren't set to their defaults.
+// SetDefaults sets the params that have no value to their defaults.
 func SetDefaults(p *wire.KeelParams) {
 	p.Bounds = base.DefaultBounds(p.Bounds)
 	base.SetDefault(&p.Serials, 16)
@@ -41,7 +42,7 @@
 	base.SetDefault(&p.Log, "info")
 }
 
-// Check returns validation errors that name each bad param.
+// Check validates the params. The error names each invalid one.
 func Check(p *wire.KeelParams) error {
 	return validation.ValidateStruct(p,
 		validation.Field(&p.Name, validation.Required, base.IsName),
@@ -59,7 +60,7 @@
 	)
 }
 
-// Process is a running core machine.
+// Process is the running process of a core machine.
 type Process struct {
 	ControlPlane    *ControlPlane
 	ReplicatedStore *quorum.Replica
@@ -70,7 +71,7 @@
 	group           base.Group
 }
 
-// Start starts a core machine. On an error nothing is left running.
+// Start starts the process of a core machine. After an error nothing is left running.
 func Start(s base.Scope, params *wire.KeelParams) (*Process, error) {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
@@ -81,7 +82,7 @@
 		return nil, err
 	}
 	if !slices.Contains(params.Seeds, params.Mates) {
-		return nil, errors.Errorf("seeds: a keel's own address %s is one of the seeds", params.Mates)
+		return nil, errors.Errorf("seeds: the controller's own address %s must be one of the seeds", params.Mates)
 	}
 	s, cancel := s.WithCancel()
 	store, err := quorum.OpenStore(s, int(params.Serials)*entriesPerBundle)
@@ -102,7 +103,7 @@
 	return p, nil
 }
 
-// assemble makes the parts of the process; nothing runs yet.
+// assemble creates the components of the process without starting them.
 func (p *Process) assemble(s base.Scope, store *quorum.Store, trust bundle.Trust) *membership.Member {
 	params, httpClient := p.params, httpserver.NewClient(s)
 	bounds, inForceBound := params.Bounds, params.Bounds.InForce.AsDuration()
@@ -126,7 +127,7 @@
 	return member
 }
 
-// listen opens the servers for other nodes and for operators.
+// listen starts the servers for other machines and for operators.
 func (p *Process) listen(s base.Scope, member *membership.Member) error {
 	mux := http.NewServeMux()
 	mux.Handle(quorum.Handler(p.ReplicatedStore))
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// Stop hands its duties over, lets requests in flight end, and ends the
-// process's parts within the grace.
+// Stop transfers the learner's role and the ownership of keys to other machines, waits
+// for requests in flight, and ends all components, within the grace period.
 func (p *Process) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(p.params.Bounds.Grace.AsDuration())*shutdownRatio))
 	defer cancel()
@@ -157,7 +158,7 @@
 	p.Kill()
 }
 
-// Kill ends everything at once.
+// Kill ends all components without waiting for requests in flight.
 func (p *Process) Kill() {
 	p.cancel()
 	for _, server := range p.servers {
@@ -166,8 +167,8 @@
 	p.group.Wait()
 }
 
-// Reload puts the params in force that can change while running: the trusted
-// keys. It returns an error if others differ that can't.
+// Reload applies the trusted keys. It returns an error if the name, an address or the
+// folder differs; changes of other params have no effect until a restart.
 func (p *Process) Reload(params *wire.KeelParams) error {
 	SetDefaults(params)
 	if err := Check(params); err != nil {
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -17,22 +17,26 @@
 )
 
 const (
-	// stagedTimeoutRatio, of the in-force bound, is how long a staged bundle may stand
-	// before another machine resolves it.
+	// stagedTimeoutRatio is how long a bundle may be staged before any core machine
+	// resolves the roll-out, as a fraction of the in-force bound.
 	stagedTimeoutRatio = 0.5
-	// confirmTimeoutRatio, of the in-force bound, is how long nodes have to confirm a
-	// staged bundle before it is withdrawn.
+	// confirmTimeoutRatio is how long nodes have to confirm a staged bundle before
+	// it is withdrawn, as a fraction of the in-force bound.
 	confirmTimeoutRatio = 0.5
-	// pollIntervalRatio, of the in-force bound, is the pause between two looks at a
-	// roll-out.
+	// pollIntervalRatio is the interval between two checks of a roll-out, as a
+	// fraction of the in-force bound.
 	pollIntervalRatio = 0.005
 )
 
+// confirmation is the newest serial, staged or in force, that a node had at its last
+// poll, and the time of that poll.
 type confirmation struct {
 	serial uint64
 	at     time.Duration
 }
 
+// recordConfirmation records which bundle a polling node has. It removes those of nodes
+// that have not polled for twice the required silence.
 func (c *ControlPlane) recordConfirmation(request *wire.NewsRequest) {
 	serial := max(request.Staged, request.Serial)
 	prior, known := c.confirmations.Get(request.Node)
@@ -46,6 +50,9 @@
 	}
 }
 
+// countConfirmations returns how many application machines of the current bundle have
+// confirmed the staged one lately, and how many are needed: a majority of them,
+// without those that the staged bundle declares lost.
 func (c *ControlPlane) countConfirmations(current *bundle.Bundle, staged *headView) (have, need int) {
 	serial, lost, remaining := staged.staged, lostMachines(staged.head.Staged), 0
 	for machine := range current.Machines() {
@@ -67,6 +74,8 @@
 	return have, remaining/2 + 1
 }
 
+// lostMachines returns the names of the machines that a bundle's manifest declares
+// permanently lost. The signer asserts that they are off; the wire field is forsaken.
 func lostMachines(sealed *wire.Sealed) []string {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
@@ -75,6 +84,8 @@
 	return manifest.Forsaken
 }
 
+// anyHeard reports whether any of the machines polled within the in-force bound before
+// now.
 func (c *ControlPlane) anyHeard(lost []string) bool {
 	return slices.ContainsFunc(lost, func(name string) bool {
 		confirmed, known := c.confirmations.Get(name)
@@ -82,6 +93,10 @@
 	})
 }
 
+// checkLost returns a fault unless all machines declared lost are application
+// machines of the current bundle that have been silent for the required time and
+// don't reply now. The fault is of kind Uncertain if this process has not been
+// running for that time.
 func (c *ControlPlane) checkLost(ctx context.Context, lost []string) *base.Fault {
 	current := c.Current()
 	if len(lost) == 0 || current == nil {
@@ -89,7 +104,7 @@
 	}
 	now := c.scope.Clock.Mono()
 	if now-c.startedAt < c.requiredSilence {
-		return base.NewFault(base.Uncertain, "forsaken", "this keel has listened for less than %s", c.requiredSilence)
+		return base.NewFault(base.Uncertain, "forsaken", "this controller has been running for less than %s", c.requiredSilence)
 	}
 	heard := map[string]time.Duration{}
 	for sighting := range c.member.View().All() {
@@ -101,10 +116,10 @@
 		path := fmt.Sprintf("forsaken[%d]", i)
 		machine := current.Machine(name)
 		if machine == nil || machine.Core {
-			return base.NewFault(base.DanglingReference, path, "%q is no application machine of serial %d", name, current.Serial)
+			return base.NewFault(base.DanglingReference, path, "%q is not an application machine in serial %d", name, current.Serial)
 		}
 		if silence, known := heard[name]; known && silence < c.requiredSilence {
-			return base.NewFault(base.StillAlive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), c.requiredSilence)
+			return base.NewFault(base.StillAlive, path, "%q was heard from %s ago; %s of silence are required", name, silence.Round(time.Millisecond), c.requiredSilence)
 		}
 		if confirmed, known := c.confirmations.Get(name); known && now-confirmed.at < c.requiredSilence {
 			return base.NewFault(base.StillAlive, path, "%q asked for news %s ago", name, (now - confirmed.at).Round(time.Millisecond))
@@ -113,7 +128,7 @@
 	return c.checkUnreachable(s, current, lost)
 }
 
-// checkUnreachable returns an error if any of the machines still answers.
+// checkUnreachable returns a fault if any of the machines replies to a request.
 func (c *ControlPlane) checkUnreachable(s base.Scope, current *bundle.Bundle, names []string) *base.Fault {
 	var alive atomic.Pointer[string]
 	base.Parallel(names, func(name string) {
@@ -122,13 +137,13 @@
 		}
 	})
 	if name := alive.Load(); name != nil {
-		return base.NewFault(base.StillAlive, "forsaken", "%q still answers", *name)
+		return base.NewFault(base.StillAlive, "forsaken", "%q still replies", *name)
 	}
 	return nil
 }
 
-// Submit decides on a signed bundle. An outcome of verdict UNKNOWN says that it
-// isn't decided yet; the error is always nil.
+// Submit validates a signed bundle, rolls it out and returns the outcome. The verdict
+// UNKNOWN means that there is no decision yet. The error is always nil.
 func (c *ControlPlane) Submit(ctx context.Context, request *wire.SignRequest) (*wire.Outcome, error) {
 	manifest, fault := c.validate(request)
 	if fault != nil {
@@ -138,12 +153,15 @@
 	return c.decide(ctx, request, manifest), nil
 }
 
-// Status returns what became of a submission, and settles it if it was left
-// midway.
+// Status returns the outcome of a submission. If its roll-out was interrupted, Status
+// resolves it. The error is always nil.
 func (c *ControlPlane) Status(ctx context.Context, submission string) (*wire.Outcome, error) {
 	return c.decide(ctx, &wire.SignRequest{Submission: submission}, nil), nil
 }
 
+// decide forwards a submission to the owner of BundleKey if that machine has replied
+// lately. Otherwise, or if the call fails, it decides here, which makes this machine
+// the owner. A nil manifest asks for the outcome of an earlier submission.
 func (c *ControlPlane) decide(ctx context.Context, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound * 2)
 	defer cancel()
@@ -159,6 +177,9 @@
 	return c.decideLocally(s, request, manifest)
 }
 
+// decideLocally retries a submission until there is an outcome or the scope ends. The
+// pause after an error is random, so that machines competing for the ownership of
+// the key don't keep superseding each other.
 func (c *ControlPlane) decideLocally(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) *wire.Outcome {
 	unknown := &wire.Outcome{Submission: request.Submission, Verdict: wire.Verdict_UNKNOWN}
 	for s.Err() == nil {
@@ -179,6 +200,9 @@
 	return unknown
 }
 
+// tryDecide makes one attempt to stage and resolve a submission. If another one is
+// staged, it resolves that first and returns no outcome. A repeated submission that
+// was accepted keeps its outcome even if a machine it declares lost is back.
 func (c *ControlPlane) tryDecide(s base.Scope, request *wire.SignRequest, manifest *wire.Manifest) (*wire.Outcome, error) {
 	if manifest == nil {
 		return c.lookUpOutcome(s, request.Submission)
@@ -200,9 +224,10 @@
 	return c.resolve(s, true)
 }
 
-// stage makes the bundle handed in the staged one, unless the submission was
-// decided already or another is staged. It reports whether the staged one is
-// this submission's.
+// stage stores the submitted bundle as the staged one, unless the submission has an
+// outcome already or another bundle is staged. It reports whether the staged bundle
+// belongs to this submission. The first bundle of a fleet comes into force at once,
+// since there is no bundle in force that lists the nodes to confirm it.
 func (c *ControlPlane) stage(s base.Scope, request *wire.SignRequest, baseSerial uint64) (outcome *wire.Outcome, own bool, err error) {
 	err = c.replica.Change(s, BundleKey, func(old []byte) ([]byte, error) {
 		head, err := decodeHead(old)
@@ -231,6 +256,7 @@
 	return outcome, own, err
 }
 
+// findOutcome returns the outcome of a submission, or nil if the head has none.
 func findOutcome(head *wire.Head, submission string) *wire.Outcome {
 	for _, each := range head.Outcomes {
 		if each.Submission == submission {
@@ -240,6 +266,8 @@
 	return nil
 }
 
+// resolvedHead returns the head after the roll-out of its staged bundle, with the
+// bundle in force if taken, or else withdrawn. The outcome is added.
 func resolvedHead(head *wire.Head, taken bool) *wire.Head {
 	outcome := &wire.Outcome{Submission: head.Submission, Verdict: wire.Verdict_TAKEN, Serial: bundleSerial(head.Staged)}
 	next := &wire.Head{Sealed: head.Staged}
@@ -248,12 +276,16 @@
 		next.Sealed = head.Sealed
 	}
 	next.Outcomes = append(slices.Clone(head.Outcomes), outcome)
-	if over := len(next.Outcomes) - maxOutcomes; over > 0 {
-		next.Outcomes = next.Outcomes[over:]
+	if excess := len(next.Outcomes) - maxOutcomes; excess > 0 {
+		next.Outcomes = next.Outcomes[excess:]
 	}
 	return next
 }
 
+// resolve waits until enough nodes have confirmed the staged bundle or the time for
+// that is over, and then puts the bundle in force or withdraws it. It is withdrawn
+// in any case if a machine that it declares lost has polled. If returnOutcome is
+// false, the outcome returned is nil.
 func (c *ControlPlane) resolve(s base.Scope, returnOutcome bool) (outcome *wire.Outcome, err error) {
 	staged := c.Chosen()
 	if staged.staged == 0 {
@@ -276,7 +308,7 @@
 	if c.anyHeard(lostMachines(staged.head.Staged)) {
 		have, need = 0, 1
 	}
-	c.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("backed by %d of %d needed", have, need))
+	c.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("confirmed by %d of %d needed", have, need))
 	err = c.replica.Change(s, BundleKey, func(old []byte) ([]byte, error) {
 		head, err := decodeHead(old)
 		if err != nil {
@@ -296,6 +328,8 @@
 	return outcome, nil
 }
 
+// lookUpOutcome returns the outcome of an earlier submission. If its bundle is still
+// staged, it resolves the roll-out and returns nil.
 func (c *ControlPlane) lookUpOutcome(s base.Scope, submission string) (*wire.Outcome, error) {
 	value, err := c.replica.Read(s, BundleKey)
 	if err != nil {
@@ -312,9 +346,12 @@
 		_, err := c.resolve(s, false)
 		return nil, err
 	}
-	return rejectedOutcome(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
+	return rejectedOutcome(submission, base.NewFault(base.NotFound, "submission", "the submission is unknown")), nil
 }
 
+// resolveAbandoned resolves roll-outs that have been staged for too long, since the
+// machine that began them may have failed. The wait is random, so that the machines
+// don't all do so at once.
 func (c *ControlPlane) resolveAbandoned(s base.Scope) {
 	var stagedSince time.Duration
 	var lastStaged uint64
