--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -35,8 +35,8 @@
 	at     time.Duration
 }
 
-// recordConfirmation records which bundle a polling node has. It removes those of nodes
-// that have not polled for twice the required silence.
+// recordConfirmation records which bundle a polling node has. It removes the records of
+// nodes that have not polled for twice the required silence.
 func (c *ControlPlane) recordConfirmation(request *wire.NewsRequest) {
 	serial := max(request.Staged, request.Serial)
 	prior, known := c.confirmations.Get(request.Node)
@@ -51,8 +51,9 @@
 }
 
 // countConfirmations returns how many application machines of the current bundle have
-// confirmed the staged one lately, and how many are needed: a majority of them,
-// without those that the staged bundle declares lost.
+// confirmed the staged one, or a later one, within the last quarter of the in-force
+// bound, and how many are needed: a majority. Machines that the staged bundle declares
+// lost are left out of both counts; if no others remain, none is needed.
 func (c *ControlPlane) countConfirmations(current *bundle.Bundle, staged *headView) (have, need int) {
 	serial, lost, remaining := staged.staged, lostMachines(staged.head.Staged), 0
 	for machine := range current.Machines() {
@@ -75,7 +76,7 @@
 }
 
 // lostMachines returns the names of the machines that a bundle's manifest declares
-// permanently lost. The signer asserts that they are off; the wire field is forsaken.
+// permanently lost, in the field forsaken. They don't count in the roll-out.
 func lostMachines(sealed *wire.Sealed) []string {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -83,8 +83,7 @@
 }
 
 // controllerID returns the ID of a core machine in epochs, which is the FNV-1a hash
-// of its address. So a machine that moves to another address has a new ID, and the
-// IDs of the others don't change.
+// of its address. It does not depend on the other machines of the set.
 func controllerID(address string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(address))
