--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -25,19 +25,19 @@
 	tree     *tree
 }
 
-// Way is where a request leads: a route, its service, and the group whose share
+// RouteMatch is where a request leads: a route, its service, and the group whose share
 // it counts against.
-type Way struct {
+type RouteMatch struct {
 	Service *wire.Service
 	Route   *wire.Route
 	Group   string
 }
 
 // Identifier returns "service/route", unique in the bundle.
-func (w Way) Identifier() string { return w.Service.Name + "/" + w.Route.Name }
+func (w RouteMatch) Identifier() string { return w.Service.Name + "/" + w.Route.Name }
 
 // Deadline returns the time a request of the route may take.
-func (w Way) Deadline() time.Duration { return w.Route.GetDeadline().AsDuration() }
+func (w RouteMatch) Deadline() time.Duration { return w.Route.GetDeadline().AsDuration() }
 
 // Index indexes an opened bundle or slice. Both arguments must not be changed
 // afterwards.
@@ -84,51 +84,51 @@
 	return slices.Values(b.Raw.GetCommon().GetMachines())
 }
 
-// Vanes returns the number of application machines.
-func (b *Bundle) Vanes() int { return vanes(b.Raw) }
+// ApplicationMachines returns the number of application machines.
+func (b *Bundle) ApplicationMachines() int { return vanes(b.Raw) }
 
 // Match finds the route of a request. Checked bundles have at most one.
-func (b *Bundle) Match(method, path string) (Way, bool) {
+func (b *Bundle) Match(method, path string) (RouteMatch, bool) {
 	segments, ok := split(path)
 	if !ok {
-		return Way{}, false
+		return RouteMatch{}, false
 	}
 	found := b.tree.find(method, segments)
 	if found == nil {
-		return Way{}, false
+		return RouteMatch{}, false
 	}
 	return b.way(found.service, found.route), true
 }
 
-// Way finds a route by its service and name.
-func (b *Bundle) Way(service, route string) (Way, bool) {
+// Route finds a route by its service and name.
+func (b *Bundle) Route(service, route string) (RouteMatch, bool) {
 	found := b.services[service]
 	for _, candidate := range found.GetRoutes() {
 		if candidate.Name == route {
 			return b.way(found, candidate), true
 		}
 	}
-	return Way{}, false
+	return RouteMatch{}, false
 }
 
-// Names reports whether the identifier is a route of the bundle.
-func (b *Bundle) Names(identifier string) bool {
+// HasRoute reports whether the identifier is a route of the bundle.
+func (b *Bundle) HasRoute(identifier string) bool {
 	service, route, _ := strings.Cut(identifier, "/")
-	_, known := b.Way(service, route)
+	_, known := b.Route(service, route)
 	return known
 }
 
-func (b *Bundle) way(service *wire.Service, route *wire.Route) Way {
+func (b *Bundle) way(service *wire.Service, route *wire.Route) RouteMatch {
 	group := route.Group
 	if group == "" {
 		group = b.owners[service.Name]
 	}
-	return Way{Service: service, Route: route, Group: group}
+	return RouteMatch{Service: service, Route: route, Group: group}
 }
 
-// Holes returns what a path has in place of the placeholders of the route's
+// PathParams returns what a path has in place of the placeholders of the route's
 // template, by their names.
-func (b *Bundle) Holes(way Way, path string) map[string]string {
+func (b *Bundle) PathParams(way RouteMatch, path string) map[string]string {
 	template, _ := split(way.Route.Path)
 	segments, _ := split(path)
 	holes := map[string]string{}
@@ -140,10 +140,10 @@
 	return holes
 }
 
-// Concerns returns which services a node needs to know: those with an instance
+// NeededServices returns which services a node needs to know: those with an instance
 // beside it (seated), those these call further, and those that the machine's
 // own visitors call, which are all if it lists none.
-func (b *Bundle) Concerns(node string, seated []string) func(service string) bool {
+func (b *Bundle) NeededServices(node string, seated []string) func(service string) bool {
 	machine := b.machines[node]
 	wanted := map[string]bool{}
 	add := func(name string) {
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -22,7 +22,7 @@
 	ginkgo.RunSpecs(t, "bundle")
 }
 
-var limits = UsualLimits(6 * time.Second)
+var limits = DefaultLimits(6 * time.Second)
 
 func example(name string) *wire.Bundle {
 	body, err := os.ReadFile("../../examples/" + name + "/bundle.json")
@@ -30,7 +30,7 @@
 	b := &wire.Bundle{}
 	Expect(protojson.Unmarshal(body, b)).To(Succeed())
 	b.Serial = 1
-	Normalise(b, limits)
+	SetDefaults(b, limits)
 	return b
 }
 
@@ -42,7 +42,7 @@
 }
 
 func signed(b *wire.Bundle, key ed25519.PrivateKey) *wire.Sealed {
-	sealed, err := Pack(b)
+	sealed, err := Encode(b)
 	Expect(err).NotTo(HaveOccurred())
 	Sign(sealed, key)
 	return sealed
@@ -96,14 +96,14 @@
 		sealed := signed(example("library"), key)
 		b := Index(sealed, example("library"))
 		b.Machine("app-1").Calls = []string{"catalogue"}
-		slice := Slice(sealed, b.Concerns("app-1", nil))
+		slice := Slice(sealed, b.NeededServices("app-1", nil))
 		Expect(slice.Parts).To(HaveLen(2))
 		_, fault := trust.Verify(slice)
 		Expect(fault).To(BeNil())
-		raw, fault := Open(slice)
+		raw, fault := Decode(slice)
 		Expect(fault).To(BeNil())
 		Expect(raw.Services).To(HaveLen(1))
-		Expect(Slice(sealed, b.Concerns("app-1", []string{"lending"})).Parts).To(HaveLen(3), "a seat's further calls concern it")
+		Expect(Slice(sealed, b.NeededServices("app-1", []string{"lending"})).Parts).To(HaveLen(3), "a seat's further calls concern it")
 	})
 
 	ginkgo.DescribeTable("given a seal that was touched, when verified, then it is refused",
@@ -132,8 +132,8 @@
 		after := Apply(before, &wire.Change{
 			Shares: []*wire.Share{{Group: "librarians", Carried: 2, Watched: 2}}, DropMachines: []string{"app-12"},
 		})
-		Expect(Difference(before, after)).To(ConsistOf("~ share librarians", "- machine app-12"))
-		Expect(Difference(before, before)).To(BeEmpty())
+		Expect(Diff(before, after)).To(ConsistOf("~ share librarians", "- machine app-12"))
+		Expect(Diff(before, before)).To(BeEmpty())
 	})
 
 	ginkgo.It("given templates, when requests are matched, then holes are filled and others are not found", func() {
@@ -142,7 +142,7 @@
 		Expect(known).To(BeTrue())
 		Expect(way.Identifier()).To(Equal("catalogue/shelf"))
 		Expect(way.Group).To(Equal("patrons"))
-		Expect(b.Holes(way, "/catalogue/shelf/42")).To(Equal(map[string]string{"card": "42"}))
+		Expect(b.PathParams(way, "/catalogue/shelf/42")).To(Equal(map[string]string{"card": "42"}))
 		_, known = b.Match("POST", "/catalogue/shelf/42")
 		Expect(known).To(BeFalse())
 		_, known = b.Match("GET", "/catalogue")
--- a/internal/bundle/change.go
+++ b/internal/bundle/change.go
@@ -41,9 +41,9 @@
 	return merged
 }
 
-// Difference returns a line for each item added (+), changed (~) or dropped
+// Diff returns a line for each item added (+), changed (~) or dropped
 // (-).
-func Difference(before, after *wire.Bundle) []string {
+func Diff(before, after *wire.Bundle) []string {
 	var lines []string
 	lines = append(lines, compare("machine", before.GetCommon().GetMachines(), after.GetCommon().GetMachines(), func(m *wire.Machine) string { return m.Name })...)
 	lines = append(lines, compare("share", before.GetCommon().GetShares(), after.GetCommon().GetShares(), func(s *wire.Share) string { return s.Group })...)
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -52,17 +52,19 @@
 	mostAllowance = 4
 )
 
-// UsualLimits returns the limits of size that core machines hold bundles to,
+// DefaultLimits returns the limits of size that core machines hold bundles to,
 // with the grace given.
-func UsualLimits(grace time.Duration) Limits {
+func DefaultLimits(grace time.Duration) Limits {
 	return Limits{Grace: grace, Routes: 20000, Machines: 512, Services: 512, Bytes: 16 << 20}
 }
 
-// Longest returns the longest deadline a route may have.
-func (l Limits) Longest() time.Duration { return time.Duration(float64(l.Grace) * longestDeadline) }
+// MaxDeadline returns the longest deadline a route may have.
+func (l Limits) MaxDeadline() time.Duration { return time.Duration(float64(l.Grace) * longestDeadline) }
 
-// Usual returns the deadline of a route that states none.
-func (l Limits) Usual() time.Duration { return time.Duration(float64(l.Grace) * usualDeadline) }
+// DefaultDeadline returns the deadline of a route that states none.
+func (l Limits) DefaultDeadline() time.Duration {
+	return time.Duration(float64(l.Grace) * usualDeadline)
+}
 
 var (
 	method = regexp.MustCompile(`^[A-Z]{1,16}$`)
@@ -71,8 +73,8 @@
 	chunk  = regexp.MustCompile(`^(\{[a-z][a-z0-9_]{0,31}\}|[A-Za-z0-9._~-]+)$`)
 )
 
-// Normalise fills in the defaults, in b itself.
-func Normalise(b *wire.Bundle, limits Limits) {
+// SetDefaults fills in the defaults, in b itself.
+func SetDefaults(b *wire.Bundle, limits Limits) {
 	if b.Common == nil {
 		b.Common = &wire.Common{}
 	}
@@ -97,7 +99,7 @@
 		base.SetDefault(&service.Allowance, uint32(vanes(b)))
 		for _, route := range service.Routes {
 			if route.Deadline == nil {
-				route.Deadline = durationpb.New(limits.Usual())
+				route.Deadline = durationpb.New(limits.DefaultDeadline())
 			}
 		}
 	}
@@ -260,7 +262,7 @@
 			path := fmt.Sprintf("services[%d].routes[%d]", i, j)
 			q.once(names, path+".name", route.Name)
 			q.value(path+".method", route.Method, validation.Required, validation.Match(method))
-			q.value(path+".deadline", route.GetDeadline().AsDuration(), validation.Min(leastDeadline), validation.Max(limits.Longest()))
+			q.value(path+".deadline", route.GetDeadline().AsDuration(), validation.Min(leastDeadline), validation.Max(limits.MaxDeadline()))
 			if q.template(path+".path", service, route, templates) {
 				q.further(path+".further", route, known)
 			}
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -23,21 +23,21 @@
 	f.Add([]byte(`{"common":{"machines":[{"name":"a","address":"1.2.3.4:5","zone":"a"}],"tracing":{"sample":"NaN","budget":"Infinity","epsilon":-0.0}}}`))
 	f.Add([]byte(`{"services":[{"name":"a","routes":[{"name":"r","path":"/{x}/{y}","deadline":"-1s"},{"name":"r","path":"/"}]}]}`))
 	f.Add([]byte(`{"forsaken":["a","a"],"common":{"shares":[{"group":"g","carried":1e308,"watched":-1}]}}`))
-	limits := UsualLimits(6 * time.Second)
+	limits := DefaultLimits(6 * time.Second)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		b := &wire.Bundle{}
 		if protojson.Unmarshal(body, b) != nil {
 			return
 		}
-		Normalise(b, limits)
+		SetDefaults(b, limits)
 		if Check(b, limits) != nil {
 			return
 		}
-		sealed, err := Pack(b)
+		sealed, err := Encode(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, fault := Open(sealed)
+		opened, fault := Decode(sealed)
 		if fault != nil {
 			t.Fatal(fault)
 		}
@@ -85,7 +85,7 @@
 			return
 		}
 		manifest, fault := trust.Verify(got)
-		opened, _ := Open(got)
+		opened, _ := Decode(got)
 		if fault == nil && string(got.Manifest) != string(sealed.Manifest) {
 			t.Fatalf("verified what was never signed: serial %d", manifest.Serial)
 		}
@@ -98,11 +98,11 @@
 
 func FuzzMatch(f *testing.F) {
 	RegisterTestingT(f)
-	sealed, err := Pack(example("library"))
+	sealed, err := Encode(example("library"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	opened, _ := Open(sealed)
+	opened, _ := Decode(sealed)
 	index := Index(sealed, opened)
 	for _, path := range []string{"/catalogue/search", "/lending/borrow/7", "//", "/%2e%2e/lending", "/lending/borrow/", "\xff"} {
 		f.Add("GET", path)
--- a/internal/bundle/seal.go
+++ b/internal/bundle/seal.go
@@ -24,9 +24,9 @@
 	servePart = "service/"
 )
 
-// Pack encodes a bundle in parts under a manifest with their SHA-256 digests.
+// Encode encodes a bundle in parts under a manifest with their SHA-256 digests.
 // It isn't signed yet.
-func Pack(b *wire.Bundle) (*wire.Sealed, error) {
+func Encode(b *wire.Bundle) (*wire.Sealed, error) {
 	manifest := &wire.Manifest{Serial: b.Serial, Base: b.Base, Forsaken: b.Forsaken}
 	sealed := &wire.Sealed{}
 	add := func(name string, message proto.Message) error {
@@ -55,12 +55,12 @@
 // Sign signs the manifest.
 func Sign(sealed *wire.Sealed, key ed25519.PrivateKey) {
 	sealed.Signature = ed25519.Sign(key, append([]byte(domain), sealed.Manifest...))
-	sealed.Signer = Signer(key.Public().(ed25519.PublicKey))
+	sealed.Signer = KeyID(key.Public().(ed25519.PublicKey))
 }
 
-// Signer returns the short name of a public key: the first 8 bytes of its
+// KeyID returns the short name of a public key: the first 8 bytes of its
 // SHA-256 as hexadecimal digits.
-func Signer(key ed25519.PublicKey) string {
+func KeyID(key ed25519.PublicKey) string {
 	digest := sha256.Sum256(key)
 	return hex.EncodeToString(digest[:8])
 }
@@ -77,7 +77,7 @@
 		if err != nil || len(raw) != ed25519.PublicKeySize {
 			return nil, errors.Errorf("%q is not a public key", text)
 		}
-		trust[Signer(raw)] = raw
+		trust[KeyID(raw)] = raw
 	}
 	return trust, nil
 }
@@ -118,15 +118,15 @@
 	return manifest, nil
 }
 
-// Whole reports whether no part is missing. The digests must have been
+// IsComplete reports whether no part is missing. The digests must have been
 // verified.
-func Whole(sealed *wire.Sealed, manifest *wire.Manifest) bool {
+func IsComplete(sealed *wire.Sealed, manifest *wire.Manifest) bool {
 	return len(sealed.Parts) == len(manifest.Parts)
 }
 
-// Open decodes the parts after checking their digests, but not the signature.
+// Decode decodes the parts after checking their digests, but not the signature.
 // The error is of kind Malformed.
-func Open(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
+func Decode(sealed *wire.Sealed) (*wire.Bundle, *base.Fault) {
 	manifest, fault := digests(sealed)
 	if fault != nil {
 		return nil, fault
--- a/internal/command/ctl/look.go
+++ b/internal/command/ctl/look.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(strings.Join(bundle.Difference(before.Bundle, after.Bundle), "\n"))
+	fmt.Println(strings.Join(bundle.Diff(before.Bundle, after.Bundle), "\n"))
 	return nil
 }
 
--- a/internal/command/ctl/sign.go
+++ b/internal/command/ctl/sign.go
@@ -83,7 +83,7 @@
 	if err := readProto(s.Draft, reply); err != nil {
 		return err
 	}
-	shown, fault := bundle.Open(reply.Sealed)
+	shown, fault := bundle.Decode(reply.Sealed)
 	if fault != nil {
 		return fault
 	}
--- a/internal/command/simulate/day.go
+++ b/internal/command/simulate/day.go
@@ -72,7 +72,7 @@
 	if err := f.collect(s); err != nil {
 		return nil, err
 	}
-	sum.verdicts = judge.Check(f.history, judge.Brief())
+	sum.verdicts = judge.Check(f.history, judge.DefaultBounds())
 	for _, call := range f.history.Calls() {
 		sum.add(call, begunTrouble)
 	}
@@ -84,7 +84,7 @@
 func (f *fleet) visit(s, visiting base.Scope, rate float64) *base.Group {
 	crew := &base.Group{}
 	for _, each := range f.nodes {
-		visitors := &standin.Visitors{Scope: s, Name: each.Name, To: each.at(clientsPort), Rate: rate / float64(len(f.nodes)), Habits: f.plan, History: f.history}
+		visitors := &standin.Clients{Scope: s, Name: each.Name, NodeAddress: each.at(clientsPort), Rate: rate / float64(len(f.nodes)), Plan: f.plan, History: f.history}
 		crew.Go(func() { visitors.Run(visiting) })
 	}
 	return crew
@@ -112,20 +112,20 @@
 func (f *fleet) trouble(s base.Scope) error {
 	end := func() {}
 	if f.args.Trouble != "none" && f.args.Trouble != "roll" {
-		end = f.history.Spell("drill", f.args.Trouble, false)
+		end = f.history.RecordDisturbance("drill", f.args.Trouble, false)
 	}
 	if err := troubles[f.args.Trouble](f, s); err != nil {
 		return err
 	}
 	end()
-	f.history.Returned()
+	f.history.RecordReturn()
 	return nil
 }
 
 func (sum *summary) add(call judge.Call, begunTrouble time.Duration) {
 	sum.Calls++
 	if call.Kind != "" {
-		sum.Kinds[fmt.Sprintf("%s of %s (%s) in second %d", call.Kind, call.Route, call.Reason, (call.Begun-begunTrouble)/time.Second)]++
+		sum.Kinds[fmt.Sprintf("%s of %s (%s) in second %d", call.Kind, call.Route, call.Reason, (call.Started-begunTrouble)/time.Second)]++
 	}
 	switch {
 	case call.Broken != "":
@@ -152,8 +152,8 @@
 		}
 		sum.Ran += counts.Ran
 		sum.Repeated += counts.Repeated
-		sum.TiedWell += counts.TiedWell
-		sum.TiedElse += counts.TiedElse
+		sum.TiedWell += counts.CorrectTrace
+		sum.TiedElse += counts.OtherTrace
 	}
 	learning, err := f.client.Odds(s)
 	if err != nil {
@@ -190,14 +190,14 @@
 			return err
 		}
 		for _, event := range events {
-			f.history.Fold(m.Name, event.Topic, event.Subject, event.Detail, mono-wall.Sub(event.At))
+			f.history.RecordEvent(m.Name, event.Topic, event.Subject, event.Detail, mono-wall.Sub(event.At))
 		}
 	}
 	for _, controller := range f.client.Controllers {
 		one := *f.client
 		one.Controllers = []string{controller}
 		reply, err := one.Bundle(s, 0)
-		f.history.ReadBack(controller, reply.GetSerial(), reply.GetSealed(), err)
+		f.history.RecordReadback(controller, reply.GetSerial(), reply.GetSealed(), err)
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 	for line := range bytes.Lines(body) {
 		var run judge.Run
 		if json.Unmarshal(line, &run) == nil {
-			f.history.Ran(run)
+			f.history.RecordRun(run)
 		}
 	}
 	return nil
@@ -232,10 +232,10 @@
 }
 
 func (s *summary) verdict(smoke bool) error {
-	if broken := judge.Broken(s.verdicts); len(broken) > 0 {
+	if broken := judge.Violations(s.verdicts); len(broken) > 0 {
 		return errors.Errorf("%d breaches, first: %s", len(broken), broken[0])
 	}
-	if vacuous := judge.Vacuous(s.verdicts, judge.RanTwice, judge.Whole, judge.Allowed, judge.InForce, judge.SlideBack, judge.OneAck, judge.ReadBack, judge.Returns); len(vacuous) > 0 {
+	if vacuous := judge.Vacuous(s.verdicts, judge.RunOnce, judge.WholeAnswers, judge.AllowedServices, judge.InForce, judge.NoRegression, judge.SingleAck, judge.Durability, judge.Recovery); len(vacuous) > 0 {
 		return errors.Errorf("nothing to judge for %v", vacuous)
 	}
 	owed := 99
--- a/internal/command/simulate/fleet.go
+++ b/internal/command/simulate/fleet.go
@@ -59,7 +59,7 @@
 	seeds       []string
 	nodes       []*machine
 	instances   []*instance
-	plan        []standin.Habitual
+	plan        []standin.PlannedRequest
 	key         ed25519.PrivateKey
 	keyFile     string
 	client      *listedcore.Client
@@ -125,7 +125,7 @@
 // old version given, every second one starts with it.
 func (f *fleet) list() {
 	f.old = map[string]bool{}
-	f.client = &listedcore.Client{HTTPClient: f.web, OnSigned: f.history.Signed}
+	f.client = &listedcore.Client{HTTPClient: f.web, OnSigned: f.history.RecordSigned}
 	for i, each := range f.bundle.Common.Machines {
 		f.old[each.Name] = f.args.Old != "" && i%2 == 1
 		at := &machine{Machine: each}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	f.history.Acked(outcome)
+	f.history.RecordOutcome(outcome)
 	if outcome.Verdict != wire.Verdict_TAKEN {
 		return errors.Errorf("the first bundle was not taken: %s", outcome)
 	}
@@ -303,7 +303,7 @@
 	_ = json.NewDecoder(response.Body).Decode(&said)
 	at := f.history.Now()
 	if port == opsPort {
-		f.history.Read(judge.Reading{At: at, Node: m.Name, Serial: said.Serial, Digest: said.Digest, Ready: response.StatusCode == http.StatusOK})
+		f.history.RecordSample(judge.Sample{At: at, Node: m.Name, Serial: said.Serial, Digest: said.Digest, Ready: response.StatusCode == http.StatusOK})
 	}
 	return said.Serial, response.StatusCode == http.StatusOK
 }
@@ -339,7 +339,7 @@
 	}
 	outcome, err := f.client.Apply(ctx, submission, &wire.DraftRequest{Base: serial, Change: change}, f.key)
 	if err == nil {
-		f.history.Acked(outcome)
+		f.history.RecordOutcome(outcome)
 	}
 	return outcome, err
 }
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -252,7 +252,7 @@
 	if err != nil {
 		return err
 	}
-	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Name(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
+	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Hex(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openSlots}
 	door, err := httpserver.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openSlow))
 		w.Header().Set(forwarding.DefaultHeaderNames.RequestID, r.Header.Get(forwarding.DefaultHeaderNames.RequestID))
--- a/internal/command/simulate/trouble.go
+++ b/internal/command/simulate/trouble.go
@@ -114,7 +114,7 @@
 
 func (f *fleet) roll(s base.Scope) error {
 	for _, m := range f.all() {
-		end := f.history.Spell(m.Name, "stop", true)
+		end := f.history.RecordDisturbance(m.Name, "stop", true)
 		if err := m.process.Process.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 }
 
 func (f *fleet) faulty(s base.Scope) error {
-	for i, fault := range []standin.Fault{standin.LoseAfter, standin.Stuck, standin.Garble, standin.Truncate, standin.Nonsense} {
+	for i, fault := range []standin.Fault{standin.CloseUnanswered, standin.Hang, standin.Corrupt, standin.Truncate, standin.InvalidHTTP} {
 		each := f.instances[i%len(f.instances)]
 		if err := f.tell(each, "/mime/fault/"+string(fault)); err != nil {
 			return err
@@ -256,7 +256,7 @@
 			share.Watched = weight
 			id := fmt.Sprintf("race-%d-%d", round, i)
 			if outcome, err := clerk.Apply(s, id, &wire.DraftRequest{Base: serial, Change: &wire.Change{Shares: []*wire.Share{share}}}, f.key); err == nil {
-				f.history.Acked(outcome)
+				f.history.RecordOutcome(outcome)
 			}
 		})
 		shown, err := f.client.Bundle(s, 1)
@@ -266,7 +266,7 @@
 		for i, spoil := range []func(){func() {}, func() { shown.Sealed.Signature[0] ^= 1 }, func() { shown.Sealed.Parts = shown.Sealed.Parts[1:] }} {
 			spoil()
 			if outcome, err := f.client.Submit(s, fmt.Sprintf("broken-%d-%d", round, i), shown.Sealed); err == nil {
-				f.history.Acked(outcome)
+				f.history.RecordOutcome(outcome)
 			}
 		}
 		base.Await(s, 700*time.Millisecond)
@@ -311,7 +311,7 @@
 		if err != nil || outcome.Verdict == wire.Verdict_UNKNOWN {
 			return false
 		}
-		f.history.Acked(outcome)
+		f.history.RecordOutcome(outcome)
 		return true
 	})
 }
--- a/internal/command/standins/main.go
+++ b/internal/command/standins/main.go
@@ -83,8 +83,8 @@
 }
 
 func (u *upstream) run(s base.Scope) error {
-	stand := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, Reports: u.Reports}
-	if err := read(u.Habits, &stand.Habits); err != nil {
+	stand := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, NodeAddress: u.Reports}
+	if err := read(u.Habits, &stand.Behaviors); err != nil {
 		return err
 	}
 	if u.Runs != "" {
@@ -94,13 +94,13 @@
 		}
 		defer file.Close()
 		stand.History = judge.NewHistory(s.Clock)
-		stand.History.Spill = file
+		stand.History.RunLog = file
 	}
 	if err := stand.Start(500 * time.Millisecond); err != nil {
 		return err
 	}
 	base.Signals(func() {
-		stand.Leave()
+		stand.AnnounceLeaving()
 		base.Await(s, 2*time.Second)
 		stand.Kill()
 	}, func() {})
@@ -109,8 +109,8 @@
 
 func (v *visitors) run(s base.Scope) error {
 	history := judge.NewHistory(s.Clock)
-	stand := &standin.Visitors{Scope: s, Name: v.Name, To: v.To, Rate: v.Rate, History: history}
-	if err := read(v.Plan, &stand.Habits); err != nil {
+	stand := &standin.Clients{Scope: s, Name: v.Name, NodeAddress: v.To, Rate: v.Rate, History: history}
+	if err := read(v.Plan, &stand.Plan); err != nil {
 		return err
 	}
 	bounded, cancel := s.WithTimeout(time.Duration(v.Seconds) * time.Second)
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	s, cancel := s.WithCancel()
-	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Name(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newSharedReads()}
+	m := &Server{scope: s, address: p.Peers, incarnation: s.Rand.Hex(8), client: httpserver.NewClient(s), cancel: cancel, registry: newRegistry(s.Clock), reads: newSharedReads()}
 	m.startedAt = s.Clock.Mono()
 	m.params.Store(p)
 	m.configuration.Store(newConfigurationVersion(nil, nil))
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -82,7 +82,7 @@
 	}
 	c.replica = replica.New(s, settings, store, state, m.client, ratioOf(p.Ack, roundTimeoutRatio))
 	c.traces = tracing.OpenStore(s, min(int(p.MemoryMb)*spansPerMB, maxSpans))
-	c.traces.FollowPeers(c.otherTraceClients)
+	c.traces.SetPeerFunc(c.otherTraceClients)
 	_, c.replicaHandler = c.replica.Handler()
 	_, c.traceHandler = tracing.Handler(c.traces)
 	return c, nil
--- a/internal/controlplane/sampling.go
+++ b/internal/controlplane/sampling.go
@@ -66,7 +66,7 @@
 // newSamplingLearner returns a learner with the default tracing settings and a cycle of five seconds.
 func newSamplingLearner(m *Server, c *core) *samplingLearner {
 	defaults := &wire.Bundle{Common: &wire.Common{Tracing: &wire.Tracing{Cycle: durationpb.New(5 * time.Second)}}}
-	bundle.Normalise(defaults, bundle.UsualLimits(m.params.Load().Grace.AsDuration()))
+	bundle.SetDefaults(defaults, bundle.DefaultLimits(m.params.Load().Grace.AsDuration()))
 	l := &samplingLearner{server: m, core: c, tracing: defaults.Common.Tracing, cursors: map[string]*spanCursor{}, cycleChangedAt: m.scope.Clock.Mono(), spansSince: -1}
 	l.cycle = l.tracing.Cycle.AsDuration()
 	return l
--- a/internal/controlplane/sampling_test.go
+++ b/internal/controlplane/sampling_test.go
@@ -14,10 +14,10 @@
 
 // sendSpans has a trace store keep count spans of a configured route and as many of an unknown one.
 func (f *fleet) sendSpans(i, count int) {
-	batch := &wire.Batch{Id: f.scope.Rand.Name(4)}
+	batch := &wire.Batch{Id: f.scope.Rand.Hex(4)}
 	for range count {
-		batch.Spans = append(batch.Spans, &wire.Span{Id: f.scope.Rand.Name(8), Service: "loans", Route: "r-0", SelfUs: uint64(f.scope.Rand.IntN(9000)), DurationUs: 9000})
-		batch.Spans = append(batch.Spans, &wire.Span{Id: f.scope.Rand.Name(8), Service: "loans", Route: "unheard-of", SelfUs: 1})
+		batch.Spans = append(batch.Spans, &wire.Span{Id: f.scope.Rand.Hex(8), Service: "loans", Route: "r-0", SelfUs: uint64(f.scope.Rand.IntN(9000)), DurationUs: 9000})
+		batch.Spans = append(batch.Spans, &wire.Span{Id: f.scope.Rand.Hex(8), Service: "loans", Route: "unheard-of", SelfUs: 1})
 	}
 	_, err := wireconnect.NewLensClient(f.client, "http://"+peerAddress(i)).Keep(f.scope, connect.NewRequest(&wire.KeepRequest{Batch: batch}))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/controlplane/views.go
+++ b/internal/controlplane/views.go
@@ -21,12 +21,12 @@
 // registerViews registers the read-only pages for operators on the peers' server: GET /view, /configuration,
 // /odds, /journal and /metrics.
 func (m *Server) registerViews(mux *http.ServeMux) {
-	httpserver.Views(mux, m.scope, func() proto.Message { return m.View() }, m.collectMetrics)
+	httpserver.HandleDiagnostics(mux, m.scope, func() proto.Message { return m.View() }, m.collectMetrics)
 	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, r *http.Request) {
 		configuration, err := m.Configuration(r.Context())
 		if err != nil {
 			fault := base.FaultOf(err)
-			httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"mishap": fault})
+			httpserver.ReplyJSON(w, base.Answers[fault.Kind].Status, map[string]any{"mishap": fault})
 			return
 		}
 		if configuration == nil {
@@ -56,7 +56,7 @@
 	if c == nil {
 		return view
 	}
-	view.Owed = uint32(c.traces.Owed())
+	view.Owed = uint32(c.traces.PendingCopies())
 	if began, ok := c.replica.LastMajority(); ok {
 		view.ReachedMs = base.Milliseconds(now - began)
 	}
@@ -107,10 +107,10 @@
 		samples.Add("curlew_nodes", metrics.Gauge, "nodes known here", float64(count), metrics.Labels{"state": state})
 	}
 	gauge := func(name, help string, value float64) { samples.Add(name, metrics.Gauge, help, value, nil) }
-	gauge("curlew_controller_votes", "whether this disk votes", metrics.Bool(m.Ready()))
-	gauge("curlew_controller_settled", "whether this control machine lately agreed with a majority", metrics.Bool(view.Settled))
-	gauge("curlew_controller_owner", "whether this control machine owns the configuration", metrics.Bool(view.Owner == m.address))
-	gauge("curlew_controller_learner", "whether this control machine learns the odds", metrics.Bool(view.Learner == m.address))
+	gauge("curlew_controller_votes", "whether this disk votes", metrics.BoolValue(m.Ready()))
+	gauge("curlew_controller_settled", "whether this control machine lately agreed with a majority", metrics.BoolValue(view.Settled))
+	gauge("curlew_controller_owner", "whether this control machine owns the configuration", metrics.BoolValue(view.Owner == m.address))
+	gauge("curlew_controller_learner", "whether this control machine learns the odds", metrics.BoolValue(view.Learner == m.address))
 	gauge("curlew_configuration_serial", "the newest configuration seen settled here", float64(view.Serial))
 	gauge("curlew_controller_reached_seconds", "since a majority of disks last answered", float64(view.ReachedMs)/1000)
 }
--- a/internal/dataplane/callgraph/tracker.go
+++ b/internal/dataplane/callgraph/tracker.go
@@ -54,7 +54,7 @@
 type Tracker struct {
 	scope    base.Scope
 	node     string
-	sampler  *tracing.Keeper
+	sampler  *tracing.Sampler
 	pushSpan func(*wire.Span)
 	mu       sync.Mutex
 	inFlight map[*Request]bool
@@ -63,18 +63,18 @@
 }
 
 // NewTracker returns a tracker that passes the sampled spans to pushSpan.
-func NewTracker(s base.Scope, node string, sampler *tracing.Keeper, pushSpan func(*wire.Span)) *Tracker {
+func NewTracker(s base.Scope, node string, sampler *tracing.Sampler, pushSpan func(*wire.Span)) *Tracker {
 	return &Tracker{scope: s, node: node, sampler: sampler, pushSpan: pushSpan, inFlight: map[*Request]bool{}, patterns: map[string]*callPattern{}}
 }
 
 // Begin records that a request is about to be written to the upstream.
 func (t *Tracker) Begin(metadata forwarding.Metadata, deadline, timeLeft time.Duration) *Request {
-	r := &Request{metadata: metadata, startedAt: t.scope.Clock.Mono(), deadline: deadline, spanID: t.scope.Rand.Name(6)}
+	r := &Request{metadata: metadata, startedAt: t.scope.Clock.Mono(), deadline: deadline, spanID: t.scope.Rand.Hex(6)}
 	r.traceID, r.parentSpanID = splitTrace(metadata.Trace)
 	if r.traceID == "" {
 		r.traceID = r.spanID
 	}
-	r.sampled = metadata.Sampled && t.sampler.Keep(metadata.Service+"/"+metadata.Route)
+	r.sampled = metadata.Sampled && t.sampler.Sample(metadata.Service+"/"+metadata.Route)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inFlight[r] = true
--- a/internal/dataplane/callgraph/tracker_test.go
+++ b/internal/dataplane/callgraph/tracker_test.go
@@ -22,7 +22,7 @@
 	newTracker := func() *Tracker {
 		clock, spans = &simulation.ManualClock{Now: time.Hour}, nil
 		s := base.Scope{Clock: clock, Rand: random.Seeded(7), Journal: base.NewJournal(10)}
-		return NewTracker(s, "node", tracing.NewKeeper(s.Rand), func(span *wire.Span) { spans = append(spans, span) })
+		return NewTracker(s, "node", tracing.NewSampler(s.Rand), func(span *wire.Span) { spans = append(spans, span) })
 	}
 	begin := func(t *Tracker, route string, left time.Duration) *Request {
 		return t.Begin(forwarding.Metadata{Service: "desk", Route: route, Sampled: true}, clock.Now+left, left)
--- a/internal/dataplane/client_server.go
+++ b/internal/dataplane/client_server.go
@@ -37,7 +37,7 @@
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	n.countOutcome(string(kind))
-	httpserver.Reply(w, status, map[string]string{"kind": string(kind), "reason": reason})
+	httpserver.ReplyJSON(w, status, map[string]string{"kind": string(kind), "reason": reason})
 }
 
 // clientRequest is what the head of a request tells, from a client or from the local upstream, before its body is
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -40,7 +40,7 @@
 	// RemoveController receives the address of a controller that is no longer polled.
 	RemoveController func(address string)
 	// Sampling receives the sampling probabilities that controllers distribute.
-	Sampling *tracing.Keeper
+	Sampling *tracing.Sampler
 }
 
 // Client polls controllers on behalf of a node. It is safe for concurrent use.
@@ -71,7 +71,7 @@
 	now := s.Clock.Mono()
 	return &Client{
 		scope: s, settings: settings, hooks: hooks, http: httpClient,
-		refreshHTTP: httpserver.NewClientWithin(s, base.Ratio(settings.InForce, refreshDialTimeoutRatio)),
+		refreshHTTP: httpserver.NewClientWithDialTimeout(s, base.Ratio(settings.InForce, refreshDialTimeoutRatio)),
 		startedAt:   now, confirmationWait: base.Ratio(settings.Contact, confirmationWaitRatio),
 		directory: newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
 		freshness: newConfigFreshness(settings.InForce, now),
--- a/internal/dataplane/controlclient/polls.go
+++ b/internal/dataplane/controlclient/polls.go
@@ -82,7 +82,7 @@
 	p.controllerID, p.registryVersion = reply.Controller, reply.Registry // other polls read controllerID in fetchInProgress
 	c.mu.Unlock()
 	if reply.Odds != nil {
-		if fault := c.hooks.Sampling.Load(reply.Odds); fault != nil {
+		if fault := c.hooks.Sampling.Update(reply.Odds); fault != nil {
 			c.scope.Log.Warn("odds rejected", "reason", fault.Reason)
 		}
 	}
--- a/internal/dataplane/controlclient/suite_test.go
+++ b/internal/dataplane/controlclient/suite_test.go
@@ -38,7 +38,7 @@
 // testNode is the part of a node that communicates with controllers.
 type testNode struct {
 	*Client
-	sink *tracing.Sink
+	sink *tracing.Exporter
 }
 
 // Ready reports whether a configuration is in force.
@@ -51,11 +51,11 @@
 	status := func() *wire.NodeStatus {
 		return &wire.NodeStatus{Node: name, Incarnation: "one", Number: 1, Inward: ip + ":7002", Zone: "a", Service: books}
 	}
-	httpClient := httpserver.NewClientWithin(scope, DialTimeout(contact))
+	httpClient := httpserver.NewClientWithDialTimeout(scope, DialTimeout(contact))
 	n := &testNode{Client: New(scope, Settings{InForce: inForce, Contact: contact, Seeds: seeds}, httpClient, Hooks{
-		Status: status, ApplyObservations: func(string, bool, []*wire.Observation) {}, RemoveController: func(string) {}, Sampling: tracing.NewKeeper(scope.Rand),
+		Status: status, ApplyObservations: func(string, bool, []*wire.Observation) {}, RemoveController: func(string) {}, Sampling: tracing.NewSampler(scope.Rand),
 	})}
-	n.sink = tracing.NewSink(scope, httpClient, n.Responsive, 512)
+	n.sink = tracing.NewExporter(scope, httpClient, n.Responsive, 512)
 	var tasks base.Group
 	tasks.Go(func() { n.Run(scope) })
 	tasks.Go(func() { n.sink.Run(scope, time.Second) })
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -96,8 +96,8 @@
 	fences              *fencing.Fences
 	nestedRoutes        base.Table[bool] // routes that upstreams call while they serve other requests; "further" in views
 	callTracker         *callgraph.Tracker
-	sampler             *tracing.Keeper
-	spanSink            *tracing.Sink
+	sampler             *tracing.Sampler
+	spanSink            *tracing.Exporter
 	controlClient       *controlclient.Client
 	stopping            atomic.Bool
 	rejecting           atomic.Bool // set late in a stop: new requests are rejected
@@ -174,11 +174,11 @@
 func newNode(s base.Scope, p *wire.NodeParams, headers forwarding.HeaderNames) *Node {
 	inForce, contact := p.InForce.AsDuration(), p.Contact.AsDuration()
 	n := &Node{
-		scope: s, params: p, headers: headers.Canonical(), incarnation: s.Rand.Name(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithin(s, controlclient.DialTimeout(contact)),
+		scope: s, params: p, headers: headers.Canonical(), incarnation: s.Rand.Hex(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithDialTimeout(s, controlclient.DialTimeout(contact)),
 		peerConnections:     connection.NewPool(s.Net, s.Clock, peerIdleTimeout, base.Ratio(inForce, dialTimeoutRatio), base.Ratio(inForce, ackTimeoutRatio)),
 		instanceConnections: connection.NewPool(s.Net, s.Clock, upstreamIdleTimeout, base.Ratio(inForce, dialTimeoutRatio), base.Ratio(inForce, ackTimeoutRatio)),
 		peers:               balancer.NewTable(s.Clock, p.Name, absenceReportLifetime), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
-		bodyMemory: admission.NewBodyMemory(p.MemoryMb), linkPacer: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), sampler: tracing.NewKeeper(s.Rand), callers: callgraph.NewNestedCallDetector(),
+		bodyMemory: admission.NewBodyMemory(p.MemoryMb), linkPacer: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), sampler: tracing.NewSampler(s.Rand), callers: callgraph.NewNestedCallDetector(),
 	}
 	n.peers.LocalLoad = n.loadReport
 	n.fences = fencing.New(s, fencing.Settings{Incarnation: n.incarnation, InForce: inForce, MemoryMb: p.MemoryMb, RequestIDHeader: n.headers.RequestID}, n.countOutcome)
@@ -186,8 +186,8 @@
 	n.controlClient = controlclient.New(s, controlclient.Settings{InForce: inForce, Contact: contact, Seeds: p.Seeds}, n.client, controlclient.Hooks{
 		Status: n.nodeStatus, ApplyObservations: n.peers.ApplyObservations, RemoveController: n.peers.RemoveController, Sampling: n.sampler,
 	})
-	n.spanSink = tracing.NewSink(s, n.client, n.controlClient.Responsive, maxPendingSpans)
-	n.callTracker = callgraph.NewTracker(s, p.Name, n.sampler, n.spanSink.Push)
+	n.spanSink = tracing.NewExporter(s, n.client, n.controlClient.Responsive, maxPendingSpans)
+	n.callTracker = callgraph.NewTracker(s, p.Name, n.sampler, n.spanSink.Enqueue)
 	n.clientConnections = connection.NewClientConnections(s.Clock, inForce, n.clientIdleTimeout)
 	return n
 }
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -162,7 +162,7 @@
 func BenchmarkPathTracker(b *testing.B) {
 	s := benchScope(b)
 	for _, inFlight := range []int{1, 16, 256} {
-		tracker := callgraph.NewTracker(s, "node", tracing.NewKeeper(s.Rand), func(*wire.Span) {})
+		tracker := callgraph.NewTracker(s, "node", tracing.NewSampler(s.Rand), func(*wire.Span) {})
 		metadata := forwarding.Metadata{Service: "service-0", Route: "route-0", Sampled: true}
 		for i := range inFlight {
 			tracker.Begin(metadata, time.Duration(i+2)*time.Hour, time.Second)
--- a/internal/dataplane/views.go
+++ b/internal/dataplane/views.go
@@ -21,7 +21,7 @@
 		return
 	}
 	mux := http.NewServeMux()
-	httpserver.Views(mux, s, func() proto.Message { return n.View() }, n.collect)
+	httpserver.HandleDiagnostics(mux, s, func() proto.Message { return n.View() }, n.collect)
 	server, err := httpserver.ServeWith(s, n.params.Peers, mux, func(server *http.Server) {
 		server.MaxHeaderBytes, server.ReadHeaderTimeout, server.WriteTimeout, server.IdleTimeout = maxHeaderBytes, headerTimeout, defaultIdleTimeout, defaultIdleTimeout
 	})
@@ -71,12 +71,12 @@
 	n.collectRequests(samples, view)
 	collectPeers(samples, view)
 	gauge := func(name, help string, value float64) { samples.Add(name, metrics.Gauge, help, value, nil) }
-	gauge("curlew_ready", "whether clients may come", metrics.Bool(view.Ready))
+	gauge("curlew_ready", "whether clients may come", metrics.BoolValue(view.Ready))
 	gauge("curlew_configuration_serial", "the configuration in force here", float64(view.Serial))
-	gauge("curlew_configuration_confirmed", "whether a majority has confirmed the configuration in force", metrics.Bool(view.Confirmed))
+	gauge("curlew_configuration_confirmed", "whether a majority has confirmed the configuration in force", metrics.BoolValue(view.Confirmed))
 	gauge("curlew_config_age_seconds", "since the configuration in force was last known to be the newest", float64(view.ConfigAgeMs)/1000)
-	gauge("curlew_config_stale", "whether that is longer ago than the in-force bound", metrics.Bool(view.ConfigStale))
-	gauge("curlew_upstream", "whether an upstream is here", metrics.Bool(view.Instance != nil))
+	gauge("curlew_config_stale", "whether that is longer ago than the in-force bound", metrics.BoolValue(view.ConfigStale))
+	gauge("curlew_upstream", "whether an upstream is here", metrics.BoolValue(view.Instance != nil))
 	gauge("curlew_inside", "requests of clients and peers in flight here", float64(view.Inside))
 	gauge("curlew_gate_flying", "requests at the upstream", float64(view.Gate.Flying))
 	gauge("curlew_gate_waiting", "requests that wait for their turn", float64(view.Gate.Waiting))
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -112,12 +112,12 @@
 
 // NewClient returns an HTTP client for calls between the project's own processes
 // over the scope's network.
-func NewClient(s base.Scope) *http.Client { return NewClientWithin(s, longestDial) }
+func NewClient(s base.Scope) *http.Client { return NewClientWithDialTimeout(s, longestDial) }
 
-// NewClientWithin returns such a client that gives a connection up unless it comes up
+// NewClientWithDialTimeout returns such a client that gives a connection up unless it comes up
 // in time. A transport goes on dialling after the call that wanted the connection
 // has ended: without such a bound each call to a dark machine leaves a dial behind.
-func NewClientWithin(s base.Scope, longest time.Duration) *http.Client {
+func NewClientWithDialTimeout(s base.Scope, longest time.Duration) *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, longest)
 		defer cancel()
@@ -131,8 +131,8 @@
 	}}
 }
 
-// Reply answers with a status and a value as JSON.
-func Reply(w http.ResponseWriter, status int, body any) {
+// ReplyJSON answers with a status and a value as JSON.
+func ReplyJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/httpserver/views.go
+++ b/internal/httpserver/views.go
@@ -21,11 +21,11 @@
 	mostEvents = 2000
 )
 
-// Views serves the operators' read-only pages: GET /view (the process's state),
+// HandleDiagnostics serves the operators' read-only pages: GET /view (the process's state),
 // GET /journal?subject=&last= (its newest events) and GET /metrics
 // (Prometheus). One view or metrics page is made at a time, to bound what
 // looking costs.
-func Views(mux *http.ServeMux, s base.Scope, view func() proto.Message, collect func(*metrics.Samples)) {
+func HandleDiagnostics(mux *http.ServeMux, s base.Scope, view func() proto.Message, collect func(*metrics.Samples)) {
 	var turn sync.Mutex
 	mux.HandleFunc("GET /view", func(w http.ResponseWriter, _ *http.Request) {
 		turn.Lock()
@@ -59,7 +59,7 @@
 func ReplyProto(w http.ResponseWriter, message proto.Message) {
 	body, err := protojson.Marshal(message)
 	if err != nil {
-		Reply(w, http.StatusInternalServerError, map[string]any{"mishap": base.FaultOf(err)})
+		ReplyJSON(w, http.StatusInternalServerError, map[string]any{"mishap": base.FaultOf(err)})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opened, fault := bundle.Open(draft.Sealed)
+	opened, fault := bundle.Decode(draft.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -162,7 +162,7 @@
 func (c *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
 		"confirms": len(c.confirmations.Snapshot()), "indexes": len(c.indexedBundles.Snapshot()), "journal": c.scope.Journal.Len(),
-		"mates": c.member.View().Len(), "spans": c.traces.Len(), "owed": c.traces.Owed(),
+		"mates": c.member.View().Len(), "spans": c.traces.Len(), "owed": c.traces.PendingCopies(),
 	}
 }
 
@@ -246,7 +246,7 @@
 	if indexed, ok := c.indexedBundles.Get(key); ok {
 		return indexed
 	}
-	raw, fault := bundle.Open(sealed)
+	raw, fault := bundle.Decode(sealed)
 	if fault != nil {
 		c.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
@@ -284,15 +284,15 @@
 		return nil, base.NewFault(base.Malformed, "bundle", "give a bundle or a change")
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
-	bundle.Normalise(next, c.limits)
+	bundle.SetDefaults(next, c.limits)
 	if fault := bundle.Check(next, c.limits); fault != nil {
 		return nil, fault
 	}
-	sealed, err := bundle.Pack(next)
+	sealed, err := bundle.Encode(next)
 	if err != nil {
 		return nil, err
 	}
-	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Difference(current, next)}, nil
+	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Diff(current, next)}, nil
 }
 
 // rejectedOutcome returns the outcome of a submission that was rejected because of a
@@ -314,10 +314,10 @@
 	if fault != nil {
 		return nil, fault
 	}
-	if !bundle.Whole(request.Sealed, manifest) {
+	if !bundle.IsComplete(request.Sealed, manifest) {
 		return nil, base.NewFault(base.Malformed, "sealed.parts", "parts are missing")
 	}
-	raw, fault := bundle.Open(request.Sealed)
+	raw, fault := bundle.Decode(request.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
@@ -342,7 +342,7 @@
 		if err != nil || head.Sealed == nil {
 			continue
 		}
-		raw, fault := bundle.Open(head.Sealed)
+		raw, fault := bundle.Decode(head.Sealed)
 		if fault == nil && raw.Serial == serial && serial < current.Serial {
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
--- a/internal/listedcore/learning.go
+++ b/internal/listedcore/learning.go
@@ -114,7 +114,7 @@
 			return nil, nil
 		}
 		prior.Holder = c.self
-		return proto.Marshal(tracing.Learn(prior, spans, settings, s.Rand, current.Names))
+		return proto.Marshal(tracing.Learn(prior, spans, settings, s.Rand, current.HasRoute))
 	})
 	if err != nil {
 		c.scope.Record("learner-stuck", "", err.Error())
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -99,7 +99,7 @@
 	if current == nil {
 		return func(string) bool { return true }, false
 	}
-	concerns = current.Concerns(request.Node, request.Seats)
+	concerns = current.NeededServices(request.Node, request.Seats)
 	slice := bundle.Slice(current.Sealed, concerns)
 	fresh = current.Serial > request.Serial || (current.Serial == request.Serial && lacksPart(slice, request.Parts))
 	if fresh && current.Serial != request.Staged {
@@ -118,7 +118,7 @@
 	if next == nil {
 		return false
 	}
-	reply.Staged = bundle.Slice(next.Sealed, next.Concerns(request.Node, request.Seats))
+	reply.Staged = bundle.Slice(next.Sealed, next.NeededServices(request.Node, request.Seats))
 	return true
 }
 
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -67,17 +67,17 @@
 		return c.State(), nil
 	}, rawRequest)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, slices.Collect(c.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(c.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, c.scope.Journal.Counts())
+		httpserver.ReplyJSON(w, http.StatusOK, c.scope.Journal.Counts())
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
 		if !c.Ready() {
 			status = http.StatusServiceUnavailable
 		}
-		httpserver.Reply(w, status, map[string]any{"ready": c.Ready(), "name": c.self})
+		httpserver.ReplyJSON(w, status, map[string]any{"ready": c.Ready(), "name": c.self})
 	})
 	return mux
 }
@@ -86,7 +86,7 @@
 // of each stored key, as this machine knows them.
 func (c *ControlPlane) State() *wire.StateReply {
 	view := c.Chosen()
-	reply := &wire.StateReply{Keel: c.self, Phase: strings.ToLower(c.replica.Store().Phase().String()), Committed: view.committed, Staged: view.staged, Learner: c.Learning().GetHolder(), Owed: uint32(c.traces.Owed())}
+	reply := &wire.StateReply{Keel: c.self, Phase: strings.ToLower(c.replica.Store().Phase().String()), Committed: view.committed, Staged: view.staged, Learner: c.Learning().GetHolder(), Owed: uint32(c.traces.PendingCopies())}
 	for _, key := range c.replica.Store().Keys() {
 		owner, epoch, _ := c.replica.Owner(key)
 		_, entry := c.replica.Store().Peek(key)
@@ -169,5 +169,5 @@
 // encodeError writes an error as a JSON object with the fault.
 func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
-	httpserver.Reply(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
+	httpserver.ReplyJSON(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listedcore/process.go
+++ b/internal/listedcore/process.go
@@ -114,10 +114,10 @@
 	relays := slices.DeleteFunc(slices.Clone(params.Seeds), func(seed string) bool { return seed == params.Mates })
 	p.ReplicatedStore = quorum.New(s, store, httpClient, params.Mates, peers, time.Duration(float64(inForceBound)*roundTimeoutRatio))
 	p.Traces = tracing.OpenStore(s, int(params.Traces))
-	p.Traces.Peers(httpClient, relays)
+	p.Traces.SetPeers(httpClient, relays)
 	member := membership.NewMember(s, httpClient, &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone, Core: true},
 		params.Seeds, relays, time.Duration(float64(bounds.Leaving.AsDuration())*heartbeatRatio))
-	limits := bundle.UsualLimits(bounds.Grace.AsDuration())
+	limits := bundle.DefaultLimits(bounds.Grace.AsDuration())
 	limits.Bytes = int(params.Bundle)
 	p.ControlPlane = New(s, httpClient, Settings{
 		Name: params.Name, Address: params.Mates, Peers: peers, ReplicatedStore: p.ReplicatedStore, Member: member, Traces: p.Traces,
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(lost) == 0 {
-		return have, current.Vanes()/2 + 1
+		return have, current.ApplicationMachines()/2 + 1
 	}
 	if remaining == 0 {
 		return 0, 0
--- a/internal/listednode/answer.go
+++ b/internal/listednode/answer.go
@@ -104,5 +104,5 @@
 	if answer.Retriable {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.After.Seconds())))))
 	}
-	httpserver.Reply(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
+	httpserver.ReplyJSON(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/call_tracker_test.go
+++ b/internal/listednode/call_tracker_test.go
@@ -23,13 +23,13 @@
 	})
 })
 
-func further(keys ...*wire.KeyMatch) bundle.Way {
-	return bundle.Way{Service: &wire.Service{Name: "lending"}, Route: &wire.Route{Name: "borrow", Further: []*wire.Further{{Service: "catalogue", Route: "count", Keys: keys}}}}
+func further(keys ...*wire.KeyMatch) bundle.RouteMatch {
+	return bundle.RouteMatch{Service: &wire.Service{Name: "lending"}, Route: &wire.Route{Name: "borrow", Further: []*wire.Further{{Service: "catalogue", Route: "count", Keys: keys}}}}
 }
 
 var _ = ginkgo.Describe("tying further calls to parents", func() {
-	child := bundle.Way{Service: &wire.Service{Name: "catalogue"}, Route: &wire.Route{Name: "count"}}
-	aloft := func(t *CallTracker, span string, way bundle.Way, book string) *callInProgress {
+	child := bundle.RouteMatch{Service: &wire.Service{Name: "catalogue"}, Route: &wire.Route{Name: "count"}}
+	aloft := func(t *CallTracker, span string, way bundle.RouteMatch, book string) *callInProgress {
 		f := &callInProgress{span: span, way: way, seat: &instance{}, trail: &wire.Trail{Trace: "t" + span}, fields: func(string) string { return book }}
 		t.Begin(f)
 		return f
@@ -45,56 +45,56 @@
 		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(), "7")
 		aloft(t, "bbbb", further(), "7")
-		Expect(t.Find(call("00-x-bbbb-01"), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
+		Expect(t.FindParent(call("00-x-bbbb-01"), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
 	})
 	ginkgo.It("given equal key fields, when several are in flight, then the one candidate is the parent", func() {
 		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(key), "7")
 		aloft(t, "bbbb", further(key), "8")
-		tie := t.Find(call(""), child, map[string]string{"book": "8"}, "Traceparent")
+		tie := t.FindParent(call(""), child, map[string]string{"book": "8"}, "Traceparent")
 		Expect(tie.Parent.span).To(Equal("bbbb"))
 	})
 	ginkgo.It("given two candidates, when a call comes, then it is ambiguous and never guessed", func() {
 		t := NewCallTracker(simnet.NewClock(time.Now()))
 		one, two := aloft(t, "aaaa", further(), "7"), aloft(t, "bbbb", further(), "7")
-		tie := t.Find(call(""), child, nil, "Traceparent")
-		Expect(tie.Tied).To(BeFalse())
+		tie := t.FindParent(call(""), child, nil, "Traceparent")
+		Expect(tie.Certain).To(BeFalse())
 		Expect(tie.Candidates).To(Equal([]string{"aaaa", "bbbb"}))
 		_, uncertain := t.End(one)
 		Expect(uncertain).To(BeTrue())
 		t.End(two)
-		Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Parent{}))
+		Expect(t.FindParent(call(""), child, nil, "Traceparent")).To(Equal(Attribution{}))
 	})
 	ginkgo.It("given a route whose further calls would be ambiguous, when two come, then they are kept apart unless told otherwise", func() {
 		bubble(func(s base.Scope) {
 			t := NewCallTracker(s.Clock)
 			way := further()
-			leave, fault := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			leave, fault := t.Serialize(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			hurried, cancel := s.WithTimeout(time.Second)
 			defer cancel()
-			_, fault = t.Apart(hurried, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			_, fault = t.Serialize(hurried, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault.Kind).To(Equal(base.Expired))
 			begun := s.Clock.Mono()
-			_, fault = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, begun+time.Minute, false)
+			_, fault = t.Serialize(s, &callInProgress{way: way, seat: &instance{}}, begun+time.Minute, false)
 			Expect(fault.Kind).To(Equal(base.KeptApart), "who may still go elsewhere is turned back at once")
 			Expect(s.Clock.Mono()).To(Equal(begun))
 			together := further()
 			together.Route.Together = true
-			free, fault := t.Apart(s, &callInProgress{way: together, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			free, fault := t.Serialize(s, &callInProgress{way: together, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			free()
-			passing, fault := t.Apart(s, &callInProgress{way: way, seat: &instance{passes: true}}, s.Clock.Mono()+time.Minute, true)
+			passing, fault := t.Serialize(s, &callInProgress{way: way, seat: &instance{passes: true}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			passing()
 			leave()
-			again, fault := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			again, fault := t.Serialize(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			time.Sleep(time.Second)
 			again()
-			held, fault := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			held, fault := t.Serialize(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
-			_, fault = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+100*time.Millisecond, true)
+			_, fault = t.Serialize(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+100*time.Millisecond, true)
 			Expect(fault.Kind).To(Equal(base.KeptApart), "a wait that can't end in time is turned back at once")
 			held()
 			Expect(t.apart).To(BeEmpty(), "nothing is kept for keys no longer waited for")
@@ -107,15 +107,15 @@
 			way.Route.Further[0].Most = 1
 			first := &callInProgress{way: way, seat: &instance{}, span: "aaaa", fields: func(string) string { return "" }}
 			second := &callInProgress{way: way, seat: &instance{}, span: "bbbb", fields: func(string) string { return "" }}
-			leave, fault := t.Apart(s, first, s.Clock.Mono()+time.Minute, true)
+			leave, fault := t.Serialize(s, first, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			t.Begin(first)
-			Expect(t.Find(call(""), child, nil, "Traceparent").Parent.span).To(Equal("aaaa"))
-			next, fault := t.Apart(s, second, s.Clock.Mono()+time.Second, true)
+			Expect(t.FindParent(call(""), child, nil, "Traceparent").Parent.span).To(Equal("aaaa"))
+			next, fault := t.Serialize(s, second, s.Clock.Mono()+time.Second, true)
 			Expect(fault).To(BeNil())
 			t.Begin(second)
-			Expect(t.Find(call(""), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
-			Expect(t.Find(call(""), child, nil, "Traceparent")).To(Equal(Parent{}), "a call beyond what was declared is tied to nobody")
+			Expect(t.FindParent(call(""), child, nil, "Traceparent").Parent.span).To(Equal("bbbb"))
+			Expect(t.FindParent(call(""), child, nil, "Traceparent")).To(Equal(Attribution{}), "a call beyond what was declared is tied to nobody")
 			leave()
 			next()
 		})
@@ -123,6 +123,6 @@
 	ginkgo.It("given one request in flight, when a call of another key comes, then it is not tied to it by accident", func() {
 		t := NewCallTracker(simnet.NewClock(time.Now()))
 		aloft(t, "aaaa", further(key), "7")
-		Expect(t.Find(call(""), child, map[string]string{"book": "8"}, "Traceparent")).To(Equal(Parent{}))
+		Expect(t.FindParent(call(""), child, map[string]string{"book": "8"}, "Traceparent")).To(Equal(Attribution{}))
 	})
 })
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -46,7 +46,7 @@
 	if ask.Incarnation != n.member.Incarnation() {
 		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
-	if !n.fences.Start(ask.Attempt) {
+	if !n.fences.Register(ask.Attempt) {
 		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
 		fault.Run = !n.fences.Fence(ask.Attempt)
 		return fault
@@ -74,7 +74,7 @@
 	if bundle.Serial != ask.Serial {
 		return base.NewFault(base.Stale, "", "serial %d is in force here", bundle.Serial)
 	}
-	way, known := bundle.Way(ask.Service, ask.Route)
+	way, known := bundle.Route(ask.Service, ask.Route)
 	if !known {
 		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", ask.Service, ask.Route)
 	}
@@ -82,7 +82,7 @@
 	if fault != nil {
 		return fault
 	}
-	out, fault := at.gate.Enter(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
+	out, fault := at.gate.Acquire(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
 	if fault != nil {
 		return fault
 	}
@@ -91,12 +91,12 @@
 	if err != nil {
 		return base.NewFault(base.Malformed, "", "%s", err)
 	}
-	f := &callInProgress{span: n.scope.Rand.Name(8), trail: ask.Trail, way: way, seat: at}
+	f := &callInProgress{span: n.scope.Rand.Hex(8), trail: ask.Trail, way: way, seat: at}
 	headers := http.Header{}
 	put(ask.Headers, headers)
-	holes := bundle.Holes(way, target.Path)
+	holes := bundle.PathParams(way, target.Path)
 	f.fields = func(name string) string { return lookup(name, holes, target.Query(), headers) }
-	join, fault := n.ties.Apart(s, f, until, ask.Patient)
+	join, fault := n.ties.Serialize(s, f, until, ask.Patient)
 	if fault != nil {
 		return fault
 	}
@@ -112,13 +112,13 @@
 	if err != nil {
 		n.scope.Record("dial-failed", ask.Service, strconv.Itoa(int(ask.Ordinal)))
 		if s.Err() == nil {
-			n.seats.Void(at, "dial: "+err.Error())
+			n.seats.Invalidate(at, "dial: "+err.Error())
 		}
 		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
 	}
 	defer conn.Close()
-	if !n.seats.Held(at) {
-		n.seats.Void(at, "another process listens there now")
+	if !n.seats.StillListening(at) {
+		n.seats.Invalidate(at, "another process listens there now")
 	}
 	if now, fault := n.seats.Find(ask.Service, ask.Seat); fault != nil || now != at {
 		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
@@ -132,19 +132,19 @@
 	if len(ask.Body) > 0 {
 		request.Body = io.NopCloser(bytes.NewReader(ask.Body))
 	}
-	if !n.claims.Good(ask.Serial) {
+	if !n.claims.IsCurrent(ask.Serial) {
 		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", ask.Serial)
 	}
-	if s.Err() != nil || !n.fences.Hand(ask.Attempt) {
+	if s.Err() != nil || !n.fences.Deliver(ask.Attempt) {
 		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
-	keeps := f.trail.GetSampled() && n.keeper.Keep(f.way.Identifier()) && n.budget.Spend(f.way.Group)
+	keeps := f.trail.GetSampled() && n.keeper.Sample(f.way.Identifier()) && n.budget.Spend(f.way.Group)
 	n.ties.Begin(f)
 	n.scope.Record("handed", ask.Trail.GetTrace(), fmt.Sprintf("%s to %s under %d", ask.Attempt, at.said().Address, ask.Serial))
 	status, fault := n.exchange(s, conn, request, ask, tell)
 	self, uncertain := n.ties.End(f)
 	if keeps {
-		n.sink.Push(n.span(f, status, self, uncertain))
+		n.sink.Enqueue(n.span(f, status, self, uncertain))
 	}
 	return fault
 }
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-func (n *Node) pick(signed *bundle.Bundle, way bundle.Way, ledger *Ledger) (candidate, bool) {
+func (n *Node) pick(signed *bundle.Bundle, way bundle.RouteMatch, ledger *Ledger) (candidate, bool) {
 	var best candidate
 	lowest, found := 0.0, false
 	n.picking.Lock()
--- a/internal/listednode/recall.go
+++ b/internal/listednode/recall.go
@@ -28,7 +28,7 @@
 	if odds.GetSerial() <= n.keeper.Serial() {
 		return
 	}
-	if fault := n.keeper.Load(odds); fault != nil {
+	if fault := n.keeper.Update(odds); fault != nil {
 		n.scope.Record("odds-bounced", "", fault.Error())
 		return
 	}
@@ -44,7 +44,7 @@
 		return
 	}
 	if signed := n.open(sealed); signed != nil {
-		n.claims.Recall(signed)
+		n.claims.SetFromDisk(signed)
 		n.scope.Record("recalled", "", "a slice from disk, in force once a majority confirms it")
 	}
 }
@@ -57,7 +57,7 @@
 		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
 	}
-	raw, fault := bundle.Open(sealed)
+	raw, fault := bundle.Decode(sealed)
 	if fault != nil {
 		n.scope.Record("slice-bounced", "", fault.Error())
 		return nil
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -23,8 +23,8 @@
 // NewRetryBudget returns a store of tokens that is empty.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{retryBudgets: map[string]*serviceBudget{}} }
 
-// Set sets the ratios and the most that may be saved, by a bundle.
-func (r *RetryBudget) Set(signed *bundle.Bundle) {
+// SetLimits sets the ratios and the most that may be saved, by a bundle.
+func (r *RetryBudget) SetLimits(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, service := range signed.Raw.Services {
@@ -34,7 +34,7 @@
 			r.retryBudgets[service.Name] = at
 		}
 		at.ratio = service.Repeats
-		at.depth = float64(service.Allowance) / float64(max(signed.Vanes(), 1))
+		at.depth = float64(service.Allowance) / float64(max(signed.ApplicationMachines(), 1))
 		at.tokens = min(at.tokens, at.depth)
 	}
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// Refund takes it back, as the request didn't arrive.
-func (r *RetryBudget) Refund(service string) {
+// RevokeEarned takes it back, as the request didn't arrive.
+func (r *RetryBudget) RevokeEarned(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := r.retryBudgets[service]; at != nil {
--- a/internal/listednode/servers.go
+++ b/internal/listednode/servers.go
@@ -45,13 +45,13 @@
 		if !ready {
 			status = http.StatusServiceUnavailable
 		}
-		httpserver.Reply(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.keeper.Serial()})
+		httpserver.ReplyJSON(w, status, map[string]any{"ready": ready, "name": n.self, "serial": serial, "digest": digest, "odds": n.keeper.Serial()})
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, n.scope.Journal.Counts())
+		httpserver.ReplyJSON(w, http.StatusOK, n.scope.Journal.Counts())
 	})
 	mux.HandleFunc("GET /journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.Reply(w, http.StatusOK, slices.Collect(n.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(n.scope.Journal.About(r.URL.Query().Get("subject"))))
 	})
 	return mux
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -48,7 +48,7 @@
 // addresses that a core machine forwards its view to, and heartbeatInterval is the
 // time between heartbeats.
 func NewMember(s base.Scope, httpClient *http.Client, self *wire.Roster, seeds, relays []string, heartbeatInterval time.Duration) *Member {
-	self.Incarnation = s.Rand.Name(8)
+	self.Incarnation = s.Rand.Hex(8)
 	self.Serial = 1
 	return &Member{scope: s, httpClient: httpClient, seeds: seeds, relays: relays, heartbeatInterval: heartbeatInterval, view: NewView(s, heartbeatInterval), self: self, addresses: map[string]string{}}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -98,8 +98,8 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Bool returns a flag as a sample: 1 for true, 0 for false.
-func Bool(on bool) float64 {
+// BoolValue returns a flag as a sample: 1 for true, 0 for false.
+func BoolValue(on bool) float64 {
 	if on {
 		return 1
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,7 +34,7 @@
 		page := scrape(func(samples *Samples) {
 			samples.Add("x_total", Counter, "things", 3, Labels{"kind": "a"})
 			samples.Add("x_total", Counter, "things", 4, Labels{"kind": "b"})
-			samples.Add("y", Gauge, "a flag", Bool(true), nil)
+			samples.Add("y", Gauge, "a flag", BoolValue(true), nil)
 		})
 		Expect(page).To(Equal("# HELP x_total things\n# TYPE x_total counter\nx_total{kind=\"a\"} 3\nx_total{kind=\"b\"} 4\n# HELP y a flag\n# TYPE y gauge\ny 1\n"))
 	})
--- a/internal/placement/check.go
+++ b/internal/placement/check.go
@@ -22,9 +22,9 @@
 	Together = "together"
 	// Pinned allows the services only on the machines listed.
 	Pinned = "pinned"
-	// Most bounds how many of the services a machine may have: on those listed,
+	// MaxPerMachine bounds how many of the services a machine may have: on those listed,
 	// or on any if none is.
-	Most = "most"
+	MaxPerMachine = "most"
 )
 
 const (
@@ -96,7 +96,7 @@
 }
 
 func (c *check) rule(path string, rule *wire.PerchRule) {
-	c.add(path+".kind", validation.Validate(rule.Kind, validation.Required, validation.In(Spread, Apart, Together, Pinned, Most)))
+	c.add(path+".kind", validation.Validate(rule.Kind, validation.Required, validation.In(Spread, Apart, Together, Pinned, MaxPerMachine)))
 	for i, name := range rule.Services {
 		if !c.services[name] {
 			c.add(fmt.Sprintf("%s.services[%d]", path, i), errors.Errorf("no service %q", name))
@@ -107,7 +107,7 @@
 			c.add(fmt.Sprintf("%s.machines[%d]", path, i), errors.Errorf("no machine %q", name))
 		}
 	}
-	least := map[string]int{Spread: 1, Apart: 2, Together: 2, Pinned: 1, Most: 1}[rule.Kind]
+	least := map[string]int{Spread: 1, Apart: 2, Together: 2, Pinned: 1, MaxPerMachine: 1}[rule.Kind]
 	if len(rule.Services) < least {
 		c.add(path+".services", errors.Errorf("%s names at least %d", rule.Kind, least))
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,12 +26,12 @@
 	return p
 }
 
-func obeys(p *wire.PerchPlan, seats []Seat) {
+func obeys(p *wire.PerchPlan, seats []Assignment) {
 	weights, counts, used := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, service := range p.Services {
 		weights[service.Name] = int(service.Weight)
 	}
-	seen := map[Seat]bool{}
+	seen := map[Assignment]bool{}
 	for _, seat := range seats {
 		Expect(seen[seat]).To(BeFalse())
 		seen[seat] = true
@@ -46,7 +46,7 @@
 	}
 }
 
-func machinesOf(seats []Seat, service string) (machines []string) {
+func machinesOf(seats []Assignment, service string) (machines []string) {
 	for _, seat := range seats {
 		if seat.Service == service {
 			machines = append(machines, seat.Machine)
@@ -57,15 +57,15 @@
 
 var _ = ginkgo.Describe("placements", func() {
 	ginkgo.DescribeTable("given constraints that can be met, when solved, then each holds",
-		func(rules string, holds func(seats []Seat)) {
+		func(rules string, holds func(seats []Assignment)) {
 			p := plan(rules)
 			seats, clash := Solve(p)
 			Expect(clash).To(BeEmpty())
 			obeys(p, seats)
 			holds(seats)
 		},
-		ginkgo.Entry("capacity alone", ``, func([]Seat) {}),
-		ginkgo.Entry("spread over zones", `{"kind":"spread","services":["loans"]}`, func(seats []Seat) {
+		ginkgo.Entry("capacity alone", ``, func([]Assignment) {}),
+		ginkgo.Entry("spread over zones", `{"kind":"spread","services":["loans"]}`, func(seats []Assignment) {
 			zones := map[string]bool{}
 			for _, seat := range seats {
 				if seat.Service == "loans" {
@@ -74,13 +74,13 @@
 			}
 			Expect(zones).To(HaveLen(3))
 		}),
-		ginkgo.Entry("apart", `{"kind":"apart","services":["loans","bulk"]}`, func(seats []Seat) {
+		ginkgo.Entry("apart", `{"kind":"apart","services":["loans","bulk"]}`, func(seats []Assignment) {
 			Expect(machinesOf(seats, "loans")).NotTo(ContainElement(machinesOf(seats, "bulk")[0]))
 		}),
-		ginkgo.Entry("pinned", `{"kind":"pinned","services":["bulk"],"machines":["b1"]}`, func(seats []Seat) {
+		ginkgo.Entry("pinned", `{"kind":"pinned","services":["bulk"],"machines":["b1"]}`, func(seats []Assignment) {
 			Expect(machinesOf(seats, "bulk")).To(ConsistOf("b1"))
 		}),
-		ginkgo.Entry("at most one of two on a machine", `{"kind":"most","services":["books","loans"],"most":1,"machines":["a1"]}`, func(seats []Seat) {
+		ginkgo.Entry("at most one of two on a machine", `{"kind":"most","services":["books","loans"],"most":1,"machines":["a1"]}`, func(seats []Assignment) {
 			on := 0
 			for _, machine := range append(machinesOf(seats, "books"), machinesOf(seats, "loans")...) {
 				if machine == "a1" {
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -10,9 +10,9 @@
 	"curlewreach/proto/wire"
 )
 
-// Seat is one replica's place. A machine holds at most one replica of a
+// Assignment is one replica's place. A machine holds at most one replica of a
 // service.
-type Seat struct{ Service, Machine, Zone string }
+type Assignment struct{ Service, Machine, Zone string }
 
 // demand is one requirement of a plan, by a name for people. A barred one can't
 // be met whatever the others are.
@@ -32,7 +32,7 @@
 // Solve returns a placement that meets the whole plan, or else a minimal set of
 // demands that clash: dropping any one of them resolves it. The plan must have
 // passed Check.
-func Solve(plan *wire.PerchPlan) (seats []Seat, clash []string) {
+func Solve(plan *wire.PerchPlan) (seats []Assignment, clash []string) {
 	b := newBoard(plan)
 	demands := b.demands()
 	needed := map[int]bool{}
@@ -60,12 +60,12 @@
 }
 
 // seats returns the placements that are true in a model.
-func (b *board) seats(model []bool) []Seat {
-	var seats []Seat
+func (b *board) seats(model []bool) []Assignment {
+	var seats []Assignment
 	for _, service := range b.plan.Services {
 		for _, machine := range b.plan.Machines {
 			if model[b.seat[service.Name][machine.Name]-1] {
-				seats = append(seats, Seat{service.Name, machine.Name, machine.Zone})
+				seats = append(seats, Assignment{service.Name, machine.Name, machine.Zone})
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 		return b.together(rule)
 	case Pinned:
 		return b.pinned(rule)
-	case Most:
+	case MaxPerMachine:
 		return b.most(rule, int(rule.Most))
 	}
 	return nil
@@ -200,7 +200,7 @@
 // most bounds the rule's services on each machine. Only a rule of kind Most
 // may be limited to some machines.
 func (b *board) most(rule *wire.PerchRule, count int) (lines []solver.PBConstr) {
-	everywhere := rule.Kind != Most || len(rule.Machines) == 0
+	everywhere := rule.Kind != MaxPerMachine || len(rule.Machines) == 0
 	for _, machine := range b.plan.Machines {
 		if everywhere || slices.Contains(rule.Machines, machine.Name) {
 			lines = append(lines, atMost(b.of(rule.Services, machine), count))
--- a/internal/quorum/compatibility_test.go
+++ b/internal/quorum/compatibility_test.go
@@ -31,7 +31,7 @@
 		promised, entry := store.Peek("bundle")
 		head := &wire.Head{}
 		Expect(proto.Unmarshal(entry.Value, head)).To(Succeed())
-		signed, fault := bundle.Open(head.Sealed)
+		signed, fault := bundle.Decode(head.Sealed)
 		Expect(fault).To(BeNil())
 		Expect(signed.Serial).To(Equal(uint64(2)))
 		bounded, cancel := s.WithTimeout(time.Second)
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -158,7 +158,7 @@
 		Expect(c.write(0, "one")).To(Succeed())
 		Expect(c.eventually(func() bool { _, entry := c.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
 		c.crash(1)
-		Expect(c.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		Expect(c.members[1].disk.FlipBits("/v-")).NotTo(BeEmpty())
 		c.start(1)
 		Expect(c.eventually(func() bool { return c.ready(1) })).To(BeTrue())
 		_, entry := c.members[1].replica.store.Peek("key")
@@ -181,7 +181,7 @@
 					newest = max(newest, name)
 				}
 			}
-			Expect(m.disk.Flip(newest)).To(HaveLen(1))
+			Expect(m.disk.FlipBits(newest)).To(HaveLen(1))
 			c.start(1)
 			Expect(c.eventually(func() bool { return c.ready(1) })).To(BeTrue())
 			Expect(c.write(0, "newest")).To(Succeed())
@@ -234,11 +234,11 @@
 	scenario("given full disks on a majority, when the owner changes a key, then the change fails, and succeeds once there is room", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
-		c.members[0].disk.Fill(true)
-		c.members[1].disk.Fill(true)
+		c.members[0].disk.SetFull(true)
+		c.members[1].disk.SetFull(true)
 		Expect(c.write(0, "two")).NotTo(Succeed())
-		c.members[0].disk.Fill(false)
-		c.members[1].disk.Fill(false)
+		c.members[0].disk.SetFull(false)
+		c.members[1].disk.SetFull(false)
 		Expect(c.write(0, "three")).To(Succeed())
 	})
 
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -221,7 +221,7 @@
 // readable one, newer than all found when the store was opened, is on disk before
 // the phase file.
 func (st *Store) setPhase(phase wire.Phase) error {
-	saved := &wire.Brand{Phase: phase, Incarnation: st.scope.Rand.Name(8)}
+	saved := &wire.Brand{Phase: phase, Incarnation: st.scope.Rand.Hex(8)}
 	if err := st.updateManifest("", nil); err != nil {
 		return err
 	}
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -37,7 +37,7 @@
 
 // threeDiskCluster is a set of three core machines in a simulated network.
 type threeDiskCluster struct {
-	world     *simnet.World
+	world     *simnet.Network
 	seed      uint64
 	startTime time.Time
 	members   [3]*member
@@ -48,7 +48,7 @@
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
 func newThreeDiskCluster(seed uint64) *threeDiskCluster {
-	c := &threeDiskCluster{seed: seed, startTime: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	c := &threeDiskCluster{seed: seed, startTime: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range c.members {
 		c.members[i] = &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))}
 		c.start(i)
--- a/internal/quorum/wiped_disk_test.go
+++ b/internal/quorum/wiped_disk_test.go
@@ -24,12 +24,12 @@
 type cluster struct {
 	seed      uint64
 	startTime time.Time
-	world     *simnet.World
+	world     *simnet.Network
 	members   []*member
 }
 
 func newCluster(seed uint64, count int) *cluster {
-	c := &cluster{seed: seed, startTime: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	c := &cluster{seed: seed, startTime: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
 		c.members = append(c.members, &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))})
 	}
@@ -254,7 +254,7 @@
 		Expect(c.eventually(func() bool { return len(c.holders("new")) == 2 })).To(BeTrue())
 		c.crash(0)
 		c.crash(1)
-		Expect(c.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		Expect(c.members[1].disk.FlipBits("/v-")).NotTo(BeEmpty())
 		c.start(1)
 		c.start(2)
 		time.Sleep(time.Second)
--- a/internal/random/random.go
+++ b/internal/random/random.go
@@ -41,8 +41,8 @@
 // be positive.
 func (r *Source) IntN(n int) int { return int(r.Uint64() % uint64(n)) }
 
-// Name returns size random bytes as hexadecimal digits.
-func (r *Source) Name(size int) string {
+// Hex returns size random bytes as hexadecimal digits.
+func (r *Source) Hex(size int) string {
 	raw := make([]byte, 0, size+8)
 	for len(raw) < size {
 		raw = binary.BigEndian.AppendUint64(raw, r.Uint64())
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -49,7 +49,7 @@
 // New returns a replica. state is what the store held when it was opened, or nil; requestTimeout limits each request to
 // another replica.
 func New(s base.Scope, settings Settings, store Store, state *wire.ReplicaState, httpClient *http.Client, requestTimeout time.Duration) *Replica {
-	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Name(identitySuffixLength) }
+	settings.NewID = func() string { return settings.Address + "/" + s.Rand.Hex(identitySuffixLength) }
 	settings.RecordEvent = s.Record
 	return &Replica{
 		scope: s, settings: settings, requestTimeout: requestTimeout, store: store, httpClient: httpClient, saves: make(chan *Save, 1),
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -93,15 +93,15 @@
 		spoiled := proto.Clone(f.Shape).(*wire.Bundle)
 		spoiled.Serial, spoiled.Base = 2, 1
 		spoiled.Services[0].Routes[0].Path = "no slash"
-		sealed, err := bundle.Pack(spoiled)
+		sealed, err := bundle.Encode(spoiled)
 		Expect(err).NotTo(HaveOccurred())
 		bundle.Sign(sealed, f.Key)
 		status, fault = f.handIn("signed but broken", sealed)
 		expect(status, fault, base.OutOfRange)
 		stale := proto.Clone(f.Shape).(*wire.Bundle)
-		bundle.Normalise(stale, bundle.UsualLimits(6*time.Second))
+		bundle.SetDefaults(stale, bundle.DefaultLimits(6*time.Second))
 		stale.Serial, stale.Base = 6, 5
-		sealed, err = bundle.Pack(stale)
+		sealed, err = bundle.Encode(stale)
 		Expect(err).NotTo(HaveOccurred())
 		bundle.Sign(sealed, f.Key)
 		status, fault = f.handIn("wrong base", sealed)
@@ -139,7 +139,7 @@
 			manifest, fault := trust.Verify(reply.Sealed)
 			Expect(fault).To(BeNil())
 			Expect(manifest.Serial).To(Equal(serial))
-			Expect(bundle.Whole(reply.Sealed, manifest)).To(BeTrue())
+			Expect(bundle.IsComplete(reply.Sealed, manifest)).To(BeTrue())
 		}
 		_, err = f.Clerk.Bundle(f.Scope, 9)
 		Expect(err).To(HaveOccurred())
@@ -216,7 +216,7 @@
 
 var _ = ginkgo.Describe("the trace store", func() {
 	story("given recorded calls, when stored, then each span is on two of three cores and outlives a keel", []uint64{1, 2}, func(f *Fleet) {
-		f.Plan = []standin.Habitual{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Part: 1}}
+		f.Plan = []standin.PlannedRequest{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Weight: 1}}
 		raised(f)
 		f.Visit(40)
 		f.Pass(4 * time.Second)
@@ -238,7 +238,7 @@
 		spans, _ := f.Keels[0].Controller.Traces.Recent(0, 100000)
 		Expect(len(spans)).To(BeNumerically(">", len(copies)/3))
 		for _, span := range spans {
-			if span.Parent != "" && span.Side == tracing.FarSide {
+			if span.Parent != "" && span.Side == tracing.UpstreamSide {
 				whole, err := f.Clerk.Trace(f.Scope, span.Trace)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(len(whole.Spans)).To(BeNumerically(">=", 2))
--- a/internal/tracing/fuzz_test.go
+++ b/internal/tracing/fuzz_test.go
@@ -27,7 +27,7 @@
 		settings.Draws, settings.Evidence = 50, 20
 		spans := []*wire.Span{{Service: "s", Route: "r", SelfUs: one}, {Service: "s", Route: "r", SelfUs: two}, {Service: "s", Route: "q", SelfUs: two}}
 		learning := Learn(prior, spans, settings, rand, every)
-		if fault := NewKeeper(rand).Load(learning.Odds); fault != nil {
+		if fault := NewSampler(rand).Update(learning.Odds); fault != nil {
 			t.Fatal(fault)
 		}
 	})
--- a/internal/tracing/learner.go
+++ b/internal/tracing/learner.go
@@ -18,13 +18,13 @@
 	"curlewreach/proto/wire"
 )
 
-// Measure computes a span's utility from its self times in microseconds (the
+// UtilityFunc computes a span's utility from its self times in microseconds (the
 // paper, III-A).
-type Measure func(selves []float64) float64
+type UtilityFunc func(selves []float64) float64
 
-// Measures are the utilities that a configuration may name. The paper's choice
+// UtilityFuncs are the utilities that a configuration may name. The paper's choice
 // is the variance.
-var Measures = map[string]Measure{
+var UtilityFuncs = map[string]UtilityFunc{
 	"variance":  func(selves []float64) float64 { return stat.Variance(selves, nil) },
 	"deviation": func(selves []float64) float64 { return stat.StdDev(selves, nil) },
 	"mean":      func(selves []float64) float64 { return stat.Mean(selves, nil) },
@@ -40,10 +40,10 @@
 
 // The sides of a call that record a span.
 const (
-	// FarSide is the node beside the upstream. Only its spans are learned from.
-	FarSide = ""
-	// NearSide is the node beside the caller: one span a request.
-	NearSide = "near"
+	// UpstreamSide is the node beside the upstream. Only its spans are learned from.
+	UpstreamSide = ""
+	// CallerSide is the node beside the caller: one span a request.
+	CallerSide = "near"
 	// AttemptSide is the node beside the caller: one span an attempt.
 	AttemptSide = "attempt"
 )
@@ -58,7 +58,7 @@
 // Utilities returns the utility of each identifier by its spans' self times,
 // and how many spans it has. Identifiers with too few self times have no
 // utility.
-func Utilities(spans []*wire.Span, measure Measure) (utilities map[string]float64, counts map[string]uint64) {
+func Utilities(spans []*wire.Span, measure UtilityFunc) (utilities map[string]float64, counts map[string]uint64) {
 	selves := map[string][]float64{}
 	counts = map[string]uint64{}
 	for _, span := range spans {
@@ -84,8 +84,8 @@
 // beliefs by a batch of spans and draws new odds from them. Only identifiers
 // that named accepts are kept. The prior is not changed.
 func Learn(prior *wire.Learning, spans []*wire.Span, tracing *wire.Tracing, rand *random.Source, named func(identifier string) bool) *wire.Learning {
-	spans = slices.DeleteFunc(slices.Clone(spans), func(span *wire.Span) bool { return span.Side != FarSide || !named(Identifier(span)) })
-	utilities, counts := Utilities(spans, Measures[tracing.GetUtility()])
+	spans = slices.DeleteFunc(slices.Clone(spans), func(span *wire.Span) bool { return span.Side != UpstreamSide || !named(Identifier(span)) })
+	utilities, counts := Utilities(spans, UtilityFuncs[tracing.GetUtility()])
 	beliefs := carryOver(prior, counts, named)
 	updateAll(beliefs, utilities, tracing)
 	learning := &wire.Learning{
@@ -95,7 +95,7 @@
 	if len(learning.Correlations) == 0 {
 		learning.Correlations = prior.GetCorrelations()
 	}
-	odds := Odds(learning.Beliefs, tracing, rand)
+	odds := SamplingProbabilities(learning.Beliefs, tracing, rand)
 	learning.Odds = &wire.Odds{Serial: prior.GetOdds().GetSerial() + 1, Epsilon: tracing.GetEpsilon(), Table: odds}
 	for _, belief := range learning.Beliefs {
 		belief.Odds = odds[belief.Identifier]
@@ -172,10 +172,10 @@
 	}
 }
 
-// Odds approximates for each belief the probability that its utility is at or
+// SamplingProbabilities approximates for each belief the probability that its utility is at or
 // above the configured percentile of all, by Monte Carlo draws (the paper's
 // ABS, III-B), and raises it to the floor epsilon.
-func Odds(beliefs []*wire.Belief, tracing *wire.Tracing, rand *random.Source) map[string]float64 {
+func SamplingProbabilities(beliefs []*wire.Belief, tracing *wire.Tracing, rand *random.Source) map[string]float64 {
 	draws := int(tracing.GetDraws())
 	picked := make([]int, len(beliefs))
 	row := make([]float64, len(beliefs))
--- a/internal/tracing/learner_test.go
+++ b/internal/tracing/learner_test.go
@@ -30,7 +30,7 @@
 	ginkgo.It("given batches that teach nothing, when learned from, then beliefs stay and odds stay lawful", func() {
 		rand := random.Seeded(1)
 		same := func() []*wire.Span {
-			return []*wire.Span{{Id: rand.Name(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Name(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Name(4), Service: "s", Route: "b", SelfUs: 5}}
+			return []*wire.Span{{Id: rand.Hex(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Hex(4), Service: "s", Route: "a", SelfUs: 5}, {Id: rand.Hex(4), Service: "s", Route: "b", SelfUs: 5}}
 		}
 		empty := learned(rand, 3, func() []*wire.Span { return nil })
 		Expect(empty.Odds.Table).To(BeEmpty())
--- a/internal/tracing/lens_test.go
+++ b/internal/tracing/lens_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		for range each {
-			spans = append(spans, &wire.Span{Id: rand.Name(8), Service: "s", Route: fmt.Sprint("r", i), SelfUs: uint64(1000 + swing*rand.Float64())})
+			spans = append(spans, &wire.Span{Id: rand.Hex(8), Service: "s", Route: fmt.Sprint("r", i), SelfUs: uint64(1000 + swing*rand.Float64())})
 		}
 	}
 	return spans
--- a/internal/tracing/measure_test.go
+++ b/internal/tracing/measure_test.go
@@ -21,19 +21,19 @@
 	rand := random.Seeded(seed)
 	settings := tracing()
 	settings.Percentile, settings.Epsilon = percentile, epsilon
-	learning, keeper := &wire.Learning{}, NewKeeper(rand)
+	learning, keeper := &wire.Learning{}, NewSampler(rand)
 	offered, kept, got := 0, 0, trial{rose: -1, followed: -1}
 	cycle := func(swinging int) {
 		var spans []*wire.Span
 		for _, span := range batch(rand, identifiers, 40, swinging) {
 			offered++
-			if keeper.Keep(Identifier(span)) {
+			if keeper.Sample(Identifier(span)) {
 				kept++
 				spans = append(spans, span)
 			}
 		}
 		learning = Learn(learning, spans, settings, rand, every)
-		Expect(keeper.Load(learning.Odds)).To(BeNil())
+		Expect(keeper.Update(learning.Odds)).To(BeNil())
 	}
 	for at := range 60 {
 		cycle(0)
--- a/internal/tracing/odds.go
+++ b/internal/tracing/odds.go
@@ -8,28 +8,28 @@
 	"curlewreach/proto/wire"
 )
 
-// Keeper holds the odds in force on a node and draws by them. It is safe for
+// Sampler holds the odds in force on a node and draws by them. It is safe for
 // concurrent use and takes no lock.
-type Keeper struct {
+type Sampler struct {
 	rand *random.Source
 	odds atomic.Pointer[wire.Odds]
 }
 
-// NewKeeper returns a keeper without odds, which records everything.
-func NewKeeper(rand *random.Source) *Keeper { return &Keeper{rand: rand} }
+// NewSampler returns a keeper without odds, which records everything.
+func NewSampler(rand *random.Source) *Sampler { return &Sampler{rand: rand} }
 
 // Odds returns the odds in force, nil if there are none yet.
-func (k *Keeper) Odds() *wire.Odds { return k.odds.Load() }
+func (k *Sampler) Odds() *wire.Odds { return k.odds.Load() }
 
 // Serial returns the number of the odds in force, 0 if there are none yet.
-func (k *Keeper) Serial() uint64 { return k.odds.Load().GetSerial() }
+func (k *Sampler) Serial() uint64 { return k.odds.Load().GetSerial() }
 
-// Load puts odds in force that are newer than those held, and passes over older
+// Update puts odds in force that are newer than those held, and passes over older
 // ones, which a control machine that is cut off may still hand out: their serial
 // rises with every change of the learner's register, whoever the learner is. It
 // returns an error of kind OutOfRange, and keeps the old ones, if a probability
 // is outside [epsilon, 1].
-func (k *Keeper) Load(odds *wire.Odds) *base.Fault {
+func (k *Sampler) Update(odds *wire.Odds) *base.Fault {
 	if odds.GetEpsilon() <= 0 || odds.GetEpsilon() > 1 {
 		return base.NewFault(base.OutOfRange, "odds.epsilon", "%v", odds.GetEpsilon())
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// Chance returns the probability that a call of the identifier is recorded: 1
+// Probability returns the probability that a call of the identifier is recorded: 1
 // if the odds don't name it.
-func (k *Keeper) Chance(identifier string) float64 {
+func (k *Sampler) Probability(identifier string) float64 {
 	odds := k.odds.Load()
 	if odds == nil {
 		return 1
@@ -60,8 +60,8 @@
 	return chance
 }
 
-// Keep draws whether to record a call of the identifier.
-func (k *Keeper) Keep(identifier string) bool {
-	chance := k.Chance(identifier)
+// Sample draws whether to record a call of the identifier.
+func (k *Sampler) Sample(identifier string) bool {
+	chance := k.Probability(identifier)
 	return chance >= 1 || k.rand.Float64() < chance
 }
--- a/internal/tracing/odds_test.go
+++ b/internal/tracing/odds_test.go
@@ -14,13 +14,13 @@
 
 var _ = ginkgo.Describe("keep odds at a node", func() {
 	ginkgo.It("given odds, when calls begin, then that part is kept, and an unknown identifier always", func() {
-		keeper := NewKeeper(random.Seeded(7))
-		Expect(keeper.Keep("anything")).To(BeTrue(), "with no odds yet everything is kept")
-		Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25, "b": 0.05}})).To(BeNil())
+		keeper := NewSampler(random.Seeded(7))
+		Expect(keeper.Sample("anything")).To(BeTrue(), "with no odds yet everything is kept")
+		Expect(keeper.Update(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25, "b": 0.05}})).To(BeNil())
 		counts := map[string]int{}
 		for range 20000 {
 			for _, identifier := range []string{"a", "b", "new"} {
-				if keeper.Keep(identifier) {
+				if keeper.Sample(identifier) {
 					counts[identifier]++
 				}
 			}
@@ -32,11 +32,11 @@
 
 	ginkgo.DescribeTable("given nonsense odds, when loaded, then they are bounced and the old ones stay",
 		func(odds *wire.Odds) {
-			keeper := NewKeeper(random.Seeded(7))
-			Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
-			Expect(keeper.Load(odds)).NotTo(BeNil())
+			keeper := NewSampler(random.Seeded(7))
+			Expect(keeper.Update(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
+			Expect(keeper.Update(odds)).NotTo(BeNil())
 			Expect(keeper.Serial()).To(Equal(uint64(1)))
-			Expect(keeper.Chance("a")).To(Equal(0.25))
+			Expect(keeper.Probability("a")).To(Equal(0.25))
 		},
 		ginkgo.Entry("zero", &wire.Odds{Serial: 2, Epsilon: 0.05, Table: map[string]float64{"a": 0}}),
 		ginkgo.Entry("above one", &wire.Odds{Serial: 2, Epsilon: 0.05, Table: map[string]float64{"a": 1.5}}),
@@ -45,35 +45,35 @@
 	)
 
 	ginkgo.It("given odds, when older ones come late from one that is cut off, then they are passed over", func() {
-		keeper := NewKeeper(random.Seeded(7))
-		Expect(keeper.Load(&wire.Odds{Serial: 9, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
+		keeper := NewSampler(random.Seeded(7))
+		Expect(keeper.Update(&wire.Odds{Serial: 9, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
 		for _, serial := range []uint64{8, 9} {
-			Expect(keeper.Load(&wire.Odds{Serial: serial, Epsilon: 0.05, Table: map[string]float64{"a": 0.5}})).To(BeNil())
-			Expect(keeper.Chance("a")).To(Equal(0.25))
+			Expect(keeper.Update(&wire.Odds{Serial: serial, Epsilon: 0.05, Table: map[string]float64{"a": 0.5}})).To(BeNil())
+			Expect(keeper.Probability("a")).To(Equal(0.25))
 		}
-		Expect(keeper.Load(&wire.Odds{Serial: 10, Epsilon: 0.05, Table: map[string]float64{"a": 0.5}})).To(BeNil())
+		Expect(keeper.Update(&wire.Odds{Serial: 10, Epsilon: 0.05, Table: map[string]float64{"a": 0.5}})).To(BeNil())
 		Expect(keeper.Serial()).To(Equal(uint64(10)))
 	})
 
 	ginkgo.It("given the choice at span start, when made, then it allocates nothing", func() {
-		keeper := NewKeeper(random.Seeded(7))
-		Expect(keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
-		Expect(testing.AllocsPerRun(1000, func() { keeper.Keep("a") })).To(BeZero())
+		keeper := NewSampler(random.Seeded(7))
+		Expect(keeper.Update(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: map[string]float64{"a": 0.25}})).To(BeNil())
+		Expect(testing.AllocsPerRun(1000, func() { keeper.Sample("a") })).To(BeZero())
 	})
 })
 
 func BenchmarkKeep(b *testing.B) {
-	keeper := NewKeeper(random.Seeded(7))
+	keeper := NewSampler(random.Seeded(7))
 	table := map[string]float64{}
 	for i := range 500 {
 		table[fmt.Sprint("service/route-", i)] = 0.05
 	}
-	if fault := keeper.Load(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: table}); fault != nil {
+	if fault := keeper.Update(&wire.Odds{Serial: 1, Epsilon: 0.05, Table: table}); fault != nil {
 		b.Fatal(fault)
 	}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			keeper.Keep("service/route-77")
+			keeper.Sample("service/route-77")
 		}
 	})
 }
--- a/internal/tracing/sink.go
+++ b/internal/tracing/sink.go
@@ -28,14 +28,14 @@
 // others to be tried if none of those does.
 type Targets func() (live, rest []string)
 
-// Always returns targets that are the same machines each time.
-func Always(addresses []string) Targets {
+// StaticTargets returns targets that are the same machines each time.
+func StaticTargets(addresses []string) Targets {
 	return func() ([]string, []string) { return addresses, nil }
 }
 
-// Sink sends a node's spans to the core machines in batches, off the requests'
+// Exporter sends a node's spans to the core machines in batches, off the requests'
 // way. Spans and batches beyond its bounds are dropped and noted.
-type Sink struct {
+type Exporter struct {
 	scope   base.Scope
 	spans   chan *wire.Span
 	web     *http.Client
@@ -44,16 +44,16 @@
 	owed    deque.Deque[*wire.Batch]
 }
 
-// NewSink returns a sink that holds at most bound spans and sends to the targets.
-func NewSink(s base.Scope, web *http.Client, targets Targets, bound int) *Sink {
-	return &Sink{scope: s, spans: make(chan *wire.Span, bound), web: web, targets: targets}
+// NewExporter returns a sink that holds at most bound spans and sends to the targets.
+func NewExporter(s base.Scope, web *http.Client, targets Targets, bound int) *Exporter {
+	return &Exporter{scope: s, spans: make(chan *wire.Span, bound), web: web, targets: targets}
 }
 
-// Waiting returns the queue of spans not yet in a batch.
-func (k *Sink) Waiting() <-chan *wire.Span { return k.spans }
+// Queue returns the queue of spans not yet in a batch.
+func (k *Exporter) Queue() <-chan *wire.Span { return k.spans }
 
-// Push queues a span, or drops it if the queue is full. It never blocks.
-func (k *Sink) Push(span *wire.Span) {
+// Enqueue queues a span, or drops it if the queue is full. It never blocks.
+func (k *Exporter) Enqueue(span *wire.Span) {
 	select {
 	case k.spans <- span:
 	default:
@@ -63,7 +63,7 @@
 
 // Run sends what is queued at each interval until the scope ends. A call to a
 // core machine is given up after the interval.
-func (k *Sink) Run(s base.Scope, every time.Duration) {
+func (k *Exporter) Run(s base.Scope, every time.Duration) {
 	base.Tick(s, every, func(s base.Scope) {
 		k.flush()
 		for k.owed.Len() > 0 && k.deliver(s, k.owed.Front(), every) {
@@ -72,8 +72,8 @@
 	})
 }
 
-func (k *Sink) flush() {
-	batch := &wire.Batch{Id: k.scope.Rand.Name(8)}
+func (k *Exporter) flush() {
+	batch := &wire.Batch{Id: k.scope.Rand.Hex(8)}
 	for len(batch.Spans) < batchMost {
 		select {
 		case span := <-k.spans:
@@ -95,7 +95,7 @@
 
 // deliver gives a batch to two of the live control machines, or to any that takes it. If there is only one, that one
 // passes a copy on as soon as it can.
-func (k *Sink) deliver(s base.Scope, batch *wire.Batch, every time.Duration) bool {
+func (k *Exporter) deliver(s base.Scope, batch *wire.Batch, every time.Duration) bool {
 	live, rest := k.targets()
 	k.turn++
 	keepers := k.offer(s, batch, live, copiesEach, every)
@@ -108,7 +108,7 @@
 	return len(keepers) > 0
 }
 
-func (k *Sink) offer(s base.Scope, batch *wire.Batch, addresses []string, need int, every time.Duration) (keepers []wireconnect.LensClient) {
+func (k *Exporter) offer(s base.Scope, batch *wire.Batch, addresses []string, need int, every time.Duration) (keepers []wireconnect.LensClient) {
 	for i := range addresses {
 		if len(keepers) == need {
 			break
--- a/internal/tracing/sink_test.go
+++ b/internal/tracing/sink_test.go
@@ -22,7 +22,7 @@
 
 var _ = ginkgo.Describe("the sink of recorded spans", func() {
 	type stand struct {
-		world *simnet.World
+		world *simnet.Network
 		stops []func()
 	}
 	scope := func(w *stand, ip string) base.Scope {
@@ -46,7 +46,7 @@
 	ginkgo.It("given control machines that come and go, when spans are sent, then the live ones of the moment keep them, two each, and a dark one costs nothing", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
-			w := &stand{world: simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
+			w := &stand{world: simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
 			var addresses []string
 			var stores []*Store
 			for i := range 4 {
@@ -56,14 +56,14 @@
 			live, rest := addresses[:2], addresses[2:]
 			s := scope(w, "10.9.1.1")
 			web := httpserver.NewClient(s)
-			sink := NewSink(s, web, func() ([]string, []string) { return live, rest }, 100)
+			sink := NewExporter(s, web, func() ([]string, []string) { return live, rest }, 100)
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				sink.Run(s, time.Second)
 			}()
 			push := func(id string) {
-				sink.Push(&wire.Span{Id: id})
+				sink.Enqueue(&wire.Span{Id: id})
 				time.Sleep(1100 * time.Millisecond)
 			}
 			held := func() (counts [4]int) {
@@ -82,7 +82,7 @@
 			Expect(held()[1] + held()[2] + held()[3]).To(Equal(3))
 			live, rest = addresses[3:], addresses[:1]
 			push("three")
-			Expect(stores[3].Owed()).To(Equal(1), "the only live one passes a copy on")
+			Expect(stores[3].PendingCopies()).To(Equal(1), "the only live one passes a copy on")
 			live, rest = nil, addresses[2:3]
 			before := held()[2]
 			push("four")
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -44,7 +44,7 @@
 // OpenStore returns a store of at most bound spans, with those that the disk
 // still holds. Files that can't be read are deleted.
 func OpenStore(s base.Scope, bound int) *Store {
-	store := &Store{scope: s, bound: bound, incarnation: s.Rand.Name(6)}
+	store := &Store{scope: s, bound: bound, incarnation: s.Rand.Hex(6)}
 	_ = s.Disk.MakeFolder(traceFolder)
 	names, _ := s.Disk.List(traceFolder)
 	slices.Sort(names)
@@ -84,19 +84,19 @@
 	}
 }
 
-// Peers sets the other core machines, which get the copies that this one keeps
+// SetPeers sets the other core machines, which get the copies that this one keeps
 // for them. It is called once, before Run.
-func (t *Store) Peers(web *http.Client, addresses []string) {
+func (t *Store) SetPeers(web *http.Client, addresses []string) {
 	var clients []wireconnect.LensClient
 	for _, address := range addresses {
 		clients = append(clients, wireconnect.NewLensClient(web, "http://"+address))
 	}
-	t.FollowPeers(func() []wireconnect.LensClient { return clients })
+	t.SetPeerFunc(func() []wireconnect.LensClient { return clients })
 }
 
-// FollowPeers names the other stores by a function that is asked each time, as they may change.
+// SetPeerFunc names the other stores by a function that is asked each time, as they may change.
 // It must be called before Run.
-func (t *Store) FollowPeers(peers func() []wireconnect.LensClient) { t.peers = peers }
+func (t *Store) SetPeerFunc(peers func() []wireconnect.LensClient) { t.peers = peers }
 
 func (t *Store) others() []wireconnect.LensClient {
 	if t.peers == nil {
@@ -130,15 +130,15 @@
 	return t.spans.Len() + len(t.fresh)
 }
 
-// Owed returns how many batches are held for other core machines.
-func (t *Store) Owed() int {
+// PendingCopies returns how many batches are held for other core machines.
+func (t *Store) PendingCopies() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.owed.Len()
 }
 
 func (t *Store) handOver(s base.Scope, every time.Duration) {
-	for t.Owed() > 0 {
+	for t.PendingCopies() > 0 {
 		t.mu.Lock()
 		batch := t.owed.Front()
 		t.mu.Unlock()
--- a/proto/compat/compat_test.go
+++ b/proto/compat/compat_test.go
@@ -193,7 +193,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		sealed := &wire.Sealed{}
 		Expect(proto.Unmarshal(raw, sealed)).To(Succeed())
-		signed, mishap := bundle.Open(sealed)
+		signed, mishap := bundle.Decode(sealed)
 		Expect(mishap).To(BeNil())
 		Expect(signed.Serial).To(Equal(uint64(2)))
 		_, known := bundle.Index(sealed, signed).Match("POST", "/lending/hold/7")
