--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -1,8 +1,9 @@
-// Package listedcore is the control plane of fleets of listed machines: the core
-// machine's process (Process), what it decides (ControlPlane), and the operators' client
-// (Client). A signed bundle is agreed by a majority of core disks, staged at the
-// nodes, and in force once a majority of them has confirmed it. docs/rollout.md
-// has the ways weighed.
+// Package listedcore is the control plane of fleets whose machines are listed in a
+// signed configuration bundle. It has the process of a core machine, also called a
+// controller (Process), its decisions (ControlPlane), and the operators' client
+// (Client). A new bundle is replicated to a majority of the core machines' disks,
+// staged at the nodes, and comes into force once a majority of the nodes has
+// confirmed that they have it. docs/rollout.md compares the alternatives.
 package listedcore
 
 import (
@@ -23,51 +24,53 @@
 )
 
 const (
-	// BundleKey is the stored key of the bundle, with the one being rolled out
-	// and the newest outcomes.
+	// BundleKey is the key of the head in the replicated store: the bundle in
+	// force, the bundle being rolled out, and the latest outcomes.
 	BundleKey = "bundle"
-	// LearningKey is the stored key of what was learned.
+	// LearningKey is the key of the learner's state in the replicated store.
 	LearningKey = "learning"
-	// outcomesKept is the number of outcomes remembered, for submissions handed
-	// in again.
-	outcomesKept = 64
-	// indexesKept is the number of bundles kept indexed: the one in force, the
-	// staged one, and some that were read.
-	indexesKept = 4
-	// holdRatio, of the slide-back bound, is how long a node's question for
-	// news is held open, so that it asks again within the bound.
-	holdRatio = 0.3
-	// patientRatio, of the in-force bound, is the same for nodes that say they
-	// are patient.
-	patientRatio = 0.125
+	// maxOutcomes is the number of outcomes stored, so that a repeated submission
+	// gets the outcome of the first one.
+	maxOutcomes = 64
+	// maxIndexedBundles is the size of the cache of indexed bundles: the one in
+	// force, the staged one, and some earlier ones. A full cache is cleared.
+	maxIndexedBundles = 4
+	// newsHoldRatio is the time for which a node's long poll for news is held
+	// open, as a fraction of the slide-back bound. So a node polls again within
+	// that bound.
+	newsHoldRatio = 0.3
+	// patientHoldRatio is the same for polls marked as patient, as a fraction of
+	// the in-force bound.
+	patientHoldRatio = 0.125
 )
 
-// ControlPlane decides on bundles and hands them out. It is safe for concurrent use.
+// ControlPlane decides on submitted bundles and distributes them to the nodes. It is
+// safe for concurrent use.
 type ControlPlane struct {
-	scope     base.Scope
-	self      string
-	store     *quorum.Replica
-	member    *membership.Member
-	traces    *tracing.Store
-	trust     atomic.Pointer[bundle.Trust]
-	limits    bundle.Limits
-	force     time.Duration
-	silence   time.Duration
-	born      time.Duration
-	peers     map[string]wireconnect.HelmClient
-	lenses    map[string]wireconnect.LensClient
-	news      base.Broadcast
-	index     base.Table[*bundle.Bundle]
-	settled   atomic.Pointer[configurationView]
-	accepted  atomic.Pointer[configurationView]
-	confirms  base.Table[confirm]
-	confirmed base.Broadcast
-	hold      time.Duration
+	scope             base.Scope
+	self              string
+	replica           *quorum.Replica
+	member            *membership.Member
+	traces            *tracing.Store
+	trust             atomic.Pointer[bundle.Trust]
+	limits            bundle.Limits
+	inForceBound      time.Duration
+	requiredSilence   time.Duration
+	startedAt         time.Duration
+	peers             map[string]wireconnect.HelmClient
+	traceClients      map[string]wireconnect.LensClient
+	newsChanged       base.Broadcast
+	indexedBundles    base.Table[*bundle.Bundle]
+	chosenCache       atomic.Pointer[headView]
+	acceptedCache     atomic.Pointer[headView]
+	confirmations     base.Table[confirmation]
+	confirmationAdded base.Broadcast
+	newsHold          time.Duration
 }
 
-// Parts are what a ControlPlane works with.
-type Parts struct {
-	Self            string
+// Settings are the dependencies and parameters of a ControlPlane.
+type Settings struct {
+	Name            string
 	Address         string
 	Peers           []quorum.Peer
 	ReplicatedStore *quorum.Replica
@@ -75,99 +78,108 @@
 	Traces          *tracing.Store
 	Trust           bundle.Trust
 	Limits          bundle.Limits
-	// Force is the bound on a bundle being in force, Slide that on going back,
-	// and Silence the time a machine must be silent before it can be forsaken.
-	Force   time.Duration
-	Slide   time.Duration
-	Silence time.Duration
+	// InForceBound is the longest that a submitted bundle may take to come into
+	// force. Timeouts and intervals are fractions of it.
+	InForceBound time.Duration
+	// SlideBackBound limits for how long a node's poll is held open.
+	SlideBackBound time.Duration
+	// RequiredSilence is how long a machine must have been silent before a bundle
+	// may declare it lost.
+	RequiredSilence time.Duration
 }
 
-// New returns a ControlPlane; Run makes it work.
-func New(s base.Scope, web *http.Client, parts Parts) *ControlPlane {
-	h := &ControlPlane{
-		scope: s, self: parts.Self, store: parts.ReplicatedStore, member: parts.Member, traces: parts.Traces,
-		limits: parts.Limits, force: parts.Force, silence: parts.Silence, born: s.Clock.Mono(), hold: time.Duration(float64(parts.Slide) * holdRatio),
-		peers: map[string]wireconnect.HelmClient{}, lenses: map[string]wireconnect.LensClient{},
+// New returns a ControlPlane. Its background work is done by Run.
+func New(s base.Scope, httpClient *http.Client, settings Settings) *ControlPlane {
+	c := &ControlPlane{
+		scope: s, self: settings.Name, replica: settings.ReplicatedStore, member: settings.Member, traces: settings.Traces,
+		limits: settings.Limits, inForceBound: settings.InForceBound, requiredSilence: settings.RequiredSilence, startedAt: s.Clock.Mono(), newsHold: time.Duration(float64(settings.SlideBackBound) * newsHoldRatio),
+		peers: map[string]wireconnect.HelmClient{}, traceClients: map[string]wireconnect.LensClient{},
 	}
-	h.trust.Store(&parts.Trust)
-	for _, peer := range parts.Peers {
-		if peer.Address != parts.Address {
-			h.peers[peer.Name] = wireconnect.NewHelmClient(web, "http://"+peer.Address)
+	c.trust.Store(&settings.Trust)
+	for _, peer := range settings.Peers {
+		if peer.Address != settings.Address {
+			c.peers[peer.Name] = wireconnect.NewHelmClient(httpClient, "http://"+peer.Address)
 		}
-		h.lenses[peer.Name] = wireconnect.NewLensClient(web, "http://"+peer.Address)
+		c.traceClients[peer.Name] = wireconnect.NewLensClient(httpClient, "http://"+peer.Address)
 	}
-	return h
+	return c
 }
 
-// Run recovers the disk, settles what was left unsettled, and learns, until the
-// scope ends.
-func (h *ControlPlane) Run(s base.Scope) {
-	var crew base.Group
-	crew.Go(func() { h.store.Recover(s, h.force/8) })
+// Run recovers the disk, completes interrupted changes and roll-outs, notifies nodes
+// of changes, and runs the learner, until the scope ends.
+func (c *ControlPlane) Run(s base.Scope) {
+	var group base.Group
+	group.Go(func() { c.replica.Recover(s, c.inForceBound/8) })
 	for _, key := range []string{BundleKey, LearningKey} {
-		crew.Go(func() { h.watch(s, key) })
+		group.Go(func() { c.watchKey(s, key) })
 	}
-	crew.Go(func() {
+	group.Go(func() {
 		for s.Err() == nil {
-			heard := h.store.Changed()
-			if current := h.Current(); current != nil {
-				h.member.SetMachines(current.Machines())
-				h.member.UpdateStatus(func(registry *wire.Roster) { registry.Holding = current.Serial })
+			changed := c.replica.Changed()
+			if current := c.Current(); current != nil {
+				c.member.SetMachines(current.Machines())
+				c.member.UpdateStatus(func(status *wire.Roster) { status.Holding = current.Serial })
 			}
-			h.news.Notify()
-			base.Await(s, h.force, heard)
+			c.newsChanged.Notify()
+			base.Await(s, c.inForceBound, changed)
 		}
 	})
-	crew.Go(func() {
+	group.Go(func() {
 		for s.Err() == nil {
-			heard := h.member.View().Changed()
-			h.news.Notify()
-			base.Await(s, h.force, heard)
+			changed := c.member.View().Changed()
+			c.newsChanged.Notify()
+			base.Await(s, c.inForceBound, changed)
 		}
 	})
-	crew.Go(func() { h.learn(s) })
-	crew.Go(func() { h.repair(s) })
-	crew.Wait()
+	group.Go(func() { c.runLearning(s) })
+	group.Go(func() { c.resolveAbandoned(s) })
+	group.Wait()
 }
 
-func (h *ControlPlane) watch(s base.Scope, key string) {
-	since, patience := s.Clock.Mono(), h.force
-	base.Tick(s, h.force/16, func(s base.Scope) {
-		if !h.store.Ready() || h.store.Refresh(s, key) {
-			since, patience = s.Clock.Mono(), time.Duration(float64(h.force)*(0.25+0.5*s.Rand.Float64()))
+// watchKey checks regularly whether the newest entry of a key is on a majority of
+// disks. If it hasn't been for a while, the last owner may have failed during a
+// change, and this machine reads the key under a new epoch, which completes the
+// change. The wait is random, so that the machines don't compete to do so.
+func (c *ControlPlane) watchKey(s base.Scope, key string) {
+	lastChosen, recommitAfter := s.Clock.Mono(), c.inForceBound
+	base.Tick(s, c.inForceBound/16, func(s base.Scope) {
+		if !c.replica.Ready() || c.replica.Refresh(s, key) {
+			lastChosen, recommitAfter = s.Clock.Mono(), time.Duration(float64(c.inForceBound)*(0.25+0.5*s.Rand.Float64()))
 			return
 		}
-		if s.Clock.Mono()-since < patience {
+		if s.Clock.Mono()-lastChosen < recommitAfter {
 			return
 		}
-		h.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
-		bounded, cancel := s.WithTimeout(h.force)
+		c.scope.Record("unsettled", key, "its newest entry is held by less than a majority of disks; reading it under a new epoch")
+		bounded, cancel := s.WithTimeout(c.inForceBound)
 		defer cancel()
-		_, _ = h.store.Read(bounded, key)
-		since = s.Clock.Mono()
+		_, _ = c.replica.Read(bounded, key)
+		lastChosen = s.Clock.Mono()
 	})
 }
 
-// Sizes returns how many rows each table holds, to watch for leaks.
-func (h *ControlPlane) Sizes() map[string]int {
+// Sizes returns the number of rows in each table, to detect leaks.
+func (c *ControlPlane) Sizes() map[string]int {
 	return map[string]int{
-		"confirms": len(h.confirms.Snapshot()), "indexes": len(h.index.Snapshot()), "journal": h.scope.Journal.Len(),
-		"mates": h.member.View().Len(), "spans": h.traces.Len(), "owed": h.traces.PendingCopies(),
+		"confirms": len(c.confirmations.Snapshot()), "indexes": len(c.indexedBundles.Snapshot()), "journal": c.scope.Journal.Len(),
+		"mates": c.member.View().Len(), "spans": c.traces.Len(), "owed": c.traces.PendingCopies(),
 	}
 }
 
-// View returns what is known of the machines.
-func (h *ControlPlane) View() *membership.View { return h.member.View() }
+// View returns what is known of the status of all machines.
+func (c *ControlPlane) View() *membership.View { return c.member.View() }
 
 // Ready reports whether this machine's disk has recovered.
-func (h *ControlPlane) Ready() bool { return h.store.Ready() }
+func (c *ControlPlane) Ready() bool { return c.replica.Ready() }
 
-func headOf(value []byte) (*wire.Head, error) {
+// decodeHead decodes the value of BundleKey.
+func decodeHead(value []byte) (*wire.Head, error) {
 	head := &wire.Head{}
 	return head, proto.Unmarshal(value, head)
 }
 
-func serialOf(sealed *wire.Sealed) uint64 {
+// bundleSerial returns the serial in a bundle's manifest, or 0 if there is none.
+func bundleSerial(sealed *wire.Sealed) uint64 {
 	manifest := &wire.Manifest{}
 	if sealed == nil || proto.Unmarshal(sealed.Manifest, manifest) != nil {
 		return 0
@@ -175,65 +187,73 @@
 	return manifest.Serial
 }
 
-type configurationView struct {
+// headView is a decoded entry of BundleKey. Committed and staged are the serials of
+// the bundle in force and of the one being rolled out, or 0.
+type headView struct {
 	entry     *wire.Entry
 	head      *wire.Head
 	committed uint64
 	staged    uint64
 }
 
-func (h *ControlPlane) outline(entry *wire.Entry) *configurationView {
+// viewOf decodes an entry unless it is one of those decoded last. An entry that
+// can't be decoded is treated as empty.
+func (c *ControlPlane) viewOf(entry *wire.Entry) *headView {
 	if entry == nil {
-		return &configurationView{head: &wire.Head{}}
+		return &headView{head: &wire.Head{}}
 	}
-	for _, row := range []*atomic.Pointer[configurationView]{&h.settled, &h.accepted} {
-		if known := row.Load(); known != nil && known.entry == entry {
+	for _, cached := range []*atomic.Pointer[headView]{&c.chosenCache, &c.acceptedCache} {
+		if known := cached.Load(); known != nil && known.entry == entry {
 			return known
 		}
 	}
-	head, err := headOf(entry.Value)
+	head, err := decodeHead(entry.Value)
 	if err != nil {
-		h.scope.Record("bundle-unreadable", "", err.Error())
+		c.scope.Record("bundle-unreadable", "", err.Error())
 		head = &wire.Head{}
 	}
-	return &configurationView{entry: entry, head: head, committed: serialOf(head.Sealed), staged: serialOf(head.Staged)}
+	return &headView{entry: entry, head: head, committed: bundleSerial(head.Sealed), staged: bundleSerial(head.Staged)}
 }
 
-// Settled returns the newest head known to be on a majority of disks.
-func (h *ControlPlane) Settled() *configurationView {
-	entry, _ := h.store.Settled(BundleKey)
-	seen := h.outline(entry)
-	h.settled.Store(seen)
-	return seen
+// Chosen returns the newest head that this machine knows to be on a majority of
+// disks.
+func (c *ControlPlane) Chosen() *headView {
+	entry, _ := c.replica.Chosen(BundleKey)
+	view := c.viewOf(entry)
+	c.chosenCache.Store(view)
+	return view
 }
 
-// Accepted returns the head on this machine's disk, which a majority may lack.
-func (h *ControlPlane) Accepted() *configurationView {
-	_, entry := h.store.Store().Peek(BundleKey)
-	seen := h.outline(entry)
-	h.accepted.Store(seen)
-	return seen
+// Accepted returns the head on this machine's disk. It may not be on a majority of
+// disks.
+func (c *ControlPlane) Accepted() *headView {
+	_, entry := c.replica.Store().Peek(BundleKey)
+	view := c.viewOf(entry)
+	c.acceptedCache.Store(view)
+	return view
 }
 
-// Current returns the bundle in force, nil before the first.
-func (h *ControlPlane) Current() *bundle.Bundle { return h.bundleOf(h.Settled().head.Sealed) }
+// Current returns the bundle in force, or nil before the first one.
+func (c *ControlPlane) Current() *bundle.Bundle { return c.openBundle(c.Chosen().head.Sealed) }
 
-func (h *ControlPlane) bundleOf(sealed *wire.Sealed) *bundle.Bundle {
+// openBundle returns an indexed bundle, from the cache if it is there, or nil if the
+// bundle can't be decoded.
+func (c *ControlPlane) openBundle(sealed *wire.Sealed) *bundle.Bundle {
 	if sealed == nil {
 		return nil
 	}
 	key := string(sealed.Signature)
-	if indexed, ok := h.index.Get(key); ok {
+	if indexed, ok := c.indexedBundles.Get(key); ok {
 		return indexed
 	}
 	raw, fault := bundle.Decode(sealed)
 	if fault != nil {
-		h.scope.Record("bundle-unreadable", "", fault.Error())
+		c.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
 	}
 	signed := bundle.Index(sealed, raw)
-	h.index.Update(func(rows map[string]*bundle.Bundle) {
-		if len(rows) >= indexesKept {
+	c.indexedBundles.Update(func(rows map[string]*bundle.Bundle) {
+		if len(rows) >= maxIndexedBundles {
 			clear(rows)
 		}
 		rows[key] = signed
@@ -241,11 +261,12 @@
 	return signed
 }
 
-// Draft makes the next bundle out of a whole one or a change. The error is of
-// kind StaleBase if the base isn't the newest, or tells the first fault.
-func (h *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
+// Draft returns the next bundle, unsigned, made from a whole bundle or from a change
+// to the current one. The error is of kind StaleBase if the request isn't based on
+// the current bundle, and otherwise describes the first fault found.
+func (c *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	current := &wire.Bundle{}
-	if signed := h.Current(); signed != nil {
+	if signed := c.Current(); signed != nil {
 		current = signed.Raw
 	}
 	if request.Base != current.Serial {
@@ -263,8 +284,8 @@
 		return nil, base.NewFault(base.Malformed, "bundle", "give a bundle or a change")
 	}
 	next.Base, next.Serial, next.Forsaken = request.Base, request.Base+1, request.Forsaken
-	bundle.SetDefaults(next, h.limits)
-	if fault := bundle.Check(next, h.limits); fault != nil {
+	bundle.SetDefaults(next, c.limits)
+	if fault := bundle.Check(next, c.limits); fault != nil {
 		return nil, fault
 	}
 	sealed, err := bundle.Encode(next)
@@ -274,18 +295,22 @@
 	return &wire.DraftReply{Bundle: next, Sealed: sealed, Difference: bundle.Diff(current, next)}, nil
 }
 
-func rejected(submission string, fault *base.Fault) *wire.Outcome {
+// rejectedOutcome returns the outcome of a submission that was rejected because of a
+// fault.
+func rejectedOutcome(submission string, fault *base.Fault) *wire.Outcome {
 	return &wire.Outcome{Submission: submission, Verdict: wire.Verdict_BOUNCED, Mishap: &wire.Mishap{Kind: string(fault.Kind), Path: fault.Path, Reason: fault.Reason}}
 }
 
-func (h *ControlPlane) vet(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
+// validate checks the signature, completeness and content of a submission, and
+// returns its manifest.
+func (c *ControlPlane) validate(request *wire.SignRequest) (*wire.Manifest, *base.Fault) {
 	if request.Submission == "" || len(request.Submission) > 128 {
 		return nil, base.NewFault(base.Malformed, "submission", "a submission id of 1 to 128 bytes is needed")
 	}
-	if proto.Size(request.Sealed) > h.limits.Bytes {
-		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", h.limits.Bytes)
+	if proto.Size(request.Sealed) > c.limits.Bytes {
+		return nil, base.NewFault(base.TooLarge, "sealed", "%d bytes at most", c.limits.Bytes)
 	}
-	manifest, fault := h.trust.Load().Verify(request.Sealed)
+	manifest, fault := c.trust.Load().Verify(request.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
@@ -297,23 +322,23 @@
 		return nil, fault
 	}
 	if manifest.Serial != manifest.Base+1 {
-		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
+		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial must be base + 1")
 	}
-	return manifest, bundle.Check(raw, h.limits)
+	return manifest, bundle.Check(raw, c.limits)
 }
 
-// Read returns the bundle of a serial number, or the newest for 0; of older
-// ones, those still on this disk.
-func (h *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
-	current := h.Current()
+// Read returns the bundle with a serial, or the one in force for 0. Older bundles are
+// found only if they are still on this machine's disk.
+func (c *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
+	current := c.Current()
 	if current == nil {
-		return nil, base.NewFault(base.NotFound, "serial", "no bundle has been taken yet")
+		return nil, base.NewFault(base.NotFound, "serial", "no bundle is in force yet")
 	}
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
 	}
-	for entry := range h.store.Store().History(BundleKey) {
-		head, err := headOf(entry.Value)
+	for entry := range c.replica.Store().History(BundleKey) {
+		head, err := decodeHead(entry.Value)
 		if err != nil || head.Sealed == nil {
 			continue
 		}
@@ -322,23 +347,24 @@
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
 	}
-	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not kept here", serial)
+	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not stored on this controller", serial)
 }
 
-// Holdings returns which node holds which bundle, and the machines never heard.
-func (h *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
+// Holdings returns the serial of the bundle that each machine has, and the listed
+// machines that have not been heard from.
+func (c *ControlPlane) Holdings(context.Context) *wire.HoldingsReply {
 	reply := &wire.HoldingsReply{}
-	heard := map[string]*wire.Sighting{}
-	for sighting := range h.member.View().All() {
-		heard[sighting.Roster.Node] = sighting
+	sightings := map[string]*wire.Sighting{}
+	for sighting := range c.member.View().All() {
+		sightings[sighting.Roster.Node] = sighting
 		reply.Holdings = append(reply.Holdings, &wire.Holding{
 			Node: sighting.Roster.Node, Serial: sighting.Roster.Holding, Odds: sighting.Roster.Odds, Standing: sighting.Standing,
 		})
 	}
-	if current := h.Current(); current != nil {
+	if current := c.Current(); current != nil {
 		reply.Serial = current.Serial
 		for machine := range current.Machines() {
-			if heard[machine.Name] == nil {
+			if sightings[machine.Name] == nil {
 				reply.Silent = append(reply.Silent, machine.Name)
 			}
 		}
--- a/internal/quorum/old_test.go
+++ b/internal/quorum/compatibility_test.go
@@ -16,8 +16,8 @@
 	"curlewreach/proto/wire"
 )
 
-var _ = ginkgo.Describe("files of the first landing", func() {
-	ginkgo.It("given a core disk it wrote, when today's code opens it, then it is founded, whole and promises on", func() {
+var _ = ginkgo.Describe("files of the first version", func() {
+	ginkgo.It("given a disk written by the first version, when the store is opened, then it may vote, no key is damaged, and it promises higher epochs", func() {
 		folder := ginkgo.GinkgoT().TempDir()
 		Expect(os.CopyFS(folder, os.DirFS("../../proto/compat/testdata/core"))).To(Succeed())
 		disk, err := storage.Open(folder)
@@ -36,13 +36,13 @@
 		Expect(signed.Serial).To(Equal(uint64(2)))
 		bounded, cancel := s.WithTimeout(time.Second)
 		defer cancel()
-		granted, _, held, err := store.Promise(bounded, "bundle", &wire.Epoch{Number: promised.Number + 1, Keel: place("10.9.0.1:7001")})
+		granted, _, held, err := store.Promise(bounded, "bundle", &wire.Epoch{Number: promised.Number + 1, Keel: controllerID("10.9.0.1:7001")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(granted).To(BeTrue())
 		Expect(held.Serial).To(Equal(entry.Serial))
-		again, err := OpenStore(s, 8)
+		reopened, err := OpenStore(s, 8)
 		Expect(err).NotTo(HaveOccurred())
-		after, _ := again.Peek("bundle")
+		after, _ := reopened.Peek("bundle")
 		Expect(after.Number).To(Equal(promised.Number + 1))
 	})
 })
--- a/internal/quorum/poll.go
+++ b/internal/quorum/poll.go
@@ -10,9 +10,9 @@
 	"curlewreach/proto/wire"
 )
 
-// disk is a machine's disk as this one reaches it: its own directly, others by
-// calls.
-type disk interface {
+// acceptor is one machine's disk in its role as a Paxos acceptor. This machine's
+// own disk is called directly, the others by RPC.
+type acceptor interface {
 	Promise(context.Context, *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error)
 	Accept(context.Context, *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error)
 	Settle(context.Context, *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleReply], error)
@@ -20,59 +20,65 @@
 	Keys(context.Context, *connect.Request[wire.KeysRequest]) (*connect.Response[wire.KeysReply], error)
 }
 
-// Reply is one disk's answer.
+// Reply is the reply of one acceptor, or the error of the call to it. The field
+// acceptor is its index.
 type Reply[T any] struct {
-	disk int
-	body *T
-	err  error
+	acceptor int
+	body     *T
+	err      error
 }
 
-// poll asks all disks at a time and returns their answers once enough are
-// without an error, or all have come.
-func poll[T any](s base.Scope, disks []disk, need int, round time.Duration, ask func(context.Context, disk) (*T, error)) []Reply[T] {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.Context), round)
-	replies := make(chan Reply[T], len(disks))
-	for i, each := range disks {
+// poll calls all acceptors concurrently. It returns the replies received so far
+// once the required number of calls have succeeded or all calls have ended; it
+// always waits for at least one. The remaining calls continue in the background.
+// Calls are not cancelled together with the scope, but they end at the timeout.
+func poll[T any](s base.Scope, acceptors []acceptor, required int, timeout time.Duration, call func(context.Context, acceptor) (*T, error)) []Reply[T] {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.Context), timeout)
+	replies := make(chan Reply[T], len(acceptors))
+	for i, target := range acceptors {
 		go func() {
-			body, err := retry(ctx, func() (*T, error) { return ask(ctx, each) })
+			body, err := callWithContext(ctx, func() (*T, error) { return call(ctx, target) })
 			replies <- Reply[T]{i, body, err}
 		}()
 	}
-	var got []Reply[T]
-	good := 0
-	for range disks {
+	var received []Reply[T]
+	succeeded := 0
+	for range acceptors {
 		reply := <-replies
-		got = append(got, reply)
+		received = append(received, reply)
 		if reply.err == nil {
-			good++
+			succeeded++
 		}
-		if good >= need {
+		if succeeded >= required {
 			break
 		}
 	}
-	left := len(disks) - len(got)
+	pending := len(acceptors) - len(received)
 	go func() {
-		for range left {
+		for range pending {
 			<-replies
 		}
 		cancel()
 	}()
-	return got
+	return received
 }
 
-func retry[T any](ctx context.Context, ask func() (*T, error)) (*T, error) {
-	type said struct {
+// callWithContext returns the result of call, or an error once ctx ends. It does
+// not rely on call to return by then: an operation on a stalled local disk does
+// not.
+func callWithContext[T any](ctx context.Context, call func() (*T, error)) (*T, error) {
+	type result struct {
 		body *T
 		err  error
 	}
-	answer := make(chan said, 1)
+	done := make(chan result, 1)
 	go func() {
-		body, err := ask()
-		answer <- said{body, err}
+		body, err := call()
+		done <- result{body, err}
 	}()
 	select {
-	case got := <-answer:
-		return got.body, got.err
+	case finished := <-done:
+		return finished.body, finished.err
 	case <-ctx.Done():
 		return nil, base.NewFault(base.Unreachable, "", "a disk did not answer in time")
 	}
