--- a/cmd/curlew/main.go
+++ b/cmd/curlew/main.go
@@ -1,5 +1,5 @@
-// Command curlew is the command of operators and developers. Open fleets run
-// curlewreach instead (platform/curlewreach).
+// Command curlew is the tool of operators and developers. It also runs the machines of a
+// fleet of listed machines; those of open fleets run platform/curlewreach.
 package main
 
 import (
@@ -16,16 +16,16 @@
 const usage = `Usage: curlew COMMAND [OPTIONS]
 
 Commands:
-  ctl       look at a fleet and change it; for operators
+  ctl       inspect a fleet and change its configuration; for operators
   node      run an application machine of a fleet of listed machines
   core      run a control machine of a fleet of listed machines
-  simulate  run a whole fleet on this machine, to try it
-  standin   stand in for an instance or for clients, to try a fleet
+  simulate  run a complete fleet on this machine, to test it
+  standin   stand in for an upstream instance or for clients, to test a fleet
 
-curlew COMMAND --help tells the options of a command.
+curlew COMMAND --help prints the options of a command.
 `
 
-// commands are the commands by name. Each reads its arguments from os.Args.
+// commands are the subcommands by name. Each reads its arguments from os.Args.
 var commands = map[string]func(){
 	"ctl":      ctl.Main,
 	"node":     node.Main,
--- a/internal/command/core/main.go
+++ b/internal/command/core/main.go
@@ -1,6 +1,6 @@
-// Package core is the command that runs a control machine of a fleet of listed
-// machines: it keeps the signed configuration and what was learned, and hands
-// them out.
+// Package core implements the command that runs a control machine of a fleet of listed
+// machines. It stores the signed configuration and the learned sampling odds, and
+// distributes them.
 package core
 
 import (
@@ -14,22 +14,27 @@
 
 const program = "curlew core"
 
+// args are the options of the command. They take precedence over the params file.
 type args struct {
-	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
-	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
-	Zone      string   `arg:"--zone"`
-	Peers     string   `arg:"--peers" help:"IP:port for other nodes; one of the seeds"`
-	Operators string   `arg:"--operators" help:"IP:port for operators, readiness and metrics"`
+	Params    string   `arg:"--params" help:"params file in JSON; flags take precedence over it"`
+	Name      string   `arg:"--name" help:"name of this machine in the bundle"`
+	Zone      string   `arg:"--zone" help:"zone of this machine"`
+	Peers     string   `arg:"--peers" help:"IP:port to serve other machines at; one of the seeds"`
+	Operators string   `arg:"--operators" help:"IP:port to serve operators, readiness and metrics at"`
 	Seeds     []string `arg:"--seeds" help:"IP:port of all control machines, this one included"`
 	Folder    string   `arg:"--folder" help:"data folder"`
 	Trusted   []string `arg:"--trusted" help:"public keys that may sign bundles"`
-	Log       string   `arg:"--log" help:"trace, debug, info, warn or error"`
+	Log       string   `arg:"--log" help:"log level: trace, debug, info, warn or error"`
 }
 
 func (args) Version() string { return program + " " + base.Version }
 
-func (args) Description() string { return "keeps the fleet's state on a core machine" }
+func (args) Description() string {
+	return "stores and distributes the state of the fleet on a control machine"
+}
 
+// load returns the settings from the params file and the flags, with defaults set, and checks
+// them.
 func (a args) load() (*wire.KeelParams, error) {
 	params := &wire.KeelParams{}
 	if err := base.LoadParams(a.Params, params); err != nil {
@@ -45,7 +50,7 @@
 	return params, listedcore.Check(params)
 }
 
-// Main runs the command with the arguments of the process.
+// Main runs the command with the process's arguments.
 func Main() {
 	var a args
 	arg.MustParse(&a)
--- a/internal/command/node/main.go
+++ b/internal/command/node/main.go
@@ -1,6 +1,6 @@
-// Package node is the command that runs an application machine of a fleet of
-// listed machines: it forwards requests between the instances beside it and its
-// peers, and records spans.
+// Package node implements the command that runs an application machine of a fleet of
+// listed machines. It forwards requests between its local instances and its peers, and
+// records spans.
 package node
 
 import (
@@ -14,24 +14,27 @@
 
 const program = "curlew node"
 
+// args are the options of the command. They take precedence over the params file.
 type args struct {
-	Params    string   `arg:"--params" help:"params file in JSON; flags go first"`
-	Name      string   `arg:"--name" help:"this machine's name in the bundle"`
-	Zone      string   `arg:"--zone"`
-	Peers     string   `arg:"--peers" help:"IP:port for other nodes"`
-	Visitors  string   `arg:"--visitors" help:"IP:port for requests"`
-	Upstreams string   `arg:"--upstreams" help:"IP:port for upstreams' reports and further calls"`
-	Ops       string   `arg:"--ops" help:"IP:port for readiness, metrics and the journal"`
-	Seeds     []string `arg:"--seeds" help:"IP:port of up to three control machines"`
+	Params    string   `arg:"--params" help:"params file in JSON; flags take precedence over it"`
+	Name      string   `arg:"--name" help:"name of this machine in the bundle"`
+	Zone      string   `arg:"--zone" help:"zone of this machine"`
+	Peers     string   `arg:"--peers" help:"IP:port to serve peers at"`
+	Visitors  string   `arg:"--visitors" help:"IP:port to serve clients' requests at"`
+	Upstreams string   `arg:"--upstreams" help:"IP:port to serve upstreams at, for their reports and further calls"`
+	Ops       string   `arg:"--ops" help:"IP:port to serve readiness, metrics and the journal at"`
+	Seeds     []string `arg:"--seeds" help:"IP:port of each control machine, up to three"`
 	Folder    string   `arg:"--folder" help:"data folder"`
 	Trusted   []string `arg:"--trusted" help:"public keys that may sign bundles"`
-	Log       string   `arg:"--log" help:"trace, debug, info, warn or error"`
+	Log       string   `arg:"--log" help:"log level: trace, debug, info, warn or error"`
 }
 
 func (args) Version() string { return program + " " + base.Version }
 
-func (args) Description() string { return "carries requests on an application machine" }
+func (args) Description() string { return "forwards requests on an application machine" }
 
+// load returns the settings from the params file and the flags, with defaults set, and checks
+// them.
 func (a args) load() (*wire.VaneParams, error) {
 	params := &wire.VaneParams{}
 	if err := base.LoadParams(a.Params, params); err != nil {
@@ -47,7 +50,7 @@
 	return params, listednode.Check(params)
 }
 
-// Main runs the command with the arguments of the process.
+// Main runs the command with the process's arguments.
 func Main() {
 	var a args
 	arg.MustParse(&a)
--- a/internal/command/process/process.go
+++ b/internal/command/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs a command's process until it is told to stop: it reads the settings, starts, and reads them anew at a
-// signal.
+// Package process runs a command as a long-lived process. It loads the settings, starts the process, reloads the
+// settings at a signal, and stops at another.
 package process
 
 import (
@@ -11,7 +11,7 @@
 	"curlewreach/base"
 )
 
-// Settings are what every process's settings hold.
+// Settings is implemented by the settings of every process.
 type Settings interface {
 	proto.Message
 	GetName() string
@@ -19,29 +19,30 @@
 	GetLog() string
 }
 
-// Process is a process with settings of type S.
+// Process is a running process with settings of type S. Reload applies new settings.
 type Process[S Settings] interface {
 	Stop()
 	Reload(settings S) error
 }
 
-// Override sets each setting to the flag beside it, unless that is empty.
+// Override sets each setting to its flag, unless the flag is empty.
 func Override(settings map[*string]string) {
-	for at, flag := range settings {
+	for setting, flag := range settings {
 		if flag != "" {
-			*at = flag
+			*setting = flag
 		}
 	}
 }
 
-// OverrideList sets a list of settings to the flags, unless there are none.
-func OverrideList(at *[]string, flags []string) {
+// OverrideList sets a list setting to the flags, unless there are none.
+func OverrideList(list *[]string, flags []string) {
 	if len(flags) > 0 {
-		*at = flags
+		*list = flags
 	}
 }
 
-// Run runs a process. It ends the program if the settings have faults (exit code 2) or the process can't start (1).
+// Run loads the settings, starts the process and serves signals until it is stopped. It exits with 2 if the settings
+// are invalid, and with 1 if the process can't start.
 func Run[S Settings, P Process[S]](program string, load func() (S, error), start func(base.Scope, S) (P, error)) {
 	settings, err := load()
 	if err != nil {
@@ -59,7 +60,7 @@
 	base.Signals(process.Stop, func() { reload(s, process, load) })
 }
 
-// reload reads the settings anew; if they have faults, the old ones stay.
+// reload loads the settings again and applies them. If they are invalid, the old ones stay in use.
 func reload[S Settings, P Process[S]](s base.Scope, process P, load func() (S, error)) {
 	settings, err := load()
 	if err == nil {
--- a/internal/command/simulate/fleet.go
+++ b/internal/command/simulate/fleet.go
@@ -27,23 +27,28 @@
 )
 
 const (
+	// The ports that a machine of the fleet listens on.
 	clientsPort   = 7002
 	upstreamsPort = 7003
 	opsPort       = 7004
 	operatorsPort = 7005
 	instancePort  = 8001
-	startTimeout  = 30 * time.Second
+	// startTimeout bounds each wait for the fleet to reach a state.
+	startTimeout = 30 * time.Second
 )
 
+// machine is a core or application machine with its process.
 type machine struct {
 	*wire.Machine
 	command *exec.Cmd
 }
 
+// address returns the machine's address with another port.
 func (m *machine) address(port int) string {
 	return fmt.Sprintf("%s:%d", netip.MustParseAddrPort(m.Address).Addr(), port)
 }
 
+// instance is a stand-in upstream on an application machine. seats.json lists them.
 type instance struct {
 	Machine  string `json:"machine"`
 	Service  string `json:"service"`
@@ -52,11 +57,12 @@
 	command  *exec.Cmd
 }
 
+// fleet is a fleet of listed machines, each running in a process of its own.
 type fleet struct {
 	args        args
 	bundle      *wire.Bundle
 	controllers []*machine
-	seeds       []string
+	seeds       []string // addresses of the core machines for other machines
 	nodes       []*machine
 	instances   []*instance
 	requests    []standin.Habitual
@@ -64,10 +70,11 @@
 	keyFile     string
 	client      *listedcore.Client
 	httpClient  *http.Client
-	startsOld   map[string]bool
+	runsOld     map[string]bool // whether a machine runs the old version, by name
 	history     *judge.History
 }
 
+// readJSON decodes a file.
 func readJSON(file string, into any) error {
 	body, err := os.ReadFile(file)
 	if err != nil {
@@ -76,7 +83,8 @@
 	return errors.Wrap(json.Unmarshal(body, into), file)
 }
 
-// startFleet starts a fleet with the first bundle in force and all upstreams known.
+// startFleet starts a fleet and waits until the first bundle is in force and all upstreams are
+// known.
 func startFleet(s base.Scope, a args) (*fleet, error) {
 	f := &fleet{args: a, bundle: &wire.Bundle{}, httpClient: &http.Client{Timeout: 5 * time.Second}, history: judge.NewHistory(s.Clock)}
 	if err := f.read(); err != nil {
@@ -94,7 +102,7 @@
 	return f, nil
 }
 
-// read reads the example's files.
+// read reads the files of the example.
 func (f *fleet) read() error {
 	body, err := os.ReadFile(filepath.Join(f.args.Example, "bundle.json"))
 	if err != nil {
@@ -109,8 +117,7 @@
 	return readJSON(filepath.Join(f.args.Example, "plan.json"), &f.requests)
 }
 
-// makeKey makes the key that bundles are signed with and returns the keys to
-// trust.
+// makeKey generates the key that bundles are signed with and returns the public keys to trust.
 func (f *fleet) makeKey() (trusted []string, err error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -121,13 +128,13 @@
 	return []string{base64.StdEncoding.EncodeToString(public)}, os.WriteFile(f.keyFile, []byte(seed), 0o600)
 }
 
-// splitMachines sorts the bundle's machines into core and application machines. With an
-// old version given, every second one starts with it.
+// splitMachines sorts the bundle's machines into core and application machines. If an old
+// version is given, every second machine starts with it.
 func (f *fleet) splitMachines() {
-	f.startsOld = map[string]bool{}
+	f.runsOld = map[string]bool{}
 	f.client = &listedcore.Client{Web: f.httpClient, Signed: f.history.Signed}
 	for i, each := range f.bundle.Common.Machines {
-		f.startsOld[each.Name] = f.args.Old != "" && i%2 == 1
+		f.runsOld[each.Name] = f.args.Old != "" && i%2 == 1
 		at := &machine{Machine: each}
 		if !each.Core {
 			f.nodes = append(f.nodes, at)
@@ -139,7 +146,7 @@
 	}
 }
 
-// startMachines starts the core and the application machines' processes.
+// startMachines starts the processes of the core and application machines.
 func (f *fleet) startMachines(trusted []string) (err error) {
 	for _, each := range f.controllers {
 		if each.command, err = f.startMachine(coreCommand, each.Name, f.controllerParams(each, trusted)); err != nil {
@@ -154,7 +161,7 @@
 	return nil
 }
 
-// startAll starts all processes, with the first bundle in force.
+// startAll starts all processes and puts the first bundle in force.
 func (f *fleet) startAll(s base.Scope, trusted []string) error {
 	if err := f.startMachines(trusted); err != nil {
 		return err
@@ -173,7 +180,7 @@
 	}
 	f.history.Acked(outcome)
 	if outcome.Verdict != wire.Verdict_TAKEN {
-		return errors.Errorf("the first bundle was not taken: %s", outcome)
+		return errors.Errorf("the first bundle was not accepted: %s", outcome)
 	}
 	if err := f.waitUntil(s, "nodes ready", func() bool { return f.allReady(f.nodes, opsPort) }); err != nil {
 		return err
@@ -188,6 +195,7 @@
 	})
 }
 
+// controllerParams returns the settings of a core machine.
 func (f *fleet) controllerParams(each *machine, trusted []string) *wire.KeelParams {
 	return &wire.KeelParams{
 		Name: each.Name, Zone: each.Zone, Mates: each.Address, Operators: each.address(operatorsPort), Seeds: f.seeds,
@@ -195,6 +203,7 @@
 	}
 }
 
+// nodeParams returns the settings of an application machine.
 func (f *fleet) nodeParams(each *machine, trusted []string) *wire.VaneParams {
 	return &wire.VaneParams{
 		Name: each.Name, Zone: each.Zone, Mates: each.Address, Visitors: each.address(clientsPort), Upstreams: each.address(upstreamsPort),
@@ -202,17 +211,19 @@
 	}
 }
 
+// operators returns the addresses for 'curlew ctl --controllers'.
 func (f *fleet) operators() string { return strings.Join(f.client.Controllers, ",") }
 
+// folder returns the data folder of a machine.
 func (f *fleet) folder(name string) string { return filepath.Join(f.args.Folder, name) }
 
-// Commands of curlew that the machines run.
+// The subcommands of curlew that the machines run.
 const (
 	coreCommand = "core"
 	nodeCommand = "node"
 )
 
-// startMachine starts a machine's process.
+// startMachine writes a machine's settings to a file and starts its process.
 func (f *fleet) startMachine(command, name string, params proto.Message) (*exec.Cmd, error) {
 	body, err := protojson.MarshalOptions{Multiline: true}.Marshal(params)
 	if err != nil {
@@ -225,14 +236,16 @@
 	return f.startProcess(name, f.program(name), command, "--params", file)
 }
 
-// program returns the program that a machine runs.
+// program returns the path of the program that a machine runs.
 func (f *fleet) program(name string) string {
-	if f.startsOld[name] {
+	if f.runsOld[name] {
 		return filepath.Join(f.args.Old, programFile)
 	}
 	return filepath.Join(f.args.Bin, programFile)
 }
 
+// startProcess starts a process that logs to the file of the name given. The kernel kills it when
+// this process ends.
 func (f *fleet) startProcess(name, program string, arguments ...string) (*exec.Cmd, error) {
 	log, err := os.OpenFile(filepath.Join(f.args.Folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -245,6 +258,7 @@
 	return child, errors.Wrap(child.Start(), program)
 }
 
+// startInstance starts a stand-in upstream on its machine.
 func (f *fleet) startInstance(each *instance) error {
 	var home *machine
 	for _, at := range f.nodes {
@@ -253,7 +267,7 @@
 		}
 	}
 	if home == nil {
-		return errors.Errorf("seats: no machine %q", each.Machine)
+		return errors.Errorf("seats.json names an unknown machine %q", each.Machine)
 	}
 	each.address = home.address(instancePort)
 	var err error
@@ -262,10 +276,12 @@
 	return err
 }
 
+// runsFile returns the file in which an instance records the requests that it ran.
 func (f *fleet) runsFile(each *instance) string {
 	return filepath.Join(f.args.Folder, each.Machine+"-runs")
 }
 
+// killAll kills all processes and waits for them.
 func (f *fleet) killAll() {
 	for _, each := range f.processes() {
 		_ = each.Process.Kill()
@@ -273,6 +289,7 @@
 	}
 }
 
+// processes returns the processes that were started.
 func (f *fleet) processes() []*exec.Cmd {
 	var all []*exec.Cmd
 	for _, each := range f.instances {
@@ -290,6 +307,8 @@
 	return started
 }
 
+// ready asks a machine for its serial and whether it is ready. Replies of nodes are recorded in
+// the history.
 func (f *fleet) ready(m *machine, port int) (serial uint64, ready bool) {
 	response, err := f.httpClient.Get("http://" + m.address(port) + "/ready")
 	if err != nil {
@@ -308,6 +327,7 @@
 	return status.Serial, response.StatusCode == http.StatusOK
 }
 
+// allReady reports whether all machines are ready.
 func (f *fleet) allReady(machines []*machine, port int) bool {
 	for _, each := range machines {
 		if _, ready := f.ready(each, port); !ready {
@@ -317,17 +337,20 @@
 	return true
 }
 
+// waitUntil polls until reached returns true. It fails after startTimeout; what names the state in
+// the error.
 func (f *fleet) waitUntil(s base.Scope, what string, reached func() bool) error {
 	bounded, cancel := s.WithTimeout(startTimeout)
 	defer cancel()
 	for !reached() {
 		if base.Await(bounded, 20*time.Millisecond); bounded.Err() != nil {
-			return errors.Errorf("gave up waiting: %s", what)
+			return errors.Errorf("timed out waiting for: %s", what)
 		}
 	}
 	return nil
 }
 
+// applyChange signs and submits the example's change on top of a serial.
 func (f *fleet) applyChange(ctx context.Context, submission string, serial uint64) (*wire.Outcome, error) {
 	change := &wire.Change{}
 	body, err := os.ReadFile(filepath.Join(f.args.Example, "change.json"))
--- a/internal/command/simulate/main.go
+++ b/internal/command/simulate/main.go
@@ -1,6 +1,6 @@
-// Package simulate is the command that runs a whole fleet on one machine, as
-// processes on loopback, to see it work under load and trouble. It is a test tool
-// and the only command that starts processes.
+// Package simulate implements the command that runs a complete fleet on one machine, as
+// processes on loopback, to test it under load and faults. It is a test tool and the
+// only command that starts processes.
 package simulate
 
 import (
@@ -22,27 +22,28 @@
 // programFile is the file name of the program that the fleet's processes run.
 const programFile = "curlew"
 
+// args are the options of the command.
 type args struct {
-	Example string  `arg:"--example,required" help:"folder with bundle, seats, habits, plan and change"`
-	Bin     string  `arg:"--bin" default:"bin" help:"folder with curlew"`
-	Folder  string  `arg:"--folder" help:"where params, data and logs go; a temporary one when left out"`
-	Seconds int     `arg:"--seconds" default:"20"`
-	Rate    float64 `arg:"--rate" default:"200" help:"requests a second over the whole fleet"`
-	Smoke   bool    `arg:"--smoke" help:"judge safety and that most calls are answered, for slow machines"`
-	Hold    bool    `arg:"--hold" help:"start the fleet, print where it is, and wait for a signal"`
-	Trouble string  `arg:"--trouble" default:"none" help:"what to cause midway; 'list' names them"`
-	Old     string  `arg:"--old" help:"folder with an earlier version's curlew; every second machine starts with it"`
-	Seed    uint64  `arg:"--seed" default:"1" help:"seed of the visitors"`
+	Example string  `arg:"--example,required" help:"folder with bundle.json, seats.json, habits.json, plan.json and change.json"`
+	Bin     string  `arg:"--bin" default:"bin" help:"folder of the curlew program"`
+	Folder  string  `arg:"--folder" help:"folder for params, data and logs; a temporary one if left out"`
+	Seconds int     `arg:"--seconds" default:"20" help:"how long clients send requests; longer if faults need time to recover from"`
+	Rate    float64 `arg:"--rate" default:"200" help:"requests per second over the whole fleet"`
+	Smoke   bool    `arg:"--smoke" help:"for slow machines: check safety, and that at least half of the requests succeed"`
+	Hold    bool    `arg:"--hold" help:"start the fleet, print its addresses, and wait for a signal"`
+	Trouble string  `arg:"--trouble" default:"none" help:"faults to inject midway; 'list' prints the choices"`
+	Old     string  `arg:"--old" help:"folder of an older curlew program; every second machine starts with it"`
+	Seed    uint64  `arg:"--seed" default:"1" help:"seed of the random numbers"`
 	Log     string  `arg:"--log" default:"info" help:"log level of the fleet's processes"`
 }
 
 func (args) Version() string { return program + " " + base.Version }
 
 func (args) Description() string {
-	return "runs a whole fleet on this machine; a test tool, so it starts processes; 'simulate open' runs an open fleet, 'simulate replace' replaces its control machines"
+	return "runs a complete fleet on this machine, in processes of its own, to test it; 'simulate open' runs an open fleet, 'simulate replace' replaces its control machines"
 }
 
-// Main runs the command with the arguments of the process.
+// Main runs the command with the process's arguments.
 func Main() {
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
@@ -69,6 +70,7 @@
 	exit(run(a))
 }
 
+// exit ends the process, with code 1 if there is an error.
 func exit(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, program+":", err)
@@ -77,6 +79,7 @@
 	os.Exit(0)
 }
 
+// run starts the fleet, sends requests to it, and prints a summary and the verdicts.
 func run(a args) error {
 	if a.Folder == "" {
 		folder, err := os.MkdirTemp("", "curlew-simulate")
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -30,43 +30,52 @@
 )
 
 const (
-	openSubcommand           = "open"
+	openSubcommand = "open"
+	// openControllerSubcommand and openNodeSubcommand are what the child processes run.
 	openControllerSubcommand = "open-core"
 	openNodeSubcommand       = "open-node"
 	openControllers          = 3
-	openCapacity             = 8
-	openHeartbeat            = 500 * time.Millisecond
-	openTimeLeft             = 2 * time.Second
-	openMaxDelay             = 20 * time.Millisecond
-	openPeersPort            = 7380
-	openStopTimeout          = 8 * time.Second
+	// openCapacity is the capacity that a stand-in upstream reports.
+	openCapacity = 8
+	// openHeartbeat is the interval between reports of a stand-in upstream.
+	openHeartbeat = 500 * time.Millisecond
+	// openTimeLeft is the deadline that clients give a request.
+	openTimeLeft = 2 * time.Second
+	// openMaxDelay bounds the random time that a stand-in upstream takes to respond.
+	openMaxDelay  = 20 * time.Millisecond
+	openPeersPort = 7380
+	// openStopTimeout is the time to stop after SIGTERM before a child process is killed.
+	openStopTimeout = 8 * time.Second
 )
 
+// openArgs are the options of 'simulate open'.
 type openArgs struct {
-	Nodes  int     `arg:"--nodes" default:"5" help:"application machines; each second one serves loans, the others books"`
-	Rate   float64 `arg:"--rate" default:"50" help:"requests a second over the whole fleet"`
-	Folder string  `arg:"--folder" help:"where params, data and logs go; a temporary one when left out"`
+	Nodes  int     `arg:"--nodes" default:"5" help:"number of application machines; every second one serves loans, the others books"`
+	Rate   float64 `arg:"--rate" default:"50" help:"requests per second over the whole fleet"`
+	Folder string  `arg:"--folder" help:"folder for params, data and logs; a temporary one if left out"`
 	Log    string  `arg:"--log" default:"info" help:"log level of the fleet's processes"`
 }
 
 func (openArgs) Description() string {
-	return "runs an open fleet on this machine, a process a controller and a node, each node with a stand-in upstream, until a signal"
+	return "runs an open fleet on this machine until a signal: one process per controller and node, each node with a stand-in upstream"
 }
 
+// openFleet is an open fleet in child processes of this one.
 type openFleet struct {
 	openArgs
-	controllers []string
-	entrances   []string
+	controllers []string // addresses of the controllers for other machines
+	entrances   []string // addresses of the nodes for clients
 	children    []*exec.Cmd
 }
 
-// parseCommand reads the words of a subcommand; clean removes the folder that it made where none was named.
-func parseCommand(program string, words []string, into any, folder *string) (clean func(), err error) {
+// parseCommand parses the arguments of a subcommand. If no folder is named, it creates a temporary
+// one, which clean removes.
+func parseCommand(program string, arguments []string, into any, folder *string) (clean func(), err error) {
 	parser, err := arg.NewParser(arg.Config{Program: program}, into)
 	if err != nil {
 		return nil, err
 	}
-	parser.MustParse(words)
+	parser.MustParse(arguments)
 	if *folder != "" {
 		return func() {}, nil
 	}
@@ -76,9 +85,10 @@
 	return func() { _ = os.RemoveAll(*folder) }, nil
 }
 
-func openMain(words []string) error {
+// openMain runs 'simulate open'.
+func openMain(arguments []string) error {
 	f := &openFleet{}
-	clean, err := parseCommand("curlew simulate open", words, &f.openArgs, &f.Folder)
+	clean, err := parseCommand("curlew simulate open", arguments, &f.openArgs, &f.Folder)
 	if err != nil {
 		return err
 	}
@@ -102,6 +112,7 @@
 	return nil
 }
 
+// startAll starts the processes of all controllers and nodes.
 func (f *openFleet) startAll() error {
 	for i := range openControllers {
 		f.controllers = append(f.controllers, fmt.Sprintf("127.0.2.%d:%d", i+1, openPeersPort))
@@ -130,7 +141,9 @@
 	return nil
 }
 
-func (f *openFleet) startChild(word, name string, params proto.Message) error {
+// startChild starts this program with a subcommand and a settings file. The kernel sends the child
+// SIGTERM when this process ends.
+func (f *openFleet) startChild(subcommand, name string, params proto.Message) error {
 	body, err := protojson.MarshalOptions{Multiline: true}.Marshal(params)
 	if err != nil {
 		return err
@@ -144,11 +157,11 @@
 		return err
 	}
 	defer log.Close()
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	child := exec.Command(own, "simulate", word, file)
+	child := exec.Command(executable, "simulate", subcommand, file)
 	child.Stdout, child.Stderr = log, log
 	child.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
 	if err := child.Start(); err != nil {
@@ -158,17 +171,19 @@
 	return nil
 }
 
+// stopAll stops all child processes and waits for them.
 func (f *openFleet) stopAll() {
 	for _, child := range f.children {
 		_ = child.Process.Signal(syscall.SIGTERM)
 	}
 	for _, child := range f.children {
-		late := time.AfterFunc(openStopTimeout, func() { _ = child.Process.Kill() })
+		killTimer := time.AfterFunc(openStopTimeout, func() { _ = child.Process.Kill() })
 		_ = child.Wait()
-		late.Stop()
+		killTimer.Stop()
 	}
 }
 
+// propose proposes the first configuration until a controller accepts it.
 func (f *openFleet) propose(ctx context.Context) error {
 	route := func(name, service string, repeat wire.Repeat, rank uint32) *wire.ConfigurationRoute {
 		return &wire.ConfigurationRoute{Name: name, Host: "open.example", Prefix: "/" + name + "/", Repeat: repeat, CutoffMs: 2000, AimMs: 500, Rank: rank, Tries: 2, Service: &service}
@@ -181,7 +196,7 @@
 		configuration.Services = append(configuration.Services, &wire.ConfigurationService{Name: name, Probe: "/health", ConnLimit: 100, Protocol: "h1"})
 	}
 	controller := wireconnect.NewMoorClient(http.DefaultClient, "http://"+f.controllers[0])
-	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		bounded, cancel := context.WithTimeout(ctx, 4*time.Second)
 		outcome, err := controller.Propose(bounded, connect.NewRequest(&wire.ConfigurationProposal{Configuration: configuration}))
 		cancel()
@@ -190,38 +205,41 @@
 			return errors.Errorf("the configuration was rejected: %s", strings.Join(outcome.Msg.Reasons, "; "))
 		case err == nil:
 			return nil
-		case time.Since(begun) > startTimeout:
-			return errors.Wrap(err, "gave up waiting for the first configuration")
+		case time.Since(started) > startTimeout:
+			return errors.Wrap(err, "timed out waiting for the first configuration to be accepted")
 		}
 	}
 }
 
+// sendRequests sends requests to the nodes in turn, at the rate asked for, until ctx ends.
 func (f *openFleet) sendRequests(ctx context.Context) {
 	if f.Rate <= 0 {
 		return
 	}
-	web := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(time.Duration(float64(time.Second) / f.Rate))
 		go func() {
 			path := []string{"search", "search", "lend"}[i%3]
-			ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.entrances[i%len(f.entrances)]+"/"+path+"/x", nil)
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.entrances[i%len(f.entrances)]+"/"+path+"/x", nil)
 			if err != nil {
 				return
 			}
-			ask.Host = "open.example"
-			ask.Header.Set(forwarding.DefaultHeaderNames.RequestID, fmt.Sprintf("visit-%d", i))
-			ask.Header.Set(forwarding.DefaultHeaderNames.TimeLeft, fmt.Sprint(openTimeLeft.Milliseconds()))
-			if answer, err := web.Do(ask); err == nil {
-				_, _ = io.Copy(io.Discard, answer.Body)
-				_ = answer.Body.Close()
+			request.Host = "open.example"
+			request.Header.Set(forwarding.DefaultHeaderNames.RequestID, fmt.Sprintf("visit-%d", i))
+			request.Header.Set(forwarding.DefaultHeaderNames.TimeLeft, fmt.Sprint(openTimeLeft.Milliseconds()))
+			if response, err := client.Do(request); err == nil {
+				_, _ = io.Copy(io.Discard, response.Body)
+				_ = response.Body.Close()
 			}
 		}()
 	}
 }
 
+// notFound returns the handler of a server that isn't needed here.
 func notFound[T any](T) http.Handler { return http.NotFoundHandler() }
 
+// openControllerMain runs a controller in a child process.
 func openControllerMain(file string) error {
 	p := &wire.ControllerParams{}
 	if err := base.LoadParams(file, p); err != nil {
@@ -239,6 +257,7 @@
 	return nil
 }
 
+// openNodeMain runs a node and its stand-in upstream in a child process.
 func openNodeMain(file string) error {
 	p := &wire.NodeParams{}
 	if err := base.LoadParams(file, p); err != nil {
--- a/internal/command/simulate/traffic.go
+++ b/internal/command/simulate/traffic.go
@@ -17,33 +17,48 @@
 )
 
 const (
-	// recoveryTime is the least time that visitors go on calling after a trouble.
+	// recoveryTime is the minimum time that clients go on sending after faults were injected.
 	recoveryTime = 10 * time.Second
-	// maxBrokenSamples is the most broken answers that the summary shows.
+	// maxBrokenSamples is the maximum number of broken responses that the summary lists.
 	maxBrokenSamples = 5
 )
 
+// summary is the result of a run. It is printed as JSON.
 type summary struct {
-	Incomplete         int                `json:"takenForWholeButNot"`
-	Calls              int                `json:"calls"`
-	Complete           int                `json:"whole"`
-	NotRun             int                `json:"notRun"`
-	Unknown            int                `json:"unknown"`
-	Broken             int                `json:"broken"`
-	BrokenSamples      []string           `json:"brokenSamples,omitempty"`
-	Executions         int                `json:"ranAtUpstreams"`
-	RepeatedExecutions int                `json:"ranMoreThanOnce"`
-	RightParent        int                `json:"tiedToTheRightParent"`
-	WrongParent        int                `json:"notTiedToTheRightParent"`
-	SecondInForceAfter string             `json:"secondBundleInForceAfter"`
-	SpansRecorded      uint64             `json:"spansRecorded"`
-	BouncesByKind      map[string]int     `json:"bouncesByKind,omitempty"`
-	Odds               map[string]float64 `json:"odds"`
-	verdicts           []judge.Verdict
+	// Incomplete counts responses that a client took for complete although they weren't.
+	Incomplete int `json:"takenForWholeButNot"`
+	// Calls counts all requests of clients.
+	Calls int `json:"calls"`
+	// Complete counts requests that got a complete response.
+	Complete int `json:"whole"`
+	// NotRun counts requests that failed with the outcome not-run.
+	NotRun int `json:"notRun"`
+	// Unknown counts requests that failed with any other outcome.
+	Unknown int `json:"unknown"`
+	// Broken counts requests without a valid response; BrokenSamples tells some of them.
+	Broken        int      `json:"broken"`
+	BrokenSamples []string `json:"brokenSamples,omitempty"`
+	// Executions counts the requests that upstreams ran, RepeatedExecutions those of them that
+	// had run there before.
+	Executions         int `json:"ranAtUpstreams"`
+	RepeatedExecutions int `json:"ranMoreThanOnce"`
+	// RightParent counts the further calls of upstreams that were traced to the request that
+	// caused them, WrongParent those that weren't.
+	RightParent int `json:"tiedToTheRightParent"`
+	WrongParent int `json:"notTiedToTheRightParent"`
+	// SecondInForceAfter tells how long the roll-out of the second bundle took.
+	SecondInForceAfter string `json:"secondBundleInForceAfter"`
+	// SpansRecorded counts the spans that the odds were learned from.
+	SpansRecorded uint64 `json:"spansRecorded"`
+	// BouncesByKind counts rejected requests by kind, route, reason and second since the faults.
+	BouncesByKind map[string]int `json:"bouncesByKind,omitempty"`
+	// Odds are the learned sampling odds by identifier.
+	Odds     map[string]float64 `json:"odds"`
+	verdicts []judge.Verdict
 }
 
-// runTraffic lets visitors call for the length given, changes the configuration and
-// causes the trouble midway, and judges what came of it.
+// runTraffic lets clients send requests for the length given. Midway it rolls out a second
+// bundle and then injects the faults asked for. It judges the history of the run.
 func (f *fleet) runTraffic(s base.Scope, length time.Duration, rate float64) (*summary, error) {
 	started := s.Clock.Mono()
 	sending, stopSending := s.WithCancel()
@@ -80,7 +95,7 @@
 	return sum, f.addCounters(s, sum)
 }
 
-// startClients starts visitors behind each node, who make requests until visiting ends.
+// startClients starts clients at each node, which send requests until the scope sending ends.
 func (f *fleet) startClients(s, sending base.Scope, rate float64) *base.Group {
 	clients := &base.Group{}
 	for _, each := range f.nodes {
@@ -90,25 +105,26 @@
 	return clients
 }
 
-// rollOutSecond rolls out the second bundle and notes how long that took.
+// rollOutSecond rolls out the second bundle and records how long that took.
 func (f *fleet) rollOutSecond(s base.Scope, sum *summary) error {
-	begun := time.Now()
+	started := time.Now()
 	outcome, err := f.applyChange(s, "second", 1)
 	if err != nil {
 		return err
 	}
 	if outcome.Verdict != wire.Verdict_TAKEN {
-		return errors.Errorf("the second bundle was not taken: %s", outcome)
+		return errors.Errorf("the second bundle was not accepted: %s", outcome)
 	}
 	acked := time.Now()
 	if err := f.waitUntil(s, "the second bundle in force", func() bool { return f.allNodesOn(2) }); err != nil {
 		return err
 	}
-	sum.SecondInForceAfter = fmt.Sprintf("%dms after its ack, %dms after its draft", time.Since(acked).Milliseconds(), time.Since(begun).Milliseconds())
+	sum.SecondInForceAfter = fmt.Sprintf("%dms after its ack, %dms after its draft", time.Since(acked).Milliseconds(), time.Since(started).Milliseconds())
 	return nil
 }
 
-// injectFaults causes the trouble asked for. A roll is planned, so it excuses nothing.
+// injectFaults runs the fault scenario asked for. The history marks its duration as a disturbance,
+// which excuses failures; a rolling restart is planned work and excuses none.
 func (f *fleet) injectFaults(s base.Scope) error {
 	end := func() {}
 	if f.args.Trouble != "none" && f.args.Trouble != "roll" {
@@ -122,6 +138,7 @@
 	return nil
 }
 
+// addCall counts a request as its client saw it.
 func (sum *summary) addCall(call judge.Call, faultsStarted time.Duration) {
 	sum.Calls++
 	if call.Kind != "" {
@@ -143,7 +160,7 @@
 	}
 }
 
-// addCounters adds what the upstreams counted and what was learned.
+// addCounters adds the counters of the upstreams, the learned odds and their span counts.
 func (f *fleet) addCounters(s base.Scope, sum *summary) error {
 	for _, each := range f.instances {
 		var counts standin.Counts
@@ -176,7 +193,9 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// collectHistory adds to the history what upstreams, nodes and core machines have.
+// collectHistory adds what upstreams, nodes and core machines recorded to the history. Times in
+// the nodes' journals are wall-clock times and are converted to the monotonic clock of the
+// history.
 func (f *fleet) collectHistory(s base.Scope) error {
 	for _, each := range f.instances {
 		if err := f.collectRuns(each); err != nil {
@@ -202,6 +221,8 @@
 	return nil
 }
 
+// collectRuns adds the requests that an instance recorded in its file. Lines that can't be
+// decoded are skipped, as the instance may have been killed while writing.
 func (f *fleet) collectRuns(each *instance) error {
 	body, err := os.ReadFile(f.runsFile(each))
 	if err != nil {
@@ -216,12 +237,14 @@
 	return nil
 }
 
+// pollNodes records every 100 ms which bundle each node serves, until the scope ends.
 func (f *fleet) pollNodes(s base.Scope) {
 	base.Tick(s, 100*time.Millisecond, func(base.Scope) {
 		base.Parallel(f.nodes, func(m *machine) { f.ready(m, opsPort) })
 	})
 }
 
+// allNodesOn reports whether every node is ready with the serial or a newer one.
 func (f *fleet) allNodesOn(serial uint64) bool {
 	for _, each := range f.nodes {
 		if at, ready := f.ready(each, opsPort); !ready || at < serial {
@@ -231,12 +254,14 @@
 	return true
 }
 
+// check returns an error if the run broke a rule, gave a rule nothing to judge, or left too many
+// requests without a response: 99% must succeed, or 50% in a smoke run.
 func (s *summary) check(smoke bool) error {
 	if broken := judge.Broken(s.verdicts); len(broken) > 0 {
-		return errors.Errorf("%d breaches, first: %s", len(broken), broken[0])
+		return errors.Errorf("%d violations of the rules, the first: %s", len(broken), broken[0])
 	}
 	if vacuous := judge.Vacuous(s.verdicts, judge.RanTwice, judge.Whole, judge.Allowed, judge.InForce, judge.SlideBack, judge.OneAck, judge.ReadBack, judge.Returns); len(vacuous) > 0 {
-		return errors.Errorf("nothing to judge for %v", vacuous)
+		return errors.Errorf("the run has no observations to check these rules: %v", vacuous)
 	}
 	minPercent := 99
 	if smoke {
@@ -244,13 +269,13 @@
 	}
 	switch {
 	case s.Calls == 0:
-		return errors.New("no call was made")
+		return errors.New("no request was made")
 	case s.Incomplete > 0:
-		return errors.Errorf("%d answers were not whole", s.Incomplete)
+		return errors.Errorf("%d responses taken for complete were not", s.Incomplete)
 	case s.Complete*100 < s.Calls*minPercent:
-		return errors.Errorf("only %d of %d calls got their answer", s.Complete, s.Calls)
+		return errors.Errorf("only %d of %d requests got a complete response", s.Complete, s.Calls)
 	case len(s.Odds) == 0:
-		return errors.New("nothing was learned")
+		return errors.New("no sampling odds were learned")
 	}
 	return nil
 }
--- a/internal/command/standins/main.go
+++ b/internal/command/standins/main.go
@@ -1,5 +1,5 @@
-// Package standins is the command that stands in for an instance or for clients,
-// to try a fleet.
+// Package standins implements the command that stands in for an upstream instance or for
+// clients, to test a fleet.
 package standins
 
 import (
@@ -17,32 +17,35 @@
 
 const program = "curlew standin"
 
+// upstreamArgs are the options of 'upstream'. go-arg derives the flags from the field names.
 type upstreamArgs struct {
-	Service  string `arg:"required"`
+	Service  string `arg:"required" help:"service of the instance"`
 	Address  string `arg:"required" help:"IP:port to listen on"`
-	Reports  string `arg:"required" help:"IP:port where the node takes its instances' reports"`
-	Zone     string `arg:"required"`
-	Capacity int    `default:"16"`
-	Habits   string `help:"JSON file: how each path prefix behaves"`
-	Runs     string `help:"file to which each run is appended as a JSON line"`
+	Reports  string `arg:"required" help:"IP:port at which the node receives reports from its instances"`
+	Zone     string `arg:"required" help:"zone of the instance"`
+	Capacity int    `default:"16" help:"how many requests the instance can serve at once"`
+	Habits   string `help:"JSON file with the behavior of each path prefix"`
+	Runs     string `help:"file to append a JSON line to for each request that was run"`
 }
 
+// visitorsArgs are the options of 'visitors'. go-arg derives the flags from the field names.
 type visitorsArgs struct {
-	Name    string  `default:"visitor"`
-	To      string  `arg:"required" help:"IP:port where the node takes clients' requests"`
-	Rate    float64 `default:"10" help:"requests a second"`
-	Seconds int     `default:"10"`
-	Plan    string  `arg:"required" help:"JSON file: which requests to make"`
+	Name    string  `default:"visitor" help:"prefix of the request IDs"`
+	To      string  `arg:"required" help:"IP:port at which the node serves clients"`
+	Rate    float64 `default:"10" help:"requests per second"`
+	Seconds int     `default:"10" help:"how long to send requests"`
+	Plan    string  `arg:"required" help:"JSON file with the requests to send"`
 }
 
+// args are the subcommands of the command.
 type args struct {
-	Upstream *upstreamArgs `arg:"subcommand:upstream" help:"stand in for a back end"`
-	Visitors *visitorsArgs `arg:"subcommand:visitors" help:"stand in for callers"`
+	Upstream *upstreamArgs `arg:"subcommand:upstream" help:"stand in for an upstream instance"`
+	Visitors *visitorsArgs `arg:"subcommand:visitors" help:"stand in for clients"`
 }
 
 func (args) Version() string { return program + " " + base.Version }
 
-// Main runs the command with the arguments of the process.
+// Main runs the command with the process's arguments.
 func Main() {
 	var a args
 	parser := arg.MustParse(&a)
@@ -71,6 +74,7 @@
 	}
 }
 
+// readJSON decodes a file; without a file name it leaves into as it is.
 func readJSON(file string, into any) error {
 	if file == "" {
 		return nil
@@ -82,6 +86,8 @@
 	return json.Unmarshal(body, into)
 }
 
+// run serves requests and reports to the node until a signal. It then reports that it is
+// leaving, and ends 2 s later.
 func (u *upstreamArgs) run(s base.Scope) error {
 	stand := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, Reports: u.Reports}
 	if err := readJSON(u.Habits, &stand.Habits); err != nil {
@@ -107,6 +113,7 @@
 	return nil
 }
 
+// run sends requests and prints the results as JSON.
 func (v *visitorsArgs) run(s base.Scope) error {
 	history := judge.NewHistory(s.Clock)
 	stand := &standin.Visitors{Scope: s, Name: v.Name, To: v.To, Rate: v.Rate, History: history}
