--- a/deploy/daygen/variant_test.go
+++ b/deploy/daygen/variant_test.go
@@ -78,16 +78,16 @@
 
 // normalizeLists converts lists of tables to one type, whether the file has them as inline tables or not.
 func normalizeLists(decoded document) document {
-	alike := document{}
+	normalized := document{}
 	for key, value := range decoded {
-		alike[key] = value
+		normalized[key] = value
 		if tables, ok := value.([]document); ok {
 			list := []any{}
 			for _, table := range tables {
 				list = append(list, table)
 			}
-			alike[key] = list
+			normalized[key] = list
 		}
 	}
-	return alike
+	return normalized
 }
--- a/internal/command/core/main.go
+++ b/internal/command/core/main.go
@@ -29,9 +29,7 @@
 
 func (args) Version() string { return program + " " + base.Version }
 
-func (args) Description() string {
-	return "stores and distributes the state of the fleet on a control machine"
-}
+func (args) Description() string { return "stores and distributes the state of the fleet" }
 
 // load returns the settings from the params file and the flags, with defaults set, and checks
 // them.
--- a/internal/command/ctl/args.go
+++ b/internal/command/ctl/args.go
@@ -35,12 +35,12 @@
 
 // applyArgs are the arguments of 'apply'.
 type applyArgs struct {
-	Base    uint64   `arg:"--base"`
+	Base    uint64   `arg:"--base" help:"serial of the bundle that the change is based on"`
 	Forsake []string `arg:"--forsake" help:"application machines that are lost for good; the change removes them"`
-	Bundle  string   `arg:"--bundle"`
-	Change  string   `arg:"--change"`
-	Key     string   `arg:"--key,required"`
-	ID      string   `arg:"--id,required"`
+	Bundle  string   `arg:"--bundle" help:"JSON file with a complete bundle"`
+	Change  string   `arg:"--change" help:"JSON file with a change to the base bundle"`
+	Key     string   `arg:"--key,required" help:"private key file"`
+	ID      string   `arg:"--id,required" help:"submission ID; submitting the same ID again returns the first decision"`
 }
 
 // showArgs are the arguments of 'show'.
@@ -51,7 +51,7 @@
 // watchArgs are the arguments of 'watch'.
 type watchArgs struct {
 	Serial  uint64 `arg:"positional" help:"serial to wait for, or a newer one"`
-	Seconds int    `arg:"--seconds" default:"9"`
+	Seconds int    `arg:"--seconds" default:"9" help:"how long to wait"`
 }
 
 // placeArgs are the arguments of 'place'.
@@ -61,8 +61,8 @@
 
 // diffArgs are the arguments of 'diff'.
 type diffArgs struct {
-	Before uint64 `arg:"positional,required"`
-	After  uint64 `arg:"positional,required"`
+	Before uint64 `arg:"positional,required" help:"older serial"`
+	After  uint64 `arg:"positional,required" help:"newer serial"`
 }
 
 // idArgs are the arguments of subcommands that take a single ID or name.
--- a/internal/command/ctl/journals.go
+++ b/internal/command/ctl/journals.go
@@ -15,8 +15,8 @@
 // state prints the state of each controller. It fails only if none replies.
 func (a *args) state(ctx context.Context, client *listedcore.Client) error {
 	answered := 0
-	for controller, one := range client.Each() {
-		reply, err := one.State(ctx)
+	for controller, single := range client.Each() {
+		reply, err := single.State(ctx)
 		if err != nil {
 			fmt.Printf("%s did not reply\n", controller)
 			continue
@@ -30,11 +30,11 @@
 		}
 		fmt.Printf("%s %s, serial %d, staged %d, learner %s\n", reply.Keel, reply.Phase, reply.Committed, reply.Staged, reply.Learner)
 		for _, key := range reply.Keys {
-			sick := ""
+			suffix := ""
 			if key.Sick {
-				sick = " under repair"
+				suffix = " under repair"
 			}
-			fmt.Printf("  %-12s owner %-20s epoch %-4d change %d%s\n", key.Key, key.Owner, key.Epoch, key.Serial, sick)
+			fmt.Printf("  %-12s owner %-20s epoch %-4d change %d%s\n", key.Key, key.Owner, key.Epoch, key.Serial, suffix)
 		}
 	}
 	if answered == 0 {
--- a/internal/command/ctl/opentables.go
+++ b/internal/command/ctl/opentables.go
@@ -179,11 +179,11 @@
 			}
 		}
 		for _, key := range controller.Keys {
-			sick := ""
+			suffix := ""
 			if key.Sick {
-				sick = " under repair"
+				suffix = " under repair"
 			}
-			keys = append(keys, fmt.Sprintf("%s:%d%s", key.Key, key.Serial, sick))
+			keys = append(keys, fmt.Sprintf("%s:%d%s", key.Key, key.Serial, suffix))
 		}
 		t.add(controller.Controller, address, controller.Zone, controller.Phase, controller.Generation, controller.Spare, controller.Settled, agreed, controller.Serial, controller.Owner, controller.Learner, len(controller.Nodes), absent, strings.Join(keys, " "))
 	}
--- a/internal/command/ctl/openwrong.go
+++ b/internal/command/ctl/openwrong.go
@@ -42,14 +42,14 @@
 	case newest == 0:
 		add("there is no configuration yet: nodes serve nobody")
 	}
-	offered := map[string]bool{}
+	served := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(fleet.observations)) {
 		if instance := fleet.checkNode(name, newest, add); instance != nil && !instance.Leaving {
-			offered[instance.Service] = true
+			served[instance.Service] = true
 		}
 	}
 	for _, service := range configuration.GetServices() {
-		if !offered[service.Name] {
+		if !served[service.Name] {
 			add("service %s has no upstream anywhere", service.Name)
 		}
 	}
@@ -143,18 +143,18 @@
 // checkCopies adds each key that isn't on every disk, once, with the smallest number of copies
 // that any controller sees.
 func (fleet *fleetView) checkCopies(add func(string, ...any)) {
-	fewest, of := map[string]int{}, map[string]int{}
+	fewestCopies, disks := map[string]int{}, map[string]int{}
 	for _, controller := range fleet.controllers {
 		for _, key := range controller.Keys {
-			copies, known := fewest[key.Key]
+			copies, known := fewestCopies[key.Key]
 			if key.Copies > 0 && (!known || int(key.Copies) < copies) {
-				fewest[key.Key], of[key.Key] = int(key.Copies), len(controller.Peers)
+				fewestCopies[key.Key], disks[key.Key] = int(key.Copies), len(controller.Peers)
 			}
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(fewest)) {
-		if fewest[key] < of[key] {
-			add("the newest %s is on %d of %d disks", displayName(key), fewest[key], of[key])
+	for _, key := range slices.Sorted(maps.Keys(fewestCopies)) {
+		if fewestCopies[key] < disks[key] {
+			add("the newest %s is on %d of %d disks", displayName(key), fewestCopies[key], disks[key])
 		}
 	}
 }
--- a/internal/command/ctl/table.go
+++ b/internal/command/ctl/table.go
@@ -18,7 +18,7 @@
 }
 
 // newTable returns an empty table with the column headers given.
-func newTable(heads ...string) *table { return &table{headers: heads} }
+func newTable(headers ...string) *table { return &table{headers: headers} }
 
 // add appends a row.
 func (t *table) add(cells ...any) {
--- a/internal/command/ctl/wrong.go
+++ b/internal/command/ctl/wrong.go
@@ -71,8 +71,8 @@
 
 // checkCore adds problems of the controllers.
 func (report *healthReport) checkCore(ctx context.Context, client *listedcore.Client) {
-	for controller, one := range client.Each() {
-		state, err := one.State(ctx)
+	for controller, single := range client.Each() {
+		state, err := single.State(ctx)
 		if err != nil {
 			report.add("controller %s can't be reached", controller)
 			continue
--- a/internal/command/simulate/faults.go
+++ b/internal/command/simulate/faults.go
@@ -290,13 +290,13 @@
 				f.history.Acked(outcome)
 			}
 		})
-		shown, err := f.client.Show(s, 1)
+		reply, err := f.client.Show(s, 1)
 		if err != nil {
 			return err
 		}
-		for i, alter := range []func(){func() {}, func() { shown.Sealed.Signature[0] ^= 1 }, func() { shown.Sealed.Parts = shown.Sealed.Parts[1:] }} {
+		for i, alter := range []func(){func() {}, func() { reply.Sealed.Signature[0] ^= 1 }, func() { reply.Sealed.Parts = reply.Sealed.Parts[1:] }} {
 			alter()
-			if outcome, err := f.client.Sign(s, fmt.Sprintf("broken-%d-%d", round, i), shown.Sealed); err == nil {
+			if outcome, err := f.client.Sign(s, fmt.Sprintf("broken-%d-%d", round, i), reply.Sealed); err == nil {
 				f.history.Acked(outcome)
 			}
 		}
--- a/internal/command/simulate/fleet.go
+++ b/internal/command/simulate/fleet.go
@@ -135,14 +135,14 @@
 	f.client = &listedcore.Client{Web: f.httpClient, Signed: f.history.Signed}
 	for i, each := range f.bundle.Common.Machines {
 		f.runsOld[each.Name] = f.args.Old != "" && i%2 == 1
-		at := &machine{Machine: each}
+		m := &machine{Machine: each}
 		if !each.Core {
-			f.nodes = append(f.nodes, at)
+			f.nodes = append(f.nodes, m)
 			continue
 		}
-		f.controllers = append(f.controllers, at)
+		f.controllers = append(f.controllers, m)
 		f.seeds = append(f.seeds, each.Address)
-		f.client.Controllers = append(f.client.Controllers, at.address(operatorsPort))
+		f.client.Controllers = append(f.client.Controllers, m.address(operatorsPort))
 	}
 }
 
@@ -260,19 +260,19 @@
 
 // startInstance starts a stand-in upstream on its machine.
 func (f *fleet) startInstance(each *instance) error {
-	var home *machine
-	for _, at := range f.nodes {
-		if at.Name == each.Machine {
-			home = at
+	var host *machine
+	for _, candidate := range f.nodes {
+		if candidate.Name == each.Machine {
+			host = candidate
 		}
 	}
-	if home == nil {
+	if host == nil {
 		return errors.Errorf("seats.json names an unknown machine %q", each.Machine)
 	}
-	each.address = home.address(instancePort)
+	each.address = host.address(instancePort)
 	var err error
 	each.command, err = f.startProcess(each.Machine+"-upstream", filepath.Join(f.args.Bin, programFile), "standin", "upstream", "--service", each.Service, "--address", each.address,
-		"--reports", home.address(upstreamsPort), "--zone", home.Zone, "--capacity", fmt.Sprint(each.Capacity), "--habits", filepath.Join(f.args.Example, "habits.json"), "--runs", f.runsFile(each))
+		"--reports", host.address(upstreamsPort), "--zone", host.Zone, "--capacity", fmt.Sprint(each.Capacity), "--habits", filepath.Join(f.args.Example, "habits.json"), "--runs", f.runsFile(each))
 	return err
 }
 
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -272,7 +272,7 @@
 		return err
 	}
 	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Hex(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openCapacity}
-	door, err := httpserver.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server, err := httpserver.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openMaxDelay))
 		w.Header().Set(forwarding.DefaultHeaderNames.RequestID, r.Header.Get(forwarding.DefaultHeaderNames.RequestID))
 		w.Header().Set(forwarding.DefaultHeaderNames.Seal, "whole")
@@ -281,7 +281,7 @@
 	if err != nil {
 		return err
 	}
-	defer door.Close()
+	defer server.Close()
 	go base.Tick(s, openHeartbeat, func(base.Scope) { _ = n.Heartbeat(instance) })
 	base.Signals(n.Stop, func() {})
 	return nil
--- a/internal/command/simulate/replace.go
+++ b/internal/command/simulate/replace.go
@@ -89,13 +89,13 @@
 	} else if err := stopChild(old, syscall.SIGKILL); err != nil {
 		return err
 	}
-	address, started, err := r.startController()
+	address, startTime, err := r.startController()
 	if err != nil {
 		return err
 	}
 	if planned {
 		time.Sleep(plannedLead)
-		started = time.Now()
+		startTime = time.Now()
 		if err := stopChild(old, syscall.SIGTERM); err != nil {
 			return err
 		}
@@ -107,12 +107,12 @@
 	if err != nil {
 		return err
 	}
-	voted := time.Since(started)
+	voted := time.Since(startTime)
 	if err := r.proposeChange(ctx, address); err != nil {
 		return err
 	}
 	fmt.Printf("%-8s %s by %s: generation %d, votes after %d ms, serial %d acknowledged after %d ms\n",
-		how, oldAddress, address, view.Generation, voted.Milliseconds(), r.serial, time.Since(started).Milliseconds())
+		how, oldAddress, address, view.Generation, voted.Milliseconds(), r.serial, time.Since(startTime).Milliseconds())
 	return nil
 }
 
@@ -127,19 +127,19 @@
 
 // startController starts a controller at the next address. The oldest one is dropped from the seeds
 // of later controllers.
-func (r *replaceRun) startController() (address string, started time.Time, err error) {
+func (r *replaceRun) startController() (address string, startTime time.Time, err error) {
 	r.started++
 	address = fmt.Sprintf("127.0.2.%d:%d", r.started, openPeersPort)
 	name := fmt.Sprintf("core-%d", r.started)
 	seeds := r.fleet.controllers
-	started = time.Now()
+	startTime = time.Now()
 	err = r.fleet.startChild(openControllerSubcommand, name, &wire.ControllerParams{
 		Name: name, Zone: fmt.Sprintf("z%d", (r.started-1)%openControllers+1), Peers: address, Operators: fmt.Sprintf("127.0.2.%d:7005", r.started),
 		Seeds: seeds, Folder: filepath.Join(r.fleet.Folder, name), Log: r.fleet.Log,
 	})
 	r.fleet.controllers = append(seeds[1:len(seeds):len(seeds)], address)
 	r.controllers = append(r.controllers[1:], r.fleet.children[len(r.fleet.children)-1])
-	return address, started, err
+	return address, startTime, err
 }
 
 // awaitVote waits until the new controller votes and the old one doesn't.
--- a/internal/command/simulate/traffic.go
+++ b/internal/command/simulate/traffic.go
@@ -35,7 +35,7 @@
 	NotRun int `json:"notRun"`
 	// Unknown counts requests that failed with any other outcome.
 	Unknown int `json:"unknown"`
-	// Broken counts requests without a valid response; BrokenSamples tells some of them.
+	// Broken counts requests without a valid response; BrokenSamples lists some of them.
 	Broken        int      `json:"broken"`
 	BrokenSamples []string `json:"brokenSamples,omitempty"`
 	// Executions counts the requests that upstreams ran, RepeatedExecutions those of them that
@@ -213,9 +213,9 @@
 		}
 	}
 	for _, controller := range f.client.Controllers {
-		one := *f.client
-		one.Controllers = []string{controller}
-		reply, err := one.Show(s, 0)
+		client := *f.client
+		client.Controllers = []string{controller}
+		reply, err := client.Show(s, 0)
 		f.history.ReadBack(controller, reply.GetSerial(), reply.GetSealed(), err)
 	}
 	return nil
--- a/internal/command/standins/main.go
+++ b/internal/command/standins/main.go
@@ -89,8 +89,8 @@
 // run serves requests and reports to the node until a signal. It then reports that it is
 // leaving, and ends 2 s later.
 func (u *upstreamArgs) run(s base.Scope) error {
-	stand := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, Reports: u.Reports}
-	if err := readJSON(u.Habits, &stand.Habits); err != nil {
+	standIn := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, Reports: u.Reports}
+	if err := readJSON(u.Habits, &standIn.Habits); err != nil {
 		return err
 	}
 	if u.Runs != "" {
@@ -99,16 +99,16 @@
 			return err
 		}
 		defer file.Close()
-		stand.History = judge.NewHistory(s.Clock)
-		stand.History.Spill = file
+		standIn.History = judge.NewHistory(s.Clock)
+		standIn.History.Spill = file
 	}
-	if err := stand.Start(500 * time.Millisecond); err != nil {
+	if err := standIn.Start(500 * time.Millisecond); err != nil {
 		return err
 	}
 	base.Signals(func() {
-		stand.Leave()
+		standIn.Leave()
 		base.Await(s, 2*time.Second)
-		stand.Kill()
+		standIn.Kill()
 	}, func() {})
 	return nil
 }
@@ -116,12 +116,12 @@
 // run sends requests and prints the results as JSON.
 func (v *visitorsArgs) run(s base.Scope) error {
 	history := judge.NewHistory(s.Clock)
-	stand := &standin.Visitors{Scope: s, Name: v.Name, To: v.To, Rate: v.Rate, History: history}
-	if err := readJSON(v.Plan, &stand.Habits); err != nil {
+	standIn := &standin.Visitors{Scope: s, Name: v.Name, To: v.To, Rate: v.Rate, History: history}
+	if err := readJSON(v.Plan, &standIn.Habits); err != nil {
 		return err
 	}
 	bounded, cancel := s.WithTimeout(time.Duration(v.Seconds) * time.Second)
 	defer cancel()
-	stand.Run(bounded)
+	standIn.Run(bounded)
 	return json.NewEncoder(os.Stdout).Encode(history.Calls())
 }
