--- a/internal/command/ctl/journals.go
+++ b/internal/command/ctl/journals.go
@@ -15,7 +15,7 @@
 // state prints the state of each controller. It fails only if none replies.
 func (a *args) state(ctx context.Context, client *listedcore.Client) error {
 	answered := 0
-	for controller, single := range client.Each() {
+	for controller, single := range client.EachController() {
 		reply, err := single.State(ctx)
 		if err != nil {
 			fmt.Printf("%s did not reply\n", controller)
--- a/internal/command/ctl/main.go
+++ b/internal/command/ctl/main.go
@@ -52,7 +52,7 @@
 
 // run runs the subcommand.
 func (a *args) run(ctx context.Context) error {
-	client := &listedcore.Client{Web: http.DefaultClient, Controllers: a.controllers()}
+	client := &listedcore.Client{HTTPClient: http.DefaultClient, Controllers: a.controllers()}
 	if known, err := a.runWriteCommand(ctx, client); known {
 		return err
 	}
@@ -98,13 +98,13 @@
 	case a.State != nil:
 		return a.state(ctx, client)
 	case a.Why != nil:
-		reply, err := client.Why(ctx, a.Why.ID)
+		reply, err := client.QueryJournals(ctx, a.Why.ID)
 		return a.printReply(reply, err, func() { printEvents(reply) })
 	case a.Shares != nil:
-		reply, err := client.Why(ctx, "")
+		reply, err := client.QueryJournals(ctx, "")
 		return a.printReply(reply, err, func() { printShares(reply) })
 	case a.Counts != nil:
-		reply, err := client.Why(ctx, "")
+		reply, err := client.QueryJournals(ctx, "")
 		return a.printReply(reply, err, func() { printCounts(reply) })
 	case a.Wrong != nil:
 		return a.wrong(ctx, client)
--- a/internal/command/ctl/open.go
+++ b/internal/command/ctl/open.go
@@ -71,7 +71,7 @@
 
 // clientFor returns a client that asks a single address.
 func clientFor(client *listedcore.Client, address string) *listedcore.Client {
-	return &listedcore.Client{Web: client.Web, Controllers: []string{address}}
+	return &listedcore.Client{HTTPClient: client.HTTPClient, Controllers: []string{address}}
 }
 
 // askAll asks all targets in parallel, each within requestTimeout. It returns the replies by
@@ -164,7 +164,7 @@
 		}
 		return printProto(configuration)
 	case o.Odds != nil:
-		reply, err := askAnyController(ctx, client, (*listedcore.Client).OpenOdds)
+		reply, err := askAnyController(ctx, client, (*listedcore.Client).OpenFleetOdds)
 		return a.printReply(reply, err, func() { a.printOdds(reply) })
 	}
 	fleet, err := askFleet(ctx, client)
@@ -192,7 +192,7 @@
 // count as a rejected change, or ErrNoController.
 func askAnyController[T any](ctx context.Context, client *listedcore.Client, ask func(*listedcore.Client, context.Context) (T, error)) (result T, err error) {
 	err = listedcore.ErrNoController
-	for _, one := range client.Each() {
+	for _, one := range client.EachController() {
 		bounded, cancel := context.WithTimeout(ctx, requestTimeout)
 		reply, failure := ask(one, bounded)
 		cancel()
--- a/internal/command/ctl/open_test.go
+++ b/internal/command/ctl/open_test.go
@@ -77,7 +77,7 @@
 
 	ginkgo.It("given a controller and two nodes, when ctl asks them, then each view replies and the problems follow the state of the fleet", func() {
 		seed := freeAddress()
-		client = &listedcore.Client{Web: http.DefaultClient, Controllers: []string{seed}}
+		client = &listedcore.Client{HTTPClient: http.DefaultClient, Controllers: []string{seed}}
 		Expect(exitCode(runOpen(&openArgs{Nodes: &noArgs{}}))).To(Equal(exitUnreachable))
 		server := startController(seed)
 		defer server.Kill()
--- a/internal/command/ctl/sign.go
+++ b/internal/command/ctl/sign.go
@@ -24,7 +24,7 @@
 	if err := readProto(a.Submit.Sealed, sealed); err != nil {
 		return err
 	}
-	return a.printOutcome(client.Sign(ctx, a.Submit.ID, sealed))
+	return a.printOutcome(client.Submit(ctx, a.Submit.ID, sealed))
 }
 
 // apply drafts, signs and submits a change in one step.
--- a/internal/command/ctl/wrong.go
+++ b/internal/command/ctl/wrong.go
@@ -40,7 +40,7 @@
 	if err := report.checkNodes(ctx, client); err != nil {
 		return err
 	}
-	if reply, err := client.Why(ctx, ""); err == nil {
+	if reply, err := client.QueryJournals(ctx, ""); err == nil {
 		for _, node := range reply.Silent {
 			report.add("%s did not reply", node)
 		}
@@ -71,7 +71,7 @@
 
 // checkCore adds problems of the controllers.
 func (report *healthReport) checkCore(ctx context.Context, client *listedcore.Client) {
-	for controller, single := range client.Each() {
+	for controller, single := range client.EachController() {
 		state, err := single.State(ctx)
 		if err != nil {
 			report.add("controller %s can't be reached", controller)
@@ -125,7 +125,7 @@
 // addShares adds the share of requests and spans that each group got, next to the share that
 // the bundle assigns to it.
 func (report *healthReport) addShares(ctx context.Context, client *listedcore.Client, reply *wire.ToldReply) {
-	shown, err := client.Show(ctx, 0)
+	shown, err := client.Bundle(ctx, 0)
 	if err != nil {
 		return
 	}
--- a/internal/command/simulate/faults.go
+++ b/internal/command/simulate/faults.go
@@ -129,7 +129,7 @@
 // is ready. It fails if a machine doesn't stop within its grace period.
 func (f *fleet) rollingRestart(s base.Scope) error {
 	for _, m := range f.machines() {
-		end := f.history.Spell(m.Name, "stop", true)
+		end := f.history.RecordDisturbance(m.Name, "stop", true)
 		if err := m.command.Process.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
@@ -228,7 +228,7 @@
 // breakInstances makes stand-in upstreams fail in one way after the other, and replaces each
 // after 1.5 s.
 func (f *fleet) breakInstances(s base.Scope) error {
-	for i, fault := range []standin.Fault{standin.LoseAfter, standin.Stuck, standin.Garble, standin.Truncate, standin.Nonsense} {
+	for i, fault := range []standin.Fault{standin.CloseUnanswered, standin.Hang, standin.Corrupt, standin.Truncate, standin.InvalidHTTP} {
 		each := f.instances[i%len(f.instances)]
 		if err := f.put(each, "/mime/fault/"+string(fault)); err != nil {
 			return err
@@ -287,17 +287,17 @@
 			share.Watched = weight
 			id := fmt.Sprintf("race-%d-%d", round, i)
 			if outcome, err := operator.Apply(s, id, &wire.DraftRequest{Base: serial, Change: &wire.Change{Shares: []*wire.Share{share}}}, f.key); err == nil {
-				f.history.Acked(outcome)
+				f.history.RecordOutcome(outcome)
 			}
 		})
-		reply, err := f.client.Show(s, 1)
+		reply, err := f.client.Bundle(s, 1)
 		if err != nil {
 			return err
 		}
 		for i, alter := range []func(){func() {}, func() { reply.Sealed.Signature[0] ^= 1 }, func() { reply.Sealed.Parts = reply.Sealed.Parts[1:] }} {
 			alter()
-			if outcome, err := f.client.Sign(s, fmt.Sprintf("broken-%d-%d", round, i), reply.Sealed); err == nil {
-				f.history.Acked(outcome)
+			if outcome, err := f.client.Submit(s, fmt.Sprintf("broken-%d-%d", round, i), reply.Sealed); err == nil {
+				f.history.RecordOutcome(outcome)
 			}
 		}
 		base.Await(s, 700*time.Millisecond)
@@ -345,7 +345,7 @@
 		if err != nil || outcome.Verdict == wire.Verdict_UNKNOWN {
 			return false
 		}
-		f.history.Acked(outcome)
+		f.history.RecordOutcome(outcome)
 		return true
 	})
 }
--- a/internal/command/simulate/fleet.go
+++ b/internal/command/simulate/fleet.go
@@ -65,7 +65,7 @@
 	seeds       []string // addresses of the core machines for other machines
 	nodes       []*machine
 	instances   []*instance
-	requests    []standin.Habitual
+	requests    []standin.PlannedRequest
 	key         ed25519.PrivateKey
 	keyFile     string
 	client      *listedcore.Client
@@ -132,7 +132,7 @@
 // version is given, every second machine starts with it.
 func (f *fleet) splitMachines() {
 	f.runsOld = map[string]bool{}
-	f.client = &listedcore.Client{Web: f.httpClient, Signed: f.history.Signed}
+	f.client = &listedcore.Client{HTTPClient: f.httpClient, OnSigned: f.history.RecordSigned}
 	for i, each := range f.bundle.Common.Machines {
 		f.runsOld[each.Name] = f.args.Old != "" && i%2 == 1
 		m := &machine{Machine: each}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	f.history.Acked(outcome)
+	f.history.RecordOutcome(outcome)
 	if outcome.Verdict != wire.Verdict_TAKEN {
 		return errors.Errorf("the first bundle was not accepted: %s", outcome)
 	}
@@ -322,7 +322,7 @@
 	_ = json.NewDecoder(response.Body).Decode(&status)
 	at := f.history.Now()
 	if port == opsPort {
-		f.history.Read(judge.Reading{At: at, Node: m.Name, Serial: status.Serial, Digest: status.Digest, Ready: response.StatusCode == http.StatusOK})
+		f.history.RecordSample(judge.Sample{At: at, Node: m.Name, Serial: status.Serial, Digest: status.Digest, Ready: response.StatusCode == http.StatusOK})
 	}
 	return status.Serial, response.StatusCode == http.StatusOK
 }
@@ -362,7 +362,7 @@
 	}
 	outcome, err := f.client.Apply(ctx, submission, &wire.DraftRequest{Base: serial, Change: change}, f.key)
 	if err == nil {
-		f.history.Acked(outcome)
+		f.history.RecordOutcome(outcome)
 	}
 	return outcome, err
 }
--- a/internal/command/simulate/traffic.go
+++ b/internal/command/simulate/traffic.go
@@ -87,7 +87,7 @@
 	if err := f.collectHistory(s); err != nil {
 		return nil, err
 	}
-	sum.verdicts = judge.Check(f.history, judge.Brief())
+	sum.verdicts = judge.Check(f.history, judge.DefaultBounds())
 	for _, call := range f.history.Calls() {
 		sum.addCall(call, faultsStarted)
 	}
@@ -99,7 +99,7 @@
 func (f *fleet) startClients(s, sending base.Scope, rate float64) *base.Group {
 	clients := &base.Group{}
 	for _, each := range f.nodes {
-		visitors := &standin.Visitors{Scope: s, Name: each.Name, To: each.address(clientsPort), Rate: rate / float64(len(f.nodes)), Habits: f.requests, History: f.history}
+		visitors := &standin.Clients{Scope: s, Name: each.Name, NodeAddress: each.address(clientsPort), Rate: rate / float64(len(f.nodes)), Plan: f.requests, History: f.history}
 		clients.Go(func() { visitors.Run(sending) })
 	}
 	return clients
@@ -128,13 +128,13 @@
 func (f *fleet) injectFaults(s base.Scope) error {
 	end := func() {}
 	if f.args.Trouble != "none" && f.args.Trouble != "roll" {
-		end = f.history.Spell("drill", f.args.Trouble, false)
+		end = f.history.RecordDisturbance("drill", f.args.Trouble, false)
 	}
 	if err := faultScenarios[f.args.Trouble](f, s); err != nil {
 		return err
 	}
 	end()
-	f.history.Returned()
+	f.history.RecordReturn()
 	return nil
 }
 
@@ -142,7 +142,7 @@
 func (sum *summary) addCall(call judge.Call, faultsStarted time.Duration) {
 	sum.Calls++
 	if call.Kind != "" {
-		sum.BouncesByKind[fmt.Sprintf("%s of %s (%s) in second %d", call.Kind, call.Route, call.Reason, (call.Begun-faultsStarted)/time.Second)]++
+		sum.BouncesByKind[fmt.Sprintf("%s of %s (%s) in second %d", call.Kind, call.Route, call.Reason, (call.Started-faultsStarted)/time.Second)]++
 	}
 	switch {
 	case call.Broken != "":
@@ -169,8 +169,8 @@
 		}
 		sum.Executions += counts.Ran
 		sum.RepeatedExecutions += counts.Repeated
-		sum.RightParent += counts.TiedWell
-		sum.WrongParent += counts.TiedElse
+		sum.RightParent += counts.CorrectTrace
+		sum.WrongParent += counts.OtherTrace
 	}
 	learning, err := f.client.Odds(s)
 	if err != nil {
@@ -209,14 +209,14 @@
 			return err
 		}
 		for _, event := range events {
-			f.history.Fold(m.Name, event.Topic, event.Subject, event.Detail, mono-wall.Sub(event.At))
+			f.history.RecordEvent(m.Name, event.Topic, event.Subject, event.Detail, mono-wall.Sub(event.At))
 		}
 	}
 	for _, controller := range f.client.Controllers {
 		client := *f.client
 		client.Controllers = []string{controller}
-		reply, err := client.Show(s, 0)
-		f.history.ReadBack(controller, reply.GetSerial(), reply.GetSealed(), err)
+		reply, err := client.Bundle(s, 0)
+		f.history.RecordReadback(controller, reply.GetSerial(), reply.GetSealed(), err)
 	}
 	return nil
 }
@@ -231,7 +231,7 @@
 	for line := range bytes.Lines(body) {
 		var run judge.Run
 		if json.Unmarshal(line, &run) == nil {
-			f.history.Ran(run)
+			f.history.RecordRun(run)
 		}
 	}
 	return nil
@@ -257,10 +257,10 @@
 // check returns an error if the run broke a rule, gave a rule nothing to judge, or left too many
 // requests without a response: 99% must succeed, or 50% in a smoke run.
 func (s *summary) check(smoke bool) error {
-	if broken := judge.Broken(s.verdicts); len(broken) > 0 {
+	if broken := judge.Violations(s.verdicts); len(broken) > 0 {
 		return errors.Errorf("%d violations of the rules, the first: %s", len(broken), broken[0])
 	}
-	if vacuous := judge.Vacuous(s.verdicts, judge.RanTwice, judge.Whole, judge.Allowed, judge.InForce, judge.SlideBack, judge.OneAck, judge.ReadBack, judge.Returns); len(vacuous) > 0 {
+	if vacuous := judge.Vacuous(s.verdicts, judge.RunOnce, judge.WholeAnswers, judge.AllowedServices, judge.InForce, judge.NoRegression, judge.SingleAck, judge.Durability, judge.Recovery); len(vacuous) > 0 {
 		return errors.Errorf("the run has no observations to check these rules: %v", vacuous)
 	}
 	minPercent := 99
--- a/internal/command/standins/main.go
+++ b/internal/command/standins/main.go
@@ -89,8 +89,8 @@
 // run serves requests and reports to the node until a signal. It then reports that it is
 // leaving, and ends 2 s later.
 func (u *upstreamArgs) run(s base.Scope) error {
-	standIn := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, Reports: u.Reports}
-	if err := readJSON(u.Habits, &standIn.Habits); err != nil {
+	standIn := &standin.Upstream{Scope: s, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: u.Capacity, NodeAddress: u.Reports}
+	if err := readJSON(u.Habits, &standIn.Behaviors); err != nil {
 		return err
 	}
 	if u.Runs != "" {
@@ -100,13 +100,13 @@
 		}
 		defer file.Close()
 		standIn.History = judge.NewHistory(s.Clock)
-		standIn.History.Spill = file
+		standIn.History.RunLog = file
 	}
 	if err := standIn.Start(500 * time.Millisecond); err != nil {
 		return err
 	}
 	base.Signals(func() {
-		standIn.Leave()
+		standIn.AnnounceLeaving()
 		base.Await(s, 2*time.Second)
 		standIn.Kill()
 	}, func() {})
@@ -116,8 +116,8 @@
 // run sends requests and prints the results as JSON.
 func (v *visitorsArgs) run(s base.Scope) error {
 	history := judge.NewHistory(s.Clock)
-	standIn := &standin.Visitors{Scope: s, Name: v.Name, To: v.To, Rate: v.Rate, History: history}
-	if err := readJSON(v.Plan, &standIn.Habits); err != nil {
+	standIn := &standin.Clients{Scope: s, Name: v.Name, NodeAddress: v.To, Rate: v.Rate, History: history}
+	if err := readJSON(v.Plan, &standIn.Plan); err != nil {
 		return err
 	}
 	bounded, cancel := s.WithTimeout(time.Duration(v.Seconds) * time.Second)
--- a/internal/controlplane/propose_test.go
+++ b/internal/controlplane/propose_test.go
@@ -124,14 +124,14 @@
 		owner := f.ownerIndex()
 		for i := range f.controllers {
 			if i != owner {
-				f.controllers[i].disk.Fill(true)
+				f.controllers[i].disk.SetFull(true)
 			}
 		}
 		_, err := f.propose(owner, fullProposal(2, 1, "/half/"))
 		Expect(err).To(HaveOccurred())
 		f.kill(owner)
 		for _, k := range f.controllers {
-			k.disk.Fill(false)
+			k.disk.SetFull(false)
 		}
 		Expect(f.proposeUntilAnswered(owner+1, fullProposal(2, 1, "/rival/")).Kind).To(BeEmpty())
 		f.start(owner, false)
@@ -145,13 +145,13 @@
 		owner := f.ownerIndex()
 		for i := range f.controllers {
 			if i != owner {
-				f.controllers[i].disk.Fill(true)
+				f.controllers[i].disk.SetFull(true)
 			}
 		}
 		_, err := f.propose(owner, fullProposal(2, 1, "/half/"))
 		Expect(err).To(HaveOccurred())
 		for _, k := range f.controllers {
-			k.disk.Fill(false)
+			k.disk.SetFull(false)
 		}
 		Expect(f.eventuallyWithin(4*time.Second, func() bool {
 			same, settled := 0, f.controllers[0].server.configuration.Load()
@@ -282,7 +282,7 @@
 		newest := uint64(1)
 		for round, injectFault := range []func(k *controller) func(){
 			func(k *controller) func() { return k.disk.Stall() },
-			func(k *controller) func() { k.disk.Fill(true); return func() { k.disk.Fill(false) } },
+			func(k *controller) func() { k.disk.SetFull(true); return func() { k.disk.SetFull(false) } },
 		} {
 			owner := f.ownerIndex()
 			release := injectFault(f.controllers[owner])
--- a/internal/controlplane/replace_test.go
+++ b/internal/controlplane/replace_test.go
@@ -185,7 +185,7 @@
 		f.commitNext(0, &newest)
 		for i := range f.controllers {
 			f.powerLoss(i)
-			Expect(f.controllers[i].disk.Flip("state-")).NotTo(BeEmpty())
+			Expect(f.controllers[i].disk.FlipBits("state-")).NotTo(BeEmpty())
 			f.start(i, true)
 		}
 		time.Sleep(10 * time.Second)
@@ -200,7 +200,7 @@
 		newest := uint64(0)
 		f.commitNext(0, &newest)
 		f.powerLoss(1)
-		f.controllers[1].disk.Flip("state-")
+		f.controllers[1].disk.FlipBits("state-")
 		f.commitNext(0, &newest)
 		f.start(1, true)
 		f.expectVote(1)
@@ -286,7 +286,7 @@
 		newest := uint64(0)
 		f.commitNext(0, &newest)
 		for i := range f.controllers {
-			f.controllers[i].disk.Slow(5 * time.Millisecond)
+			f.controllers[i].disk.SetLatency(5 * time.Millisecond)
 		}
 		var all []time.Duration
 		for range 25 {
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -207,18 +207,18 @@
 }
 
 func (f *fleet) injectFullDisk(i int, wait func(ms int)) {
-	f.controllers[i].disk.Fill(true)
+	f.controllers[i].disk.SetFull(true)
 	wait(3000)
-	f.controllers[i].disk.Fill(false)
+	f.controllers[i].disk.SetFull(false)
 }
 
 func (f *fleet) injectSlowDisks(_ int, wait func(ms int)) {
 	for k := range f.controllers {
-		f.controllers[k].disk.Slow(time.Duration(f.scope.Rand.IntN(30)) * time.Millisecond)
+		f.controllers[k].disk.SetLatency(time.Duration(f.scope.Rand.IntN(30)) * time.Millisecond)
 	}
 	wait(3000)
 	for k := range f.controllers {
-		f.controllers[k].disk.Slow(0)
+		f.controllers[k].disk.SetLatency(0)
 	}
 }
 
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -48,7 +48,7 @@
 	mu           sync.Mutex
 	seed         uint64
 	startTime    time.Time
-	network      *simnet.World
+	network      *simnet.Network
 	controllers  []*controller
 	scope        base.Scope
 	client       *http.Client
@@ -61,7 +61,7 @@
 
 func newFleet(seed uint64, count int) *fleet {
 	f := &fleet{seed: seed, startTime: time.Now()}
-	f.network = simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
+	f.network = simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
 	f.scope = f.newScope("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.startTime))
 	f.client = httpserver.NewClient(f.scope)
 	for i := range count {
@@ -130,7 +130,7 @@
 
 func (f *fleet) end() {
 	for i := range f.controllers {
-		f.controllers[i].disk.Release()
+		f.controllers[i].disk.EndStall()
 		f.kill(i)
 	}
 	f.client.CloseIdleConnections()
--- a/internal/dataplane/connection/pool_test.go
+++ b/internal/dataplane/connection/pool_test.go
@@ -112,7 +112,7 @@
 		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
 		exchange(pool, address, false)
 		idle := pool.idle[address][0]
-		checks := &simulation.Tally{}
+		checks := &simulation.EventCounter{}
 		idle.conn = countingConn{idle.conn, checks}
 		pool.Sweep()
 		Expect(checks.Add("checks", 0)).To(BeZero())
@@ -126,7 +126,7 @@
 	})
 
 	simulation.It("given an idle connection that breaks before it takes a byte, when a request is written on it, then the request is sent once on a new connection", func(s *simulation.Simulation) {
-		requests := &simulation.Tally{}
+		requests := &simulation.EventCounter{}
 		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			requests.Add("asked", 1)
 			w.WriteHeader(http.StatusNoContent)
@@ -143,7 +143,7 @@
 	})
 
 	simulation.It("given a connection that breaks after a part of the request, when it is written, then the request may have run and is not sent again", func(s *simulation.Simulation) {
-		requests := &simulation.Tally{}
+		requests := &simulation.EventCounter{}
 		s.Serve(address, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { requests.Add("asked", 1) }))
 		pool := NewPool(s.Scope(clientIP).Net, s.Clock, poolIdleTimeout, time.Second, time.Second)
 		exchange(pool, address, true)
@@ -174,7 +174,7 @@
 // countingConn counts how often it is checked while it is idle.
 type countingConn struct {
 	net.Conn
-	checks *simulation.Tally
+	checks *simulation.EventCounter
 }
 
 func (c countingConn) Quiet() bool {
--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -25,7 +25,7 @@
 	scope        base.Scope
 	newestSerial *atomic.Uint64
 	handoutDelay time.Duration
-	requests     *simulation.Tally
+	requests     *simulation.EventCounter
 }
 
 func (c stubController) Hail(ctx context.Context, request *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error) {
@@ -44,8 +44,8 @@
 
 // startControllers starts stub controllers and returns their addresses, the serial of the newest configuration, and
 // a tally of the requests for configurations.
-func (s *testbed) startControllers(count int, handoutDelay time.Duration) (seeds []string, newestSerial *atomic.Uint64, requests *simulation.Tally) {
-	newestSerial, requests = &atomic.Uint64{}, &simulation.Tally{}
+func (s *testbed) startControllers(count int, handoutDelay time.Duration) (seeds []string, newestSerial *atomic.Uint64, requests *simulation.EventCounter) {
+	newestSerial, requests = &atomic.Uint64{}, &simulation.EventCounter{}
 	for i := range count {
 		ip := fmt.Sprintf("10.9.0.%d", i+1)
 		mux := http.NewServeMux()
@@ -78,7 +78,7 @@
 		time.Sleep(2 * time.Second)
 		newest.Store(2)
 		s.callFromPeersAhead(n, 60, 40*time.Millisecond)
-		took := s.Until(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
+		took := s.WaitUntil(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", time.Second), "time until the newer configuration was in force")
 	})
@@ -92,7 +92,7 @@
 		s.callFromPeersAhead(n, 300, 10*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		newest.Store(2)
-		took := s.Until(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
+		took := s.WaitUntil(5*time.Second, func() bool { return n.controlClient.Serial() == 2 })
 		s.Wait()
 		Expect(took).To(BeNumerically("<", 800*time.Millisecond), "time until the newer configuration was in force")
 	})
@@ -105,7 +105,7 @@
 		time.Sleep(2 * time.Second)
 		before := requests.Add("wants", 0)
 		newest.Store(2)
-		s.Until(3*time.Second, func() bool { return n.controlClient.Serial() == 2 })
+		s.WaitUntil(3*time.Second, func() bool { return n.controlClient.Serial() == 2 })
 		time.Sleep(time.Second)
 		Expect(n.controlClient.Serial()).To(Equal(uint64(2)))
 		Expect(requests.Add("wants", 0) - before).To(Equal(1))
--- a/internal/dataplane/controlclient/configuration_test.go
+++ b/internal/dataplane/controlclient/configuration_test.go
@@ -23,7 +23,7 @@
 
 	spec("given controllers with a majority, when a node starts, then its first configuration is confirmed within a few round trips", func(s *testbed) {
 		n := s.startNode(1, addresses(s.startControllers(3)))
-		Expect(s.Until(time.Second, n.Confirmed)).To(BeNumerically("<", 30*time.Millisecond))
+		Expect(s.WaitUntil(time.Second, n.Confirmed)).To(BeNumerically("<", 30*time.Millisecond))
 		Expect(n.Ready()).To(BeTrue())
 		Expect(n.Confirmed()).To(BeTrue())
 	})
@@ -35,7 +35,7 @@
 		}
 		s.World.SetBandwidth("10.9.1.1", 0.25e6/8)
 		n := s.startNode(1, addresses(all))
-		Expect(s.Until(30*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2))
+		Expect(s.WaitUntil(30*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2))
 		Expect(n.Table().Configuration().Routes).To(HaveLen(623))
 	})
 
@@ -46,10 +46,10 @@
 		}
 		s.World.SetBandwidth("10.9.1.1", 0.5e6/8)
 		n := s.startNode(1, addresses(all))
-		s.Until(10*time.Second, n.Confirmed)
+		s.WaitUntil(10*time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		setSerial(7, all...)
-		Expect(s.Until(30*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", inForce/4))
+		Expect(s.WaitUntil(30*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", inForce/4))
 	})
 
 	spec("given a controller without a majority that replies first, when a node starts, then it waits for the confirmed configuration of another controller", func(s *testbed) {
@@ -77,14 +77,14 @@
 		c := s.startController(1)
 		c.update(func() { c.nextReplyDelay = 900 * time.Millisecond })
 		n := s.startNode(1, addresses([]*fakeController{c}))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("~", 900*time.Millisecond, 60*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("~", 900*time.Millisecond, 60*time.Millisecond))
 	})
 
 	spec("given only a controller without a majority, when a node starts, then it serves the old configuration as unconfirmed after half the contact bound, and the new one as soon as there is a majority", func(s *testbed) {
 		c := s.startController(1)
 		removeMajority(c)
 		n := s.startNode(1, addresses([]*fakeController{c}))
-		waited := s.Until(5*time.Second, n.Ready)
+		waited := s.WaitUntil(5*time.Second, n.Ready)
 		Expect(waited).To(BeNumerically("~", 1500*time.Millisecond, 20*time.Millisecond))
 		Expect(n.Serial()).To(Equal(uint64(5)))
 		Expect(n.Confirmed()).To(BeFalse())
@@ -97,17 +97,17 @@
 		Expect(n.Confirmed()).To(BeFalse())
 		c.update(func() { Expect(c.configurationsSent).To(Equal(1), "the configuration is sent only once") })
 		c.update(func() { c.serial, c.hasMajority = 9, true })
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 9 && n.Confirmed() })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 9 && n.Confirmed() })).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
 	spec("given an unconfirmed configuration in force, when a majority confirms it, then it is marked confirmed without being sent again", func(s *testbed) {
 		c := s.startController(1)
 		removeMajority(c)
 		n := s.startNode(1, addresses([]*fakeController{c}))
-		s.Until(5*time.Second, n.Ready)
+		s.WaitUntil(5*time.Second, n.Ready)
 		table := n.Table()
 		c.update(func() { c.hasMajority = true })
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
 		Expect(n.Table()).To(BeIdenticalTo(table))
 	})
 
@@ -116,10 +116,10 @@
 		setSerial(9, c)
 		removeMajority(c)
 		n := s.startNode(1, addresses([]*fakeController{c}))
-		s.Until(5*time.Second, n.Ready)
+		s.WaitUntil(5*time.Second, n.Ready)
 		Expect(n.Serial()).To(Equal(uint64(9)))
 		c.update(func() { c.serial, c.hasMajority = 7, true })
-		s.Until(3*time.Second, n.Confirmed)
+		s.WaitUntil(3*time.Second, n.Confirmed)
 		Expect(n.Serial()).To(Equal(uint64(7)))
 	})
 
--- a/internal/dataplane/controlclient/directory_test.go
+++ b/internal/dataplane/controlclient/directory_test.go
@@ -21,7 +21,7 @@
 		removeMajority(all[:3]...)
 		setSerial(9, all[3:]...)
 		n := s.startNode(1, addresses(all[:3]))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2), "before it would serve an unconfirmed configuration")
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", contact/2), "before it would serve an unconfirmed configuration")
 		Expect(n.Serial()).To(Equal(uint64(9)))
 	})
 
@@ -34,11 +34,11 @@
 			}
 		}
 		n := s.startNode(1, addresses(all[:3]))
-		Expect(s.Until(3*time.Second, n.Confirmed)).To(BeNumerically("<", 50*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, n.Confirmed)).To(BeNumerically("<", 50*time.Millisecond))
 		setSerial(7, all[2:]...)
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 100*time.Millisecond))
 		reachable := addresses(all[2:])
-		Expect(s.Until(2*contact, func() bool {
+		Expect(s.WaitUntil(2*contact, func() bool {
 			return len(n.polledAddresses()) == 3 && containsAll(n.polledAddresses(), reachable)
 		})).To(BeNumerically("<", 2*contact))
 		time.Sleep(20 * time.Second)
@@ -48,14 +48,14 @@
 	spec("given five controllers, when two of the polled ones lose their majority, then the node polls the others within the contact bound and learns of changes in time", func(s *testbed) {
 		all := s.startControllers(5)
 		n := s.startNode(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(3 * time.Second)
 		for _, c := range all {
 			if containsAll([]string{c.address()}, n.polledAddresses()[:2]) {
 				removeMajority(c)
 			}
 		}
-		s.Until(contact, func() bool { return false })
+		s.WaitUntil(contact, func() bool { return false })
 		for _, c := range all {
 			c.update(func() {
 				if c.hasMajority {
@@ -63,8 +63,8 @@
 				}
 			})
 		}
-		Expect(s.Until(3*time.Second, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(s.Until(contact, func() bool {
+		Expect(s.WaitUntil(3*time.Second, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(contact, func() bool {
 			for _, c := range all {
 				if !c.hasMajority && containsAll([]string{c.address()}, n.polledAddresses()) {
 					return false
@@ -77,7 +77,7 @@
 	spec("given seven controllers, when all three polled ones lose their majority at once, then the node finds one with a majority within the contact bound", func(s *testbed) {
 		all := s.startControllers(7)
 		n := s.startNode(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		polled := n.polledAddresses()
 		for _, c := range all {
@@ -87,14 +87,14 @@
 				setSerial(9, c)
 			}
 		}
-		Expect(s.Until(3*contact, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", contact))
+		Expect(s.WaitUntil(3*contact, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", contact))
 	})
 
 	spec("given controllers that are replaced one after the other by ones at new addresses, when minutes pass, then running and newly started nodes poll the new ones", func(s *testbed) {
 		all := s.startControllers(3)
 		oldAddresses := addresses(all)
 		n := s.startNode(1, oldAddresses)
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		for turn := range 6 {
 			replacement := s.startController(10 + turn)
 			removed := all[0]
@@ -103,7 +103,7 @@
 			removed.server.Close()
 			time.Sleep(20 * time.Second)
 			setSerial(uint64(20+turn), all...)
-			Expect(s.Until(5*time.Second, func() bool { return n.Serial() == uint64(20+turn) })).To(BeNumerically("<", 100*time.Millisecond), "turn %d", turn)
+			Expect(s.WaitUntil(5*time.Second, func() bool { return n.Serial() == uint64(20+turn) })).To(BeNumerically("<", 100*time.Millisecond), "turn %d", turn)
 			Expect(n.polledAddresses()).To(ConsistOf(addresses(all)), "turn %d", turn)
 		}
 		n.sink.Enqueue(&wire.Span{Id: "late"})
@@ -115,14 +115,14 @@
 		}
 		Expect(spansStored).To(Equal(2), "spans are sent to the new controllers")
 		lateNode := s.startNode(2, []string{oldAddresses[0], oldAddresses[1], all[0].address()})
-		Expect(s.Until(contact, lateNode.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(s.Until(3*contact, func() bool { return containsAll(lateNode.polledAddresses(), addresses(all)) })).To(BeNumerically("<", 3*contact))
+		Expect(s.WaitUntil(contact, lateNode.Confirmed)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(s.WaitUntil(3*contact, func() bool { return containsAll(lateNode.polledAddresses(), addresses(all)) })).To(BeNumerically("<", 3*contact))
 	})
 
 	spec("given that all controllers have stopped, when new ones start at the seeds or the seeds are replaced, then the node finds them", func(s *testbed) {
 		all := s.startControllers(5)
 		n := s.startNode(1, addresses(all[:2]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(5 * time.Second)
 		for _, c := range all {
 			c.server.Close()
@@ -130,13 +130,13 @@
 		time.Sleep(time.Minute)
 		restarted := s.startController(1)
 		setSerial(7, restarted)
-		Expect(s.Until(time.Minute, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 5*contact))
+		Expect(s.WaitUntil(time.Minute, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 5*contact))
 		restarted.server.Close()
 		time.Sleep(time.Minute)
 		elsewhere := s.startController(40)
 		setSerial(9, elsewhere)
 		n.SetSeeds(addresses([]*fakeController{elsewhere}))
-		Expect(s.Until(time.Minute, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 2*contact))
+		Expect(s.WaitUntil(time.Minute, func() bool { return n.Serial() == 9 })).To(BeNumerically("<", 2*contact))
 	})
 
 	spec("given a list of very many controllers, when a node receives it, then it remembers a bounded number including the seeds, and polls three", func(s *testbed) {
@@ -147,7 +147,7 @@
 			}
 		})
 		n := s.startNode(1, addresses([]*fakeController{c}))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		for turn := range 6 {
 			time.Sleep(10 * time.Second)
 			c.update(func() {
@@ -199,7 +199,7 @@
 	spec("given that no controller has a majority, when time passes, then the node keeps polling at least one that replies", func(s *testbed) {
 		all := s.startControllers(5)
 		n := s.startNode(1, addresses(all[:3]))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		removeMajority(all...)
 		for _, c := range all[2:] {
 			c.server.Close()
--- a/internal/dataplane/controlclient/freshness_test.go
+++ b/internal/dataplane/controlclient/freshness_test.go
@@ -19,7 +19,7 @@
 		c.update(func() { c.reportsFreshness = true })
 	}
 	n = s.startNode(1, addresses(all))
-	s.Until(time.Second, n.Confirmed)
+	s.WaitUntil(time.Second, n.Confirmed)
 	return all, n
 }
 
@@ -68,12 +68,12 @@
 	spec("given three controllers whose replies to polls hang, when a newer configuration is acknowledged, then refreshes on separate connections bring it in force within the bound", func(s *testbed) {
 		all := s.startControllers(3)
 		n := s.startNode(1, addresses(all))
-		s.Until(time.Second, n.Confirmed)
+		s.WaitUntil(time.Second, n.Confirmed)
 		time.Sleep(3 * time.Second)
 		for _, c := range all {
 			c.update(func() { c.nextReplyDelay, c.serial = time.Minute, 7 })
 		}
-		Expect(s.Until(10*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 3*inForce/4))
+		Expect(s.WaitUntil(10*time.Second, func() bool { return n.Serial() == 7 })).To(BeNumerically("<", 3*inForce/4))
 	})
 
 	spec("given no controller with a majority, when the in-force bound has passed, then the node keeps serving, reports its configuration as stale and refreshes with backoff", func(s *testbed) {
--- a/internal/dataplane/fencing_test.go
+++ b/internal/dataplane/fencing_test.go
@@ -120,7 +120,7 @@
 	*testbed
 	clientNode, peerNode *Node
 	net                  *faultyNet
-	executions           simulation.Tally
+	executions           simulation.EventCounter
 	workTime             time.Duration
 	answerSize           int
 }
--- a/internal/dataplane/full_peer_test.go
+++ b/internal/dataplane/full_peer_test.go
@@ -15,8 +15,8 @@
 )
 
 var _ = ginkgo.Describe("a full queue", func() {
-	fullPeer := func(s *testbed) (node *Node, requests *simulation.Tally) {
-		node, requests = s.startNode(1, unreachableControllers), &simulation.Tally{}
+	fullPeer := func(s *testbed) (node *Node, requests *simulation.EventCounter) {
+		node, requests = s.startNode(1, unreachableControllers), &simulation.EventCounter{}
 		node.controlClient.Adopt(testConfiguration(1), true)
 		s.Serve("10.9.1.2:7002", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			requests.Add("asked", 1)
--- a/internal/dataplane/suite_test.go
+++ b/internal/dataplane/suite_test.go
@@ -34,7 +34,7 @@
 
 // itSimulated adds a spec that runs in a simulation with the usual network delay.
 func itSimulated(text string, spec func(s *testbed)) {
-	itSimulatedWithDelay(text, simulation.UsualDelay, spec)
+	itSimulatedWithDelay(text, simulation.DefaultDelay, spec)
 }
 
 // itSimulatedWithDelay is like itSimulated, with the given one-way network delay.
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -155,7 +155,7 @@
 		Expect(t.write(0, "one")).To(Succeed())
 		Expect(t.until(func() bool { _, entry := t.members[1].replica.store.Peek("key"); return entry != nil })).To(BeTrue())
 		t.kill(1)
-		Expect(t.members[1].disk.Flip("/v-")).NotTo(BeEmpty())
+		Expect(t.members[1].disk.FlipBits("/v-")).NotTo(BeEmpty())
 		t.raise(1)
 		Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
 		_, entry := t.members[1].replica.store.Peek("key")
@@ -178,7 +178,7 @@
 					newest = max(newest, name)
 				}
 			}
-			Expect(m.disk.Flip(newest)).To(HaveLen(1))
+			Expect(m.disk.FlipBits(newest)).To(HaveLen(1))
 			t.raise(1)
 			Expect(t.until(func() bool { return t.ready(1) })).To(BeTrue())
 			Expect(t.write(0, "newest")).To(Succeed())
@@ -231,11 +231,11 @@
 	story("given a full disk on the owner, when it changes a key, then it says so and acks nothing", func(t *threeReplicas) {
 		t.founded()
 		Expect(t.write(0, "one")).To(Succeed())
-		t.members[0].disk.Fill(true)
-		t.members[1].disk.Fill(true)
+		t.members[0].disk.SetFull(true)
+		t.members[1].disk.SetFull(true)
 		Expect(t.write(0, "two")).NotTo(Succeed())
-		t.members[0].disk.Fill(false)
-		t.members[1].disk.Fill(false)
+		t.members[0].disk.SetFull(false)
+		t.members[1].disk.SetFull(false)
 		Expect(t.write(0, "three")).To(Succeed())
 	})
 
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -35,7 +35,7 @@
 }
 
 type threeReplicas struct {
-	world   *simnet.World
+	world   *simnet.Network
 	seed    uint64
 	born    time.Time
 	members [3]*member
@@ -46,7 +46,7 @@
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
 func newThreeReplicas(seed uint64) *threeReplicas {
-	t := &threeReplicas{seed: seed, born: time.Now(), world: simnet.NewWorld(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	t := &threeReplicas{seed: seed, born: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range t.members {
 		t.members[i] = &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))}
 		t.raise(i)
--- a/internal/statestore/crash_test.go
+++ b/internal/statestore/crash_test.go
@@ -52,20 +52,20 @@
 
 // runProcess opens the disk and saves savesPerRun states, starting with serial first, until a crash. decide returns the
 // outcome of each disk write by its number. The returned history includes this process.
-func runProcess(t *testing.T, history diskHistory, first uint64, decide func(point int) simnet.Outcome) diskHistory {
+func runProcess(t *testing.T, history diskHistory, first uint64, decide func(point int) simnet.WriteOutcome) diskHistory {
 	t.Helper()
-	faults := &simnet.Faults{Disk: history.disk, Decide: decide}
+	faults := &simnet.FaultyDisk{Disk: history.disk, Decide: decide}
 	store := openWithRetries(t, faults, &history)
 	if store != nil {
 		history.saveStates(store, faults, first)
 	}
-	history.writePoints = faults.Points()
+	history.writePoints = faults.Writes()
 	return history
 }
 
 // openWithRetries opens the store, or returns nil if all attempts fail. It checks the state that is loaded and then
 // expects only that one.
-func openWithRetries(t *testing.T, faults *simnet.Faults, history *diskHistory) *Store {
+func openWithRetries(t *testing.T, faults *simnet.FaultyDisk, history *diskHistory) *Store {
 	t.Helper()
 	for range maxOpenAttempts {
 		store, state, err := open(faults, discardEvents, smallLimits)
@@ -78,14 +78,14 @@
 			history.possibleStates, history.stateLost = []*wire.ReplicaState{state}, false
 			return store
 		}
-		if !errors.Is(err, simnet.ErrRefused) && !errors.Is(err, simnet.ErrCrashed) {
+		if !errors.Is(err, simnet.ErrWriteFailed) && !errors.Is(err, simnet.ErrCrashed) {
 			t.Fatal(err)
 		}
 	}
 	return nil
 }
 
-func (h *diskHistory) saveStates(store *Store, faults *simnet.Faults, first uint64) {
+func (h *diskHistory) saveStates(store *Store, faults *simnet.FaultyDisk, first uint64) {
 	for serial := first; serial < first+savesPerRun && !faults.Crashed(); serial++ {
 		state := testState(serial)
 		if store.Save(state) == nil {
@@ -160,7 +160,7 @@
 func (h *diskHistory) checkCrashOutcomes(t *testing.T, seed uint64, maxSubsets int, scenario string) (checked int) {
 	t.Helper()
 	h.checkDisk(t, h.disk.Clone(random.Seeded(seed)), scenario+", killed")
-	unsynced := h.disk.Unsynced()
+	unsynced := h.disk.UnsyncedEntries()
 	subsets := subsetsOf(unsynced, maxSubsets, seed)
 	for _, subset := range subsets {
 		disk := h.disk.Clone(random.Seeded(seed ^ subset))
@@ -198,29 +198,29 @@
 	return 1
 }
 
-func succeedAlways(int) simnet.Outcome { return simnet.Done }
+func succeedAlways(int) simnet.WriteOutcome { return simnet.WriteSucceeds }
 
 // outcomesAt returns outcome for one write, outcome2 for another, and success for all others.
-func outcomesAt(point int, outcome simnet.Outcome, point2 int, outcome2 simnet.Outcome) func(int) simnet.Outcome {
-	return func(each int) simnet.Outcome {
+func outcomesAt(point int, outcome simnet.WriteOutcome, point2 int, outcome2 simnet.WriteOutcome) func(int) simnet.WriteOutcome {
+	return func(each int) simnet.WriteOutcome {
 		switch each {
 		case point:
 			return outcome
 		case point2:
 			return outcome2
 		}
-		return simnet.Done
+		return simnet.WriteSucceeds
 	}
 }
 
-var crashOutcomes = []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter}
+var crashOutcomes = []simnet.WriteOutcome{simnet.CrashBefore, simnet.CrashAfter}
 
 func TestCrashAtEachWriteKeepsTheLastSavedState(t *testing.T) {
 	points := runProcess(t, newHistory(newDisk(1)), 0, succeedAlways).writePoints
 	checked := 0
 	for point := range points {
 		for _, crash := range crashOutcomes {
-			history := runProcess(t, newHistory(newDisk(uint64(point))), 0, outcomesAt(point, crash, -1, simnet.Done))
+			history := runProcess(t, newHistory(newDisk(uint64(point))), 0, outcomesAt(point, crash, -1, simnet.WriteSucceeds))
 			checked += history.checkCrashOutcomes(t, uint64(point), maxSubsets, fmt.Sprintf("crash outcome %d at write %d", crash, point))
 		}
 	}
@@ -232,7 +232,7 @@
 	points := runProcess(t, newHistory(newDisk(1)), 0, succeedAlways).writePoints
 	checked := 0
 	for failed := 0; failed < points; failed += failureStride() {
-		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
+		for _, failure := range []simnet.WriteOutcome{simnet.WriteFails, simnet.WriteFailsAfterEffect, simnet.WriteTorn} {
 			for point := failed + 1; point < min(failed+window, points); point++ {
 				history := runProcess(t, newHistory(newDisk(uint64(point))), 0, outcomesAt(failed, failure, point, simnet.CrashAfter))
 				checked += history.checkCrashOutcomes(t, uint64(failed), maxSampledSubsets, fmt.Sprintf("failure %d at write %d, crash at write %d", failure, failed, point))
@@ -263,10 +263,10 @@
 }
 
 // randomFailures makes a random ratio of the writes fail, singly or several in a row, until a crash.
-func randomFailures(rng *rand.Rand) func(int) simnet.Outcome {
+func randomFailures(rng *rand.Rand) func(int) simnet.WriteOutcome {
 	failureRatio, crashPoint, moreFailures := rng.Float64()/3, rng.IntN(90), 0
-	failures := []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn}
-	return func(point int) simnet.Outcome {
+	failures := []simnet.WriteOutcome{simnet.WriteFails, simnet.WriteFailsAfterEffect, simnet.WriteTorn}
+	return func(point int) simnet.WriteOutcome {
 		if point == crashPoint {
 			return crashOutcomes[rng.IntN(len(crashOutcomes))]
 		}
@@ -278,7 +278,7 @@
 			moreFailures = rng.IntN(5)
 			return failures[rng.IntN(len(failures))]
 		}
-		return simnet.Done
+		return simnet.WriteSucceeds
 	}
 }
 
@@ -289,7 +289,7 @@
 	for i := range 3 {
 		constructors[fmt.Sprintf("flipped bit in file %d", i)] = func() *simnet.Disk {
 			disk, names := newSavedDisk(t)
-			disk.Flip(names[i])
+			disk.FlipBits(names[i])
 			return disk
 		}
 	}
@@ -312,7 +312,7 @@
 	for name, damage := range damagedDisks(t) {
 		points := runProcess(t, newDamagedHistory(damage()), first, succeedAlways).writePoints
 		for point := 0; point < points; point += failureStride() {
-			for _, outcome := range []simnet.Outcome{simnet.CrashBefore, simnet.CrashAfter, simnet.Refused, simnet.Unknown, simnet.Torn} {
+			for _, outcome := range []simnet.WriteOutcome{simnet.CrashBefore, simnet.CrashAfter, simnet.WriteFails, simnet.WriteFailsAfterEffect, simnet.WriteTorn} {
 				history := runProcess(t, newDamagedHistory(damage()), first, outcomesAt(point, outcome, point+3, simnet.CrashAfter))
 				checked += history.checkCrashOutcomes(t, uint64(point), maxSampledSubsets, fmt.Sprintf("%s, outcome %d at write %d", name, outcome, point))
 			}
@@ -341,7 +341,7 @@
 	disk := newDisk(1)
 	store, _ := mustOpen(t, disk)
 	mustSave(t, store, testState(1))
-	disk.Fill(true)
+	disk.SetFull(true)
 	for serial := range uint64(5) {
 		if store.Save(testState(2+serial)) == nil {
 			t.Fatal("Save succeeded on a full disk")
@@ -352,7 +352,7 @@
 	}
 	_, state := mustOpen(t, disk)
 	expectState(t, state, testState(1))
-	disk.Fill(false)
+	disk.SetFull(false)
 	mustSave(t, store, testState(9))
 	_, state = mustOpen(t, disk)
 	expectState(t, state, testState(9))
@@ -360,14 +360,14 @@
 
 func TestLostStateIsReportedWhileTheDiskIsFull(t *testing.T) {
 	disk, names := newSavedDisk(t)
-	disk.Flip(names[2])
-	disk.Fill(true)
+	disk.FlipBits(names[2])
+	disk.SetFull(true)
 	store := expectUnreadable(t, disk)
 	if store.Save(testState(50)) == nil {
 		t.Fatal("Save succeeded on a full disk")
 	}
 	expectUnreadable(t, disk)
-	disk.Fill(false)
+	disk.SetFull(false)
 	mustSave(t, store, testState(50))
 	_, state := mustOpen(t, disk)
 	expectState(t, state, testState(50))
@@ -392,7 +392,7 @@
 		{"snapshot after a failed change", testState(2), unrelated, changeKind},
 		{"change after a failed change", testState(2), testState(3), changeKind},
 	} {
-		for _, failure := range []simnet.Outcome{simnet.Refused, simnet.Unknown, simnet.Torn} {
+		for _, failure := range []simnet.WriteOutcome{simnet.WriteFails, simnet.WriteFailsAfterEffect, simnet.WriteTorn} {
 			for point, failed := 0, true; failed; point++ {
 				failed = saveAfterFailure(t, each.name, each.first, each.second, each.kind, point, failure)
 			}
@@ -402,16 +402,16 @@
 
 // saveAfterFailure makes the write with the given number fail in the first Save. It returns whether that Save returned an
 // error; it does not if it makes fewer writes, or ignores the failure of this one.
-func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want fileKind, point int, failure simnet.Outcome) bool {
+func saveAfterFailure(t *testing.T, name string, first, second *wire.ReplicaState, want fileKind, point int, failure simnet.WriteOutcome) bool {
 	t.Helper()
 	disk := newDisk(uint64(point))
-	faults := &simnet.Faults{Disk: disk, Decide: succeedAlways}
+	faults := &simnet.FaultyDisk{Disk: disk, Decide: succeedAlways}
 	store, _, err := open(faults, discardEvents, limits{maxChangesPerSnapshot: 100, maxChangesRatio: 1, maxRemovalsPerSave: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	mustSave(t, store, testState(1))
-	faults.Decide = outcomesAt(faults.Points()+point, failure, -1, simnet.Done)
+	faults.Decide = outcomesAt(faults.Writes()+point, failure, -1, simnet.WriteSucceeds)
 	failed := store.Save(first) != nil
 	if written := store.Stats().Snapshots - 1; !failed && (written == 1) != (want == snapshotKind) {
 		t.Fatalf("%s: %d snapshots written, want the first Save to write a %s", name, written, want)
--- a/internal/testing/judge/check.go
+++ b/internal/testing/judge/check.go
@@ -13,34 +13,34 @@
 
 // The names of the rules.
 const (
-	// RanTwice: no request other than GET runs twice.
-	RanTwice = "ran twice"
+	// RunOnce: no request other than GET runs twice.
+	RunOnce = "ran twice"
 	// NotRun: a request told as not run didn't run.
 	NotRun = "not run"
-	// Whole: answers are complete and of the right request.
-	Whole = "whole answers"
-	// Allowed: a request runs only at a service that a signed bundle routes it
+	// WholeAnswers: answers are complete and of the right request.
+	WholeAnswers = "whole answers"
+	// AllowedServices: a request runs only at a service that a signed bundle routes it
 	// to.
-	Allowed = "allowed services"
+	AllowedServices = "allowed services"
 	// InForce: a confirmed bundle is in force everywhere in time.
 	InForce = "in force"
-	// SlideBack: nobody goes back to an older bundle.
-	SlideBack = "slide back"
-	// OneAck: a submission has one outcome, and a serial number one submission.
-	OneAck = "one ack a base"
+	// NoRegression: nobody goes back to an older bundle.
+	NoRegression = "slide back"
+	// SingleAck: a submission has one outcome, and a serial number one submission.
+	SingleAck = "one ack a base"
 	// BouncedOut: what was refused is never in force.
-	RejectedOut = "bounced stay out"
-	// LeavingOff: a leaving upstream gets no new requests after a while.
-	LeavingOff = "leaving"
-	// Stops: a planned stop breaks no request.
-	Stops = "planned stops"
+	RejectedNotInForce = "bounced stay out"
+	// LeavingUpstreams: a leaving upstream gets no new requests after a while.
+	LeavingUpstreams = "leaving"
+	// PlannedStops: a planned stop breaks no request.
+	PlannedStops = "planned stops"
 	// Repeats: repeats stay within their ratio and allowance.
 	Repeats = "repeats"
-	// ReadBack: the newest confirmed bundle is read back whole after a disk
+	// Durability: the newest confirmed bundle is read back whole after a disk
 	// loss.
-	ReadBack = "read back"
-	// Returns: after a return, service is back in time.
-	Returns = "returns"
+	Durability = "read back"
+	// Recovery: after a return, service is back in time.
+	Recovery = "returns"
 )
 
 // account is a history being judged by one rule.
@@ -51,10 +51,10 @@
 }
 
 func (a *account) found(format string, args ...any) {
-	a.verdict.Found = append(a.verdict.Found, fmt.Sprintf(format, args...))
+	a.verdict.Violations = append(a.verdict.Violations, fmt.Sprintf(format, args...))
 }
 
-func (a *account) judged() { a.verdict.Judged++ }
+func (a *account) judged() { a.verdict.Checked++ }
 
 // Check judges the history by all rules and returns a verdict for each.
 func Check(h *History, bounds Bounds) []Verdict {
@@ -65,19 +65,19 @@
 		name  string
 		judge func(*account)
 	}{
-		{RanTwice, ranTwice},
+		{RunOnce, ranTwice},
 		{NotRun, notRun},
-		{Whole, wholeAnswers},
-		{Allowed, allowedServices},
+		{WholeAnswers, wholeAnswers},
+		{AllowedServices, allowedServices},
 		{InForce, inForce},
-		{SlideBack, slideBack},
-		{OneAck, oneAck},
-		{RejectedOut, rejectedOut},
-		{LeavingOff, leavingOff},
-		{Stops, plannedStops},
+		{NoRegression, slideBack},
+		{SingleAck, oneAck},
+		{RejectedNotInForce, rejectedOut},
+		{LeavingUpstreams, leavingOff},
+		{PlannedStops, plannedStops},
 		{Repeats, repeats},
-		{ReadBack, readBack},
-		{Returns, returned},
+		{Durability, readBack},
+		{Recovery, returned},
 	}
 	verdicts := make([]Verdict, len(rules))
 	for i, rule := range rules {
@@ -87,11 +87,11 @@
 	return verdicts
 }
 
-// Broken returns all violations, each with its rule's name.
-func Broken(verdicts []Verdict) []string {
+// Violations returns all violations, each with its rule's name.
+func Violations(verdicts []Verdict) []string {
 	var broken []string
 	for _, verdict := range verdicts {
-		for _, each := range verdict.Found {
+		for _, each := range verdict.Violations {
 			broken = append(broken, verdict.Rule+": "+each)
 		}
 	}
@@ -102,7 +102,7 @@
 func Vacuous(verdicts []Verdict, wanted ...string) []string {
 	var vacuous []string
 	for _, verdict := range verdicts {
-		if verdict.Judged == 0 && slices.Contains(wanted, verdict.Rule) {
+		if verdict.Checked == 0 && slices.Contains(wanted, verdict.Rule) {
 			vacuous = append(vacuous, verdict.Rule)
 		}
 	}
--- a/internal/testing/judge/history.go
+++ b/internal/testing/judge/history.go
@@ -24,18 +24,18 @@
 
 // History collects what was seen of a fleet. It is safe for concurrent use.
 type History struct {
-	// Spill, if set, takes runs as JSON lines in place of the history.
-	Spill     io.Writer
+	// RunLog, if set, takes runs as JSON lines in place of the history.
+	RunLog    io.Writer
 	clock     base.Clock
 	mu        sync.Mutex
 	runs      []Run
 	calls     []Call
 	acks      []Ack
 	sent      []Sent
-	dials     []Dial
-	readings  []Reading
+	dials     []FailedDial
+	readings  []Sample
 	readbacks []Readback
-	spells    []*Spell
+	spells    []*Disturbance
 	returns   []time.Duration
 	signed    map[string]signed
 }
@@ -60,58 +60,58 @@
 // Now returns the clock's reading.
 func (h *History) Now() time.Duration { return h.clock.Mono() }
 
-// Ran notes that a request arrived at an upstream. A nil history ignores it.
-func (h *History) Ran(run Run) {
+// RecordRun notes that a request arrived at an upstream. A nil history ignores it.
+func (h *History) RecordRun(run Run) {
 	if h == nil {
 		return
 	}
 	if run.At == 0 {
 		run.At = h.Now()
 	}
-	if h.Spill != nil {
+	if h.RunLog != nil {
 		line, _ := json.Marshal(run)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		_, _ = h.Spill.Write(append(line, '\n'))
+		_, _ = h.RunLog.Write(append(line, '\n'))
 		return
 	}
 	note(h, &h.runs, run)
 }
 
-// Called notes a request as its visitor saw it.
-func (h *History) Called(call Call) { note(h, &h.calls, call) }
+// RecordCall notes a request as its visitor saw it.
+func (h *History) RecordCall(call Call) { note(h, &h.calls, call) }
 
-// Acked notes an outcome as an operator was told it.
-func (h *History) Acked(outcome *wire.Outcome) {
+// RecordOutcome notes an outcome as an operator was told it.
+func (h *History) RecordOutcome(outcome *wire.Outcome) {
 	note(h, &h.acks, Ack{At: h.Now(), Submission: outcome.GetSubmission(), Verdict: outcome.GetVerdict(), Serial: outcome.GetSerial()})
 }
 
-// Sent notes that a node sent a request under a bundle.
-func (h *History) Sent(sent Sent) { note(h, &h.sent, sent) }
+// RecordSent notes that a node sent a request under a bundle.
+func (h *History) RecordSent(sent Sent) { note(h, &h.sent, sent) }
 
-// Dialled notes a failed dial of an attempt.
-func (h *History) Dialled(dial Dial) { note(h, &h.dials, dial) }
+// RecordFailedDial notes a failed dial of an attempt.
+func (h *History) RecordFailedDial(dial FailedDial) { note(h, &h.dials, dial) }
 
-// Fold takes what concerns the rules out of a node's journal.
-func (h *History) Fold(node, topic, subject, detail string, at time.Duration) {
+// RecordEvent takes what concerns the rules out of a node's journal.
+func (h *History) RecordEvent(node, topic, subject, detail string, at time.Duration) {
 	switch topic {
 	case "handed":
 		_, last, _ := strings.Cut(detail, " under ")
 		serial, _ := strconv.ParseUint(last, 10, 64)
 		if serial > 0 {
-			h.Sent(Sent{At: at, Node: node, Serial: serial})
+			h.RecordSent(Sent{At: at, Node: node, Serial: serial})
 		}
 	case "dial-failed":
 		ordinal, _ := strconv.Atoi(detail)
-		h.Dialled(Dial{At: at, Service: subject, Ordinal: ordinal})
+		h.RecordFailedDial(FailedDial{At: at, Service: subject, Attempt: ordinal})
 	}
 }
 
-// Read notes a sample of what a node would serve.
-func (h *History) Read(reading Reading) { note(h, &h.readings, reading) }
+// RecordSample notes a sample of what a node would serve.
+func (h *History) RecordSample(reading Sample) { note(h, &h.readings, reading) }
 
-// ReadBack notes what a disk had of the bundle, or the error.
-func (h *History) ReadBack(disk string, serial uint64, sealed *wire.Sealed, err error) {
+// RecordReadback notes what a disk had of the bundle, or the error.
+func (h *History) RecordReadback(disk string, serial uint64, sealed *wire.Sealed, err error) {
 	row := Readback{At: h.Now(), Disk: disk, Serial: serial, Body: whole(sealed)}
 	if err != nil {
 		row.Reason = err.Error()
@@ -119,22 +119,22 @@
 	note(h, &h.readbacks, row)
 }
 
-// Returned notes that all machines are back from now on.
-func (h *History) Returned() { note(h, &h.returns, h.Now()) }
+// RecordReturn notes that all machines are back from now on.
+func (h *History) RecordReturn() { note(h, &h.returns, h.Now()) }
 
-// Spell notes the begin of a trouble or a planned stop; end notes its end.
-func (h *History) Spell(node, cause string, planned bool) (end func()) {
-	spell := &Spell{Node: node, Cause: cause, Planned: planned, From: h.Now(), Till: -1}
+// RecordDisturbance notes the begin of a trouble or a planned stop; end notes its end.
+func (h *History) RecordDisturbance(node, cause string, planned bool) (end func()) {
+	spell := &Disturbance{Node: node, Cause: cause, Planned: planned, From: h.Now(), Until: -1}
 	note(h, &h.spells, spell)
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		spell.Till = h.clock.Mono()
+		spell.Until = h.clock.Mono()
 	}
 }
 
-// Signed notes a bundle that an operator handed in under a submission.
-func (h *History) Signed(submission string, sealed *wire.Sealed) {
+// RecordSigned notes a bundle that an operator handed in under a submission.
+func (h *History) RecordSigned(submission string, sealed *wire.Sealed) {
 	row := signed{digest: bundle.Digest(sealed), body: whole(sealed)}
 	if raw, fault := bundle.Decode(sealed); fault == nil {
 		row.base, row.bundle = raw.Base, bundle.Index(sealed, raw)
--- a/internal/testing/judge/rows.go
+++ b/internal/testing/judge/rows.go
@@ -11,8 +11,8 @@
 	At      time.Duration
 	ID      string
 	Service string
-	// Seat is the upstream's address.
-	Seat string
+	// Address is the upstream's address.
+	Address string
 	// Serial is the bundle that the request was sent under.
 	Serial uint64
 	// Leaving is set if the upstream had said, at Left, that it is leaving.
@@ -29,10 +29,10 @@
 	Route   string
 	Group   string
 	// Via is the node that it was sent to.
-	Via    string
-	Begun  time.Duration
-	Ended  time.Duration
-	Status int
+	Via     string
+	Started time.Duration
+	Ended   time.Duration
+	Status  int
 	// Outcome is what the mesh said of a request it refused: "not-run" or
 	// "unknown"; empty for an upstream's answer.
 	Outcome string
@@ -41,9 +41,9 @@
 	Reason string
 	// Broken tells what was wrong with the answer, if anything.
 	Broken string
-	// Again is the answer's Retry-After.
-	Again string
-	Trace string
+	// RetryAfter is the answer's Retry-After.
+	RetryAfter string
+	Trace      string
 }
 
 // Answered reports whether an upstream's answer came whole.
@@ -64,17 +64,17 @@
 	Serial uint64
 }
 
-// Dial is a failed dial for an attempt; Ordinal counts a request's attempts
+// FailedDial is a failed dial for an attempt; Ordinal counts a request's attempts
 // from 0.
-type Dial struct {
+type FailedDial struct {
 	At      time.Duration
 	Service string
-	Ordinal int
+	Attempt int
 }
 
-// Reading is a sample of a node: the bundle it holds, whether it would serve,
+// Sample is a sample of a node: the bundle it holds, whether it would serve,
 // and whether nothing troubles the fleet (Calm).
-type Reading struct {
+type Sample struct {
 	At     time.Duration
 	Node   string
 	Serial uint64
@@ -92,12 +92,12 @@
 	Reason string
 }
 
-// Spell is the time of a trouble or a planned stop. Till is negative while it
+// Disturbance is the time of a trouble or a planned stop. Till is negative while it
 // lasts.
-type Spell struct {
+type Disturbance struct {
 	Node    string
 	Cause   string
 	Planned bool
 	From    time.Duration
-	Till    time.Duration
+	Until   time.Duration
 }
--- a/internal/testing/judge/rules.go
+++ b/internal/testing/judge/rules.go
@@ -12,7 +12,7 @@
 		}
 		a.judged()
 		if seen[run.ID] {
-			a.found("%s %s at %s", run.ID, run.Path, run.Seat)
+			a.found("%s %s at %s", run.ID, run.Path, run.Address)
 		}
 		seen[run.ID] = true
 	}
--- a/internal/testing/judge/rules_config.go
+++ b/internal/testing/judge/rules_config.go
@@ -49,7 +49,7 @@
 
 // readingInForce judges a sample taken late after ack. That a node serves
 // nothing though all is calm is told once a node.
-func (a *account) readingInForce(ack Ack, reading Reading, told map[string]bool) {
+func (a *account) readingInForce(ack Ack, reading Sample, told map[string]bool) {
 	a.judged()
 	switch {
 	case reading.Ready && reading.Serial < ack.Serial:
@@ -103,7 +103,7 @@
 			continue
 		}
 		a.judged()
-		if at-seen.first[newer] > a.SlideBack {
+		if at-seen.first[newer] > a.RegressionGrace {
 			a.found("%s under %d, %s after %d was seen", what, serial, at-seen.first[newer], newer)
 		}
 	}
--- a/internal/testing/judge/rules_repeats.go
+++ b/internal/testing/judge/rules_repeats.go
@@ -53,27 +53,27 @@
 	}
 	worst, dials := 0.0, 0
 	for _, dial := range a.dials {
-		if dial.Ordinal > 0 {
+		if dial.Attempt > 0 {
 			dials++
 		}
 	}
 	for service, arrivals := range services {
 		worst = max(worst, a.repeatsOf(service, arrivals))
 	}
-	a.verdict.Remark = fmt.Sprintf("(most above a fifth: %.1f; failed dials of further attempts, not bound: %d)", worst, dials)
+	a.verdict.Note = fmt.Sprintf("(most above a fifth: %.1f; failed dials of further attempts, not bound: %d)", worst, dials)
 }
 
 // repeatsOf judges a service's arrivals up to the first violation, and returns
 // the most repeats above the ratio.
 func (a *account) repeatsOf(service string, arrivals []arrival) (worst float64) {
 	allowance := a.allowance(service)
-	counted := &window{span: a.Window}
+	counted := &window{span: a.RepeatWindow}
 	for _, last := range arrivals {
 		if last.again {
 			a.judged()
 		}
 		counted.add(last)
-		over := float64(counted.again) - a.Repeats*float64(counted.firsts)
+		over := float64(counted.again) - a.RepeatRatio*float64(counted.firsts)
 		worst = max(worst, over)
 		if over > allowance {
 			a.found("%s: %d repeats of %d first requests, allowance %.0f, at %s", service, counted.again, counted.firsts, allowance, last.at)
--- a/internal/testing/judge/rules_stops.go
+++ b/internal/testing/judge/rules_stops.go
@@ -13,14 +13,14 @@
 			continue
 		}
 		a.judged()
-		if run.At-run.Left > a.Leaving {
-			a.found("%s at %s, %s after it said so", run.ID, run.Seat, run.At-run.Left)
+		if run.At-run.Left > a.LeavingGrace {
+			a.found("%s at %s, %s after it said so", run.ID, run.Address, run.At-run.Left)
 		}
 	}
 }
 
-func (s Spell) overlaps(from, till time.Duration) bool {
-	return s.From <= till && (s.Till < 0 || s.Till >= from)
+func (s Disturbance) overlaps(from, till time.Duration) bool {
+	return s.From <= till && (s.Until < 0 || s.Until >= from)
 }
 
 func plannedStops(a *account) {
@@ -39,10 +39,10 @@
 
 // plannedOnly returns the last planned stop during a call, or nil if there was
 // none, or trouble too.
-func (a *account) plannedOnly(call Call) *Spell {
-	var planned *Spell
+func (a *account) plannedOnly(call Call) *Disturbance {
+	var planned *Disturbance
 	for _, spell := range a.spells {
-		if !spell.overlaps(call.Begun, call.Ended) {
+		if !spell.overlaps(call.Started, call.Ended) {
 			continue
 		}
 		if !spell.Planned {
@@ -65,7 +65,7 @@
 	for i := range a.returns {
 		slowest = max(slowest, a.returnedSince(a.returns[i], a.untilTrouble(i)))
 	}
-	a.verdict.Remark = fmt.Sprintf("(a quarter back within %s)", slowest)
+	a.verdict.Note = fmt.Sprintf("(a quarter back within %s)", slowest)
 }
 
 // untilTrouble returns when the time after a return ends: at the next return
@@ -91,7 +91,7 @@
 		if asked[at] < fewest {
 			continue
 		}
-		short := float64(got[at]) < a.Quarter*float64(asked[at])
+		short := float64(got[at]) < a.MinAnswered*float64(asked[at])
 		since := time.Duration(at) * stretch
 		if short {
 			slowest = max(slowest, since+stretch)
@@ -110,10 +110,10 @@
 // them that were answered. The last stretch before until is left out.
 func (a *account) answers(back, until time.Duration) (asked, got []int) {
 	for _, call := range a.calls {
-		if call.Begun < back || call.Begun >= until-stretch {
+		if call.Started < back || call.Started >= until-stretch {
 			continue
 		}
-		at := int((call.Begun - back) / stretch)
+		at := int((call.Started - back) / stretch)
 		for at >= len(asked) {
 			asked, got = append(asked, 0), append(got, 0)
 		}
--- a/internal/testing/judge/verdict.go
+++ b/internal/testing/judge/verdict.go
@@ -8,21 +8,21 @@
 // Verdict is what a rule found.
 type Verdict struct {
 	Rule string
-	// Judged is how many things the rule applied to.
-	Judged int
-	// Found are the violations.
-	Found []string
-	// Remark is a figure worth knowing beside.
-	Remark string
+	// Checked is how many things the rule applied to.
+	Checked int
+	// Violations are the violations.
+	Violations []string
+	// Note is a figure worth knowing beside.
+	Note string
 }
 
 // String returns the verdict in one line.
 func (v Verdict) String() string {
 	switch {
-	case v.Judged == 0:
+	case v.Checked == 0:
 		return v.Rule + ": saw nothing to judge"
-	case len(v.Found) > 0:
-		return fmt.Sprintf("%s: broken %d times in %d; first %s", v.Rule, len(v.Found), v.Judged, v.Found[0])
+	case len(v.Violations) > 0:
+		return fmt.Sprintf("%s: broken %d times in %d; first %s", v.Rule, len(v.Violations), v.Checked, v.Violations[0])
 	}
-	return strings.TrimSpace(fmt.Sprintf("%s: kept, %d judged %s", v.Rule, v.Judged, v.Remark))
+	return strings.TrimSpace(fmt.Sprintf("%s: kept, %d judged %s", v.Rule, v.Checked, v.Note))
 }
--- a/internal/testing/knownred/gotest.go
+++ b/internal/testing/knownred/gotest.go
@@ -20,28 +20,28 @@
 // suiteStart is what ginkgo prints when a Go test runs a suite of specs.
 const suiteStart = "Running Suite:"
 
-// GoTest is a test function in a package of the module.
-type GoTest struct {
+// TestFunction is a test function in a package of the module.
+type TestFunction struct {
 	// Package is the package's folder, from the module's root.
 	Package string
 	Name    string
 }
 
-// GoTest returns the test function that the entry names, or false if it names
+// TestFunction returns the test function that the entry names, or false if it names
 // a ginkgo spec.
-func (e Entry) GoTest() (GoTest, bool) {
+func (e Entry) TestFunction() (TestFunction, bool) {
 	parts := goTestName.FindStringSubmatch(e.Test)
 	if parts == nil {
-		return GoTest{}, false
+		return TestFunction{}, false
 	}
-	return GoTest{Package: parts[1], Name: parts[2]}, true
+	return TestFunction{Package: parts[1], Name: parts[2]}, true
 }
 
 // goTests groups the listed test functions by package.
 func goTests(entries []Entry) map[string][]string {
 	names := map[string][]string{}
 	for _, entry := range entries {
-		if test, ok := entry.GoTest(); ok {
+		if test, ok := entry.TestFunction(); ok {
 			names[test.Package] = append(names[test.Package], test.Name)
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // runGoTest runs a listed test function and tells how it ended.
-func runGoTest(entry Entry, test GoTest, out io.Writer) (Verdict, error) {
+func runGoTest(entry Entry, test TestFunction, out io.Writer) (Verdict, error) {
 	var events bytes.Buffer
 	command := exec.Command("go", "test", "-count=1", "-json", "-run=^"+test.Name+"$", "./"+test.Package)
 	command.Stdout, command.Stderr = &events, out
@@ -81,13 +81,13 @@
 	if err := command.Run(); err != nil && !errors.As(err, &exit) {
 		return Verdict{}, errors.Wrap(err, "starting go test")
 	}
-	return JudgeGoTest(entry, test, &events, out)
+	return TestFunctionVerdict(entry, test, &events, out)
 }
 
-// JudgeGoTest reads the events of "go test -json" and copies the test's output
+// TestFunctionVerdict reads the events of "go test -json" and copies the test's output
 // to out. It returns an error unless exactly one test of that name ran to an
 // end, or if the test runs a suite of specs: of these, single ones are listed.
-func JudgeGoTest(entry Entry, test GoTest, events io.Reader, out io.Writer) (Verdict, error) {
+func TestFunctionVerdict(entry Entry, test TestFunction, events io.Reader, out io.Writer) (Verdict, error) {
 	verdict, ran := Verdict{Entry: entry}, 0
 	lines := bufio.NewScanner(events)
 	lines.Buffer(nil, 1<<20)
--- a/internal/testing/knownred/gotest_test.go
+++ b/internal/testing/knownred/gotest_test.go
@@ -10,14 +10,14 @@
 
 var _ = ginkgo.Describe("a listed test function", func() {
 	entry := Entry{Test: "internal/replica.TestTerms", Cause: "a term is used twice", Issue: "issue 17"}
-	test := GoTest{Package: "internal/replica", Name: "TestTerms"}
+	test := TestFunction{Package: "internal/replica", Name: "TestTerms"}
 
 	ginkgo.It("given a function and a spec, when they are told apart, then only the function is one", func() {
-		got, ok := entry.GoTest()
+		got, ok := entry.TestFunction()
 		Expect(ok).To(BeTrue())
 		Expect(got).To(Equal(test))
 		for _, text := range []string{listed.Test, "TestTerms", "internal/replica.terms", "internal/replica. TestTerms", "../replica.TestTerms"} {
-			_, ok := Entry{Test: text}.GoTest()
+			_, ok := Entry{Test: text}.TestFunction()
 			Expect(ok).To(BeFalse(), text)
 		}
 	})
@@ -25,7 +25,7 @@
 	ginkgo.DescribeTable("given its events, when it is judged, then its end is told",
 		func(events string, failed bool) {
 			var out bytes.Buffer
-			verdict, err := JudgeGoTest(entry, test, strings.NewReader(events), &out)
+			verdict, err := TestFunctionVerdict(entry, test, strings.NewReader(events), &out)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(verdict.Failed).To(Equal(failed))
 			Expect(out.String()).To(Equal("told\n"))
@@ -36,7 +36,7 @@
 
 	ginkgo.DescribeTable("given events without one result of it, when it is judged, then CI fails",
 		func(events, reason string) {
-			_, err := JudgeGoTest(entry, test, strings.NewReader(events), &bytes.Buffer{})
+			_, err := TestFunctionVerdict(entry, test, strings.NewReader(events), &bytes.Buffer{})
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		ginkgo.Entry("no such function", `{"Action":"pass"}`, "0 tests"),
--- a/internal/testing/knownred/knownred_test.go
+++ b/internal/testing/knownred/knownred_test.go
@@ -60,7 +60,7 @@
 
 	ginkgo.DescribeTable("given a run of the listed test, when it is judged, then its end is told",
 		func(state types.SpecState, failed bool, line string) {
-			verdict, err := Judge(listed, []types.Report{reportOf(types.SpecStateFailed, nil, "another"), reportOf(state, []string{"a lease"}, strings.TrimPrefix(listed.Test, "a lease "))})
+			verdict, err := SpecVerdict(listed, []types.Report{reportOf(types.SpecStateFailed, nil, "another"), reportOf(state, []string{"a lease"}, strings.TrimPrefix(listed.Test, "a lease "))})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(verdict.Failed).To(Equal(failed))
 			Expect(verdict.String()).To(HavePrefix(line))
@@ -73,7 +73,7 @@
 
 	ginkgo.DescribeTable("given a run without one result of the listed test, when it is judged, then CI fails",
 		func(reports ...types.Report) {
-			_, err := Judge(listed, reports)
+			_, err := SpecVerdict(listed, reports)
 			Expect(err).To(MatchError(ContainSubstring("want 1")))
 		},
 		ginkgo.Entry("no such test", reportOf(types.SpecStatePassed, nil, "another")),
--- a/internal/testing/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -60,7 +60,7 @@
 // printSkips prints ginkgo's flags.
 func printSkips(entries []Entry, out io.Writer) error {
 	for _, entry := range entries {
-		if _, ok := entry.GoTest(); !ok {
+		if _, ok := entry.TestFunction(); !ok {
 			fmt.Fprintln(out, "--skip="+entry.Pattern())
 		}
 	}
@@ -86,7 +86,7 @@
 	var specs []Entry
 	var verdicts []Verdict
 	for _, entry := range entries {
-		test, ok := entry.GoTest()
+		test, ok := entry.TestFunction()
 		if !ok {
 			specs = append(specs, entry)
 			continue
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	for _, entry := range entries {
-		verdict, err := Judge(entry, reports)
+		verdict, err := SpecVerdict(entry, reports)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testing/knownred/verdict.go
+++ b/internal/testing/knownred/verdict.go
@@ -21,10 +21,10 @@
 	return fmt.Sprintf("KNOWN RED PASSES, take it off the list: %s (%s)", v.Entry.Test, v.Entry.Issue)
 }
 
-// Judge looks an entry up in the reports of a run. It returns an error unless
+// SpecVerdict looks an entry up in the reports of a run. It returns an error unless
 // exactly one spec of that text ran to an end: a line that names no test, or
 // several, must not pass over anything.
-func Judge(entry Entry, reports []types.Report) (Verdict, error) {
+func SpecVerdict(entry Entry, reports []types.Report) (Verdict, error) {
 	verdict := Verdict{Entry: entry}
 	ran := 0
 	for _, report := range reports {
--- a/internal/testing/listedfleet/answers_test.go
+++ b/internal/testing/listedfleet/answers_test.go
@@ -16,7 +16,7 @@
 
 func sound(f *Fleet, wanted ...string) {
 	verdicts := judge.Check(f.History, f.Bounds())
-	Expect(judge.Broken(verdicts)).To(BeEmpty(), f.Story)
+	Expect(judge.Violations(verdicts)).To(BeEmpty(), f.Story)
 	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Story)
 }
 
@@ -30,16 +30,16 @@
 	return seats
 }
 
-func (f *Fleet) ask(m *Machine, habit standin.Habitual, id string) judge.Call {
+func (f *Fleet) ask(m *Machine, habit standin.PlannedRequest, id string) judge.Call {
 	s := f.scope("asker "+id, m.IP, m.Disk, m.Clock, m.Journal)
-	call := (&standin.Visitors{Scope: s, To: m.At(visitorsPort)}).Ask(s, habit, id)
-	f.History.Called(call)
+	call := (&standin.Clients{Scope: s, NodeAddress: m.At(visitorsPort)}).Send(s, habit, id)
+	f.History.RecordCall(call)
 	return call
 }
 
 var (
-	hold   = standin.Habitual{Service: "lending", Route: "hold", Method: "POST", Path: "/lending/hold/7"}
-	report = standin.Habitual{Service: "catalogue", Route: "report", Method: "GET", Path: "/catalogue/report/7"}
+	hold   = standin.PlannedRequest{Service: "lending", Route: "hold", Method: "POST", Path: "/lending/hold/7"}
+	report = standin.PlannedRequest{Service: "catalogue", Route: "report", Method: "GET", Path: "/catalogue/report/7"}
 )
 
 func (f *Fleet) tally(calls []judge.Call) map[string]int {
@@ -58,7 +58,7 @@
 }
 
 var _ = ginkgo.Describe("answers", func() {
-	for _, fault := range []standin.Fault{standin.LoseAfter, standin.Truncate, standin.Garble, standin.Overlong, standin.Unframed, standin.Nonsense} {
+	for _, fault := range []standin.Fault{standin.CloseUnanswered, standin.Truncate, standin.Corrupt, standin.ExtraBody, standin.NoLength, standin.InvalidHTTP} {
 		story(fmt.Sprintf("given upstreams that %s their answers, when a hold is asked, then it runs once and nothing but a whole answer is relayed", fault), []uint64{1, 2}, func(f *Fleet) {
 			raised(f)
 			for _, u := range f.seatsOf("lending") {
@@ -67,13 +67,13 @@
 			for i := range 12 {
 				call := f.ask(f.Vanes[i%len(f.Vanes)], hold, fmt.Sprintf("hold-%d", i))
 				Expect(call.Broken).To(BeEmpty())
-				if fault == standin.Overlong {
+				if fault == standin.ExtraBody {
 					Expect(call.Status).To(Equal(200))
 					continue
 				}
 				Expect(call.Outcome).To(Equal("unknown"))
 				Expect(call.Status).To(Equal(502))
-				Expect(call.Ended-call.Begun).To(BeNumerically("<", time.Second), "a request given up on is answered at once")
+				Expect(call.Ended-call.Started).To(BeNumerically("<", time.Second), "a request given up on is answered at once")
 			}
 			sound(f)
 		})
@@ -81,7 +81,7 @@
 
 	story("given one upstream that loses answers, when searches are asked, then repeats find another within their bound", []uint64{1, 2, 3}, func(f *Fleet) {
 		raised(f)
-		f.seatsOf("catalogue")[0].SetFault(standin.LoseAfter)
+		f.seatsOf("catalogue")[0].SetFault(standin.CloseUnanswered)
 		f.Visit(80)
 		f.Pass(15 * time.Second)
 		f.Leave()
@@ -93,7 +93,7 @@
 	story("given every upstream losing answers, when the crowd comes, then repeats stay within a fifth and the allowance", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
 		for _, u := range f.seatsOf("catalogue") {
-			u.SetFault(standin.LoseAfter)
+			u.SetFault(standin.CloseUnanswered)
 		}
 		f.Visit(100)
 		f.Pass(15 * time.Second)
@@ -103,7 +103,7 @@
 	})
 
 	story("given a long answer, when its upstream breaks off midway, then the visitor cannot take it for whole", []uint64{1}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/catalogue/report", Base: 5, Size: 3 << 20}}
+		f.Habits = []standin.Behavior{{Prefix: "/catalogue/report", MinDelay: 5, FillerBytes: 3 << 20}}
 		f.Tune = func(p *wire.VaneParams) { p.Held = 64 << 10 }
 		raised(f)
 		Expect(f.ask(f.Vanes[1], report, "whole").Broken).To(BeEmpty())
@@ -112,14 +112,14 @@
 		}
 		Expect(f.ask(f.Vanes[1], report, "torn").Broken).To(HavePrefix("torn"))
 		for _, u := range f.seatsOf("catalogue") {
-			u.SetFault(standin.Garble)
+			u.SetFault(standin.Corrupt)
 		}
 		Expect(f.ask(f.Vanes[1], report, "garbled").Broken).To(HavePrefix("torn"))
 		sound(f)
 	})
 
 	story("given little room in memory, when many bodies and long answers come at once, then room is never overdrawn, some are turned back, and the rest are whole", []uint64{1, 2}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/catalogue/report", Base: 20, Size: 300 << 10}, {Prefix: "/lending", Base: 200}}
+		f.Habits = []standin.Behavior{{Prefix: "/catalogue/report", MinDelay: 20, FillerBytes: 300 << 10}, {Prefix: "/lending", MinDelay: 200}}
 		f.Tune = func(p *wire.VaneParams) { p.Room = 1 << 20 }
 		raised(f)
 		statuses := make(chan int, 40)
@@ -148,13 +148,13 @@
 		}
 		f.Pass(time.Second)
 		Expect(f.Vanes[0].Node.Node.Sizes()["room"]).To(BeZero(), "all room is given back")
-		sound(f, judge.Whole)
+		sound(f, judge.WholeAnswers)
 	})
 
 	story("given a slow upstream, when a hold's deadline passes, then the answer is unknown and the hold never runs again", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
 		for _, u := range f.seatsOf("lending") {
-			u.SetFault(standin.Stuck)
+			u.SetFault(standin.Hang)
 		}
 		call := f.ask(f.Vanes[0], hold, "stuck")
 		Expect(call.Outcome).To(Equal("unknown"))
@@ -165,7 +165,7 @@
 
 	story("given no route, seat or room, when asked, then the bounce promises not run and says when to come back", []uint64{1}, func(f *Fleet) {
 		raised(f)
-		Expect(f.ask(f.Vanes[0], standin.Habitual{Method: "GET", Path: "/nowhere"}, "nowhere").Status).To(Equal(404))
+		Expect(f.ask(f.Vanes[0], standin.PlannedRequest{Method: "GET", Path: "/nowhere"}, "nowhere").Status).To(Equal(404))
 		for _, u := range f.seatsOf("lending") {
 			u.Kill()
 		}
@@ -182,7 +182,7 @@
 		raised(f)
 		f.Visit(80)
 		f.Pass(3 * time.Second)
-		f.seatsOf("lending")[0].Leave()
+		f.seatsOf("lending")[0].AnnounceLeaving()
 		f.Pass(6 * time.Second)
 		f.Leave()
 		sound(f)
@@ -196,7 +196,7 @@
 			f.Cut(controller, f.Vanes[0])
 		}
 		f.Pass(time.Second)
-		f.seatsOf("lending")[1].Leave()
+		f.seatsOf("lending")[1].AnnounceLeaving()
 		f.Pass(6 * time.Second)
 		f.Leave()
 		sound(f)
@@ -212,7 +212,7 @@
 			f.ask(f.Vanes[0], hold, fmt.Sprint("zone-", i))
 		}
 		Expect(near.Counts().Ran).To(BeNumerically(">=", 38))
-		near.Leave()
+		near.AnnounceLeaving()
 		f.Pass(time.Second)
 		ran := near.Counts().Ran
 		for i := range 20 {
@@ -242,11 +242,11 @@
 		raised(f)
 		home := f.Vanes[2]
 		for _, u := range f.seatsOf("lending") {
-			u.Leave()
+			u.AnnounceLeaving()
 		}
 		for round := range 25 {
-			first := &standin.Upstream{Scope: f.scope(fmt.Sprint("first ", round), home.IP, home.Disk, home.Clock, home.Journal), Service: "lending", Address: home.At(8100 + round), Zone: home.Zone, Capacity: 16, Reports: home.At(upstreamsPort), History: f.History}
-			second := &standin.Upstream{Scope: f.scope(fmt.Sprint("second ", round), home.IP, home.Disk, home.Clock, home.Journal), Service: "catalogue", Address: first.Address, Zone: home.Zone, Capacity: 16, Reports: "10.9.0.99:1", History: f.History}
+			first := &standin.Upstream{Scope: f.scope(fmt.Sprint("first ", round), home.IP, home.Disk, home.Clock, home.Journal), Service: "lending", Address: home.At(8100 + round), Zone: home.Zone, Capacity: 16, NodeAddress: home.At(upstreamsPort), History: f.History}
+			second := &standin.Upstream{Scope: f.scope(fmt.Sprint("second ", round), home.IP, home.Disk, home.Clock, home.Journal), Service: "catalogue", Address: first.Address, Zone: home.Zone, Capacity: 16, NodeAddress: "10.9.0.99:1", History: f.History}
 			Expect(first.Start(time.Hour)).To(Succeed())
 			f.Pass(time.Duration(round*int(f.Seed)*3) * time.Microsecond)
 			first.Kill()
@@ -277,7 +277,7 @@
 		first := f.seatsOf("lending")[0]
 		home := f.Vanes[1]
 		first.Drain()
-		second := &standin.Upstream{Scope: first.Scope, Service: "catalogue", Address: first.Address, Reports: "10.9.0.99:1", Capacity: 16, Zone: home.Zone, History: f.History}
+		second := &standin.Upstream{Scope: first.Scope, Service: "catalogue", Address: first.Address, NodeAddress: "10.9.0.99:1", Capacity: 16, Zone: home.Zone, History: f.History}
 		Expect(second.Start(time.Hour)).To(Succeed())
 		defer second.Kill()
 		for i := range 20 {
--- a/internal/testing/listedfleet/doors_test.go
+++ b/internal/testing/listedfleet/doors_test.go
@@ -101,6 +101,6 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 7*time.Second), "a body that never ends is given up on by the deadline")
 		Expect(f.Ready(f.Every())).To(BeTrue())
 		Expect(f.ask(m, hold, "after all").Status).To(Equal(200))
-		sound(f, judge.RanTwice)
+		sound(f, judge.RunOnce)
 	})
 })
--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -72,7 +72,7 @@
 type Fleet struct {
 	Scope   base.Scope
 	Seed    uint64
-	World   *simnet.World
+	World   *simnet.Network
 	Keels   []*Machine
 	Vanes   []*Machine
 	Seats   []*standin.Upstream
@@ -85,8 +85,8 @@
 	Clerk    *listedcore.Client
 	// Shape is the first bundle to sign.
 	Shape  *wire.Bundle
-	Habits []standin.Habit
-	Plan   []standin.Habitual
+	Habits []standin.Behavior
+	Plan   []standin.PlannedRequest
 	// Tune and TuneKeel, if set, change the params that processes start with.
 	Tune           func(*wire.VaneParams)
 	TuneController func(*wire.KeelParams)
@@ -105,7 +105,7 @@
 func New(seed uint64, shape *wire.Bundle) *Fleet {
 	f := &Fleet{Seed: seed, Shape: proto.Clone(shape).(*wire.Bundle), born: time.Now()}
 	zones := map[string]string{}
-	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
+	f.World = simnet.NewNetwork(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return nearby
@@ -137,7 +137,7 @@
 	for _, m := range f.Every() {
 		m.Journal.Subscribe(tap{f.History, m.Name})
 	}
-	f.Clerk = &listedcore.Client{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, Signed: f.History.Signed}
+	f.Clerk = &listedcore.Client{HTTPClient: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, OnSigned: f.History.RecordSigned}
 	s, cancel := f.Scope.WithCancel()
 	f.sampling = cancel
 	go f.sample(s)
@@ -147,7 +147,7 @@
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
-	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
+	return f.World.NewScope(f.Seed, name, ip, disk, clock, journal)
 }
 
 // Raise starts a machine's process.
@@ -207,13 +207,13 @@
 
 func (f *Fleet) down(m *Machine, cause string) {
 	if m.cancel != nil {
-		m.back = f.History.Spell(m.Name, cause, false)
+		m.back = f.History.RecordDisturbance(m.Name, cause, false)
 	}
 }
 
 // Stop ends a machine's process as planned.
 func (f *Fleet) Stop(m *Machine) {
-	end := f.History.Spell(m.Name, "stop", true)
+	end := f.History.RecordDisturbance(m.Name, "stop", true)
 	m.stopping.Store(true)
 	defer m.stopping.Store(false)
 	switch {
@@ -247,7 +247,9 @@
 }
 
 // Trouble notes in the history that a trouble begins; end notes its end.
-func (f *Fleet) Trouble(name, cause string) (end func()) { return f.History.Spell(name, cause, false) }
+func (f *Fleet) Trouble(name, cause string) (end func()) {
+	return f.History.RecordDisturbance(name, cause, false)
+}
 
 func (f *Fleet) kill(m *Machine, silent bool) {
 	if m.cancel == nil {
@@ -275,7 +277,7 @@
 func (f *Fleet) Seat(m *Machine, service string, port, capacity int) (*standin.Upstream, error) {
 	u := &standin.Upstream{
 		Scope:   f.scope(fmt.Sprintf("%s %s %d %d", m.Name, service, port, len(f.Seats)), m.IP, m.Disk, m.Clock, m.Journal),
-		Service: service, Address: m.At(port), Zone: m.Zone, Capacity: capacity, Reports: m.At(upstreamsPort), Habits: f.Habits, History: f.History,
+		Service: service, Address: m.At(port), Zone: m.Zone, Capacity: capacity, NodeAddress: m.At(upstreamsPort), Behaviors: f.Habits, History: f.History,
 	}
 	f.Seats = append(f.Seats, u)
 	return u, u.Start(reportEvery)
@@ -288,7 +290,7 @@
 	f.visiting = cancel
 	for _, m := range f.Vanes {
 		each := f.scope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal)
-		visitors := &standin.Visitors{Scope: each, Name: m.Name, To: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Habits: f.Plan, History: f.History}
+		visitors := &standin.Clients{Scope: each, Name: m.Name, NodeAddress: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Plan: f.Plan, History: f.History}
 		f.crew.Go(func() { visitors.Run(each.WithContext(s)) })
 	}
 }
@@ -312,7 +314,7 @@
 	for _, m := range f.Every() {
 		f.kill(m, false)
 	}
-	f.Clerk.Web.CloseIdleConnections()
+	f.Clerk.HTTPClient.CloseIdleConnections()
 	f.World.Close()
 	time.Sleep(time.Minute)
 }
@@ -334,7 +336,7 @@
 // Ready reports whether all of the machines that run are ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
-		if m.Controller != nil && !m.Controller.Helm.Ready() || m.Node != nil && !m.Node.Node.Ready() {
+		if m.Controller != nil && !m.Controller.ControlPlane.Ready() || m.Node != nil && !m.Node.Node.Ready() {
 			return false
 		}
 	}
@@ -356,7 +358,7 @@
 func (f *Fleet) Apply(submission string, request *wire.DraftRequest) (*wire.Outcome, error) {
 	outcome, err := f.Clerk.Apply(f.Scope, submission, request, f.Key)
 	if err == nil {
-		f.History.Acked(outcome)
+		f.History.RecordOutcome(outcome)
 	}
 	return outcome, err
 }
@@ -368,7 +370,7 @@
 }
 
 // Bounds returns the bounds to judge by.
-func (f *Fleet) Bounds() judge.Bounds { return judge.Brief() }
+func (f *Fleet) Bounds() judge.Bounds { return judge.DefaultBounds() }
 
 // Every returns all machines.
 func (f *Fleet) Every() []*Machine { return append(append([]*Machine{}, f.Vanes...), f.Keels...) }
--- a/internal/testing/listedfleet/lens_test.go
+++ b/internal/testing/listedfleet/lens_test.go
@@ -14,8 +14,8 @@
 func (f *Fleet) holder() (*Machine, *wire.Learning) {
 	learning := &wire.Learning{}
 	for _, m := range f.Keels {
-		if m.Controller != nil && m.Controller.Helm.Learning().GetCycle() > learning.Cycle {
-			learning = m.Controller.Helm.Learning()
+		if m.Controller != nil && m.Controller.ControlPlane.Learning().GetCycle() > learning.Cycle {
+			learning = m.Controller.ControlPlane.Learning()
 		}
 	}
 	for _, m := range f.Keels {
@@ -63,7 +63,7 @@
 		raised(f)
 		f.Visit(60)
 		f.Pass(6 * time.Second)
-		held := f.Vanes[0].Node.Node.Keeper().Serial()
+		held := f.Vanes[0].Node.Node.Sampler().Serial()
 		Expect(held).To(BeNumerically(">", 0))
 		for _, m := range f.Keels {
 			for _, node := range f.Vanes {
@@ -76,9 +76,9 @@
 		f.Leave()
 		for _, call := range f.History.Calls()[before:] {
 			Expect(call.Status).To(Equal(200), call.Kind)
-			Expect(call.Ended - call.Begun).To(BeNumerically("<", 500*time.Millisecond))
+			Expect(call.Ended - call.Started).To(BeNumerically("<", 500*time.Millisecond))
 		}
-		keeper := f.Vanes[0].Node.Node.Keeper()
+		keeper := f.Vanes[0].Node.Node.Sampler()
 		Expect(keeper.Probability("catalogue/search")).To(BeNumerically("<", 1))
 		Expect(keeper.Probability("catalogue/never-seen")).To(Equal(1.0))
 		sound(f)
@@ -99,11 +99,11 @@
 		{"have nothing, and are let together", false, false, true, 0, 0},
 	} {
 		story("given further calls that "+mode.name+", when several are in flight, then none is tied to a wrong parent", []uint64{1, 2}, func(f *Fleet) {
-			f.Habits = []standin.Habit{
-				{Prefix: "/lending/borrow", Base: 20, Swing: 20, Size: 50, Calls: []string{"GET /catalogue/licences/{last}"}, Passes: mode.passes},
-				{Prefix: "/catalogue/licences", Base: 5, Swing: 10, Size: 50},
+			f.Habits = []standin.Behavior{
+				{Prefix: "/lending/borrow", MinDelay: 20, Jitter: 20, FillerBytes: 50, Calls: []string{"GET /catalogue/licences/{last}"}, PropagatesTrace: mode.passes},
+				{Prefix: "/catalogue/licences", MinDelay: 5, Jitter: 10, FillerBytes: 50},
 			}
-			f.Plan = []standin.Habitual{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Part: 1}}
+			f.Plan = []standin.PlannedRequest{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Weight: 1}}
 			for _, route := range f.Shape.Services[1].Routes {
 				if route.Name == "borrow" {
 					route.Together = mode.together
@@ -120,15 +120,15 @@
 			right, other, ambiguous := 0, 0, uint64(0)
 			for _, u := range f.Seats {
 				counts := u.Counts()
-				right += counts.TiedWell
-				other += counts.TiedElse
+				right += counts.CorrectTrace
+				other += counts.OtherTrace
 			}
 			for _, m := range f.Vanes {
 				ambiguous += m.Journal.Counts()["ambiguous"]
 			}
 			waits := time.Duration(0)
 			for _, call := range f.History.Calls() {
-				waits += call.Ended - call.Begun
+				waits += call.Ended - call.Started
 			}
 			ginkgo.GinkgoWriter.Printf("MEASURE ties, %s: right %d, else %d, ambiguous %d, mean call %s\n", mode.name, right, other, ambiguous, waits/time.Duration(len(f.History.Calls())))
 			Expect(uint64(other)).To(Equal(ambiguous), "a call not tied to its parent is recorded as ambiguous, never as another's")
@@ -141,14 +141,14 @@
 
 var _ = ginkgo.Describe("fair shares", func() {
 	story("given one group that floods, when another asks its usual, then the other keeps its part and spare room is used", []uint64{1, 2, 3}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/catalogue", Base: 40, Size: 50}}
-		f.Plan = []standin.Habitual{
-			{Service: "catalogue", Route: "search", Group: "patrons", Method: "GET", Path: "/catalogue/search?q={n}", Part: 1},
-			{Service: "catalogue", Route: "report", Group: "librarians", Method: "GET", Path: "/catalogue/report/{n}", Part: 9},
+		f.Habits = []standin.Behavior{{Prefix: "/catalogue", MinDelay: 40, FillerBytes: 50}}
+		f.Plan = []standin.PlannedRequest{
+			{Service: "catalogue", Route: "search", Group: "patrons", Method: "GET", Path: "/catalogue/search?q={n}", Weight: 1},
+			{Service: "catalogue", Route: "report", Group: "librarians", Method: "GET", Path: "/catalogue/report/{n}", Weight: 9},
 		}
 		raised(f)
 		for _, u := range f.Seats {
-			u.Resize(4)
+			u.SetCapacity(4)
 		}
 		f.Pass(time.Second)
 		f.Visit(600)
--- a/internal/testing/listedfleet/life_test.go
+++ b/internal/testing/listedfleet/life_test.go
@@ -22,7 +22,7 @@
 		kind := "vane "
 		if m.Controller != nil {
 			kind = "keel "
-			for name, size := range m.Controller.Helm.Sizes() {
+			for name, size := range m.Controller.ControlPlane.Sizes() {
 				note(kind+name, size)
 			}
 		}
@@ -69,7 +69,7 @@
 					guest, err = f.Seat(f.Vanes[int(serial)%4], name, port, 4)
 					Expect(err).NotTo(HaveOccurred())
 					f.Pass(2 * time.Second)
-					f.ask(f.Vanes[0], standin.Habitual{Service: name, Route: "r", Method: "GET", Path: "/" + name + "/r"}, name)
+					f.ask(f.Vanes[0], standin.PlannedRequest{Service: name, Route: "r", Method: "GET", Path: "/" + name + "/r"}, name)
 					m := f.Every()[int(serial)%7]
 					f.Stop(m)
 					Expect(f.Raise(m)).To(Succeed())
--- a/internal/testing/listedfleet/rollout_test.go
+++ b/internal/testing/listedfleet/rollout_test.go
@@ -45,7 +45,7 @@
 		return outcome != nil
 	})
 	Expect(outcome).NotTo(BeNil(), "an unknown outcome resolves once the core is back")
-	f.History.Acked(outcome)
+	f.History.RecordOutcome(outcome)
 	return outcome
 }
 
@@ -164,7 +164,7 @@
 			clerk := *f.Clerk
 			clerk.Controllers = clerk.Controllers[i : i+1]
 			outcomes[i], _ = clerk.Apply(f.Scope, fmt.Sprint("race-", i), &wire.DraftRequest{Base: 1, Change: nudge(float64(2 + i))}, f.Key)
-			f.History.Acked(outcomes[i])
+			f.History.RecordOutcome(outcomes[i])
 		})
 		verdicts := []wire.Verdict{outcomes[0].Verdict, outcomes[1].Verdict}
 		Expect(verdicts).To(ConsistOf(wire.Verdict_TAKEN, wire.Verdict_BOUNCED))
@@ -200,7 +200,7 @@
 	})
 
 	story("given a slow request under way, when a bundle rolls out, then it is neither dropped nor handed over under the older", []uint64{1, 2}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/catalogue/report", Base: 3000, Size: 2000}}
+		f.Habits = []standin.Behavior{{Prefix: "/catalogue/report", MinDelay: 3000, FillerBytes: 2000}}
 		raised(f)
 		done := make(chan judge.Call, 1)
 		go func() { done <- f.ask(f.Vanes[1], report, "slow") }()
@@ -234,16 +234,16 @@
 		f.Leave()
 		var late []judge.Call
 		for _, call := range f.History.Calls() {
-			if call.Begun > back+5*time.Second {
+			if call.Started > back+5*time.Second {
 				late = append(late, call)
 			}
 		}
 		Expect(f.tally(late)["answered"]).To(BeNumerically(">", len(late)*9/10))
 		sound(f)
-		reply, err := f.Clerk.Show(f.Scope, 0)
+		reply, err := f.Clerk.Bundle(f.Scope, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Serial).To(Equal(uint64(2)))
-		Expect(f.Until(5*time.Second, func() bool { return lost.Controller.Helm.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
+		Expect(f.Until(5*time.Second, func() bool { return lost.Controller.ControlPlane.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
 	})
 
 	story("given power lost right after an ack, when the owner's disk is gone, then the newest bundle reads back whole", []uint64{1, 2, 3}, func(f *Fleet) {
@@ -258,7 +258,7 @@
 		}
 		var reply *wire.BundleReply
 		Expect(f.Until(10*time.Second, func() bool {
-			got, err := f.Clerk.Show(f.Scope, 2)
+			got, err := f.Clerk.Bundle(f.Scope, 2)
 			reply = got
 			return err == nil
 		})).To(BeTrue())
@@ -317,7 +317,7 @@
 		if taken.Verdict == wire.Verdict_UNKNOWN {
 			taken = f.resolve("majority")
 		}
-		f.History.Acked(taken)
+		f.History.RecordOutcome(taken)
 		f.Pass(3 * time.Second)
 		f.World.HealAll()
 		f.resolve("lonely")
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -38,7 +38,7 @@
 func raise(f *Fleet, m *Machine) func() {
 	return func() {
 		if m.cancel == nil {
-			m.Disk.Release()
+			m.Disk.EndStall()
 			Expect(f.Raise(m)).To(Succeed())
 		}
 	}
@@ -58,7 +58,7 @@
 	{"wipe", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Controller.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.ControlPlane.Ready() {
 				return func() {}
 			}
 		}
@@ -127,14 +127,14 @@
 	}},
 	{"faulty upstream", func(f *Fleet, rand *random.Source) func() {
 		u := f.Seats[rand.IntN(len(f.Seats))]
-		faults := []standin.Fault{standin.LoseAfter, standin.Truncate, standin.Garble, standin.Unframed, standin.Stuck, standin.Nonsense}
+		faults := []standin.Fault{standin.CloseUnanswered, standin.Truncate, standin.Corrupt, standin.NoLength, standin.Hang, standin.InvalidHTTP}
 		u.SetFault(faults[rand.IntN(len(faults))])
-		return func() { u.SetFault(standin.Sound) }
+		return func() { u.SetFault(standin.NoFault) }
 	}},
 	{"full disk", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
-		m.Disk.Fill(true)
-		return func() { m.Disk.Fill(false) }
+		m.Disk.SetFull(true)
+		return func() { m.Disk.SetFull(false) }
 	}},
 	{"stalled disk", func(f *Fleet, rand *random.Source) func() {
 		return f.Keels[rand.IntN(len(f.Keels))].Disk.Stall()
@@ -167,7 +167,7 @@
 		end := f.Trouble("links", "slow")
 		m := any1(f, rand)
 		for _, other := range f.Every() {
-			link := simnet.Link{Slower: time.Duration(rand.IntN(30)) * time.Millisecond, Loss: 0.05 * rand.Float64()}
+			link := simnet.Link{ExtraDelay: time.Duration(rand.IntN(30)) * time.Millisecond, Loss: 0.05 * rand.Float64()}
 			f.World.SetLink(m.IP, other.IP, link)
 			f.World.SetLink(other.IP, m.IP, link)
 		}
@@ -178,29 +178,29 @@
 	}},
 	{"slow disk", func(f *Fleet, rand *random.Source) func() {
 		m := any1(f, rand)
-		m.Disk.Slow(time.Duration(5+rand.IntN(60)) * time.Millisecond)
-		return func() { m.Disk.Slow(0) }
+		m.Disk.SetLatency(time.Duration(5+rand.IntN(60)) * time.Millisecond)
+		return func() { m.Disk.SetLatency(0) }
 	}},
 	{"full disk of an application machine", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
-		m.Disk.Fill(true)
-		return func() { m.Disk.Fill(false) }
+		m.Disk.SetFull(true)
+		return func() { m.Disk.SetFull(false) }
 	}},
 	{"bit flip", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Controller.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.ControlPlane.Ready() {
 				return func() {}
 			}
 		}
 		f.PowerLoss(m)
-		m.Disk.Flip([]string{"/v-", "/p-", "roll-", "brand"}[rand.IntN(4)])
+		m.Disk.FlipBits([]string{"/v-", "/p-", "roll-", "brand"}[rand.IntN(4)])
 		return raise(f, m)
 	}},
 	{"upstream leaves and returns", func(f *Fleet, rand *random.Source) func() {
 		u := f.Seats[rand.IntN(len(f.Seats))]
-		u.Leave()
-		return u.Stay
+		u.AnnounceLeaving()
+		return u.CancelLeaving
 	}},
 	{"crowd", func(f *Fleet, rand *random.Source) func() {
 		stop := f.crowd(400)
@@ -208,7 +208,7 @@
 	}},
 	{"machine re-zoned", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
-		shown, err := f.Clerk.Show(f.Scope, 0)
+		shown, err := f.Clerk.Bundle(f.Scope, 0)
 		if err != nil {
 			return func() {}
 		}
@@ -218,17 +218,17 @@
 	}},
 	{"replayed and broken bundles", func(f *Fleet, rand *random.Source) func() {
 		for serial := range uint64(3) {
-			reply, err := f.Clerk.Show(f.Scope, serial+1)
+			reply, err := f.Clerk.Bundle(f.Scope, serial+1)
 			if err != nil {
 				continue
 			}
 			id := fmt.Sprint("replay-", serial, f.Scope.Clock.Mono())
-			if outcome, err := f.Clerk.Sign(f.Scope, id, reply.Sealed); err == nil {
-				f.History.Acked(outcome)
+			if outcome, err := f.Clerk.Submit(f.Scope, id, reply.Sealed); err == nil {
+				f.History.RecordOutcome(outcome)
 			}
 			reply.Sealed.Signature[3] ^= 1
-			if outcome, err := f.Clerk.Sign(f.Scope, id+"-broken", reply.Sealed); err == nil {
-				f.History.Acked(outcome)
+			if outcome, err := f.Clerk.Submit(f.Scope, id+"-broken", reply.Sealed); err == nil {
+				f.History.RecordOutcome(outcome)
 			}
 		}
 		return func() {}
@@ -256,7 +256,7 @@
 	var lines []string
 	for _, m := range f.Keels {
 		if m.Controller != nil {
-			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.Helm.State()))
+			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.ControlPlane.State()))
 			for event := range m.Journal.About("") {
 				switch event.Topic {
 				case "phase", "waiting", "blank", "sick-key", "recovered", "set-aside", "disk-trouble":
@@ -276,11 +276,11 @@
 		for count := 0; s.Err() == nil; count++ {
 			submission := fmt.Sprint("push-", count)
 			ask, release := s.WithTimeout(8 * time.Second)
-			shown, err := f.Clerk.Show(ask, 0)
+			shown, err := f.Clerk.Bundle(ask, 0)
 			if err == nil {
 				outcome, err := f.Clerk.Apply(ask, submission, &wire.DraftRequest{Base: shown.Serial, Change: f.tweak(float64(1 + count%7))}, f.Key)
 				if err == nil {
-					f.History.Acked(outcome)
+					f.History.RecordOutcome(outcome)
 				}
 			}
 			release()
@@ -304,7 +304,7 @@
 	var crew base.Group
 	for _, m := range f.Vanes {
 		each := f.scope(fmt.Sprint("crowd ", m.Name, f.Scope.Clock.Mono()), m.IP, m.Disk, m.Clock, m.Journal)
-		visitors := &standin.Visitors{Scope: each, Name: fmt.Sprint("crowd-", m.Name), To: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Habits: f.Plan, History: f.History}
+		visitors := &standin.Clients{Scope: each, Name: fmt.Sprint("crowd-", m.Name), NodeAddress: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Plan: f.Plan, History: f.History}
 		crew.Go(func() { visitors.Run(each.WithContext(s)) })
 	}
 	return func() {
@@ -361,7 +361,7 @@
 		day.round()
 	}
 	day.heal()
-	f.History.Returned()
+	f.History.RecordReturn()
 	f.Pass(recoverTime + 2*time.Second)
 	stop()
 	back := f.Scope.Clock.Mono()
@@ -375,10 +375,10 @@
 	f.Story = fmt.Sprintf("seed %d: %s", f.Seed, strings.Join(day.told, "; "))
 	f.learnOutcomes(f.Story)
 	f.ReadBack()
-	sound(f, judge.RanTwice, judge.Whole, judge.Allowed, judge.InForce, judge.SlideBack, judge.OneAck, judge.ReadBack, judge.Returns)
+	sound(f, judge.RunOnce, judge.WholeAnswers, judge.AllowedServices, judge.InForce, judge.NoRegression, judge.SingleAck, judge.Durability, judge.Recovery)
 	var late []judge.Call
 	for _, call := range f.History.Calls() {
-		if call.Begun > back && call.Begun < back+2500*time.Millisecond {
+		if call.Started > back && call.Started < back+2500*time.Millisecond {
 			late = append(late, call)
 		}
 	}
@@ -391,11 +391,11 @@
 	for _, ack := range f.History.Acks() {
 		known[ack.Serial] = true
 	}
-	reply, err := f.Clerk.Show(f.Scope, 0)
+	reply, err := f.Clerk.Bundle(f.Scope, 0)
 	Expect(err).NotTo(HaveOccurred(), story+f.coreStates())
 	for serial := uint64(1); serial <= reply.Serial; serial++ {
 		if !known[serial] {
-			f.History.Acked(&wire.Outcome{Serial: serial, Verdict: wire.Verdict_UNKNOWN})
+			f.History.RecordOutcome(&wire.Outcome{Serial: serial, Verdict: wire.Verdict_UNKNOWN})
 		}
 	}
 }
--- a/internal/testing/listedfleet/suite_test.go
+++ b/internal/testing/listedfleet/suite_test.go
@@ -81,21 +81,21 @@
 		}
 	}
 	for i := range f.Habits {
-		f.Habits[i].Size = min(f.Habits[i].Size, 20000)
+		f.Habits[i].FillerBytes = min(f.Habits[i].FillerBytes, 20000)
 	}
 }
 
-var habits = []standin.Habit{
-	{Prefix: "/catalogue/search", Base: 4, Swing: 3, Size: 200},
-	{Prefix: "/catalogue/report", Base: 20, Swing: 60, Size: 4000},
-	{Prefix: "/catalogue/licences", Base: 1, Swing: 1, Size: 60},
-	{Prefix: "/lending/borrow", Base: 4, Swing: 4, Size: 120, Calls: []string{"GET /catalogue/licences/{last}"}},
-	{Prefix: "/lending/hold", Base: 3, Swing: 2, Size: 120},
+var habits = []standin.Behavior{
+	{Prefix: "/catalogue/search", MinDelay: 4, Jitter: 3, FillerBytes: 200},
+	{Prefix: "/catalogue/report", MinDelay: 20, Jitter: 60, FillerBytes: 4000},
+	{Prefix: "/catalogue/licences", MinDelay: 1, Jitter: 1, FillerBytes: 60},
+	{Prefix: "/lending/borrow", MinDelay: 4, Jitter: 4, FillerBytes: 120, Calls: []string{"GET /catalogue/licences/{last}"}},
+	{Prefix: "/lending/hold", MinDelay: 3, Jitter: 2, FillerBytes: 120},
 }
 
-var plan = []standin.Habitual{
-	{Service: "catalogue", Route: "search", Group: "patrons", Method: "GET", Path: "/catalogue/search?q={n}", Part: 5},
-	{Service: "catalogue", Route: "report", Group: "librarians", Method: "GET", Path: "/catalogue/report/{n}", Part: 1},
-	{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Part: 2},
-	{Service: "lending", Route: "hold", Group: "patrons", Method: "POST", Path: "/lending/hold/{n}", Part: 1},
+var plan = []standin.PlannedRequest{
+	{Service: "catalogue", Route: "search", Group: "patrons", Method: "GET", Path: "/catalogue/search?q={n}", Weight: 5},
+	{Service: "catalogue", Route: "report", Group: "librarians", Method: "GET", Path: "/catalogue/report/{n}", Weight: 1},
+	{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Weight: 2},
+	{Service: "lending", Route: "hold", Group: "patrons", Method: "POST", Path: "/lending/hold/{n}", Weight: 1},
 }
--- a/internal/testing/listedfleet/tap.go
+++ b/internal/testing/listedfleet/tap.go
@@ -21,15 +21,15 @@
 }
 
 func (t tap) Record(event base.Event) {
-	t.history.Fold(t.node, event.Topic, event.Subject, event.Detail, event.Mono)
+	t.history.RecordEvent(t.node, event.Topic, event.Subject, event.Detail, event.Mono)
 }
 
 func (f *Fleet) troubled() bool {
-	if f.World.Troubled() {
+	if f.World.Impaired() {
 		return true
 	}
 	for _, m := range f.Every() {
-		if !m.up.Load() || m.stopping.Load() || m.Disk.Troubled() || m.Clock.Frozen() {
+		if !m.up.Load() || m.stopping.Load() || m.Disk.Impaired() || m.Clock.Frozen() {
 			return true
 		}
 	}
@@ -50,7 +50,7 @@
 				continue
 			}
 			serial, digest, ready := m.Node.Node.Serving()
-			f.History.Read(judge.Reading{At: now, Node: m.Name, Serial: serial, Digest: digest, Ready: ready, Calm: now-calm > calmAfter})
+			f.History.RecordSample(judge.Sample{At: now, Node: m.Name, Serial: serial, Digest: digest, Ready: ready, Calm: now-calm > calmAfter})
 		}
 	})
 }
@@ -59,10 +59,10 @@
 // bundle.
 func (f *Fleet) ReadBack() {
 	for _, m := range f.Keels {
-		if m.Controller == nil || !m.Controller.Helm.Ready() {
+		if m.Controller == nil || !m.Controller.ControlPlane.Ready() {
 			continue
 		}
-		reply, err := m.Controller.Helm.Read(f.Scope, 0)
-		f.History.ReadBack(m.Name, reply.GetSerial(), reply.GetSealed(), err)
+		reply, err := m.Controller.ControlPlane.Read(f.Scope, 0)
+		f.History.RecordReadback(m.Name, reply.GetSerial(), reply.GetSealed(), err)
 	}
 }
--- a/internal/testing/listedfleet/trouble_test.go
+++ b/internal/testing/listedfleet/trouble_test.go
@@ -33,7 +33,7 @@
 		f.Pass(5 * time.Second)
 		f.Leave()
 		Expect(f.AllOn(2)).To(BeTrue())
-		sound(f, judge.RanTwice, judge.InForce, judge.SlideBack)
+		sound(f, judge.RunOnce, judge.InForce, judge.NoRegression)
 	})
 
 	story("given the owner of the bundle frozen mid-change, when another finishes and it thaws, then its late writes change nothing", []uint64{1, 2, 3, 4}, func(f *Fleet) {
@@ -59,7 +59,7 @@
 		Expect(f.resolve("second").Verdict).To(Equal(outcome.Verdict))
 		f.Leave()
 		f.ReadBack()
-		sound(f, judge.ReadBack, judge.OneAck)
+		sound(f, judge.Durability, judge.SingleAck)
 	})
 
 	story("given the learner's holder frozen, when another takes the duty and it thaws, then beliefs only go forward and one learns", []uint64{1, 2}, func(f *Fleet) {
@@ -89,7 +89,7 @@
 		for _, a := range f.Every() {
 			for _, b := range f.Every() {
 				if a != b {
-					f.World.SetLink(a.IP, b.IP, simnet.Link{Slower: 10 * time.Millisecond, Loss: 0.02})
+					f.World.SetLink(a.IP, b.IP, simnet.Link{ExtraDelay: 10 * time.Millisecond, Loss: 0.02})
 				}
 			}
 		}
@@ -108,7 +108,7 @@
 	})
 
 	story("given one attempt delivered twice, when the first has run or not, then the second neither runs nor says not run of the first", []uint64{1, 2}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/lending/hold", Base: 300, Size: 50}}
+		f.Habits = []standin.Behavior{{Prefix: "/lending/hold", MinDelay: 300, FillerBytes: 50}}
 		raised(f)
 		far := f.Vanes[1]
 		callee := wireconnect.NewFlowClient(httpserver.NewClient(f.Scope), "http://"+far.Address)
@@ -161,37 +161,37 @@
 		return calls
 	}
 	story("given two answers crossed between two of our nodes, when their seals are read, then neither reaches a visitor", []uint64{1, 2}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/lending/hold", Base: 50, Size: 500}}
+		f.Habits = []standin.Behavior{{Prefix: "/lending/hold", MinDelay: 50, FillerBytes: 500}}
 		raised(f)
 		for _, u := range f.seatsOf("lending")[1:] {
-			u.Leave()
+			u.AnnounceLeaving()
 		}
 		f.Pass(time.Second)
-		f.World.Cross(f.Vanes[1].IP, f.Vanes[0].IP, func(data []byte) bool {
+		f.World.SwapWrites(f.Vanes[1].IP, f.Vanes[0].IP, func(data []byte) bool {
 			return holding(data) || f.Seed%2 == 1 && bytes.Contains(data, []byte("Content-Digest"))
 		})
 		for _, call := range ask2(f, f.Vanes[0]) {
 			Expect(call.Broken).To(BeEmpty())
 			Expect(call.Outcome).To(Equal("unknown"))
 		}
-		sound(f, judge.RanTwice)
+		sound(f, judge.RunOnce)
 	})
 
 	story("given two answers crossed by their upstreams or before the visitor, when checked, then the checker sees whose they are", []uint64{1}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/lending/hold", Base: 50, Size: 500}}
+		f.Habits = []standin.Behavior{{Prefix: "/lending/hold", MinDelay: 50, FillerBytes: 500}}
 		raised(f)
-		f.World.Cross(f.Vanes[0].IP, f.Vanes[0].IP, holding)
+		f.World.SwapWrites(f.Vanes[0].IP, f.Vanes[0].IP, holding)
 		ask2(f, f.Vanes[0])
-		Expect(judge.Broken(judge.Check(f.History, f.Bounds()))).To(ContainElement(And(HavePrefix(judge.Whole), ContainSubstring("someone else's"))))
+		Expect(judge.Violations(judge.Check(f.History, f.Bounds()))).To(ContainElement(And(HavePrefix(judge.WholeAnswers), ContainSubstring("someone else's"))))
 	})
 })
 
 var _ = ginkgo.Describe("crowds and slow upstreams at once", func() {
 	story("given upstreams ten times slower and five times the visitors, when room runs out, then who can't be served hears it at once with when to come back", []uint64{1, 2}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/", Base: 200, Swing: 100, Size: 100}}
+		f.Habits = []standin.Behavior{{Prefix: "/", MinDelay: 200, Jitter: 100, FillerBytes: 100}}
 		raised(f)
 		for _, u := range f.Seats {
-			u.Resize(4)
+			u.SetCapacity(4)
 		}
 		f.Pass(time.Second)
 		f.Visit(300)
@@ -201,7 +201,7 @@
 		for _, call := range f.History.Calls() {
 			if call.Kind == string(base.Overloaded) {
 				rejected++
-				Expect(call.Again).NotTo(BeEmpty())
+				Expect(call.RetryAfter).NotTo(BeEmpty())
 				if call.Outcome != "not-run" {
 					doubtful++
 				}
@@ -239,7 +239,7 @@
 		f.Pass(2 * time.Second)
 		Expect(f.ask(f.Vanes[0], hold, "back").Status).To(Equal(200))
 		f.Leave()
-		sound(f, judge.Allowed, judge.InForce, judge.SlideBack)
+		sound(f, judge.AllowedServices, judge.InForce, judge.NoRegression)
 	})
 
 	story("given an application machine dropped by a bundle, when it still runs, then what it sends is under no older serial and it is let go", []uint64{1, 2}, func(f *Fleet) {
@@ -251,7 +251,7 @@
 		Expect(f.push("again", 2, nudge(3)).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(3 * time.Second)
 		f.Leave()
-		sound(f, judge.InForce, judge.SlideBack)
+		sound(f, judge.InForce, judge.NoRegression)
 	})
 })
 
@@ -275,7 +275,7 @@
 		f.Stop(f.Keels[0])
 		got := <-done
 		if got.err == nil {
-			f.History.Acked(got.outcome)
+			f.History.RecordOutcome(got.outcome)
 		} else {
 			Expect(got.err.Error()).NotTo(ContainSubstring("EOF"))
 		}
@@ -286,7 +286,7 @@
 		}
 		f.Pass(2 * time.Second)
 		f.Leave()
-		sound(f, judge.Stops)
+		sound(f, judge.PlannedStops)
 	})
 })
 
@@ -301,13 +301,13 @@
 				b := shape(4)
 				b.Common.Tracing.Sample, b.Common.Tracing.Budget = sample, 100000
 				bubble(seed, b, func(f *Fleet) {
-					f.World.Even()
+					f.World.DisableJitter()
 					f.Tune = func(p *wire.VaneParams) { p.Queue = 64 }
-					f.Habits = []standin.Habit{{Prefix: "/", Base: 5, Size: 100}}
+					f.Habits = []standin.Behavior{{Prefix: "/", MinDelay: 5, FillerBytes: 100}}
 					f.Plan = plan[:1]
 					raised(f)
 					for _, u := range f.seatsOf("catalogue")[1:] {
-						u.Leave()
+						u.AnnounceLeaving()
 					}
 					f.Pass(2 * time.Second)
 					for _, m := range f.Every() {
@@ -319,11 +319,11 @@
 					for _, call := range f.History.Calls() {
 						Expect(call.Status).To(Equal(200))
 						if call.Via == f.Vanes[0].Name {
-							took[sample][call.ID] = call.Ended - call.Begun
+							took[sample][call.ID] = call.Ended - call.Started
 						}
 					}
 					for _, m := range f.Vanes {
-						for _, count := range m.Node.Node.Watched() {
+						for _, count := range m.Node.Node.RecordedSpans() {
 							recorded[sample] += count
 						}
 					}
@@ -368,7 +368,7 @@
 
 var _ = ginkgo.Describe("a node that loses power and returns at once", func() {
 	story("given searches in flight at it, when they break off, then each is its visitor's to judge and none is told not run of what ran", []uint64{1, 2, 3}, func(f *Fleet) {
-		f.Habits = []standin.Habit{{Prefix: "/", Base: 40, Swing: 40, Size: 100}}
+		f.Habits = []standin.Behavior{{Prefix: "/", MinDelay: 40, Jitter: 40, FillerBytes: 100}}
 		raised(f)
 		f.Visit(300)
 		for range 6 {
@@ -378,6 +378,6 @@
 		}
 		f.Pass(3 * time.Second)
 		f.Leave()
-		sound(f, judge.Whole, judge.RanTwice)
+		sound(f, judge.WholeAnswers, judge.RunOnce)
 	})
 })
--- a/internal/testing/listedfleet/ways_test.go
+++ b/internal/testing/listedfleet/ways_test.go
@@ -72,7 +72,7 @@
 				f.Pass(3 * time.Second)
 				Expect(f.AllOn(3)).To(BeTrue())
 				f.Leave()
-				sound(f, judge.InForce, judge.SlideBack)
+				sound(f, judge.InForce, judge.NoRegression)
 			})
 		})
 	})
@@ -103,7 +103,7 @@
 		Expect(f.forsake("without them", 1, lost).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(4 * time.Second)
 		f.Leave()
-		sound(f, judge.InForce, judge.SlideBack)
+		sound(f, judge.InForce, judge.NoRegression)
 	})
 
 	story("given a core machine lost, when one at another address takes its place, then it recovers every key and the newest bundle outlives the loss of another disk", []uint64{1, 2, 3}, func(f *Fleet) {
@@ -139,7 +139,7 @@
 			Expect(f.Until(10*time.Second, func() bool { return f.Ready([]*Machine{m}) })).To(BeTrue(), m.Name)
 		}
 		Expect(f.Raise(next)).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return next.Controller.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return next.Controller.ControlPlane.Ready() })).To(BeTrue())
 		change := &wire.Change{DropMachines: []string{lost.Name}, Machines: []*wire.Machine{next.Machine}}
 		Expect(f.push("third", 2, change).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(2 * time.Second)
@@ -149,11 +149,11 @@
 		f.ReadBack()
 		Expect(f.push("fourth", 3, nudge(4)).Verdict).To(Equal(wire.Verdict_TAKEN))
 		Expect(f.Raise(kept[0])).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return kept[0].Controller.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return kept[0].Controller.ControlPlane.Ready() })).To(BeTrue())
 		f.Pass(2 * time.Second)
 		f.ReadBack()
 		f.Leave()
-		sound(f, judge.ReadBack, judge.InForce)
+		sound(f, judge.Durability, judge.InForce)
 	})
 })
 
@@ -178,7 +178,7 @@
 		f.Pass(2 * time.Second)
 		f.ReadBack()
 		f.Leave()
-		sound(f, judge.ReadBack)
+		sound(f, judge.Durability)
 	})
 })
 
@@ -225,7 +225,7 @@
 	})
 
 	story("given every machine rolled with long answers in flight, when each stops, then it carries what fits in its grace and drops none", []uint64{1, 2, 3}, func(f *Fleet) {
-		f.Habits = append([]standin.Habit{{Prefix: "/catalogue/report", Base: 1500, Swing: 1000, Size: 200000}}, habits...)
+		f.Habits = append([]standin.Behavior{{Prefix: "/catalogue/report", MinDelay: 1500, Jitter: 1000, FillerBytes: 200000}}, habits...)
 		raised(f)
 		f.Visit(50)
 		for _, m := range f.Every() {
@@ -254,7 +254,7 @@
 			}
 		}
 		Expect(counts["answered"]).To(BeNumerically(">", 20*(counts["not-run"]+counts["unknown"])))
-		sound(f, judge.Stops)
+		sound(f, judge.PlannedStops)
 	})
 
 	story("given a keel stopped politely, when it goes, then the keys it owned have an owner at once", []uint64{1, 2, 3}, func(f *Fleet) {
--- a/internal/testing/namecheck/rules.go
+++ b/internal/testing/namecheck/rules.go
@@ -71,7 +71,7 @@
 		if r.kept[declared.Name] {
 			continue
 		}
-		for _, part := range Parts(declared.Name) {
+		for _, part := range SplitIdentifier(declared.Name) {
 			if term, known := r.withdrawn[part]; known {
 				found = append(found, fmt.Sprintf("%s: %s: %q is withdrawn, use %s", at(declared.Pos()), declared.Name, part, term))
 			}
@@ -141,8 +141,8 @@
 	return all
 }
 
-// Parts splits an identifier where its case changes, in lower case: "newNodeStatus" is new, node and status.
-func Parts(identifier string) (parts []string) {
+// SplitIdentifier splits an identifier where its case changes, in lower case: "newNodeStatus" is new, node and status.
+func SplitIdentifier(identifier string) (parts []string) {
 	runes := []rune(identifier)
 	start := 0
 	for i := 1; i < len(runes); i++ {
--- a/internal/testing/namecheck/rules_test.go
+++ b/internal/testing/namecheck/rules_test.go
@@ -21,7 +21,7 @@
 	for identifier, expected := range map[string][]string{
 		"keel": {"keel"}, "newKeelView": {"new", "keel", "view"}, "HTTPMate": {"http", "mate"}, "mates_port2": {"mates", "_", "port", "2"}, "MateURL": {"mate", "url"},
 	} {
-		if found := Parts(identifier); !reflect.DeepEqual(found, expected) {
+		if found := SplitIdentifier(identifier); !reflect.DeepEqual(found, expected) {
 			t.Errorf("%s has the parts %q", identifier, found)
 		}
 	}
--- a/internal/testing/openfleet/calm_test.go
+++ b/internal/testing/openfleet/calm_test.go
@@ -13,19 +13,19 @@
 var _ = ginkgo.Describe("calm days", func() {
 	story("given a calm day, when visitors come, then all are served", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(120)
-		f.Pass(9 * time.Second)
-		f.Away()
-		t := f.Tally(0, 0, nil)
-		Expect(t.Share()).To(BeNumerically(">", 0.999), "%s: %s", f.Story, t)
-		Expect(t.Aimed()).To(BeNumerically(">", 0.99), "%s: %s", f.Story, t)
-		sound(f, Twice, Mixed, Unasked, Routed, Config, Denied)
+		f.StartLoad(120)
+		f.Sleep(9 * time.Second)
+		f.StopLoad()
+		t := f.JobStats(0, 0, nil)
+		Expect(t.SuccessRate()).To(BeNumerically(">", 0.999), "%s: %s", f.Description, t)
+		Expect(t.OnTimeRate()).To(BeNumerically(">", 0.99), "%s: %s", f.Description, t)
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity, RuleRouting, RuleConfigInForce, RuleFewClientErrors)
 	})
 
 	storyOf("given odd but proper requests, when they are asked at every node, then they reach an upstream as they were sent", 3, small, []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(5)
-		f.Pass(500 * time.Millisecond)
+		f.StartLoad(5)
+		f.Sleep(500 * time.Millisecond)
 		for _, m := range f.Nodes {
 			for i, each := range []struct {
 				method, target string
@@ -50,11 +50,11 @@
 					body = nil
 				}
 				ask := f.ask(m, each.method+" "+host+" "+strings.SplitN(each.target, "?", 2)[0], fmt.Sprintf("odd-%s-%d", m.Name, i))
-				ask.Target, ask.Digest, ask.Until = each.target, digest(body), f.History.Now()+2*time.Second
+				ask.Target, ask.Digest, ask.Deadline = each.target, digest(body), f.History.Now()+2*time.Second
 				told := m.visitors.ask(ask, body, each.chunked, i%2 == 0, each.extra...)
-				Expect(told.Status).To(Equal(200), "%s: %d at %s: %v", f.Story, i, m.Name, told)
+				Expect(told.Status).To(Equal(200), "%s: %d at %s: %v", f.Description, i, m.Name, told)
 			}
 		}
-		sound(f, Twice, Mixed, Unasked)
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity)
 	})
 })
--- a/internal/testing/openfleet/client.go
+++ b/internal/testing/openfleet/client.go
@@ -115,24 +115,24 @@
 	c.idle = nil
 }
 
-func (c *client) ask(a *Ask, body []byte, chunked, fresh bool, extra ...string) *Told {
-	c.history.Asked(a)
+func (c *client) ask(a *Attempt, body []byte, chunked, fresh bool, extra ...string) *Outcome {
+	c.history.RecordAttempt(a)
 	told := c.exchange(a, body, chunked, fresh, extra)
-	told.ID, told.At = a.ID, c.scope.Clock.Mono()
-	c.history.Told(told)
+	told.ID, told.EndedAt = a.ID, c.scope.Clock.Mono()
+	c.history.RecordOutcome(told)
 	return told
 }
 
-func (c *client) exchange(a *Ask, body []byte, chunked, fresh bool, extra []string) *Told {
-	left := a.Until - c.scope.Clock.Mono()
+func (c *client) exchange(a *Attempt, body []byte, chunked, fresh bool, extra []string) *Outcome {
+	left := a.Deadline - c.scope.Clock.Mono()
 	at, err := c.take(fresh, left)
 	if err != nil {
-		return &Told{Broken: "no connection: " + err.Error()}
+		return &Outcome{TransportError: "no connection: " + err.Error()}
 	}
 	_ = at.conn.SetDeadline(time.Now().Add(left))
 	if _, err := at.conn.Write(c.text(a, left, body, chunked, extra)); err != nil {
 		_ = at.conn.Close()
-		return &Told{Broken: "not sent: " + err.Error()}
+		return &Outcome{TransportError: "not sent: " + err.Error()}
 	}
 	if at.peeked != nil {
 		if err := <-at.peeked; err != nil {
@@ -153,7 +153,7 @@
 		told.Status = response.StatusCode
 		return told
 	}
-	told := &Told{Status: response.StatusCode, Read: true}
+	told := &Outcome{Status: response.StatusCode, RequestRead: true}
 	c.judge(a, told, response, answer)
 	if at.in.Buffered() > 0 {
 		at.last = a.ID
@@ -167,7 +167,7 @@
 	return told
 }
 
-func (c *client) text(a *Ask, left time.Duration, body []byte, chunked bool, extra []string) []byte {
+func (c *client) text(a *Attempt, left time.Duration, body []byte, chunked bool, extra []string) []byte {
 	var out bytes.Buffer
 	_, _ = fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", a.Method, a.Target, a.Host, forwarding.DefaultHeaderNames.RequestID, a.ID, forwarding.DefaultHeaderNames.TimeLeft, left.Milliseconds())
 	for _, line := range extra {
@@ -190,16 +190,16 @@
 	return out.Bytes()
 }
 
-func (c *client) broken(at *kept, err error) *Told {
-	told := &Told{Broken: err.Error(), Read: true}
+func (c *client) broken(at *kept, err error) *Outcome {
+	told := &Outcome{TransportError: err.Error(), RequestRead: true}
 	if conn, ok := at.conn.(unread); ok {
-		told.Read = conn.Unread() == 0
+		told.RequestRead = conn.Unread() == 0
 	}
 	_ = at.conn.Close()
 	return told
 }
 
-func (c *client) judge(a *Ask, told *Told, response *http.Response, body []byte) {
+func (c *client) judge(a *Attempt, told *Outcome, response *http.Response, body []byte) {
 	id := response.Header.Get(forwarding.DefaultHeaderNames.RequestID)
 	mark := response.Header.Get(forwarding.DefaultHeaderNames.Seal)
 	told.Sealed = mark != ""
@@ -207,17 +207,17 @@
 	success := told.Status >= 200 && told.Status < 300
 	switch {
 	case id != "" && id != a.ID:
-		told.Mixed = "the answer of " + id
+		told.Mismatch = "the answer of " + id
 	case success && mark == "":
-		told.Mixed = "a success without a seal"
+		told.Mismatch = "a success without a seal"
 	case success && mark != seal(a.ID, instance, body):
-		told.Mixed = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
+		told.Mismatch = fmt.Sprintf("a seal that does not fit %d bytes", len(body))
 	}
 	if again, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
-		told.Again = time.Duration(again * float64(time.Second))
+		told.RetryAfter = time.Duration(again * float64(time.Second))
 	}
 	if !told.Sealed {
-		told.Kind = kindOf(body)
+		told.ErrorKind = kindOf(body)
 	}
 }
 
--- a/internal/testing/openfleet/config_trouble_test.go
+++ b/internal/testing/openfleet/config_trouble_test.go
@@ -28,7 +28,7 @@
 	}},
 	{"one cut off, nodes restarted beside it with seeds that begin with it", func(f *Fleet, m *Machine, random *random.Source) func() {
 		f.isolate(m, 0)
-		f.seeds = append([]string{m.At(inwardPort)}, f.seeds...)
+		f.seeds = append([]string{m.Address(inwardPort)}, f.seeds...)
 		for range 2 {
 			f.restartOne(f.firstNodes(), random)
 		}
@@ -37,7 +37,7 @@
 	{"one cut off that was restarted meanwhile", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
 		f.Kill(m)
-		f.Pass(200 * time.Millisecond)
+		f.Sleep(200 * time.Millisecond)
 		f.revive(m)
 		return f.rejoin
 	}},
@@ -50,7 +50,7 @@
 					f.Kill(other)
 				}
 			}
-			f.Pass(300 * time.Millisecond)
+			f.Sleep(300 * time.Millisecond)
 			for _, other := range f.Controllers {
 				if other != m {
 					f.revive(other)
@@ -62,8 +62,8 @@
 		f.isolate(m, 0)
 		end := []func(){}
 		for _, node := range f.firstNodes() {
-			f.Cut(m, node)
-			end = append(end, f.Trouble(node.Name, "cut off"))
+			f.Partition(m, node)
+			end = append(end, f.StartDisturbance(node.Name, "cut off"))
 		}
 		return func() {
 			f.rejoin()
@@ -74,7 +74,7 @@
 	}},
 	{"one cut off, packets lost between the others and the nodes", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
-		end := f.Trouble(allLinks, "lossy")
+		end := f.StartDisturbance(allLinks, "lossy")
 		for _, node := range f.nodes() {
 			for _, controller := range f.Controllers {
 				f.World.SetLink(controller.IP, node.IP, simnet.Link{Loss: 0.1})
@@ -88,10 +88,10 @@
 	}},
 	{"the core cut into two halves", func(f *Fleet, _ *Machine, _ *random.Source) func() {
 		half := len(f.Controllers) / 2
-		end := f.Trouble(corePrefix, "cut into halves")
+		end := f.StartDisturbance(corePrefix, "cut into halves")
 		for _, a := range f.Controllers[:half] {
 			for _, b := range f.Controllers[half:] {
-				f.Cut(a, b)
+				f.Partition(a, b)
 			}
 		}
 		return func() {
@@ -101,7 +101,7 @@
 	}},
 	{"one behind, then the disk of another lost and the rest dark", func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.isolate(m, 0)
-		f.Pass(2 * time.Second)
+		f.Sleep(2 * time.Second)
 		wiped := false
 		for _, other := range f.Controllers {
 			if other == m {
@@ -117,7 +117,7 @@
 			f.rejoin()
 			for _, other := range f.Controllers {
 				if other != m {
-					f.Power(other)
+					f.RestorePower(other)
 					f.revive(other)
 				}
 			}
@@ -140,7 +140,7 @@
 func (f *Fleet) restartOne(nodes []*Machine, random *random.Source) {
 	m := nodes[random.IntN(len(nodes))]
 	f.Kill(m)
-	f.Pass(100 * time.Millisecond)
+	f.Sleep(100 * time.Millisecond)
 	f.revive(m)
 }
 
@@ -154,24 +154,24 @@
 			f.restartOne(nodes, random)
 		case 1:
 			thaw := f.Freeze(m)
-			f.Pass(time.Duration(random.IntN(1500)) * time.Millisecond)
+			f.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 			thaw()
 		case 2:
 			m.Clock.Jump(time.Duration(random.IntN(9000)-4500) * time.Millisecond)
 		case 3:
 			p := f.params(m)
-			p.Seeds = []string{f.Controllers[random.IntN(len(f.Controllers))].At(inwardPort)}
+			p.Seeds = []string{f.Controllers[random.IntN(len(f.Controllers))].Address(inwardPort)}
 			Expect(m.Node.Reload(p)).To(Succeed())
 		}
-		f.Pass(time.Duration(300+random.IntN(1500)) * time.Millisecond)
+		f.Sleep(time.Duration(300+random.IntN(1500)) * time.Millisecond)
 	}
 }
 
 // changeOften sends a change about every so often, and looks at every node which configurations are in force.
 func (f *Fleet) changeOften(every, till time.Duration) {
-	operator := f.Operator("one")
+	operator := f.NewOperator("one")
 	for turn := 0; f.History.Now() < till; turn++ {
-		next := shift(f.Configuration(), turn)
+		next := shift(f.NextConfiguration(), turn)
 		if outcome := operator.Propose(&wire.ConfigurationProposal{Configuration: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
 			f.settle(next)
 		}
@@ -192,8 +192,8 @@
 		}
 	}
 	raised(f)
-	f.Visit(25)
-	f.Pass(time.Second)
+	f.StartLoad(25)
+	f.Sleep(time.Second)
 	till := f.History.Now() + 24*time.Second
 	every := time.Duration(500+random.IntN(900)) * time.Millisecond
 	base.Parallel([]func(){
@@ -204,17 +204,17 @@
 				trouble := coreTroubles[random.IntN(len(coreTroubles))]
 				f.Scope.Record("core-trouble", trouble.name, "")
 				end := trouble.begin(f, f.Controllers[random.IntN(len(f.Controllers))], random)
-				f.Pass(contact + time.Duration(random.IntN(4000))*time.Millisecond)
+				f.Sleep(contact + time.Duration(random.IntN(4000))*time.Millisecond)
 				end()
-				f.Pass(contact)
+				f.Sleep(contact)
 			}
 		},
 	}, func(do func()) { do() })
 	f.World.HealAll()
-	f.Pass(contact + 50*time.Millisecond)
+	f.Sleep(contact + 50*time.Millisecond)
 	f.change(1000)
-	f.ReadBack()
-	sound(f, Twice, Config, Back, Race, Kept)
+	f.ReadConfiguration()
+	sound(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 }
 
 var _ = ginkgo.Describe("the configuration under trouble of the core", func() {
--- a/internal/testing/openfleet/cutoff_test.go
+++ b/internal/testing/openfleet/cutoff_test.go
@@ -18,7 +18,7 @@
 
 // isolate cuts a control machine from the others, not from nodes: both ways, or only what it sends, or only what comes in.
 func (f *Fleet) isolate(m *Machine, way uint64) {
-	end := f.Trouble(m.Name, "cut from the core")
+	end := f.StartDisturbance(m.Name, "cut from the core")
 	for _, other := range f.Controllers {
 		if other == m {
 			continue
@@ -35,7 +35,7 @@
 
 // rejoin heals all cuts.
 func (f *Fleet) rejoin() {
-	end := f.Trouble("core", "joined again")
+	end := f.StartDisturbance("core", "joined again")
 	f.World.HealAll()
 	end()
 }
@@ -43,29 +43,29 @@
 // restart kills and raises a node at once and tells how long it took to a confirmed configuration.
 func (f *Fleet) restart(m *Machine) time.Duration {
 	f.Kill(m)
-	f.Pass(100 * time.Millisecond)
-	Expect(f.Raise(m)).To(Succeed())
+	f.Sleep(100 * time.Millisecond)
+	Expect(f.StartProcess(m)).To(Succeed())
 	begun := f.Scope.Clock.Mono()
 	for !m.Node.View().Confirmed && f.Scope.Clock.Mono()-begun < 10*time.Second {
-		f.Pass(100 * time.Microsecond)
+		f.Sleep(100 * time.Microsecond)
 	}
-	Expect(m.Node.View().Confirmed).To(BeTrue(), f.Story)
+	Expect(m.Node.View().Confirmed).To(BeTrue(), f.Description)
 	return f.Scope.Clock.Mono() - begun
 }
 
 // change pushes a configuration and shows, once nodes are in touch, that every node has it in force in time.
 func (f *Fleet) change(turn int) {
-	outcome := f.Push(shift(f.Configuration(), turn), 10*time.Second)
-	Expect(outcome).NotTo(BeNil(), f.Story)
-	Expect(outcome.Kind).To(BeEmpty(), f.Story)
-	f.Pass(inForceBound + 50*time.Millisecond)
+	outcome := f.PushConfiguration(shift(f.NextConfiguration(), turn), 10*time.Second)
+	Expect(outcome).NotTo(BeNil(), f.Description)
+	Expect(outcome.Kind).To(BeEmpty(), f.Description)
+	f.Sleep(inForceBound + 50*time.Millisecond)
 	f.prove(turn+2, 200*time.Millisecond)
 }
 
 // held is the control machine that owns the configuration, or another, by seed.
 func (f *Fleet) held(seed uint64) *Machine {
 	for _, m := range f.Controllers {
-		if owns := f.controller(m).Owner == m.At(inwardPort); owns == (seed%2 == 0) {
+		if owns := f.controller(m).Owner == m.Address(inwardPort); owns == (seed%2 == 0) {
 			return m
 		}
 	}
@@ -75,123 +75,123 @@
 var _ = ginkgo.Describe("a control machine that is cut off", func() {
 	story("given one cut from the core for 20 s, both ways or one way, while configurations change and clocks step, when nodes start beside it, then none in touch serves an old configuration past the bound", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
 		raised(f)
-		f.Visit(20)
-		f.Pass(time.Second)
+		f.StartLoad(20)
+		f.Sleep(time.Second)
 		cut := f.held(f.Seed)
 		f.isolate(cut, f.Seed)
 		turn := 0
 		longest := coreRound + startBound // a core that has just lost one waits for it, one round long
-		for _, m := range []*Machine{f.Of("books")[0], f.Of("loans")[1]} {
-			f.Push(shift(f.Configuration(), turn), 10*time.Second)
+		for _, m := range []*Machine{f.NodesOf("books")[0], f.NodesOf("loans")[1]} {
+			f.PushConfiguration(shift(f.NextConfiguration(), turn), 10*time.Second)
 			turn++
-			Expect(f.restart(m)).To(BeNumerically("<", longest), f.Story)
+			Expect(f.restart(m)).To(BeNumerically("<", longest), f.Description)
 			longest = startBound
-			Expect(m.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
+			Expect(m.Node.View().Serial).To(Equal(f.NextConfiguration().Base), f.Description)
 			cut.Clock.Jump(7 * time.Second)
 			m.Clock.Jump(-5 * time.Second)
-			f.Pass(contact + 50*time.Millisecond)
+			f.Sleep(contact + 50*time.Millisecond)
 			f.change(turn)
 			turn++
 		}
 		f.rejoin()
-		f.Pass(contact + 50*time.Millisecond)
+		f.Sleep(contact + 50*time.Millisecond)
 		f.change(turn)
-		f.ReadBack()
-		sound(f, Twice, Config, Back, Race, Kept)
+		f.ReadConfiguration()
+		sound(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 	})
 
 	story("given nodes whose settings name only the one that is cut off, when they start beside it, then they find those with a majority and none in touch serves an old configuration past the bound", []uint64{1, 2, 3}, func(f *Fleet) {
-		f.Tune = func(p *wire.NodeParams) { p.Seeds = []string{f.Controllers[0].At(inwardPort)} }
+		f.AdjustParams = func(p *wire.NodeParams) { p.Seeds = []string{f.Controllers[0].Address(inwardPort)} }
 		raised(f)
-		f.Visit(20)
-		f.Pass(time.Second)
+		f.StartLoad(20)
+		f.Sleep(time.Second)
 		f.isolate(f.Controllers[0], f.Seed)
-		Expect(f.Push(shift(f.Configuration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
-		for _, m := range []*Machine{f.Of("books")[0], f.Of("loans")[1]} {
-			Expect(f.restart(m)).To(BeNumerically("<", 1500*time.Millisecond), f.Story)
-			Expect(m.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
+		Expect(f.PushConfiguration(shift(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
+		for _, m := range []*Machine{f.NodesOf("books")[0], f.NodesOf("loans")[1]} {
+			Expect(f.restart(m)).To(BeNumerically("<", 1500*time.Millisecond), f.Description)
+			Expect(m.Node.View().Serial).To(Equal(f.NextConfiguration().Base), f.Description)
 		}
-		f.Pass(contact + 50*time.Millisecond)
+		f.Sleep(contact + 50*time.Millisecond)
 		f.change(1)
 		f.rejoin()
-		f.Pass(contact + 50*time.Millisecond)
+		f.Sleep(contact + 50*time.Millisecond)
 		f.change(2)
-		sound(f, Config, Back)
+		sound(f, RuleConfigInForce, RuleNoConfigRollback)
 	})
 
 	story("given a node that reaches only the one that is cut off, when it starts, then it serves the old configuration marked unconfirmed, and goes on to the newest as soon as it reaches a majority", []uint64{1, 2, 3}, func(f *Fleet) {
 		looked(f)
-		f.Visit(20)
-		f.Pass(time.Second)
-		m, cut := f.Of("books")[1], f.Controllers[2]
+		f.StartLoad(20)
+		f.Sleep(time.Second)
+		m, cut := f.NodesOf("books")[1], f.Controllers[2]
 		f.isolate(cut, 0)
-		end := f.Trouble(m.Name, "cut off")
-		f.Cut(m, f.Controllers[0])
-		f.Cut(m, f.Controllers[1])
-		Expect(f.Push(shift(f.Configuration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Story)
+		end := f.StartDisturbance(m.Name, "cut off")
+		f.Partition(m, f.Controllers[0])
+		f.Partition(m, f.Controllers[1])
+		Expect(f.PushConfiguration(shift(f.NextConfiguration(), 0), 10*time.Second).GetKind()).To(BeEmpty(), f.Description)
 		f.Kill(m)
-		f.Pass(100 * time.Millisecond)
-		Expect(f.Raise(m)).To(Succeed())
+		f.Sleep(100 * time.Millisecond)
+		Expect(f.StartProcess(m)).To(Succeed())
 		begun := f.Scope.Clock.Mono()
-		Expect(f.Until(4*time.Second, m.Node.Ready)).To(BeTrue(), f.Story)
-		Expect(f.Scope.Clock.Mono()-begun).To(BeNumerically("~", 1500*time.Millisecond, 100*time.Millisecond), f.Story)
-		f.Pass(12 * time.Second)
+		Expect(f.WaitUntil(4*time.Second, m.Node.Ready)).To(BeTrue(), f.Description)
+		Expect(f.Scope.Clock.Mono()-begun).To(BeNumerically("~", 1500*time.Millisecond, 100*time.Millisecond), f.Description)
+		f.Sleep(12 * time.Second)
 		view := f.node(m)
-		Expect(view.Confirmed).To(BeFalse(), f.Story)
-		Expect(view.Serial).To(Equal(uint64(3)), f.Story)
-		Expect(f.see(m.At(viewsPort), "/metrics")).To(ContainSubstring("curlew_configuration_confirmed 0\n"))
+		Expect(view.Confirmed).To(BeFalse(), f.Description)
+		Expect(view.Serial).To(Equal(uint64(3)), f.Description)
+		Expect(f.see(m.Address(viewsPort), "/metrics")).To(ContainSubstring("curlew_configuration_confirmed 0\n"))
 		f.World.HealAll()
 		end()
 		healed := f.Scope.Clock.Mono()
-		Expect(f.Until(5*time.Second, func() bool { return m.Node.View().Confirmed })).To(BeTrue(), f.Story)
-		Expect(m.Node.View().Serial).To(Equal(uint64(5)), f.Story)
-		Expect(f.Scope.Clock.Mono()-healed).To(BeNumerically("<", 1500*time.Millisecond), f.Story)
-		f.Pass(contact)
+		Expect(f.WaitUntil(5*time.Second, func() bool { return m.Node.View().Confirmed })).To(BeTrue(), f.Description)
+		Expect(m.Node.View().Serial).To(Equal(uint64(5)), f.Description)
+		Expect(f.Scope.Clock.Mono()-healed).To(BeNumerically("<", 1500*time.Millisecond), f.Description)
+		f.Sleep(contact)
 		f.change(1)
-		sound(f, Config, Back)
+		sound(f, RuleConfigInForce, RuleNoConfigRollback)
 	})
 
 	storyOf("given five control machines, two of a node's three seeds among them dead, when it starts and configurations change, then it asks living ones and is in time", 5, small, []uint64{1, 2}, func(f *Fleet) {
-		f.Tune = func(p *wire.NodeParams) { p.Seeds = p.Seeds[:3] }
+		f.AdjustParams = func(p *wire.NodeParams) { p.Seeds = p.Seeds[:3] }
 		raised(f)
-		f.Visit(20)
+		f.StartLoad(20)
 		f.PowerLoss(f.Controllers[0])
 		f.PowerLoss(f.Controllers[1])
-		f.Pass(2 * time.Second)
-		m := f.Of("books")[0]
-		Expect(f.restart(m)).To(BeNumerically("<", 200*time.Millisecond), f.Story)
-		f.Pass(contact)
-		living := []string{f.Controllers[2].At(inwardPort), f.Controllers[3].At(inwardPort), f.Controllers[4].At(inwardPort)}
+		f.Sleep(2 * time.Second)
+		m := f.NodesOf("books")[0]
+		Expect(f.restart(m)).To(BeNumerically("<", 200*time.Millisecond), f.Description)
+		f.Sleep(contact)
+		living := []string{f.Controllers[2].Address(inwardPort), f.Controllers[3].Address(inwardPort), f.Controllers[4].Address(inwardPort)}
 		var asked []string
 		for _, each := range m.Node.View().Polled {
 			asked = append(asked, each.Address)
 		}
-		Expect(asked).To(ConsistOf(living), f.Story)
+		Expect(asked).To(ConsistOf(living), f.Description)
 		f.change(0)
 	})
 
 	story("given a control machine that is frozen while nodes start and configurations change, when it thaws and sends what it had made, then no node takes the old for confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		raised(f)
-		f.Visit(20)
-		f.Pass(time.Second)
+		f.StartLoad(20)
+		f.Sleep(time.Second)
 		frozen := f.held(f.Seed)
 		for turn := range 3 {
-			m := f.Of("books")[turn]
+			m := f.NodesOf("books")[turn]
 			f.Kill(m)
-			f.Pass(100 * time.Millisecond)
-			Expect(f.Raise(m)).To(Succeed())
-			f.Pass(time.Duration(f.Seed) * 700 * time.Microsecond)
+			f.Sleep(100 * time.Millisecond)
+			Expect(f.StartProcess(m)).To(Succeed())
+			f.Sleep(time.Duration(f.Seed) * 700 * time.Microsecond)
 			thaw := f.Freeze(frozen)
-			outcome := f.Push(shift(f.Configuration(), turn), 10*time.Second)
-			Expect(outcome.GetKind()).To(BeEmpty(), f.Story)
-			f.Pass(time.Duration(f.Seed) * 600 * time.Millisecond)
+			outcome := f.PushConfiguration(shift(f.NextConfiguration(), turn), 10*time.Second)
+			Expect(outcome.GetKind()).To(BeEmpty(), f.Description)
+			f.Sleep(time.Duration(f.Seed) * 600 * time.Millisecond)
 			thaw()
-			Expect(f.Until(5*time.Second, func() bool { return m.Node.View().Confirmed && m.Node.View().Serial == outcome.Serial })).To(BeTrue(), f.Story)
+			Expect(f.WaitUntil(5*time.Second, func() bool { return m.Node.View().Confirmed && m.Node.View().Serial == outcome.Serial })).To(BeTrue(), f.Description)
 		}
-		f.Pass(contact + 50*time.Millisecond)
+		f.Sleep(contact + 50*time.Millisecond)
 		f.change(3)
-		f.ReadBack()
-		sound(f, Twice, Config, Back, Kept)
+		f.ReadConfiguration()
+		sound(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleConfigDurability)
 	})
 
 	story("given a calm core, or one whose third machine is dark, when nodes start, then their first confirmed configuration comes within a few round trips", []uint64{1, 2, 3}, func(f *Fleet) {
@@ -200,12 +200,12 @@
 		for _, dark := range []bool{false, true} {
 			if dark {
 				f.PowerLoss(f.Controllers[2])
-				f.Pass(2 * time.Second)
+				f.Sleep(2 * time.Second)
 			}
 			for _, m := range f.Nodes {
 				took := f.restart(m)
 				told = append(told, fmt.Sprintf("%.1f", took.Seconds()*1000))
-				Expect(took).To(BeNumerically("<", startBound), f.Story)
+				Expect(took).To(BeNumerically("<", startBound), f.Description)
 			}
 		}
 		ginkgo.AddReportEntry("ms to a confirmed configuration, calm and beside one dark of three", strings.Join(told, " "))
--- a/internal/testing/openfleet/day_test.go
+++ b/internal/testing/openfleet/day_test.go
@@ -13,7 +13,7 @@
 
 type misfortune func(f *Fleet, m *Machine, random *random.Source) (end func())
 
-func (f *Fleet) revive(m *Machine) { Expect(f.Raise(m)).To(Succeed()) }
+func (f *Fleet) revive(m *Machine) { Expect(f.StartProcess(m)).To(Succeed()) }
 
 var ofNodes = []misfortune{
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
@@ -23,9 +23,9 @@
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		f.PowerLoss(m)
 		return func() {
-			f.Power(m)
+			f.RestorePower(m)
 			f.revive(m)
-			f.Seat(m)
+			f.StartUpstream(m)
 		}
 	},
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
@@ -35,40 +35,40 @@
 	func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) },
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Kill()
-		return func() { f.Seat(m) }
+		return func() { f.StartUpstream(m) }
 	},
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Leave()
-		return func() { f.Seat(m) }
+		return func() { f.StartUpstream(m) }
 	},
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
 		m.Upstream.Kill()
-		other := f.Upstream(m, "strangers", upstreamPort)
-		other.Dumb = true
+		other := f.NewUpstream(m, "strangers", upstreamPort)
+		other.NoHeartbeats = true
 		Expect(other.Start()).To(Succeed())
 		return func() {
 			other.Kill()
-			f.Seat(m)
+			f.StartUpstream(m)
 		}
 	},
 	func(f *Fleet, m *Machine, random *random.Source) func() {
-		faults := []Fault{Silent, Reset, Torn, Garbled, Unsealed, Endless, Twin, LateTwin, Stale, Trail, LateTrail, Closing, Hangup, Failing, Crossed}
+		faults := []Fault{NoResponse, ConnReset, TruncatedBody, InvalidResponse, MissingSeal, UndelimitedBody, DuplicateResponse, LateDuplicate, DuplicateOnNextRequest, TrailingBytes, LateTrailingBytes, CloseAfterResponse, CloseWithoutResponse, InternalError, UnrelatedResponse}
 		at := random.IntN(len(faults))
-		m.Upstream.Set(Trouble{faults[at], 0.3, 10 * time.Millisecond}, Trouble{faults[(at+1)%len(faults)], 0.2, 2 * time.Millisecond})
-		return func() { m.Upstream.Set() }
+		m.Upstream.SetFaults(FaultRate{faults[at], 0.3, 10 * time.Millisecond}, FaultRate{faults[(at+1)%len(faults)], 0.2, 2 * time.Millisecond})
+		return func() { m.Upstream.SetFaults() }
 	},
 	func(f *Fleet, m *Machine, random *random.Source) func() {
-		m.Upstream.SetSpeed(3 + 10*random.Float64())
-		return func() { m.Upstream.SetSpeed(1) }
+		m.Upstream.SetSlowdown(3 + 10*random.Float64())
+		return func() { m.Upstream.SetSlowdown(1) }
 	},
 	func(f *Fleet, m *Machine, random *random.Source) func() {
-		end := f.Trouble(m.Name, "cut off")
+		end := f.StartDisturbance(m.Name, "cut off")
 		all := append(f.nodes(), f.Controllers...)
 		var cut []*Machine
 		for _, other := range all {
 			if other != m && random.Float64() < 0.6 {
 				cut = append(cut, other)
-				f.Cut(m, other)
+				f.Partition(m, other)
 			}
 		}
 		return func() {
@@ -92,9 +92,9 @@
 			m.Disk.Wipe()
 		}
 		return func() {
-			f.Power(m)
+			f.RestorePower(m)
 			f.revive(m)
-			f.Until(8*time.Second, m.Controller.Ready)
+			f.WaitUntil(8*time.Second, m.Controller.Ready)
 		}
 	},
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
@@ -103,10 +103,10 @@
 	},
 	func(f *Fleet, m *Machine, _ *random.Source) func() { return f.Freeze(m) },
 	func(f *Fleet, m *Machine, _ *random.Source) func() {
-		end := f.Trouble(m.Name, "cut off")
+		end := f.StartDisturbance(m.Name, "cut off")
 		for _, other := range f.Controllers {
 			if other != m {
-				f.Cut(m, other)
+				f.Partition(m, other)
 			}
 		}
 		return func() {
@@ -124,17 +124,17 @@
 	for f.History.Now() < till {
 		m := machines[random.IntN(len(machines))]
 		end := of[random.IntN(len(of))](f, m, random)
-		f.Pass(time.Duration((0.1 + 1.5*random.Float64()) * float64(time.Second)))
+		f.Sleep(time.Duration((0.1 + 1.5*random.Float64()) * float64(time.Second)))
 		end()
-		f.Pass(time.Duration(random.Float64() * float64(time.Second)))
+		f.Sleep(time.Duration(random.Float64() * float64(time.Second)))
 	}
 }
 
 var _ = ginkgo.Describe("a bad day", func() {
 	story("given random troubles of nodes, upstreams, control machines and links at once, when configurations change amid load, then every rule is kept and all is well once they end", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(60)
-		f.Pass(500 * time.Millisecond)
+		f.StartLoad(60)
+		f.Sleep(500 * time.Millisecond)
 		till := f.History.Now() + 15*time.Second
 		var even, odd []*Machine
 		for i, m := range f.Nodes {
@@ -149,9 +149,9 @@
 			func() { f.lane("odd", odd, ofNodes, till) },
 			func() { f.lane("core", f.Controllers, ofControllers, till) },
 			func() {
-				operator := f.Operator("one")
+				operator := f.NewOperator("one")
 				for turn := 0; f.History.Now() < till; turn++ {
-					next := shift(f.Configuration(), turn)
+					next := shift(f.NextConfiguration(), turn)
 					if outcome := operator.Propose(&wire.ConfigurationProposal{Configuration: next}, next, 30*time.Second); outcome != nil && outcome.Kind == "" {
 						f.settle(next)
 					}
@@ -161,10 +161,10 @@
 		}, func(do func()) { do() })
 		f.World.HealAll()
 		end := f.History.Now()
-		f.Pass(8 * time.Second)
-		f.ReadBack()
-		f.Away()
-		sound(f, Twice, Mixed, Unasked, Routed, Kept)
+		f.Sleep(8 * time.Second)
+		f.ReadConfiguration()
+		f.StopLoad()
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity, RuleRouting, RuleConfigDurability)
 		f.fares(0.99, end+4*time.Second, 0, nil)
 	})
 })
--- a/internal/testing/openfleet/doors.go
+++ b/internal/testing/openfleet/doors.go
@@ -75,8 +75,8 @@
 	web   *http.Client
 }
 
-// Operator returns a client of the control plane for one operator, with a call timeout of 1 s.
-func (f *Fleet) Operator(name string) *Operator {
+// NewOperator returns a client of the control plane for one operator, with a call timeout of 1 s.
+func (f *Fleet) NewOperator(name string) *Operator {
 	s := f.scope("operator "+name, "10.9.9.8", f.Scope.Disk, f.Scope.Clock, f.Scope.Journal)
 	return &Operator{fleet: f, scope: s, web: &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, DisableKeepAlives: true}, Timeout: time.Second}}
 }
@@ -106,22 +106,22 @@
 // that the proposal may or may not be accepted.
 func (o *Operator) Propose(p *wire.ConfigurationProposal, whole *wire.Configuration, longest time.Duration) *wire.ConfigurationOutcome {
 	h := o.fleet.History
-	sent := &Sent{Configuration: whole, At: h.Now(), Acked: -1}
+	sent := &Proposal{Configuration: whole, SentAt: h.Now(), AckedAt: -1}
 	note(h, &h.sent, sent)
 	body, _ := proto.Marshal(p)
 	at := o.scope.Rand.IntN(len(o.fleet.Controllers))
-	for i := 0; h.Now()-sent.At < longest; i++ {
+	for i := 0; h.Now()-sent.SentAt < longest; i++ {
 		outcome := &wire.ConfigurationOutcome{}
 		controller := o.fleet.Controllers[(at+i)%len(o.fleet.Controllers)]
-		if err := o.call(http.MethodPost, controller.At(operatorsPort), body, outcome); err != nil {
+		if err := o.call(http.MethodPost, controller.Address(operatorsPort), body, outcome); err != nil {
 			base.Await(o.scope, time.Duration(min(50*(i+1), 500))*time.Millisecond)
 			continue
 		}
-		h.Mark(func() {
+		h.Update(func() {
 			if outcome.Kind == "" {
-				sent.Acked = h.Now()
+				sent.AckedAt = h.Now()
 			} else {
-				sent.Refused = true
+				sent.Rejected = true
 			}
 		})
 		return outcome
@@ -129,17 +129,17 @@
 	return nil
 }
 
-// Read returns the configuration that one control plane replica serves. It fails on a transport error, a
+// ReadConfiguration returns the configuration that one control plane replica serves. It fails on a transport error, a
 // status other than 200 or a malformed body.
-func (o *Operator) Read(controller *Machine) (*wire.Configuration, error) {
+func (o *Operator) ReadConfiguration(controller *Machine) (*wire.Configuration, error) {
 	configuration := &wire.Configuration{}
-	err := o.call(http.MethodGet, controller.At(operatorsPort), nil, configuration)
+	err := o.call(http.MethodGet, controller.Address(operatorsPort), nil, configuration)
 	return configuration, err
 }
 
-// Push puts a whole configuration on top of the one that was current.
-func (f *Fleet) Push(next *wire.Configuration, longest time.Duration) *wire.ConfigurationOutcome {
-	outcome := f.Operator("one").Propose(&wire.ConfigurationProposal{Configuration: next}, next, longest)
+// PushConfiguration puts a whole configuration on top of the one that was current.
+func (f *Fleet) PushConfiguration(next *wire.Configuration, longest time.Duration) *wire.ConfigurationOutcome {
+	outcome := f.NewOperator("one").Propose(&wire.ConfigurationProposal{Configuration: next}, next, longest)
 	if outcome != nil && outcome.Kind == "" {
 		f.settle(next)
 	}
@@ -154,17 +154,17 @@
 	}
 }
 
-// ReadBack asks control machines for the configuration until one answers.
-func (f *Fleet) ReadBack() {
-	o := f.Operator("reader")
+// ReadConfiguration asks control machines for the configuration until one answers.
+func (f *Fleet) ReadConfiguration() {
+	o := f.NewOperator("reader")
 	for i := range 4 * len(f.Controllers) {
 		controller := f.Controllers[i%len(f.Controllers)]
-		configuration, err := o.Read(controller)
+		configuration, err := o.ReadConfiguration(controller)
 		if err != nil && i < 4*len(f.Controllers)-1 {
-			f.Pass(100 * time.Millisecond)
+			f.Sleep(100 * time.Millisecond)
 			continue
 		}
-		note(f.History, &f.History.reads, Readback{f.History.Now(), controller.Name, configuration, err})
+		note(f.History, &f.History.reads, ConfigRead{f.History.Now(), controller.Name, configuration, err})
 		return
 	}
 }
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -51,29 +51,29 @@
 // Machine is a simulated machine. Its process is either a replica of the control plane (Core) or a data
 // plane node with an Upstream beside it; Control machine and Node are nil while no process runs.
 type Machine struct {
-	Name       string
-	Zone       string
-	IP         string
-	Service    string
-	Core       bool
-	Disk       *simnet.Disk
-	Clock      *simnet.Clock
-	Journal    *base.Journal
-	Node       *dataplane.Node
-	Controller *controlplane.Server
-	Upstream   *Upstream
-	mount      *simnet.Mount
-	visitors   *client
-	lives      atomic.Int64
-	in         atomic.Bool
-	retired    atomic.Bool
-	misses     int
-	back       func()
-	cancel     context.CancelFunc
+	Name         string
+	Zone         string
+	IP           string
+	Service      string
+	IsController bool
+	Disk         *simnet.Disk
+	Clock        *simnet.Clock
+	Journal      *base.Journal
+	Node         *dataplane.Node
+	Controller   *controlplane.Server
+	Upstream     *Upstream
+	mount        *simnet.Mount
+	visitors     *client
+	lives        atomic.Int64
+	in           atomic.Bool
+	retired      atomic.Bool
+	misses       int
+	back         func()
+	cancel       context.CancelFunc
 }
 
-// At returns the machine's address for a port, as "ip:port".
-func (m *Machine) At(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
+// Address returns the machine's address for a port, as "ip:port".
+func (m *Machine) Address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
 func (m *Machine) owner() string { return fmt.Sprintf("%s life %d", m.Name, m.lives.Load()) }
 
@@ -82,37 +82,37 @@
 // returns their capacity and queue length in requests, and Tune, if set, adjusts the settings of each node
 // before it starts. The same Seed gives the same random choices.
 type Fleet struct {
-	Scope         base.Scope
-	Seed          uint64
-	World         *simnet.World
-	Controllers   []*Machine
-	Nodes         []*Machine
-	gone          []*Machine
-	enrolled      int
-	History       *History
-	Plan          []Plan
-	Habits        []Habit
-	Size          func(service string) (capacity, queue int)
-	Tune          func(*wire.NodeParams)
-	First         *wire.Configuration
-	Story         string
-	zones         base.Table[string]
-	apart         time.Duration // delay between zones, one way
-	seeds         []string
-	born          time.Time
-	configuration *wire.Configuration
-	visiting      context.CancelFunc
-	crew          base.Group
-	living        sync.Mutex
-	uppers        atomic.Int64
-	count         atomic.Int64
+	Scope                base.Scope
+	Seed                 uint64
+	World                *simnet.Network
+	Controllers          []*Machine
+	Nodes                []*Machine
+	gone                 []*Machine
+	enrolled             int
+	History              *History
+	Workload             []RequestClass
+	Behaviors            []Behavior
+	CapacityOf           func(service string) (capacity, queue int)
+	AdjustParams         func(*wire.NodeParams)
+	InitialConfiguration *wire.Configuration
+	Description          string
+	zones                base.Table[string]
+	apart                time.Duration // delay between zones, one way
+	seeds                []string
+	born                 time.Time
+	configuration        *wire.Configuration
+	visiting             context.CancelFunc
+	crew                 base.Group
+	living               sync.Mutex
+	uppers               atomic.Int64
+	count                atomic.Int64
 }
 
 // New builds a fleet of so many control plane replicas and, for each service, so many nodes, spread over
 // three zones. No process runs until Raise.
 func New(seed uint64, controllers int, services map[string]int) *Fleet {
 	f := &Fleet{Seed: seed, born: time.Now(), apart: crossZone}
-	f.World = simnet.NewWorld(f.rand("world"), func(from, to string) time.Duration {
+	f.World = simnet.NewNetwork(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return nearby
@@ -123,23 +123,23 @@
 	})
 	f.Scope = f.scope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.born), base.NewJournal(journalBound))
 	f.History = NewHistory(f.Scope.Clock)
-	f.Size = func(string) (int, int) { return 8, 16 }
+	f.CapacityOf = func(string) (int, int) { return 8, 16 }
 	for i := range controllers {
 		m := f.machine(fmt.Sprintf("%s-%d", corePrefix, i+1), fmt.Sprintf("10.9.0.%d", i+1), i)
-		m.Core = true
+		m.IsController = true
 		f.Controllers = append(f.Controllers, m)
-		f.seeds = append(f.seeds, m.At(inwardPort))
+		f.seeds = append(f.seeds, m.Address(inwardPort))
 	}
 	for _, service := range sorted(services) {
 		for range services[service] {
-			f.Enrol(service, "")
+			f.AddNode(service, "")
 		}
 	}
 	return f
 }
 
-// Enrol adds a machine for a service, at an address of its own or at one that another had.
-func (f *Fleet) Enrol(service, ip string) *Machine {
+// AddNode adds a machine for a service, at an address of its own or at one that another had.
+func (f *Fleet) AddNode(service, ip string) *Machine {
 	i := f.enrolled
 	f.enrolled++
 	if ip == "" {
@@ -147,7 +147,7 @@
 	}
 	m := f.machine(fmt.Sprintf("app-%d", i+1), ip, i)
 	m.Service = service
-	m.visitors = &client{scope: f.scope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal), history: f.History, to: m.At(outwardPort), name: "visitors " + m.Name}
+	m.visitors = &client{scope: f.scope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal), history: f.History, to: m.Address(outwardPort), name: "visitors " + m.Name}
 	f.living.Lock()
 	defer f.living.Unlock()
 	f.Nodes = append(f.Nodes, m)
@@ -170,12 +170,12 @@
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
 func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
-	return f.World.Scope(f.Seed, name, ip, disk, clock, journal)
+	return f.World.NewScope(f.Seed, name, ip, disk, clock, journal)
 }
 
-// Raise starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
+// StartProcess starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill
 // or PowerLoss recorded. It returns the error of the start.
-func (f *Fleet) Raise(m *Machine) error {
+func (f *Fleet) StartProcess(m *Machine) error {
 	m.lives.Add(1)
 	m.mount = simnet.NewMount(m.Disk)
 	s := f.scope(m.owner(), m.IP, m.mount, m.Clock, m.Journal)
@@ -184,9 +184,9 @@
 		m.back()
 		m.back = nil
 	}
-	if m.Core {
+	if m.IsController {
 		controller, err := controlplane.Start(s, &wire.ControllerParams{
-			Name: m.Name, Zone: m.Zone, Peers: m.At(inwardPort), Operators: m.At(operatorsPort), Seeds: f.seeds, Founding: m.lives.Load() == 1, Folder: "data",
+			Name: m.Name, Zone: m.Zone, Peers: m.Address(inwardPort), Operators: m.Address(operatorsPort), Seeds: f.seeds, Founding: m.lives.Load() == 1, Folder: "data",
 			Ack: durationpb.New(4 * time.Second), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
 		}, desk)
 		f.living.Lock()
@@ -204,20 +204,20 @@
 // params returns the settings that a node starts with.
 func (f *Fleet) params(m *Machine) *wire.NodeParams {
 	params := &wire.NodeParams{
-		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.At(upstreamPort), Outward: m.At(outwardPort), Inward: m.At(inwardPort),
-		Ready: m.At(readyPort), Control: m.At(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
+		Name: m.Name, Zone: m.Zone, Service: m.Service, Upstream: m.Address(upstreamPort), Outward: m.Address(outwardPort), Inward: m.Address(inwardPort),
+		Ready: m.Address(readyPort), Control: m.Address(controlPort), Seeds: f.seeds, Cores: 1, MemoryMb: 64, Descriptors: 1024,
 		Beat: durationpb.New(beatEvery), Leaving: durationpb.New(leavingBound), InForce: durationpb.New(inForceBound), Grace: durationpb.New(graceBound),
 		RepeatRatio: repeatRatio, RepeatWindow: durationpb.New(repeatWindow), RepeatSlack: repeatSlack,
 	}
-	if f.Tune != nil {
-		f.Tune(params)
+	if f.AdjustParams != nil {
+		f.AdjustParams(params)
 	}
 	return params
 }
 
-// Seat starts an upstream beside a node.
-func (f *Fleet) Seat(m *Machine) *Upstream {
-	u := f.Upstream(m, m.Service, upstreamPort)
+// StartUpstream starts an upstream beside a node.
+func (f *Fleet) StartUpstream(m *Machine) *Upstream {
+	u := f.NewUpstream(m, m.Service, upstreamPort)
 	m.Upstream = u
 	if err := u.Start(); err != nil {
 		panic(err)
@@ -225,19 +225,19 @@
 	return u
 }
 
-// Upstream returns a new instance of a service on a machine and port, without starting it.
-func (f *Fleet) Upstream(m *Machine, service string, port int) *Upstream {
-	capacity, queue := f.Size(service)
+// NewUpstream returns a new instance of a service on a machine and port, without starting it.
+func (f *Fleet) NewUpstream(m *Machine, service string, port int) *Upstream {
+	capacity, queue := f.CapacityOf(service)
 	id := fmt.Sprintf("i-%s-%d", service, f.uppers.Add(1))
 	return &Upstream{
-		ID: id, Service: service, Address: m.At(port), Zone: m.Zone, Capacity: capacity, Queue: queue, Habits: f.Habits,
+		ID: id, Service: service, Address: m.Address(port), Zone: m.Zone, Capacity: capacity, Queue: queue, Behaviors: f.Behaviors,
 		speed: 1, machine: m, fleet: f, scope: f.scope(id, m.IP, m.Disk, m.Clock, m.Journal),
 	}
 }
 
 func (f *Fleet) down(m *Machine, cause string) {
 	if m.cancel != nil && m.back == nil {
-		m.back = f.History.Spell(m.Name, cause, false)
+		m.back = f.History.StartDisturbance(m.Name, cause, false)
 	}
 }
 
@@ -265,7 +265,7 @@
 		switch {
 		case other == m:
 		case cut:
-			f.Cut(m, other)
+			f.Partition(m, other)
 		default:
 			f.World.Heal(m.IP, other.IP)
 			f.World.Heal(other.IP, m.IP)
@@ -273,13 +273,13 @@
 	}
 }
 
-// Power lets a machine that lost it be raised again.
-func (f *Fleet) Power(m *Machine) { f.dark(m, false) }
+// RestorePower lets a machine that lost it be raised again.
+func (f *Fleet) RestorePower(m *Machine) { f.dark(m, false) }
 
 // Stop ends the machine's process gracefully and waits for it, as a planned disturbance that lasts until 1
 // s after the end.
 func (f *Fleet) Stop(m *Machine) {
-	end := f.History.Spell(m.Name, "stop", true)
+	end := f.History.StartDisturbance(m.Name, "stop", true)
 	if m.Node != nil {
 		m.Node.Stop()
 	} else if m.Controller != nil {
@@ -307,10 +307,10 @@
 	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
-// End stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
+// Close stops the clients, kills every process and upstream, and closes the network. The fleet can't be used
 // afterwards.
-func (f *Fleet) End() {
-	f.Away()
+func (f *Fleet) Close() {
+	f.StopLoad()
 	for _, m := range append(f.Nodes, f.gone...) {
 		if m.Upstream != nil {
 			m.Upstream.Kill()
@@ -325,12 +325,12 @@
 	time.Sleep(time.Minute)
 }
 
-// Pass waits for d on the fleet's clock.
-func (f *Fleet) Pass(d time.Duration) { base.Await(f.Scope, d) }
+// Sleep waits for d on the fleet's clock.
+func (f *Fleet) Sleep(d time.Duration) { base.Await(f.Scope, d) }
 
-// Until checks reached every 5 ms, for at most longest, and reports whether it became true.
-func (f *Fleet) Until(longest time.Duration, reached func() bool) bool {
-	for begun := time.Now(); time.Since(begun) < longest; f.Pass(5 * time.Millisecond) {
+// WaitUntil checks reached every 5 ms, for at most longest, and reports whether it became true.
+func (f *Fleet) WaitUntil(longest time.Duration, reached func() bool) bool {
+	for begun := time.Now(); time.Since(begun) < longest; f.Sleep(5 * time.Millisecond) {
 		if reached() {
 			return true
 		}
@@ -338,8 +338,8 @@
 	return reached()
 }
 
-// Of returns the machines that carry a service, in the order of their enrolment.
-func (f *Fleet) Of(service string) (found []*Machine) {
+// NodesOf returns the machines that carry a service, in the order of their enrolment.
+func (f *Fleet) NodesOf(service string) (found []*Machine) {
 	for _, m := range f.Nodes {
 		if m.Service == service {
 			found = append(found, m)
@@ -359,8 +359,8 @@
 	return true
 }
 
-// Configuration copies the newest acked configuration, to be changed and pushed on top of it.
-func (f *Fleet) Configuration() *wire.Configuration {
+// NextConfiguration copies the newest acked configuration, to be changed and pushed on top of it.
+func (f *Fleet) NextConfiguration() *wire.Configuration {
 	f.living.Lock()
 	defer f.living.Unlock()
 	next := proto.Clone(f.configuration).(*wire.Configuration)
@@ -380,11 +380,13 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// Trouble records an unplanned disturbance of the named machine from now until end is called.
-func (f *Fleet) Trouble(name, cause string) (end func()) { return f.History.Spell(name, cause, false) }
+// StartDisturbance records an unplanned disturbance of the named machine from now until end is called.
+func (f *Fleet) StartDisturbance(name, cause string) (end func()) {
+	return f.History.StartDisturbance(name, cause, false)
+}
 
-// Cut drops all traffic between two machines, in both directions.
-func (f *Fleet) Cut(a, b *Machine) {
+// Partition drops all traffic between two machines, in both directions.
+func (f *Fleet) Partition(a, b *Machine) {
 	f.World.Cut(a.IP, b.IP)
 	f.World.Cut(b.IP, a.IP)
 }
@@ -403,7 +405,7 @@
 // Freeze suspends the machine's process (its clock, network and disk) until thaw is called, and records an
 // unplanned disturbance for that time.
 func (f *Fleet) Freeze(m *Machine) (thaw func()) {
-	end := f.Trouble(m.Name, "frozen")
+	end := f.StartDisturbance(m.Name, "frozen")
 	life := m.owner()
 	m.Clock.Freeze(true)
 	f.World.Freeze(life)
--- a/internal/testing/openfleet/hops_test.go
+++ b/internal/testing/openfleet/hops_test.go
@@ -11,15 +11,15 @@
 	"curlewreach/base"
 )
 
-// Failed counts the jobs that were neither served nor refused with a promise.
-func (t Tally) Failed() int { return t.Jobs - t.Served - t.Refused }
+// Indeterminate counts the jobs that were neither served nor refused with a promise.
+func (t JobStats) Indeterminate() int { return t.Jobs - t.Succeeded - t.Rejected }
 
 // doubtful expects at most a share of the jobs that may not be repeated to fail without a promise.
 func (f *Fleet) doubtful(most float64) {
-	t := f.Tally(0, 0, once)
-	share := float64(t.Failed()) / float64(max(t.Jobs, 1))
-	ginkgo.AddReportEntry(f.Story, fmt.Sprint(t.Failed(), " failed; ", t, "; ", f.settled()))
-	ExpectWithOffset(1, share).To(BeNumerically("<=", most), "%s: %d failed; %s", f.Story, t.Failed(), t)
+	t := f.JobStats(0, 0, once)
+	share := float64(t.Indeterminate()) / float64(max(t.Jobs, 1))
+	ginkgo.AddReportEntry(f.Description, fmt.Sprint(t.Indeterminate(), " failed; ", t, "; ", f.settled()))
+	ExpectWithOffset(1, share).To(BeNumerically("<=", most), "%s: %d failed; %s", f.Description, t.Indeterminate(), t)
 }
 
 // settled sums what the nodes that are up counted of broken connections between them.
@@ -41,8 +41,8 @@
 func (f *Fleet) resetEvery(pause time.Duration, times int) {
 	random := f.rand("resets")
 	for range times {
-		f.World.Reset(f.Nodes[random.IntN(len(f.Nodes))].IP)
-		f.Pass(time.Duration(float64(pause) * (0.5 + random.Float64())))
+		f.World.ResetConns(f.Nodes[random.IntN(len(f.Nodes))].IP)
+		f.Sleep(time.Duration(float64(pause) * (0.5 + random.Float64())))
 	}
 }
 
@@ -50,19 +50,19 @@
 	story("given load, when machines' connections are reset again and again, then nothing runs twice and next to nothing is left in doubt", []uint64{1, 2}, func(f *Fleet) {
 		f.slowly(40*time.Millisecond, 120*time.Millisecond)
 		raised(f)
-		f.Visit(80)
-		f.Pass(time.Second)
+		f.StartLoad(80)
+		f.Sleep(time.Second)
 		f.resetEvery(150*time.Millisecond, 40)
-		f.Away()
+		f.StopLoad()
 		f.doubtful(0.02)
-		sound(f, Twice, Mixed)
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity)
 	})
 
 	story("given load, when connections are reset while nodes are killed, frozen and cut off, then nothing runs twice and no refused one ran", []uint64{1, 2}, func(f *Fleet) {
 		f.slowly(40*time.Millisecond, 120*time.Millisecond)
 		raised(f)
-		f.Visit(80)
-		f.Pass(time.Second)
+		f.StartLoad(80)
+		f.Sleep(time.Second)
 		base.Parallel([]func(){
 			func() { f.resetEvery(150*time.Millisecond, 60) },
 			func() {
@@ -72,30 +72,30 @@
 					switch turn % 3 {
 					case 0:
 						f.Kill(m)
-						f.Pass(500 * time.Millisecond)
-						Expect(f.Raise(m)).To(Succeed())
+						f.Sleep(500 * time.Millisecond)
+						Expect(f.StartProcess(m)).To(Succeed())
 					case 1:
 						thaw := f.Freeze(m)
-						f.Pass(700 * time.Millisecond)
+						f.Sleep(700 * time.Millisecond)
 						thaw()
 					default:
 						f.cutOffFor(m, 400*time.Millisecond)
 					}
-					f.Pass(time.Second)
+					f.Sleep(time.Second)
 				}
 			},
 		}, func(do func()) { do() })
-		f.Pass(2 * time.Second)
-		f.Away()
+		f.Sleep(2 * time.Second)
+		f.StopLoad()
 		f.doubtful(0.03)
-		sound(f, Twice, Mixed)
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity)
 	})
 })
 
 func (f *Fleet) cutOffFor(m *Machine, d time.Duration) {
-	end := f.Trouble(m.Name, "cut off")
+	end := f.StartDisturbance(m.Name, "cut off")
 	f.dark(m, true)
-	f.Pass(d)
+	f.Sleep(d)
 	f.dark(m, false)
 	end()
 }
--- a/internal/testing/openfleet/machines_test.go
+++ b/internal/testing/openfleet/machines_test.go
@@ -11,8 +11,8 @@
 )
 
 func (f *Fleet) fares(least float64, from, till time.Duration, fits func(*Job) bool) {
-	t := f.Tally(from, till, fits)
-	ExpectWithOffset(1, t.Share()).To(BeNumerically(">=", least), "%s: %s", f.Story, t)
+	t := f.JobStats(from, till, fits)
+	ExpectWithOffset(1, t.SuccessRate()).To(BeNumerically(">=", least), "%s: %s", f.Description, t)
 }
 
 // outage is a time in which a node was down; its own visitors have nobody to ask then.
@@ -22,28 +22,28 @@
 }
 
 func (j *Job) meets(o outage) bool {
-	return j.Node == o.node && j.At < o.to && max(j.Ended, j.At) >= o.from
+	return j.Node == o.node && j.StartedAt < o.to && max(j.EndedAt, j.StartedAt) >= o.from
 }
 
 // repeatable tells of each route of the first configuration whether its requests may run more than once.
 func (f *Fleet) repeatable() map[string]bool {
 	repeatable := map[string]bool{}
-	for _, route := range f.First.Routes {
+	for _, route := range f.InitialConfiguration.Routes {
 		repeatable[route.Name] = route.Repeat != wire.Repeat_ONCE
 	}
 	return repeatable
 }
 
 func (f *Fleet) slowly(base, swing time.Duration) {
-	for i := range f.Habits {
-		f.Habits[i].Base, f.Habits[i].Swing = base, swing
+	for i := range f.Behaviors {
+		f.Behaviors[i].Base, f.Behaviors[i].Swing = base, swing
 	}
-	f.Plan = slices.Clone(f.Plan)
-	for i := range f.Plan {
-		f.Plan[i].Within = 6 * time.Second
+	f.Workload = slices.Clone(f.Workload)
+	for i := range f.Workload {
+		f.Workload[i].Timeout = 6 * time.Second
 	}
-	f.First = first()
-	for _, route := range f.First.Routes {
+	f.InitialConfiguration = first()
+	for _, route := range f.InitialConfiguration.Routes {
 		route.CutoffMs, route.AimMs = 6000, 4000
 	}
 }
@@ -51,122 +51,122 @@
 var _ = ginkgo.Describe("machines in trouble", func() {
 	story("given load, when nodes are killed and raised, then nothing runs twice, no refused one ran and most are served", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
+		f.StartLoad(50)
+		f.Sleep(time.Second)
 		for i := range 3 {
 			m := f.Nodes[(int(f.Seed)+3*i)%len(f.Nodes)]
 			f.Kill(m)
-			f.Pass(700 * time.Millisecond)
-			Expect(f.Raise(m)).To(Succeed())
-			f.Pass(1500 * time.Millisecond)
+			f.Sleep(700 * time.Millisecond)
+			Expect(f.StartProcess(m)).To(Succeed())
+			f.Sleep(1500 * time.Millisecond)
 		}
-		f.Away()
+		f.StopLoad()
 		f.fares(0.94, 0, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	story("given load, when a machine loses power without a word, then nothing runs twice and the others serve on", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
+		f.StartLoad(50)
+		f.Sleep(time.Second)
 		m := f.Nodes[int(f.Seed)%len(f.Nodes)]
 		m.in.Store(false)
 		f.PowerLoss(m)
 		at := f.Scope.Clock.Mono()
-		f.Pass(5 * time.Second)
-		f.Power(m)
-		Expect(f.Raise(m)).To(Succeed())
-		f.Seat(m)
-		f.Pass(3 * time.Second)
-		f.Away()
+		f.Sleep(5 * time.Second)
+		f.RestorePower(m)
+		Expect(f.StartProcess(m)).To(Succeed())
+		f.StartUpstream(m)
+		f.Sleep(3 * time.Second)
+		f.StopLoad()
 		f.fares(0.97, 0, 0, nil)
 		f.fares(0.99, at+2500*time.Millisecond, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	storyOf("given long answers in flight, when every node is stopped in order and raised, one by one, then nobody loses an answer", 3, map[string]int{"books": 2, "loans": 2, "gates": 2}, []uint64{1, 2}, func(f *Fleet) {
 		f.slowly(500*time.Millisecond, 300*time.Millisecond)
-		f.Size = func(string) (int, int) { return 30, 30 }
+		f.CapacityOf = func(string) (int, int) { return 30, 30 }
 		raised(f)
-		f.Visit(25)
-		f.Pass(time.Second)
+		f.StartLoad(25)
+		f.Sleep(time.Second)
 		for _, m := range f.Nodes {
 			f.Stop(m)
-			f.Pass(200 * time.Millisecond)
-			Expect(f.Raise(m)).To(Succeed())
-			Expect(f.Until(5*time.Second, m.Node.Ready)).To(BeTrue())
-			f.Pass(time.Second)
+			f.Sleep(200 * time.Millisecond)
+			Expect(f.StartProcess(m)).To(Succeed())
+			Expect(f.WaitUntil(5*time.Second, m.Node.Ready)).To(BeTrue())
+			f.Sleep(time.Second)
 		}
-		f.Away()
+		f.StopLoad()
 		f.fares(0.995, 0, 0, nil)
-		sound(f, Twice, Lost)
+		sound(f, RuleAtMostOnce, RuleGracefulStop)
 	})
 
 	story("given long answers in flight, when nodes are killed and raised, then nothing runs twice and what may be repeated is served", []uint64{1, 2, 3, 4, 5, 6}, func(f *Fleet) {
 		f.slowly(300*time.Millisecond, 300*time.Millisecond)
-		f.Size = func(string) (int, int) { return 30, 30 }
+		f.CapacityOf = func(string) (int, int) { return 30, 30 }
 		raised(f)
-		f.Visit(60)
-		f.Pass(time.Second)
+		f.StartLoad(60)
+		f.Sleep(time.Second)
 		var outages []outage
 		for i := range 4 {
 			m := f.Nodes[(int(f.Seed)+2*i)%len(f.Nodes)]
 			killed := f.Scope.Clock.Mono()
 			f.Kill(m)
-			f.Pass(time.Second)
-			Expect(f.Raise(m)).To(Succeed())
-			Expect(f.Until(time.Second, m.Node.Ready)).To(BeTrue())
+			f.Sleep(time.Second)
+			Expect(f.StartProcess(m)).To(Succeed())
+			Expect(f.WaitUntil(time.Second, m.Node.Ready)).To(BeTrue())
 			outages = append(outages, outage{m.Name, killed, f.Scope.Clock.Mono()})
-			f.Pass(time.Second)
+			f.Sleep(time.Second)
 		}
-		f.Away()
+		f.StopLoad()
 		repeatable := f.repeatable()
 		elsewhere := func(job *Job) bool { return !slices.ContainsFunc(outages, job.meets) }
 		f.fares(1, 0, 0, func(job *Job) bool { return elsewhere(job) && repeatable[job.Route] })
 		f.fares(0.96, 0, 0, elsewhere)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	story("given visitors who leave early, when others come too, then nothing stays held for those that left", []uint64{1, 2}, func(f *Fleet) {
 		f.slowly(80*time.Millisecond, 40*time.Millisecond)
-		patient := f.Plan
+		patient := f.Workload
 		for _, each := range patient {
-			each.Within = 50 * time.Millisecond
-			f.Plan = append(f.Plan, each)
+			each.Timeout = 50 * time.Millisecond
+			f.Workload = append(f.Workload, each)
 		}
 		raised(f)
-		f.Visit(60)
-		f.Pass(3 * time.Second)
-		f.Away()
-		f.Pass(time.Second)
+		f.StartLoad(60)
+		f.Sleep(3 * time.Second)
+		f.StopLoad()
+		f.Sleep(time.Second)
 		for _, m := range f.Nodes {
-			Expect(m.Upstream.Running()).To(BeZero(), "%s: %s", f.Story, m.Name)
+			Expect(m.Upstream.ActiveRequests()).To(BeZero(), "%s: %s", f.Description, m.Name)
 		}
-		sound(f, Twice, Mixed)
+		sound(f, RuleAtMostOnce, RuleResponseIntegrity)
 	})
 
 	story("given load with slow upstreams, when machines are replaced in order, upstream first, then nobody loses an answer", []uint64{1, 2}, func(f *Fleet) {
 		f.slowly(300*time.Millisecond, 200*time.Millisecond)
 		raised(f)
-		f.Visit(25)
-		f.Pass(time.Second)
-		for _, m := range []*Machine{f.Of("books")[0], f.Of("loans")[0], f.Of("gates")[0]} {
+		f.StartLoad(25)
+		f.Sleep(time.Second)
+		for _, m := range []*Machine{f.NodesOf("books")[0], f.NodesOf("loans")[0], f.NodesOf("gates")[0]} {
 			m.Upstream.Leave()
 			f.Stop(m)
-			f.Pass(200 * time.Millisecond)
-			Expect(f.Raise(m)).To(Succeed())
-			f.Seat(m)
-			f.Pass(time.Second)
+			f.Sleep(200 * time.Millisecond)
+			Expect(f.StartProcess(m)).To(Succeed())
+			f.StartUpstream(m)
+			f.Sleep(time.Second)
 		}
-		f.Away()
+		f.StopLoad()
 		f.fares(0.99, 0, 0, nil)
-		sound(f, Twice, Lost, Drain)
+		sound(f, RuleAtMostOnce, RuleGracefulStop, RuleDrain)
 	})
 
 	story("given load, when half of the nodes are killed at once, then the rest serve and all recovers once they are back", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
+		f.StartLoad(50)
+		f.Sleep(time.Second)
 		var down []*Machine
 		for i, m := range f.Nodes {
 			if i%2 == 0 {
@@ -175,69 +175,69 @@
 			}
 		}
 		at := f.Scope.Clock.Mono()
-		f.Pass(4 * time.Second)
+		f.Sleep(4 * time.Second)
 		for _, m := range down {
-			Expect(f.Raise(m)).To(Succeed())
+			Expect(f.StartProcess(m)).To(Succeed())
 		}
 		back := f.Scope.Clock.Mono()
-		f.Pass(4 * time.Second)
-		f.Away()
+		f.Sleep(4 * time.Second)
+		f.StopLoad()
 		f.fares(0.98, at+2500*time.Millisecond, back, nil)
 		f.fares(0.995, back+1500*time.Millisecond, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	story("given load, when every node is killed at once and raised, then all are served again within two seconds", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
+		f.StartLoad(50)
+		f.Sleep(time.Second)
 		for _, m := range f.Nodes {
 			f.Kill(m)
 		}
-		f.Pass(time.Second)
+		f.Sleep(time.Second)
 		for _, m := range f.Nodes {
-			Expect(f.Raise(m)).To(Succeed())
+			Expect(f.StartProcess(m)).To(Succeed())
 		}
 		back := f.Scope.Clock.Mono()
-		f.Pass(5 * time.Second)
-		f.Away()
+		f.Sleep(5 * time.Second)
+		f.StopLoad()
 		f.fares(0.995, back+2*time.Second, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	story("given load, when a node is frozen for three seconds and thaws, then nothing runs twice and nothing comes late to an upstream that left", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
-		m := f.Of("loans")[int(f.Seed)%3]
+		f.StartLoad(50)
+		f.Sleep(time.Second)
+		m := f.NodesOf("loans")[int(f.Seed)%3]
 		thaw := f.Freeze(m)
-		f.Pass(3 * time.Second)
+		f.Sleep(3 * time.Second)
 		thaw()
-		f.Pass(3 * time.Second)
-		f.Away()
+		f.Sleep(3 * time.Second)
+		f.StopLoad()
 		f.fares(0.9, 0, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 
 	story("given zones cut from each other, when the cut heals, then nothing ran twice and all are served again", []uint64{1, 2}, func(f *Fleet) {
 		raised(f)
-		f.Visit(50)
-		f.Pass(time.Second)
-		end := f.Trouble("links", "cut")
+		f.StartLoad(50)
+		f.Sleep(time.Second)
+		end := f.StartDisturbance("links", "cut")
 		for _, one := range f.Nodes {
 			for _, other := range append(f.Nodes, f.Controllers...) {
 				if one.Zone == "a" && other.Zone != "a" {
-					f.Cut(one, other)
+					f.Partition(one, other)
 				}
 			}
 		}
-		f.Pass(3 * time.Second)
+		f.Sleep(3 * time.Second)
 		f.World.HealAll()
 		end()
 		healed := f.Scope.Clock.Mono()
-		f.Pass(5 * time.Second)
-		f.Away()
+		f.Sleep(5 * time.Second)
+		f.StopLoad()
 		f.fares(0.99, healed+2500*time.Millisecond, 0, nil)
-		sound(f, Twice)
+		sound(f, RuleAtMostOnce)
 	})
 })
--- a/internal/testing/openfleet/replace_test.go
+++ b/internal/testing/openfleet/replace_test.go
@@ -18,22 +18,22 @@
 	old := f.Controllers[place]
 	number := f.newest() + 1
 	next := f.machine(fmt.Sprint("core-", number), fmt.Sprintf("10.9.0.%d", number), place)
-	next.Core = true
+	next.IsController = true
 	next.lives.Add(1) // not the first start of all
-	end := f.Trouble(next.Name, "new")
+	end := f.StartDisturbance(next.Name, "new")
 	if !planned {
 		f.PowerLoss(old)
 	}
-	Expect(f.Raise(next)).To(Succeed())
+	Expect(f.StartProcess(next)).To(Succeed())
 	if planned {
-		f.Pass(time.Second)
+		f.Sleep(time.Second)
 		f.Stop(old)
 		f.PowerLoss(old)
 	}
 	f.Controllers[place] = next
 	f.seeds = slices.Clone(f.seeds) // processes that run keep the list that they were started with
-	f.seeds[place] = next.At(inwardPort)
-	Expect(f.Until(converged, next.Controller.Ready)).To(BeTrue(), f.Story)
+	f.seeds[place] = next.Address(inwardPort)
+	Expect(f.WaitUntil(converged, next.Controller.Ready)).To(BeTrue(), f.Description)
 	end()
 	if old.back != nil {
 		old.back()
@@ -56,25 +56,25 @@
 var _ = ginkgo.Describe("control machines replaced", func() {
 	story("given load and changes, when all are replaced in turn, lost or by plan, while nodes start anew, then none in touch serves an old configuration and what was acknowledged outlives a loss of all power", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		raised(f)
-		f.Visit(20)
-		f.Pass(time.Second)
+		f.StartLoad(20)
+		f.Sleep(time.Second)
 		for turn := range 4 {
 			f.replace(turn%len(f.Controllers), (uint64(turn)+f.Seed)%2 == 0)
 			node := f.nodes()[turn%len(f.nodes())]
-			Expect(f.restart(node)).To(BeNumerically("<", coreRound+startBound), f.Story)
-			Expect(node.Node.View().Serial).To(Equal(f.Configuration().Base), f.Story)
-			f.Pass(contact + 50*time.Millisecond)
+			Expect(f.restart(node)).To(BeNumerically("<", coreRound+startBound), f.Description)
+			Expect(node.Node.View().Serial).To(Equal(f.NextConfiguration().Base), f.Description)
+			f.Sleep(contact + 50*time.Millisecond)
 			f.change(turn)
 		}
 		f.allControllers(f.PowerLoss)
-		f.Pass(500 * time.Millisecond)
+		f.Sleep(500 * time.Millisecond)
 		f.allControllers(func(m *Machine) {
-			f.Power(m)
-			Expect(f.Raise(m)).To(Succeed())
+			f.RestorePower(m)
+			Expect(f.StartProcess(m)).To(Succeed())
 		})
-		f.Pass(contact + 50*time.Millisecond)
+		f.Sleep(contact + 50*time.Millisecond)
 		f.change(4)
-		f.ReadBack()
-		sound(f, Twice, Config, Back, Race, Kept)
+		f.ReadConfiguration()
+		sound(f, RuleAtMostOnce, RuleConfigInForce, RuleNoConfigRollback, RuleProposalConflict, RuleConfigDurability)
 	})
 })
