--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -17,55 +17,55 @@
 
 // The names of the rules that Check judges.
 const (
-	// Twice requires: no request of a route that forbids retries runs more than once.
-	Twice = "twice"
-	// Refused requires: a request of such a route that was rejected as not run has not run.
-	Refused = "refused"
-	// Mixed requires: each response is well formed and belongs to its request, and nothing else is received.
-	Mixed = "mixed"
-	// Unasked requires: upstreams receive only requests that were sent, unchanged, with the true caller.
-	Unasked = "unasked"
-	// Routed requires: a request runs only at a service to which some configuration routes it.
-	Routed = "route"
-	// Drain requires: a leaving instance gets no request once the leaving bound has passed.
-	Drain = "drain"
-	// Lost requires: a graceful stop of a node fails no request that could be served.
-	Lost = "lost"
-	// Config requires: a request is handled by a configuration that may be in force at the time.
-	Config = "config"
-	// Back requires: a node that used a configuration doesn't return to an older one.
-	Back = "going back"
-	// Race requires: no invalid configuration is accepted, nor two on the same base version.
-	Race = "race"
-	// Kept requires: an accepted configuration is not lost and is read back as it was sent.
-	Kept = "kept"
-	// Budget requires: retries towards a service stay within its retry budget.
-	Budget = "budget"
-	// Denied requires: nodes don't reject requests of known routes as client errors, but for a few.
-	Denied = "denied"
+	// RuleAtMostOnce requires: no request of a route that forbids retries runs more than once.
+	RuleAtMostOnce = "twice"
+	// RuleRejectedNotRun requires: a request of such a route that was rejected as not run has not run.
+	RuleRejectedNotRun = "refused"
+	// RuleResponseIntegrity requires: each response is well formed and belongs to its request, and nothing else is received.
+	RuleResponseIntegrity = "mixed"
+	// RuleRequestIntegrity requires: upstreams receive only requests that were sent, unchanged, with the true caller.
+	RuleRequestIntegrity = "unasked"
+	// RuleRouting requires: a request runs only at a service to which some configuration routes it.
+	RuleRouting = "route"
+	// RuleDrain requires: a leaving instance gets no request once the leaving bound has passed.
+	RuleDrain = "drain"
+	// RuleGracefulStop requires: a graceful stop of a node fails no request that could be served.
+	RuleGracefulStop = "lost"
+	// RuleConfigInForce requires: a request is handled by a configuration that may be in force at the time.
+	RuleConfigInForce = "config"
+	// RuleNoConfigRollback requires: a node that used a configuration doesn't return to an older one.
+	RuleNoConfigRollback = "going back"
+	// RuleProposalConflict requires: no invalid configuration is accepted, nor two on the same base version.
+	RuleProposalConflict = "race"
+	// RuleConfigDurability requires: an accepted configuration is not lost and is read back as it was sent.
+	RuleConfigDurability = "kept"
+	// RuleRetryBudget requires: retries towards a service stay within its retry budget.
+	RuleRetryBudget = "budget"
+	// RuleFewClientErrors requires: nodes don't reject requests of known routes as client errors, but for a few.
+	RuleFewClientErrors = "denied"
 )
 
 type book struct {
 	*History
 	verdict *judge.Verdict
-	by      map[string]*Ask
+	by      map[string]*Attempt
 	runs    map[string][]*Arrival
-	tables  map[*Sent]*config.RoutingTable
+	tables  map[*Proposal]*config.RoutingTable
 }
 
 func (b *book) found(format string, args ...any) {
-	b.verdict.Found = append(b.verdict.Found, fmt.Sprintf(format, args...))
+	b.verdict.Violations = append(b.verdict.Violations, fmt.Sprintf(format, args...))
 }
 
-func (b *book) judged() { b.verdict.Judged++ }
+func (b *book) judged() { b.verdict.Checked++ }
 
 // Check judges a whole history, rule by rule.
 func Check(h *History) []judge.Verdict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	slices.SortStableFunc(h.arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(h.asks, func(a, b *Ask) int { return cmp.Compare(a.At, b.At) })
-	by, runs, tables := map[string]*Ask{}, map[string][]*Arrival{}, map[*Sent]*config.RoutingTable{}
+	slices.SortStableFunc(h.arrivals, func(a, b *Arrival) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
+	slices.SortStableFunc(h.asks, func(a, b *Attempt) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	by, runs, tables := map[string]*Attempt{}, map[string][]*Arrival{}, map[*Proposal]*config.RoutingTable{}
 	for _, ask := range h.asks {
 		by[ask.ID] = ask
 	}
@@ -79,19 +79,19 @@
 		name  string
 		judge func(*book)
 	}{
-		{Twice, twice},
-		{Refused, refused},
-		{Mixed, mixed},
-		{Unasked, unasked},
-		{Routed, routed},
-		{Drain, drain},
-		{Lost, lost},
-		{Config, configRule},
-		{Back, back},
-		{Race, race},
-		{Kept, keeping},
-		{Budget, budget},
-		{Denied, denied},
+		{RuleAtMostOnce, twice},
+		{RuleRejectedNotRun, refused},
+		{RuleResponseIntegrity, mixed},
+		{RuleRequestIntegrity, unasked},
+		{RuleRouting, routed},
+		{RuleDrain, drain},
+		{RuleGracefulStop, lost},
+		{RuleConfigInForce, configRule},
+		{RuleNoConfigRollback, back},
+		{RuleProposalConflict, race},
+		{RuleConfigDurability, keeping},
+		{RuleRetryBudget, budget},
+		{RuleFewClientErrors, denied},
 	}
 	verdicts := make([]judge.Verdict, len(rules))
 	for i, rule := range rules {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (a *Arrival) ran() bool { return a.Ran }
+func (a *Arrival) ran() bool { return a.Executed }
 
 func count[T any](rows []T, fits func(T) bool) (n int) {
 	for _, each := range rows {
@@ -132,22 +132,22 @@
 		}
 		b.judged()
 		if slices.ContainsFunc(b.runs[id], (*Arrival).ran) {
-			b.found("%s was told %d %s at %s, yet ran at %s", id, told.Status, told.Kind, told.At, b.runs[id][0].At)
+			b.found("%s was told %d %s at %s, yet ran at %s", id, told.Status, told.ErrorKind, told.EndedAt, b.runs[id][0].ArrivedAt)
 		}
 	}
 }
 
 func mixed(b *book) {
 	for id, told := range b.told {
-		if told.Broken == "" {
+		if told.TransportError == "" {
 			b.judged()
 		}
-		success := told.Broken == "" && told.Status >= 200 && told.Status < 300
+		success := told.TransportError == "" && told.Status >= 200 && told.Status < 300
 		switch {
-		case told.Mixed != "":
-			b.found("%s: %s", id, told.Mixed)
-		case strings.Contains(told.Broken, "malformed"):
-			b.found("%s: %s", id, told.Broken)
+		case told.Mismatch != "":
+			b.found("%s: %s", id, told.Mismatch)
+		case strings.Contains(told.TransportError, "malformed"):
+			b.found("%s: %s", id, told.TransportError)
 		case success && !slices.ContainsFunc(b.runs[id], func(a *Arrival) bool { return a.Status == told.Status }):
 			b.found("%s was told %d, which no upstream answered", id, told.Status)
 		}
@@ -177,12 +177,12 @@
 	return before
 }
 
-func (b *book) allows(sent *Sent, ask *Ask, service string) bool {
+func (b *book) allows(sent *Proposal, ask *Attempt, service string) bool {
 	route, known := b.tables[sent].Find(ask.Host, path(ask.Target))
 	return known && route.RoutesTo(service)
 }
 
-func (b *book) knows(sent *Sent, ask *Ask) bool {
+func (b *book) knows(sent *Proposal, ask *Attempt) bool {
 	_, known := b.tables[sent].Find(ask.Host, path(ask.Target))
 	return known
 }
@@ -190,11 +190,11 @@
 func routed(b *book) {
 	for _, each := range b.arrivals {
 		ask := b.by[each.ID]
-		if ask == nil || !each.Ran {
+		if ask == nil || !each.Executed {
 			continue
 		}
 		b.judged()
-		if !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
+		if !slices.ContainsFunc(b.sent, func(sent *Proposal) bool { return b.allows(sent, ask, each.Service) }) {
 			b.found("%s %s%s ran at %s of %s", each.ID, ask.Host, ask.Target, each.Instance, each.Service)
 		}
 	}
@@ -203,11 +203,11 @@
 func drain(b *book) {
 	for _, left := range b.left {
 		for _, each := range b.arrivals {
-			if each.Instance != left.Instance || each.Missed || each.At <= left.Acked {
+			if each.Instance != left.Instance || each.Misdirected || each.ArrivedAt <= left.AckedAt {
 				continue
 			}
 			b.judged()
-			if late := each.At - left.Acked; late > leavingBound {
+			if late := each.ArrivedAt - left.AckedAt; late > leavingBound {
 				b.found("%s came to %s %s after its leaving was acked", each.ID, left.Instance, late)
 			}
 		}
@@ -215,12 +215,12 @@
 	}
 }
 
-func overlaps(s *judge.Spell, from, till time.Duration) bool {
-	return s.From <= till && (s.Till < 0 || s.Till >= from)
+func overlaps(s *judge.Disturbance, from, till time.Duration) bool {
+	return s.From <= till && (s.Until < 0 || s.Until >= from)
 }
 
 func (b *book) troubled(from, till time.Duration, names ...string) bool {
-	return slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
+	return slices.ContainsFunc(b.spells, func(s *judge.Disturbance) bool {
 		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contact, till)
 	})
 }
@@ -228,8 +228,10 @@
 func lost(b *book) {
 	for id, told := range b.told {
 		ask := b.by[id]
-		at := slices.IndexFunc(b.spells, func(s *judge.Spell) bool { return s.Planned && s.Node == ask.Node && overlaps(s, ask.At, told.At) })
-		if at < 0 || b.troubled(ask.At, told.At) {
+		at := slices.IndexFunc(b.spells, func(s *judge.Disturbance) bool {
+			return s.Planned && s.Node == ask.Node && overlaps(s, ask.SentAt, told.EndedAt)
+		})
+		if at < 0 || b.troubled(ask.SentAt, told.EndedAt) {
 			continue
 		}
 		b.judged()
@@ -238,35 +240,37 @@
 }
 
 // lostAround judges a request that met planned work at its node.
-func (b *book) lostAround(stop *judge.Spell, ask *Ask, told *Told) {
+func (b *book) lostAround(stop *judge.Disturbance, ask *Attempt, told *Outcome) {
 	arrivals, half := b.runs[ask.ID], stop.From+graceBound/2
-	broke := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Broke || a.Ran && a.At < half && a.Ended > half+lossSlack })
-	if broke || told.At >= ask.Until-20*time.Millisecond {
+	broke := slices.ContainsFunc(arrivals, func(a *Arrival) bool {
+		return a.ResponseBroken || a.Executed && a.ArrivedAt < half && a.EndedAt > half+lossSlack
+	})
+	if broke || told.EndedAt >= ask.Deadline-20*time.Millisecond {
 		return
 	}
-	if told.Broken != "" {
-		if told.Read && (len(arrivals) > 0 || told.At > ask.At+lossSlack) {
-			b.found("%s at %s broke off after %s: %s (%d arrivals)", ask.ID, ask.Node, told.At-ask.At, told.Broken, len(arrivals))
+	if told.TransportError != "" {
+		if told.RequestRead && (len(arrivals) > 0 || told.EndedAt > ask.SentAt+lossSlack) {
+			b.found("%s at %s broke off after %s: %s (%d arrivals)", ask.ID, ask.Node, told.EndedAt-ask.SentAt, told.TransportError, len(arrivals))
 		}
 		return
 	}
-	working := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Ran && a.Gone })
+	working := slices.ContainsFunc(arrivals, func(a *Arrival) bool { return a.Executed && a.CallerGone })
 	if !told.Sealed && told.Status >= 500 && working {
-		b.found("%s at %s was told %d %s while an upstream worked on it", ask.ID, ask.Node, told.Status, told.Kind)
+		b.found("%s at %s was told %d %s while an upstream worked on it", ask.ID, ask.Node, told.Status, told.ErrorKind)
 	}
 }
 
 // standing lists the configurations that may rule a request sent at one time and ended at another.
-func (b *book) standing(from, till time.Duration) []*Sent {
+func (b *book) standing(from, till time.Duration) []*Proposal {
 	newest := uint64(0)
 	for _, each := range b.sent {
-		if each.Acked >= 0 && each.Acked+inForceBound < from {
+		if each.AckedAt >= 0 && each.AckedAt+inForceBound < from {
 			newest = max(newest, each.Configuration.Serial)
 		}
 	}
-	var all []*Sent
+	var all []*Proposal
 	for _, each := range b.sent {
-		if each.Configuration.Serial >= newest && !each.Refused && each.At <= till {
+		if each.Configuration.Serial >= newest && !each.Rejected && each.SentAt <= till {
 			all = append(all, each)
 		}
 	}
@@ -275,10 +279,10 @@
 
 // inTouch tells whether the bounds of the configuration hold for a request: neither its node nor the core was in trouble
 // from a contact bound before it until it was answered. Trouble of other nodes is no excuse.
-func (b *book) inTouch(ask *Ask, told *Told) bool {
-	return !slices.ContainsFunc(b.spells, func(s *judge.Spell) bool {
+func (b *book) inTouch(ask *Attempt, told *Outcome) bool {
+	return !slices.ContainsFunc(b.spells, func(s *judge.Disturbance) bool {
 		concerned := s.Node == ask.Node || strings.HasPrefix(s.Node, corePrefix) || s.Node == allLinks
-		return concerned && !s.Planned && overlaps(s, ask.At-contact, told.At)
+		return concerned && !s.Planned && overlaps(s, ask.SentAt-contact, told.EndedAt)
 	})
 }
 
@@ -288,34 +292,34 @@
 		if told == nil || !b.inTouch(ask, told) {
 			continue
 		}
-		configurations := b.standing(ask.At, told.At)
+		configurations := b.standing(ask.SentAt, told.EndedAt)
 		b.judgeRuns(ask, configurations)
 		if told.noRoute() {
 			b.judged()
-			if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
-				b.found("%s %s%s, asked at %s of %s, had no route", ask.ID, ask.Host, ask.Target, ask.At, ask.Node)
+			if !slices.ContainsFunc(configurations, func(sent *Proposal) bool { return !b.knows(sent, ask) }) {
+				b.found("%s %s%s, asked at %s of %s, had no route", ask.ID, ask.Host, ask.Target, ask.SentAt, ask.Node)
 			}
 		}
 	}
 }
 
 // judgeRuns looks whether one of the configurations allows each run of a request.
-func (b *book) judgeRuns(ask *Ask, configurations []*Sent) {
+func (b *book) judgeRuns(ask *Attempt, configurations []*Proposal) {
 	for _, each := range b.runs[ask.ID] {
-		if !each.Ran {
+		if !each.Executed {
 			continue
 		}
 		b.judged()
-		if !slices.ContainsFunc(configurations, func(sent *Sent) bool { return b.allows(sent, ask, each.Service) }) {
-			b.found("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", ask.ID, ask.Host, ask.Target, ask.At, ask.Node, each.Instance)
+		if !slices.ContainsFunc(configurations, func(sent *Proposal) bool { return b.allows(sent, ask, each.Service) }) {
+			b.found("%s %s%s, asked at %s of %s, ran at %s, which only older or refused configurations allow", ask.ID, ask.Host, ask.Target, ask.SentAt, ask.Node, each.Instance)
 		}
 	}
 }
 
 // noRoute tells whether a node answered by itself that no route fits.
-func (t *Told) noRoute() bool { return t.Status == http.StatusNotFound && !t.Sealed }
+func (t *Outcome) noRoute() bool { return t.Status == http.StatusNotFound && !t.Sealed }
 
-func (b *book) span(fits func(*Sent) bool) (low, high uint64) {
+func (b *book) span(fits func(*Proposal) bool) (low, high uint64) {
 	for _, each := range b.sent {
 		if fits(each) {
 			if low == 0 || each.Configuration.Serial < low {
@@ -344,16 +348,16 @@
 func (b *book) effects() map[string][]effect {
 	lives := map[string][]effect{}
 	for _, ask := range b.asks {
-		life := fmt.Sprint(ask.Node, " ", ask.Life)
+		life := fmt.Sprint(ask.Node, " ", ask.Incarnation)
 		for _, each := range b.runs[ask.ID] {
-			if each.Ran {
-				low, high := b.span(func(sent *Sent) bool { return b.allows(sent, ask, each.Service) })
-				lives[life] = append(lives[life], effect{ask.At, each.At, low, high, ask.ID})
+			if each.Executed {
+				low, high := b.span(func(sent *Proposal) bool { return b.allows(sent, ask, each.Service) })
+				lives[life] = append(lives[life], effect{ask.SentAt, each.ArrivedAt, low, high, ask.ID})
 			}
 		}
 		if told := b.told[ask.ID]; told != nil && told.noRoute() {
-			if low, high := b.span(func(sent *Sent) bool { return !b.knows(sent, ask) }); low > 0 {
-				lives[life] = append(lives[life], effect{ask.At, told.At, low, high, ask.ID})
+			if low, high := b.span(func(sent *Proposal) bool { return !b.knows(sent, ask) }); low > 0 {
+				lives[life] = append(lives[life], effect{ask.SentAt, told.EndedAt, low, high, ask.ID})
 			}
 		}
 	}
@@ -380,10 +384,10 @@
 	bases := map[uint64]uint64{}
 	for _, each := range b.sent {
 		b.judged()
-		if each.Bad && each.Acked >= 0 {
+		if each.Invalid && each.AckedAt >= 0 {
 			b.found("%d is bad, yet was acked", each.Configuration.Serial)
 		}
-		if each.Acked < 0 {
+		if each.AckedAt < 0 {
 			continue
 		}
 		if other, held := bases[each.Configuration.Base]; held && other != each.Configuration.Serial {
@@ -397,7 +401,7 @@
 	for _, read := range b.reads {
 		newest := uint64(0)
 		for _, each := range b.sent {
-			if each.Acked >= 0 && each.Acked < read.At {
+			if each.AckedAt >= 0 && each.AckedAt < read.At {
 				newest = max(newest, each.Configuration.Serial)
 			}
 		}
@@ -409,7 +413,7 @@
 		if read.Configuration.Serial < newest {
 			b.found("%s reads %d, acked was %d", read.Controller, read.Configuration.Serial, newest)
 		}
-		if newest > 0 && !slices.ContainsFunc(b.sent, func(sent *Sent) bool { return proto.Equal(sent.Configuration, read.Configuration) }) {
+		if newest > 0 && !slices.ContainsFunc(b.sent, func(sent *Proposal) bool { return proto.Equal(sent.Configuration, read.Configuration) }) {
 			b.found("%s reads a configuration %d that nobody sent", read.Controller, read.Configuration.Serial)
 		}
 	}
@@ -433,7 +437,7 @@
 		over, share := b.repeatsOf(service, comings[service], asked[service])
 		worst, most = max(worst, over), max(most, share)
 	}
-	b.verdict.Remark = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worst, most)
+	b.verdict.Note = fmt.Sprintf("(most above the ratio: %.1f, largest share %.2f)", worst, most)
 }
 
 // comings lists the arrivals at each service, and which of them are repeats.
@@ -445,7 +449,7 @@
 		if ask == nil {
 			continue
 		}
-		comings[each.Service] = append(comings[each.Service], coming{each.At, seen[each.ID] || ask.Repeats})
+		comings[each.Service] = append(comings[each.Service], coming{each.ArrivedAt, seen[each.ID] || ask.DuringRetry})
 		seen[each.ID] = true
 	}
 	return comings
@@ -456,14 +460,14 @@
 	asked := map[string][]time.Duration{}
 	for _, ask := range b.asks {
 		for service := range b.named(ask) {
-			asked[service] = append(asked[service], ask.At)
+			asked[service] = append(asked[service], ask.SentAt)
 		}
 	}
 	return asked
 }
 
 // named gives the services to which any configuration lets a request go.
-func (b *book) named(ask *Ask) map[string]bool {
+func (b *book) named(ask *Attempt) map[string]bool {
 	named := map[string]bool{}
 	for _, sent := range b.sent {
 		route, known := b.tables[sent].Find(ask.Host, path(ask.Target))
@@ -525,18 +529,18 @@
 	var first string
 	for _, ask := range b.asks {
 		told := b.told[ask.ID]
-		if told == nil || ask.Proof || b.troubled(ask.At, told.At) {
+		if told == nil || ask.RejectionAllowed || b.troubled(ask.SentAt, told.EndedAt) {
 			continue
 		}
 		b.judged()
-		own := told.Broken == "" && !told.Sealed && told.Status >= 300 && told.Status < 500 && !promised(told)
-		configurations := b.standing(ask.At, told.At)
-		if own && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(sent *Sent) bool { return !b.knows(sent, ask) }) {
+		own := told.TransportError == "" && !told.Sealed && told.Status >= 300 && told.Status < 500 && !promised(told)
+		configurations := b.standing(ask.SentAt, told.EndedAt)
+		if own && len(configurations) > 0 && !slices.ContainsFunc(configurations, func(sent *Proposal) bool { return !b.knows(sent, ask) }) {
 			many++
-			first = fmt.Sprintf("%s told %d %s", ask.ID, told.Status, told.Kind)
+			first = fmt.Sprintf("%s told %d %s", ask.ID, told.Status, told.ErrorKind)
 		}
 	}
-	if many > 5+b.verdict.Judged/500 {
+	if many > 5+b.verdict.Checked/500 {
 		b.found("%d requests denied, like %s", many, first)
 	}
 }
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -38,9 +38,9 @@
 			synctest.Test(suite, func(*testing.T) {
 				defer ginkgo.GinkgoRecover()
 				f := New(seed, controllers, services)
-				f.Story = fmt.Sprint(text, ", seed ", seed)
-				f.Habits, f.Plan = habits(), plan
-				defer f.End()
+				f.Description = fmt.Sprint(text, ", seed ", seed)
+				f.Behaviors, f.Workload = habits(), plan
+				defer f.Close()
 				tell(f)
 			})
 		})
@@ -60,8 +60,8 @@
 	return all
 }
 
-func habits() []Habit {
-	return []Habit{
+func habits() []Behavior {
+	return []Behavior{
 		{Prefix: "/search/", Base: 8 * time.Millisecond, Swing: 20 * time.Millisecond, Size: 700},
 		{Prefix: "/scans/", Base: 15 * time.Millisecond, Swing: 30 * time.Millisecond, Size: 150_000, Chunks: true},
 		{Prefix: "/lend/", Base: 10 * time.Millisecond, Swing: 20 * time.Millisecond, Size: 200, Calls: []string{"GET books.example /search/near"}},
@@ -72,14 +72,14 @@
 	}
 }
 
-var plan = []Plan{
-	{Method: "GET", Host: "books.example", Path: "/search/", Part: 5},
-	{Method: "GET", Host: "books.example", Path: "/scans/", Part: 0.5},
-	{Method: "POST", Host: "loans.example", Path: "/lend/", Part: 2, Body: 40},
-	{Method: "GET", Host: "loans.example", Path: "/browse/", Part: 0.7},
-	{Method: "PUT", Host: "loans.example", Path: "/return/", Part: 2, Body: 2000},
-	{Method: "POST", Host: "gates.example", Path: "/pass/", Part: 2, Body: 10},
-	{Method: "GET", Host: "mix.example", Path: "/mix/", Part: 1},
+var plan = []RequestClass{
+	{Method: "GET", Host: "books.example", Path: "/search/", Weight: 5},
+	{Method: "GET", Host: "books.example", Path: "/scans/", Weight: 0.5},
+	{Method: "POST", Host: "loans.example", Path: "/lend/", Weight: 2, BodySize: 40},
+	{Method: "GET", Host: "loans.example", Path: "/browse/", Weight: 0.7},
+	{Method: "PUT", Host: "loans.example", Path: "/return/", Weight: 2, BodySize: 2000},
+	{Method: "POST", Host: "gates.example", Path: "/pass/", Weight: 2, BodySize: 10},
+	{Method: "GET", Host: "mix.example", Path: "/mix/", Weight: 1},
 }
 
 func to(service string) *string { return &service }
@@ -103,26 +103,26 @@
 
 func raised(f *Fleet) {
 	for _, m := range f.Controllers {
-		Expect(f.Raise(m)).To(Succeed())
+		Expect(f.StartProcess(m)).To(Succeed())
 	}
-	if f.First == nil {
-		f.First = first()
+	if f.InitialConfiguration == nil {
+		f.InitialConfiguration = first()
 	}
-	outcome := f.Push(f.First, 10*time.Second)
-	Expect(outcome).NotTo(BeNil(), f.Story)
-	Expect(outcome.Kind).To(BeEmpty(), f.Story)
+	outcome := f.PushConfiguration(f.InitialConfiguration, 10*time.Second)
+	Expect(outcome).NotTo(BeNil(), f.Description)
+	Expect(outcome.Kind).To(BeEmpty(), f.Description)
 	for _, m := range f.Nodes {
-		Expect(f.Raise(m)).To(Succeed())
-		f.Seat(m)
+		Expect(f.StartProcess(m)).To(Succeed())
+		f.StartUpstream(m)
 	}
-	Expect(f.Until(5*time.Second, func() bool { return f.Ready(f.Nodes) })).To(BeTrue(), f.Story)
-	f.Pass(300 * time.Millisecond)
+	Expect(f.WaitUntil(5*time.Second, func() bool { return f.Ready(f.Nodes) })).To(BeTrue(), f.Description)
+	f.Sleep(300 * time.Millisecond)
 }
 
 func sound(f *Fleet, wanted ...string) {
-	f.Away()
+	f.StopLoad()
 	verdicts := Check(f.History)
 	f.tell(verdicts)
-	Expect(judge.Broken(verdicts)).To(BeEmpty(), f.Story)
-	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Story)
+	Expect(judge.Violations(verdicts)).To(BeEmpty(), f.Description)
+	Expect(judge.Vacuous(verdicts, wanted...)).To(BeEmpty(), f.Description)
 }
--- a/internal/testing/openfleet/tell_test.go
+++ b/internal/testing/openfleet/tell_test.go
@@ -13,8 +13,8 @@
 	if how == "" {
 		return
 	}
-	fmt.Println(f.Story)
-	fmt.Println("  ", f.Tally(0, 0, nil), f.Slowest(0.5), f.Slowest(0.99))
+	fmt.Println(f.Description)
+	fmt.Println("  ", f.JobStats(0, 0, nil), f.LatencyQuantile(0.5), f.LatencyQuantile(0.99))
 	for _, each := range verdicts {
 		fmt.Println("  ", each)
 	}
@@ -22,16 +22,16 @@
 		return
 	}
 	for _, job := range f.History.Jobs() {
-		if job.Served {
+		if job.Succeeded {
 			continue
 		}
-		fmt.Println("  ", job.ID, job.Route, "at", job.Node, job.At)
-		for i := range job.Tries {
+		fmt.Println("  ", job.ID, job.Route, "at", job.Node, job.StartedAt)
+		for i := range job.Attempts {
 			id := fmt.Sprint(job.ID, "-", i)
 			told := f.History.told[id]
-			fmt.Println("     ", told.At, told.Status, told.Kind, told.Broken, "again in", told.Again)
+			fmt.Println("     ", told.EndedAt, told.Status, told.ErrorKind, told.TransportError, "again in", told.RetryAfter)
 			for _, each := range f.History.Arrivals(id) {
-				fmt.Println("        ", each.At, each.Instance, "missed", each.Missed, "ran", each.Ran, "status", each.Status, "broke", each.Broke, "gone", each.Gone)
+				fmt.Println("        ", each.ArrivedAt, each.Instance, "missed", each.Misdirected, "ran", each.Executed, "status", each.Status, "broke", each.ResponseBroken, "gone", each.CallerGone)
 			}
 		}
 	}
--- a/internal/testing/openfleet/trouble.go
+++ b/internal/testing/openfleet/trouble.go
@@ -6,64 +6,64 @@
 type Fault string
 
 const (
-	// Sound sends a correct response.
-	Sound Fault = ""
-	// Silent sends nothing and keeps the connection open.
-	Silent Fault = "silent"
-	// Reset sends nothing and resets the connection.
-	Reset Fault = "reset"
-	// Torn cuts the response off within its body and closes the connection.
-	Torn Fault = "torn"
-	// Garbled sends bytes that are no HTTP response and closes the connection.
-	Garbled Fault = "garbled"
-	// Unsealed omits the seal header from the response.
-	Unsealed Fault = "unsealed"
-	// Endless sends half of the body without a length and closes the connection.
-	Endless Fault = "endless"
-	// Twin sends the response twice in a row.
-	Twin Fault = "twin"
-	// LateTwin sends the response again after Trouble.Late.
-	LateTwin Fault = "late-twin"
-	// Stale also sends a copy of the response when the next request arrives on the connection.
-	Stale Fault = "stale"
-	// Trail sends bytes that are no HTTP right after the response.
-	Trail Fault = "trail"
-	// LateTrail sends bytes that are no HTTP after Trouble.Late.
-	LateTrail Fault = "late-trail"
-	// Closing sends a correct response with "Connection: close" and closes the connection.
-	Closing Fault = "closing"
-	// Hangup closes the connection without a response.
-	Hangup Fault = "hangup"
-	// Failing replaces the response by status 500.
-	Failing Fault = "failing"
-	// Crossed sends an unrelated response ahead of the correct one.
-	Crossed Fault = "crossed"
+	// NoFault sends a correct response.
+	NoFault Fault = ""
+	// NoResponse sends nothing and keeps the connection open.
+	NoResponse Fault = "silent"
+	// ConnReset sends nothing and resets the connection.
+	ConnReset Fault = "reset"
+	// TruncatedBody cuts the response off within its body and closes the connection.
+	TruncatedBody Fault = "torn"
+	// InvalidResponse sends bytes that are no HTTP response and closes the connection.
+	InvalidResponse Fault = "garbled"
+	// MissingSeal omits the seal header from the response.
+	MissingSeal Fault = "unsealed"
+	// UndelimitedBody sends half of the body without a length and closes the connection.
+	UndelimitedBody Fault = "endless"
+	// DuplicateResponse sends the response twice in a row.
+	DuplicateResponse Fault = "twin"
+	// LateDuplicate sends the response again after Trouble.Late.
+	LateDuplicate Fault = "late-twin"
+	// DuplicateOnNextRequest also sends a copy of the response when the next request arrives on the connection.
+	DuplicateOnNextRequest Fault = "stale"
+	// TrailingBytes sends bytes that are no HTTP right after the response.
+	TrailingBytes Fault = "trail"
+	// LateTrailingBytes sends bytes that are no HTTP after Trouble.Late.
+	LateTrailingBytes Fault = "late-trail"
+	// CloseAfterResponse sends a correct response with "Connection: close" and closes the connection.
+	CloseAfterResponse Fault = "closing"
+	// CloseWithoutResponse closes the connection without a response.
+	CloseWithoutResponse Fault = "hangup"
+	// InternalError replaces the response by status 500.
+	InternalError Fault = "failing"
+	// UnrelatedResponse sends an unrelated response ahead of the correct one.
+	UnrelatedResponse Fault = "crossed"
 )
 
-// Trouble injects a Fault into a share of an upstream's responses. Share is a probability from 0 to 1; Late
+// FaultRate injects a Fault into a share of an upstream's responses. Share is a probability from 0 to 1; Late
 // is the delay of the faults LateTwin and LateTrail.
-type Trouble struct {
-	Fault Fault
-	Share float64
-	Late  time.Duration
+type FaultRate struct {
+	Fault       Fault
+	Probability float64
+	Delay       time.Duration
 }
 
-// Set replaces the faults that the upstream injects. At most one is drawn for each response; shares that
+// SetFaults replaces the faults that the upstream injects. At most one is drawn for each response; shares that
 // sum to less than 1 leave the rest Sound.
-func (u *Upstream) Set(troubles ...Trouble) {
+func (u *Upstream) SetFaults(troubles ...FaultRate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.troubles = troubles
 }
 
-func (u *Upstream) draw() Trouble {
+func (u *Upstream) draw() FaultRate {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	at := u.scope.Rand.Float64()
 	for _, each := range u.troubles {
-		if at -= each.Share; at < 0 {
+		if at -= each.Probability; at < 0 {
 			return each
 		}
 	}
-	return Trouble{}
+	return FaultRate{}
 }
--- a/internal/testing/openfleet/upstream.go
+++ b/internal/testing/openfleet/upstream.go
@@ -25,10 +25,10 @@
 	stuckFor   = time.Hour
 )
 
-// Habit describes how an upstream serves paths with a prefix. The work takes Base plus a uniform random
+// Behavior describes how an upstream serves paths with a prefix. The work takes Base plus a uniform random
 // part of Swing, then makes Calls in order, each "METHOD host path". Size is the approximate response size
 // in bytes; Chunks selects chunked encoding.
-type Habit struct {
+type Behavior struct {
 	Prefix string
 	Base   time.Duration
 	Swing  time.Duration
@@ -43,37 +43,37 @@
 // (zero sets no limit), Boast is added to the capacity that its heartbeats report, and Dumb sends no
 // heartbeats.
 type Upstream struct {
-	ID        string
-	Service   string
-	Address   string
-	Zone      string
-	Capacity  int
-	Queue     int
-	Rest      time.Duration
-	TellRest  bool
-	FullReset bool
-	ConnLimit int
-	Boast     int
-	Dumb      bool
-	Habits    []Habit
-	machine   *Machine
-	fleet     *Fleet
-	scope     base.Scope
-	web       *http.Client
-	inner     *client
-	mu        sync.Mutex
-	troubles  []Trouble
-	leaving   bool
-	sequence  uint64
-	waiting   int
-	conns     int
-	calls     int
-	slots     chan struct{}
-	listener  net.Listener
-	cancel    context.CancelFunc
-	crew      base.Group
-	ended     bool
-	speed     float64
+	ID                    string
+	Service               string
+	Address               string
+	Zone                  string
+	Capacity              int
+	Queue                 int
+	IdleTimeout           time.Duration
+	AnnounceIdleTimeout   bool
+	ResetWhenFull         bool
+	ConnLimit             int
+	ExtraReportedCapacity int
+	NoHeartbeats          bool
+	Behaviors             []Behavior
+	machine               *Machine
+	fleet                 *Fleet
+	scope                 base.Scope
+	web                   *http.Client
+	inner                 *client
+	mu                    sync.Mutex
+	troubles              []FaultRate
+	leaving               bool
+	sequence              uint64
+	waiting               int
+	conns                 int
+	calls                 int
+	slots                 chan struct{}
+	listener              net.Listener
+	cancel                context.CancelFunc
+	crew                  base.Group
+	ended                 bool
+	speed                 float64
 }
 
 // Start listens on the instance's address and begins its heartbeats. It returns the error of the listen
@@ -83,7 +83,7 @@
 	u.cancel = cancel
 	u.slots = make(chan struct{}, u.Capacity)
 	u.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 4}, Timeout: time.Second}
-	u.inner = &client{scope: s, history: u.fleet.History, to: u.machine.At(outwardPort), name: u.ID}
+	u.inner = &client{scope: s, history: u.fleet.History, to: u.machine.Address(outwardPort), name: u.ID}
 	listener, err := s.Net.Listen(u.Address)
 	if err != nil {
 		cancel()
@@ -99,7 +99,7 @@
 			u.crew.Go(func() { u.admit(s, conn) })
 		}
 	})
-	if !u.Dumb {
+	if !u.NoHeartbeats {
 		u.crew.Go(func() {
 			u.beat(s)
 			base.Tick(s, beatEvery, func(s base.Scope) { u.beat(s) })
@@ -126,27 +126,27 @@
 }
 
 func (u *Upstream) rest() time.Duration {
-	if u.Rest > 0 {
-		return u.Rest
+	if u.IdleTimeout > 0 {
+		return u.IdleTimeout
 	}
 	return longRest
 }
 
-// Instance returns the body of the next heartbeat, with a new sequence number.
-func (u *Upstream) Instance() *wire.Instance {
+// NextHeartbeat returns the body of the next heartbeat, with a new sequence number.
+func (u *Upstream) NextHeartbeat() *wire.Instance {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sequence++
-	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.Boast), Leaving: u.leaving, Sequence: u.sequence}
+	return &wire.Instance{Id: u.ID, Service: u.Service, Address: u.Address, Zone: u.Zone, Capacity: uint32(u.Capacity + u.ExtraReportedCapacity), Leaving: u.leaving, Sequence: u.sequence}
 }
 
 func (u *Upstream) beat(s base.Scope) bool {
-	body, _ := json.Marshal(u.Instance())
+	body, _ := json.Marshal(u.NextHeartbeat())
 	return u.report(s, http.MethodPut, body)
 }
 
 func (u *Upstream) report(s base.Scope, method string, body []byte) bool {
-	request, err := http.NewRequestWithContext(s, method, "http://"+u.machine.At(controlPort)+"/berths/"+u.ID, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(s, method, "http://"+u.machine.Address(controlPort)+"/berths/"+u.ID, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -161,15 +161,15 @@
 
 // Leave says that it leaves until that is acknowledged, serves on for the leaving bound and ends.
 func (u *Upstream) Leave() {
-	u.Announce()
+	u.AnnounceLeaving()
 	base.Await(u.scope, leavingBound+300*time.Millisecond)
 	u.report(u.scope, http.MethodDelete, nil)
 	u.end(false)
 }
 
-// Announce reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and
+// AnnounceLeaving reports to the node that the instance is leaving, up to 50 times at 100 ms intervals, and
 // records when the node acknowledges it.
-func (u *Upstream) Announce() {
+func (u *Upstream) AnnounceLeaving() {
 	u.mu.Lock()
 	u.leaving = true
 	u.mu.Unlock()
@@ -210,23 +210,23 @@
 	u.web.CloseIdleConnections()
 }
 
-// SetSpeed makes work take so many times as long.
-func (u *Upstream) SetSpeed(times float64) {
+// SetSlowdown makes work take so many times as long.
+func (u *Upstream) SetSlowdown(times float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.speed = times
 }
 
-// Running returns how many requests hold a slot of the instance's capacity.
-func (u *Upstream) Running() int { return len(u.slots) }
+// ActiveRequests returns how many requests hold a slot of the instance's capacity.
+func (u *Upstream) ActiveRequests() int { return len(u.slots) }
 
-func (u *Upstream) habit(path string) Habit {
-	for _, each := range u.Habits {
+func (u *Upstream) habit(path string) Behavior {
+	for _, each := range u.Behaviors {
 		if strings.HasPrefix(path, each.Prefix) {
 			return each
 		}
 	}
-	return Habit{Base: 2 * time.Millisecond, Size: 64}
+	return Behavior{Base: 2 * time.Millisecond, Size: 64}
 }
 
 type turn int
@@ -272,11 +272,11 @@
 	h, speech := u.fleet.History, forwarding.DefaultHeaderNames
 	began := h.Now()
 	id, wanted := r.Header.Get(speech.RequestID), r.Header.Get(speech.Target)
-	row := &Arrival{ID: id, At: began, Service: u.Service, Instance: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(speech.Caller)}
-	row.Missed = wanted != "" && wanted != u.ID
-	h.Arrived(row)
+	row := &Arrival{ID: id, ArrivedAt: began, Service: u.Service, Instance: u.ID, Method: r.Method, Host: r.Host, Target: r.RequestURI, Digest: digest(body), Caller: r.Header.Get(speech.Caller)}
+	row.Misdirected = wanted != "" && wanted != u.ID
+	h.RecordArrival(row)
 	tagged := []string{speech.RequestID + ": " + id}
-	if u.TellRest {
+	if u.AnnounceIdleTimeout {
 		tagged = append(tagged, fmt.Sprintf("Keep-Alive: timeout=%d", int(u.rest().Seconds())))
 	}
 	away := append([]string{speech.NotRun + ": 1"}, tagged...)
@@ -284,13 +284,13 @@
 	switch {
 	case id == "" || err != nil:
 		return t.say(text(http.StatusBadRequest, []string{speech.NotRun + ": 1"}, nil)) == nil
-	case row.Missed:
+	case row.Misdirected:
 		return t.say(text(http.StatusMisdirectedRequest, away, nil)) == nil
 	}
 	until := began + time.Duration(ms)*time.Millisecond
 	switch u.enter(t.gone, until-began) {
 	case full:
-		if u.FullReset {
+		if u.ResetWhenFull {
 			t.reset()
 			return false
 		}
@@ -301,16 +301,16 @@
 		return false
 	}
 	defer func() { <-u.slots }()
-	repeat := h.Ran(row)
+	repeat := h.RecordExecution(row)
 	status, answer := u.work(t.gone, r, id, repeat, until)
 	if t.gone.Err() != nil {
-		h.Mark(func() { row.Ended, row.Gone = h.Now(), true })
+		h.Update(func() { row.EndedAt, row.CallerGone = h.Now(), true })
 		return false
 	}
 	trouble := u.draw()
-	h.Mark(func() {
-		row.Ended, row.Status = h.Now(), status
-		row.Broke = trouble.Fault == Silent || trouble.Fault == Reset || trouble.Fault == Torn || trouble.Fault == Garbled || trouble.Fault == Endless || trouble.Fault == Hangup
+	h.Update(func() {
+		row.EndedAt, row.Status = h.Now(), status
+		row.ResponseBroken = trouble.Fault == NoResponse || trouble.Fault == ConnReset || trouble.Fault == TruncatedBody || trouble.Fault == InvalidResponse || trouble.Fault == UndelimitedBody || trouble.Fault == CloseWithoutResponse
 	})
 	return u.tell(t, trouble, tagged, id, status, answer, u.habit(r.URL.Path).Chunks)
 }
@@ -343,17 +343,17 @@
 	return http.StatusOK, []byte(strings.Repeat(id+" "+u.ID+"\n", 1+habit.Size/(len(id)+len(u.ID)+2)))
 }
 
-func (u *Upstream) call(parent *http.Request, call, id string, repeat bool, until time.Duration) *Told {
+func (u *Upstream) call(parent *http.Request, call, id string, repeat bool, until time.Duration) *Outcome {
 	u.mu.Lock()
 	u.calls++
 	name := fmt.Sprintf("%s.%s.%d", id, u.ID, u.calls)
 	u.mu.Unlock()
 	ask := u.fleet.ask(u.machine, call, name)
-	ask.Inner, ask.Repeats, ask.Until = true, repeat, until
+	ask.FromUpstream, ask.DuringRetry, ask.Deadline = true, repeat, until
 	return u.inner.ask(ask, nil, false, false)
 }
 
-func (u *Upstream) tell(t *talk, trouble Trouble, tagged []string, id string, status int, answer []byte, chunks bool) (keep bool) {
+func (u *Upstream) tell(t *talk, trouble FaultRate, tagged []string, id string, status int, answer []byte, chunks bool) (keep bool) {
 	speech := forwarding.DefaultHeaderNames
 	header := tagged
 	if status == http.StatusOK {
@@ -362,7 +362,7 @@
 	u.mu.Lock()
 	closing := u.leaving
 	u.mu.Unlock()
-	if trouble.Fault == Closing || closing {
+	if trouble.Fault == CloseAfterResponse || closing {
 		_ = t.say(text(status, append([]string{"Connection: close"}, header...), answer))
 		return false
 	}
@@ -377,10 +377,10 @@
 		return false
 	}
 	switch trouble.Fault {
-	case LateTwin:
-		t.sayLater(trouble.Late, whole)
-	case LateTrail:
-		t.sayLater(trouble.Late, []byte(junkBytes))
+	case LateDuplicate:
+		t.sayLater(trouble.Delay, whole)
+	case LateTrailingBytes:
+		t.sayLater(trouble.Delay, []byte(junkBytes))
 	}
 	return true
 }
@@ -389,18 +389,18 @@
 // length, whole as it would be sent.
 func (u *Upstream) breaks(t *talk, fault Fault, plain, whole, body []byte) (broke bool) {
 	switch fault {
-	case Silent:
+	case NoResponse:
 		base.Await(u.scope.WithContext(t.gone), stuckFor)
-	case Reset:
+	case ConnReset:
 		t.reset()
-	case Torn:
+	case TruncatedBody:
 		_ = t.say(whole[:len(whole)-6-len(body)/2])
-	case Garbled:
+	case InvalidResponse:
 		_ = t.say([]byte(junkBytes))
-	case Endless:
+	case UndelimitedBody:
 		head, _, _ := bytes.Cut(plain, []byte("Content-Length"))
 		_ = t.say(append(append(head, "Connection: close\r\n\r\n"...), body[:len(body)/2]...))
-	case Hangup:
+	case CloseWithoutResponse:
 		_ = t.conn.Close()
 	default:
 		return false
@@ -411,17 +411,17 @@
 // spoilt gives what is sent in place of a whole answer, and keeps what is to come with the next one.
 func spoilt(t *talk, fault Fault, whole, unsealed, failing []byte) []byte {
 	switch fault {
-	case Unsealed:
+	case MissingSeal:
 		return unsealed
-	case Twin:
+	case DuplicateResponse:
 		return append(whole, whole...)
-	case Trail:
+	case TrailingBytes:
 		return append(whole, junkBytes...)
-	case Crossed:
+	case UnrelatedResponse:
 		return append([]byte(trailBytes), whole...)
-	case Stale:
+	case DuplicateOnNextRequest:
 		t.owed = whole
-	case Failing:
+	case InternalError:
 		return failing
 	}
 	return whole
--- a/internal/testing/racerun/main.go
+++ b/internal/testing/racerun/main.go
@@ -18,7 +18,7 @@
 	arguments, suites := os.Args[1:], []string{allSuites}
 	for run := 1; ; run++ {
 		code, output := ginkgo(arguments, suites)
-		outcome, again := Judge(code, output, suites)
+		outcome, again := Classify(code, output, suites)
 		if outcome == DetectorFailed && run < mostRuns {
 			fmt.Printf("racerun: run %d: the race detector itself failed; running again: %v\n", run, again)
 			suites = again
--- a/internal/testing/racerun/outcome.go
+++ b/internal/testing/racerun/outcome.go
@@ -34,9 +34,9 @@
 	color = regexp.MustCompile("\x1b\\[[0-9;]*m")
 )
 
-// Judge tells from the exit code and output of a run of some suites how it ended. Where only the detector failed, again
+// Classify tells from the exit code and output of a run of some suites how it ended. Where only the detector failed, again
 // lists the folders of the suites to run again.
-func Judge(exitCode int, output string, suites []string) (outcome Outcome, again []string) {
+func Classify(exitCode int, output string, suites []string) (outcome Outcome, again []string) {
 	if exitCode == 0 {
 		return Passed, nil
 	}
--- a/internal/testing/racerun/outcome_test.go
+++ b/internal/testing/racerun/outcome_test.go
@@ -39,7 +39,7 @@
 		{"a build that failed", 1, "Failed to compile fleet\n" + failedFleet, Failed, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			outcome, suites := Judge(row.code, row.output, []string{allSuites})
+			outcome, suites := Classify(row.code, row.output, []string{allSuites})
 			if outcome != row.outcome || !slices.Equal(suites, row.suites) {
 				t.Errorf("got %v %v, want %v %v; output:\n%s", outcome, suites, row.outcome, row.suites, strings.TrimSpace(row.output))
 			}
@@ -49,10 +49,10 @@
 
 func TestJudgeOfASingleSuite(t *testing.T) {
 	ran := []string{"./fleet"}
-	if outcome, again := Judge(1, detectorLine+detectorEnd+"Test Suite Failed\n", ran); outcome != DetectorFailed || !slices.Equal(again, ran) {
+	if outcome, again := Classify(1, detectorLine+detectorEnd+"Test Suite Failed\n", ran); outcome != DetectorFailed || !slices.Equal(again, ran) {
 		t.Errorf("a detector that fails: got %v %v", outcome, again)
 	}
-	if outcome, _ := Judge(1, "• [FAILED]\n"+detectorLine+detectorEnd, ran); outcome != Failed {
+	if outcome, _ := Classify(1, "• [FAILED]\n"+detectorLine+detectorEnd, ran); outcome != Failed {
 		t.Errorf("a failed spec: got %v", outcome)
 	}
 }
--- a/internal/testing/simnet/conn.go
+++ b/internal/testing/simnet/conn.go
@@ -9,7 +9,7 @@
 )
 
 type end struct {
-	world    *World
+	world    *Network
 	serial   int
 	owner    string
 	local    string
--- a/internal/testing/simnet/disk.go
+++ b/internal/testing/simnet/disk.go
@@ -58,8 +58,8 @@
 	d.PowerLossKeeping(func(int) bool { return d.rand.IntN(2) == 0 })
 }
 
-// Unsynced returns the number of changes of names that a loss of power may take away.
-func (d *Disk) Unsynced() int {
+// UnsyncedEntries returns the number of changes of names that a loss of power may take away.
+func (d *Disk) UnsyncedEntries() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	total := 0
@@ -122,15 +122,15 @@
 	return clone
 }
 
-// Fill makes the disk refuse new bytes and files, or take them again.
-func (d *Disk) Fill(full bool) {
+// SetFull makes the disk refuse new bytes and files, or take them again.
+func (d *Disk) SetFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// Release ends a stall.
-func (d *Disk) Release() {
+// EndStall ends a stall.
+func (d *Disk) EndStall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stalled != nil {
@@ -141,7 +141,7 @@
 
 // Stall makes changes through a Mount wait until release is called.
 func (d *Disk) Stall() (release func()) {
-	d.Release()
+	d.EndStall()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stalled := make(chan struct{})
@@ -156,23 +156,23 @@
 	}
 }
 
-// Slow lets each change through a Mount take so long; 0 ends it.
-func (d *Disk) Slow(each time.Duration) {
+// SetLatency lets each change through a Mount take so long; 0 ends it.
+func (d *Disk) SetLatency(each time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slow = each
 }
 
-// Troubled reports whether the disk is full, stalled or slow.
-func (d *Disk) Troubled() bool {
+// Impaired reports whether the disk is full, stalled or slow.
+func (d *Disk) Impaired() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.full || d.stalled != nil || d.slow > 0
 }
 
-// Flip alters a bit in each file whose name contains match and returns their
+// FlipBits alters a bit in each file whose name contains match and returns their
 // names.
-func (d *Disk) Flip(match string) (flipped []string) {
+func (d *Disk) FlipBits(match string) (flipped []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, node := range d.names {
--- a/internal/testing/simnet/faults.go
+++ b/internal/testing/simnet/faults.go
@@ -6,18 +6,18 @@
 	"curlewreach/internal/storage"
 )
 
-// Outcome tells what becomes of one write to a disk.
-type Outcome int
+// WriteOutcome tells what becomes of one write to a disk.
+type WriteOutcome int
 
 const (
-	// Done is a write that succeeds.
-	Done Outcome = iota
-	// Refused is a write that fails and leaves the disk as it was.
-	Refused
-	// Unknown is a write that fails although it was done.
-	Unknown
-	// Torn is a write that fails with half of its bytes written; for anything but a file's bytes it is Refused.
-	Torn
+	// WriteSucceeds is a write that succeeds.
+	WriteSucceeds WriteOutcome = iota
+	// WriteFails is a write that fails and leaves the disk as it was.
+	WriteFails
+	// WriteFailsAfterEffect is a write that fails although it was done.
+	WriteFailsAfterEffect
+	// WriteTorn is a write that fails with half of its bytes written; for anything but a file's bytes it is Refused.
+	WriteTorn
 	// CrashBefore ends the process before the write.
 	CrashBefore
 	// CrashAfter ends the process after the write.
@@ -25,42 +25,42 @@
 )
 
 var (
-	// ErrRefused is returned for a write that Faults let fail.
-	ErrRefused = errors.New("the disk refused a write")
+	// ErrWriteFailed is returned for a write that Faults let fail.
+	ErrWriteFailed = errors.New("the disk refused a write")
 	// ErrCrashed is returned for each write after a crash.
 	ErrCrashed = errors.New("the process has crashed")
 )
 
-// Faults is a disk whose writes are numbered from 0 on and fail or crash as told. It is for one goroutine.
-type Faults struct {
+// FaultyDisk is a disk whose writes are numbered from 0 on and fail or crash as told. It is for one goroutine.
+type FaultyDisk struct {
 	storage.Disk
 	// Decide returns the outcome of the write with the given number.
-	Decide  func(point int) Outcome
+	Decide  func(point int) WriteOutcome
 	points  int
 	crashed bool
 }
 
-// Points returns the number of writes so far.
-func (f *Faults) Points() int { return f.points }
+// Writes returns the number of writes so far.
+func (f *FaultyDisk) Writes() int { return f.points }
 
 // Crashed tells whether a crash has come.
-func (f *Faults) Crashed() bool { return f.crashed }
+func (f *FaultyDisk) Crashed() bool { return f.crashed }
 
-func (f *Faults) write(do, tear func() error) error {
+func (f *FaultyDisk) write(do, tear func() error) error {
 	if f.crashed {
 		return ErrCrashed
 	}
 	outcome := f.Decide(f.points)
 	f.points++
 	switch outcome {
-	case Refused:
-		return ErrRefused
-	case Torn:
+	case WriteFails:
+		return ErrWriteFailed
+	case WriteTorn:
 		_ = tear()
-		return ErrRefused
-	case Unknown:
+		return ErrWriteFailed
+	case WriteFailsAfterEffect:
 		_ = do()
-		return ErrRefused
+		return ErrWriteFailed
 	case CrashBefore:
 		f.crashed = true
 		_ = tear()
@@ -76,7 +76,7 @@
 func nothing() error { return nil }
 
 // Create opens a new file for writing.
-func (f *Faults) Create(name string) (created storage.File, err error) {
+func (f *FaultyDisk) Create(name string) (created storage.File, err error) {
 	err = f.write(func() (err error) {
 		created, err = f.Disk.Create(name)
 		return err
@@ -88,23 +88,23 @@
 }
 
 // Rename gives a file another name.
-func (f *Faults) Rename(from, to string) error {
+func (f *FaultyDisk) Rename(from, to string) error {
 	return f.write(func() error { return f.Disk.Rename(from, to) }, nothing)
 }
 
 // SyncFolder makes a folder's names durable.
-func (f *Faults) SyncFolder(folder string) error {
+func (f *FaultyDisk) SyncFolder(folder string) error {
 	return f.write(func() error { return f.Disk.SyncFolder(folder) }, nothing)
 }
 
 // Remove takes a file away.
-func (f *Faults) Remove(name string) error {
+func (f *FaultyDisk) Remove(name string) error {
 	return f.write(func() error { return f.Disk.Remove(name) }, nothing)
 }
 
 type faultyFile struct {
 	storage.File
-	faults *Faults
+	faults *FaultyDisk
 }
 
 // Write appends to the file; torn, it appends the first half only.
--- a/internal/testing/simnet/net.go
+++ b/internal/testing/simnet/net.go
@@ -21,9 +21,9 @@
 // Latency returns the usual time that a packet takes between two IP addresses.
 type Latency func(from, to string) time.Duration
 
-// World is a network of machines by their IP addresses. Lock order: a pipe's mu
+// Network is a network of machines by their IP addresses. Lock order: a pipe's mu
 // before the world's mu.
-type World struct {
+type Network struct {
 	rand      *random.Source
 	latency   Latency
 	mu        sync.Mutex
@@ -43,10 +43,10 @@
 	packets   atomic.Uint64
 }
 
-// NewWorld returns a network with the latency given. What is random, as are its
+// NewNetwork returns a network with the latency given. What is random, as are its
 // jitter and losses, is drawn from rand.
-func NewWorld(rand *random.Source, latency Latency) *World {
-	return &World{
+func NewNetwork(rand *random.Source, latency Latency) *Network {
+	return &Network{
 		rand: rand, latency: latency, listeners: map[string]*listener{}, ends: map[*end]bool{}, cuts: map[[2]string]bool{},
 		frozen: map[string]chan struct{}{}, links: map[[2]string]Link{}, thin: map[string]*thinLink{}, crossing: map[[2]string]*crossed{}, dead: map[string]bool{},
 	}
@@ -56,12 +56,12 @@
 
 // Cut holds back all packets from one machine to another, until Heal. New
 // connections between them wait.
-func (w *World) Cut(from, to string) { w.setCut(from, to, true) }
+func (w *Network) Cut(from, to string) { w.setCut(from, to, true) }
 
 // Heal ends a cut; what was held back arrives.
-func (w *World) Heal(from, to string) { w.setCut(from, to, false) }
+func (w *Network) Heal(from, to string) { w.setCut(from, to, false) }
 
-func (w *World) setCut(from, to string, cut bool) {
+func (w *Network) setCut(from, to string, cut bool) {
 	w.mu.Lock()
 	w.cuts[[2]string{from, to}] = cut
 	w.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // HealAll ends all cuts and all changes of links.
-func (w *World) HealAll() {
+func (w *Network) HealAll() {
 	w.mu.Lock()
 	clear(w.cuts)
 	clear(w.links)
@@ -77,24 +77,24 @@
 	w.bell.Notify()
 }
 
-func (w *World) severed(from, to string) bool {
+func (w *Network) severed(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cuts[[2]string{from, to}]
 }
 
-func (w *World) over() bool {
+func (w *Network) over() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.closed
 }
 
-func (w *World) delay(from, to string) time.Duration {
+func (w *Network) delay(from, to string) time.Duration {
 	usual := w.latency(from, to)
 	w.mu.Lock()
 	link := w.links[[2]string{from, to}]
 	w.mu.Unlock()
-	delay := usual + link.Slower
+	delay := usual + link.ExtraDelay
 	if !w.even {
 		delay += time.Duration(float64(usual) * w.rand.Float64())
 	}
@@ -105,12 +105,12 @@
 }
 
 // At returns the network as the process owner on the machine at ip has it.
-func (w *World) At(ip, owner string) base.Net { return &port{world: w, ip: ip, owner: owner} }
+func (w *Network) At(ip, owner string) base.Net { return &port{world: w, ip: ip, owner: owner} }
 
 // Crash ends the connections and listeners of a process, or of the whole
 // machine if owner is empty. Their peers see a reset, or nothing if the crash
 // is silent, as when a machine loses power.
-func (w *World) Crash(ip, owner string, silent bool) {
+func (w *Network) Crash(ip, owner string, silent bool) {
 	w.mu.Lock()
 	if owner != "" {
 		w.dead[owner] = true
@@ -145,10 +145,10 @@
 }
 
 // Sent returns the bytes and packets sent so far.
-func (w *World) Sent() (bytes, packets uint64) { return w.sent.Load(), w.packets.Load() }
+func (w *Network) Sent() (bytes, packets uint64) { return w.sent.Load(), w.packets.Load() }
 
 // Close ends everything, so that no goroutine is left waiting.
-func (w *World) Close() {
+func (w *Network) Close() {
 	w.mu.Lock()
 	w.closed = true
 	var ends []*end
--- a/internal/testing/simnet/pipe.go
+++ b/internal/testing/simnet/pipe.go
@@ -19,7 +19,7 @@
 }
 
 type pipe struct {
-	world    *World
+	world    *Network
 	from, to string
 	mu       sync.Mutex
 	packets  []packet
@@ -32,7 +32,7 @@
 	bell     base.Broadcast
 }
 
-func newPipe(w *World, from, to string) *pipe { return &pipe{world: w, from: from, to: to} }
+func newPipe(w *Network, from, to string) *pipe { return &pipe{world: w, from: from, to: to} }
 
 // arrival is when a packet of so many bytes that is sent now has come in, after what was sent before it.
 func (p *pipe) arrival(bytes int) time.Time {
--- a/internal/testing/simnet/port.go
+++ b/internal/testing/simnet/port.go
@@ -10,7 +10,7 @@
 )
 
 type port struct {
-	world *World
+	world *Network
 	ip    string
 	owner string
 }
@@ -87,7 +87,7 @@
 }
 
 type listener struct {
-	world   *World
+	world   *Network
 	address string
 	owner   string
 	serial  int
--- a/internal/testing/simnet/reset.go
+++ b/internal/testing/simnet/reset.go
@@ -6,13 +6,13 @@
 	"syscall"
 )
 
-// Reset breaks every connection of a machine to other machines, both ways at once. Its listeners stay.
-func (w *World) Reset(ip string) {
-	w.ResetOf(ip, func(remote string) bool { return remote != ip })
+// ResetConns breaks every connection of a machine to other machines, both ways at once. Its listeners stay.
+func (w *Network) ResetConns(ip string) {
+	w.ResetConnsTo(ip, func(remote string) bool { return remote != ip })
 }
 
-// ResetOf breaks a machine's connections with the chosen other machines.
-func (w *World) ResetOf(ip string, chosen func(remote string) bool) {
+// ResetConnsTo breaks a machine's connections with the chosen other machines.
+func (w *Network) ResetConnsTo(ip string, chosen func(remote string) bool) {
 	w.mu.Lock()
 	var ends []*end
 	for each := range w.ends {
--- a/internal/testing/simnet/scope.go
+++ b/internal/testing/simnet/scope.go
@@ -19,8 +19,8 @@
 	return random.Seeded(hash.Sum64())
 }
 
-// Scope returns the surroundings of a process that is called name, on the machine at ip.
-func (w *World) Scope(seed uint64, name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
+// NewScope returns the surroundings of a process that is called name, on the machine at ip.
+func (w *Network) NewScope(seed uint64, name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return base.Scope{
 		Context: context.Background(), Node: name, Clock: clock, Net: w.At(ip, name), Disk: disk,
 		Rand: NamedRand(seed, name), Log: hclog.NewNullLogger(), Journal: journal,
--- a/internal/testing/simnet/trouble.go
+++ b/internal/testing/simnet/trouble.go
@@ -11,19 +11,19 @@
 // Link is how a way from one machine to another differs from the usual: a delay
 // added, and the ratio of packets that are lost and sent again.
 type Link struct {
-	Slower time.Duration
-	Loss   float64
+	ExtraDelay time.Duration
+	Loss       float64
 }
 
-// Even takes away the jitter: packets take the usual time exactly.
-func (w *World) Even() {
+// DisableJitter takes away the jitter: packets take the usual time exactly.
+func (w *Network) DisableJitter() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.even = true
 }
 
 // SetLink changes the way from one machine to another.
-func (w *World) SetLink(from, to string, link Link) {
+func (w *Network) SetLink(from, to string, link Link) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.links[[2]string{from, to}] = link
@@ -36,14 +36,14 @@
 }
 
 // SetBandwidth limits what comes in at a machine, from all others together.
-func (w *World) SetBandwidth(ip string, bytesPerSecond float64) {
+func (w *Network) SetBandwidth(ip string, bytesPerSecond float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.thin[ip] = &thinLink{bytesPerSecond: bytesPerSecond}
 }
 
 // through is when so many bytes have come in at a machine that reach its link at a time.
-func (w *World) through(ip string, at time.Time, bytes int) time.Time {
+func (w *Network) through(ip string, at time.Time, bytes int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	link := w.thin[ip]
@@ -57,8 +57,8 @@
 	return link.free
 }
 
-// Troubled reports whether anything is cut, changed or frozen.
-func (w *World) Troubled() bool {
+// Impaired reports whether anything is cut, changed or frozen.
+func (w *Network) Impaired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, cut := range w.cuts {
@@ -70,7 +70,7 @@
 }
 
 // Freeze stops what a process does on the network, until Thaw.
-func (w *World) Freeze(owner string) {
+func (w *Network) Freeze(owner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.frozen[owner] == nil {
@@ -79,7 +79,7 @@
 }
 
 // Thaw lets a frozen process go on.
-func (w *World) Thaw(owner string) {
+func (w *Network) Thaw(owner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if frozen := w.frozen[owner]; frozen != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (w *World) await(owner string) {
+func (w *Network) await(owner string) {
 	w.mu.Lock()
 	frozen := w.frozen[owner]
 	w.mu.Unlock()
@@ -105,15 +105,15 @@
 	done  bool
 }
 
-// Cross exchanges the next two writes on the way from one machine to another
+// SwapWrites exchanges the next two writes on the way from one machine to another
 // that match, once, to test that an answer isn't taken for another's.
-func (w *World) Cross(from, to string, match func([]byte) bool) {
+func (w *Network) SwapWrites(from, to string, match func([]byte) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.crossing[[2]string{from, to}] = &crossed{match: match, other: make(chan []byte, 1)}
 }
 
-func (w *World) cross(p *pipe, data []byte) []byte {
+func (w *Network) cross(p *pipe, data []byte) []byte {
 	w.mu.Lock()
 	c := w.crossing[[2]string{p.from, p.to}]
 	w.mu.Unlock()
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// UsualDelay is the delay between two machines, one way, where a test says nothing else.
-	UsualDelay = time.Millisecond
+	// DefaultDelay is the delay between two machines, one way, where a test says nothing else.
+	DefaultDelay = time.Millisecond
 	// journalEvents is how many events a scope's journal keeps.
 	journalEvents = 400
 	// lastTimers is longer than any timer that a test leaves behind.
@@ -32,7 +32,7 @@
 
 // Simulation is a network with a clock of its own. It is safe for concurrent use.
 type Simulation struct {
-	World *simnet.World
+	World *simnet.Network
 	Clock *simnet.Clock
 	// Wrap changes the network that later scopes are given; nil for no change.
 	Wrap func(base.Net) base.Net
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
 		s := &Simulation{Clock: simnet.NewClock(time.Now())}
-		s.World = simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return delay })
+		s.World = simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return delay })
 		defer s.end()
 		test(s)
 	})
@@ -125,14 +125,14 @@
 // Mono returns the time set.
 func (c *ManualClock) Mono() time.Duration { return c.Now }
 
-// Tally counts events by name. Its zero value is ready for use, also by several goroutines.
-type Tally struct {
+// EventCounter counts events by name. Its zero value is ready for use, also by several goroutines.
+type EventCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
 // Add counts an event so many times more and returns its count.
-func (t *Tally) Add(event string, times int) (count int) {
+func (t *EventCounter) Add(event string, times int) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.counts == nil {
--- a/internal/testing/simulation/specs.go
+++ b/internal/testing/simulation/specs.go
@@ -22,15 +22,15 @@
 }
 
 // It adds a spec that runs in a simulation whose machines are UsualDelay apart.
-func It(text string, test func(s *Simulation)) { ItAt(text, UsualDelay, test) }
+func It(text string, test func(s *Simulation)) { ItAt(text, DefaultDelay, test) }
 
 // ItAt adds a spec that runs in a simulation whose machines are delay apart, one way.
 func ItAt(text string, delay time.Duration, test func(s *Simulation)) {
 	ginkgo.It(text, func() { Run(suite, delay, test) })
 }
 
-// Until waits until reached, for longest at most, and returns how long that took.
-func (s *Simulation) Until(longest time.Duration, reached func() bool) time.Duration {
+// WaitUntil waits until reached, for longest at most, and returns how long that took.
+func (s *Simulation) WaitUntil(longest time.Duration, reached func() bool) time.Duration {
 	began := s.Clock.Mono()
 	for s.Clock.Mono()-began < longest && !reached() {
 		time.Sleep(step)
--- a/internal/testing/standin/upstream.go
+++ b/internal/testing/standin/upstream.go
@@ -27,12 +27,12 @@
 const (
 	// IDHeader names a request, the same in all its attempts.
 	IDHeader = "Mime-Id"
-	// TruthHeader tells, in a further call, the traceparent of its true parent,
+	// ExpectedTraceHeader tells, in a further call, the traceparent of its true parent,
 	// to judge what the mesh tied it to.
-	TruthHeader = "Mime-Truth"
-	// SerialSeen is set by the mesh to the number of the bundle that the
+	ExpectedTraceHeader = "Mime-Truth"
+	// SerialHeader is set by the mesh to the number of the bundle that the
 	// request was sent under.
-	SerialSeen = "Curlew-Serial"
+	SerialHeader = "Curlew-Serial"
 )
 
 // Millis is a duration in milliseconds, as habits files have it.
@@ -41,20 +41,20 @@
 // Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Habit is how an upstream answers paths that begin with a prefix.
-type Habit struct {
+// Behavior is how an upstream answers paths that begin with a prefix.
+type Behavior struct {
 	Prefix string `json:"prefix"`
-	// Base is the least time that a request takes.
-	Base Millis `json:"base"`
-	// Swing is the width of the random time added to Base.
-	Swing Millis `json:"swing"`
-	// Size is the number of filler bytes in an answer.
-	Size int `json:"size"`
+	// MinDelay is the least time that a request takes.
+	MinDelay Millis `json:"base"`
+	// Jitter is the width of the random time added to Base.
+	Jitter Millis `json:"swing"`
+	// FillerBytes is the number of filler bytes in an answer.
+	FillerBytes int `json:"size"`
 	// Calls are the further calls made for a request, such as "GET
 	// /loans/{last}", where {last} is the last segment of the request's path.
 	Calls []string `json:"calls"`
-	// Passes is set if the upstream passes the traceparent header on.
-	Passes bool `json:"passes"`
+	// PropagatesTrace is set if the upstream passes the traceparent header on.
+	PropagatesTrace bool `json:"passes"`
 }
 
 // Fault is how an upstream's answers are broken.
@@ -62,22 +62,22 @@
 
 // The faults.
 const (
-	// Sound breaks nothing.
-	Sound Fault = ""
-	// LoseAfter closes the connection instead of answering.
-	LoseAfter Fault = "lose-after"
+	// NoFault breaks nothing.
+	NoFault Fault = ""
+	// CloseUnanswered closes the connection instead of answering.
+	CloseUnanswered Fault = "lose-after"
 	// Truncate closes the connection halfway through the body.
 	Truncate Fault = "truncate"
-	// Garble alters a byte of the body.
-	Garble Fault = "garble"
-	// Overlong sends the body twice under the length of one.
-	Overlong Fault = "overlong"
-	// Unframed sends half a body that has no stated length.
-	Unframed Fault = "unframed"
-	// Stuck never answers.
-	Stuck Fault = "stuck"
-	// Nonsense sends bytes that are no HTTP.
-	Nonsense Fault = "nonsense"
+	// Corrupt alters a byte of the body.
+	Corrupt Fault = "garble"
+	// ExtraBody sends the body twice under the length of one.
+	ExtraBody Fault = "overlong"
+	// NoLength sends half a body that has no stated length.
+	NoLength Fault = "unframed"
+	// Hang never answers.
+	Hang Fault = "stuck"
+	// InvalidHTTP sends bytes that are no HTTP.
+	InvalidHTTP Fault = "nonsense"
 )
 
 // Upstream is a stand-in for one instance of a service.
@@ -87,9 +87,9 @@
 	Address  string
 	Zone     string
 	Capacity int
-	// Reports is the node's address for reports and further calls.
-	Reports string
-	Habits  []Habit
+	// NodeAddress is the node's address for reports and further calls.
+	NodeAddress string
+	Behaviors   []Behavior
 	// History takes what ran here.
 	History *judge.History
 	web     *http.Client
@@ -111,10 +111,10 @@
 	Ran int `json:"ran"`
 	// Repeated is how many of them had run here before.
 	Repeated int `json:"repeated"`
-	// TiedWell counts the further calls that the mesh tied to their true
+	// CorrectTrace counts the further calls that the mesh tied to their true
 	// parent, TiedElse those that it didn't.
-	TiedWell int `json:"tiedWell"`
-	TiedElse int `json:"tiedElse"`
+	CorrectTrace int `json:"tiedWell"`
+	OtherTrace   int `json:"tiedElse"`
 }
 
 // Start listens and reports itself to the node at each interval.
@@ -126,7 +126,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /mime/counts", func(w http.ResponseWriter, r *http.Request) { httpserver.ReplyJSON(w, http.StatusOK, u.Counts()) })
 	mux.HandleFunc("PUT /mime/fault/{fault}", func(w http.ResponseWriter, r *http.Request) { u.SetFault(Fault(r.PathValue("fault"))) })
-	mux.HandleFunc("PUT /mime/leave", func(w http.ResponseWriter, r *http.Request) { u.Leave() })
+	mux.HandleFunc("PUT /mime/leave", func(w http.ResponseWriter, r *http.Request) { u.AnnounceLeaving() })
 	mux.HandleFunc("/", u.serve)
 	door, err := httpserver.Serve(s, u.Address, mux)
 	if err != nil {
@@ -154,24 +154,24 @@
 	u.crew.Wait()
 }
 
-// Leave reports that it is leaving; it goes on serving.
-func (u *Upstream) Leave() {
+// AnnounceLeaving reports that it is leaving; it goes on serving.
+func (u *Upstream) AnnounceLeaving() {
 	u.mu.Lock()
 	u.leaving, u.left = true, u.Scope.Clock.Mono()
 	u.mu.Unlock()
 	u.report(u.Scope)
 }
 
-// Stay takes Leave back.
-func (u *Upstream) Stay() {
+// CancelLeaving takes Leave back.
+func (u *Upstream) CancelLeaving() {
 	u.mu.Lock()
 	u.leaving = false
 	u.mu.Unlock()
 	u.report(u.Scope)
 }
 
-// Resize sets the capacity told from the next report on.
-func (u *Upstream) Resize(capacity int) {
+// SetCapacity sets the capacity told from the next report on.
+func (u *Upstream) SetCapacity(capacity int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.Capacity = capacity
@@ -188,7 +188,7 @@
 func (u *Upstream) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	counts := Counts{TiedWell: u.right, TiedElse: u.other}
+	counts := Counts{CorrectTrace: u.right, OtherTrace: u.other}
 	for _, times := range u.ran {
 		counts.Ran += times
 		counts.Repeated += times - 1
@@ -202,7 +202,7 @@
 	u.mu.Unlock()
 	s, cancel := s.WithTimeout(time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(s, http.MethodPost, "http://"+u.Reports+"/curlewreach/report", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(s, http.MethodPost, "http://"+u.NodeAddress+"/curlewreach/report", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -212,23 +212,23 @@
 	}
 }
 
-func (u *Upstream) habit(path string) Habit {
-	for _, each := range u.Habits {
+func (u *Upstream) habit(path string) Behavior {
+	for _, each := range u.Behaviors {
 		if strings.HasPrefix(path, each.Prefix) {
 			return each
 		}
 	}
-	return Habit{Size: 64}
+	return Behavior{FillerBytes: 64}
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(IDHeader)
-	serial, _ := strconv.ParseUint(r.Header.Get(SerialSeen), 10, 64)
+	serial, _ := strconv.ParseUint(r.Header.Get(SerialHeader), 10, 64)
 	_, _ = io.Copy(io.Discard, r.Body)
 	u.mu.Lock()
 	u.ran[id]++
 	fault := u.fault
-	if truth := r.Header.Get(TruthHeader); truth != "" {
+	if truth := r.Header.Get(ExpectedTraceHeader); truth != "" {
 		if traceOf(truth) == traceOf(r.Header.Get("Traceparent")) {
 			u.right++
 		} else {
@@ -237,38 +237,38 @@
 	}
 	leaving, left := u.leaving, u.left
 	u.mu.Unlock()
-	u.History.Ran(judge.Run{ID: id, Service: u.Service, Seat: u.Address, Serial: serial, Leaving: leaving, Left: left, Method: r.Method, Path: r.URL.Path})
+	u.History.RecordRun(judge.Run{ID: id, Service: u.Service, Address: u.Address, Serial: serial, Leaving: leaving, Left: left, Method: r.Method, Path: r.URL.Path})
 	habit := u.habit(r.URL.Path)
-	pause := habit.Base.Duration() + time.Duration(float64(habit.Swing.Duration())*u.Scope.Rand.Float64())
+	pause := habit.MinDelay.Duration() + time.Duration(float64(habit.Jitter.Duration())*u.Scope.Rand.Float64())
 	base.Await(u.Scope.WithContext(r.Context()), pause)
-	if fault == Stuck {
+	if fault == Hang {
 		base.Await(u.Scope.WithContext(r.Context()), time.Hour)
 	}
 	for i, call := range habit.Calls {
 		u.call(r, habit, call, fmt.Sprintf("%s.%d", id, i))
 	}
-	body := Body(id, u.Service, habit.Size)
+	body := AnswerBody(id, u.Service, habit.FillerBytes)
 	digest := sha256.Sum256(body)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Digest", "sha-256=:"+base64.StdEncoding.EncodeToString(digest[:])+":")
 	switch fault {
-	case LoseAfter:
+	case CloseUnanswered:
 		panic(http.ErrAbortHandler)
 	case Truncate:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		panic(http.ErrAbortHandler)
-	case Garble:
+	case Corrupt:
 		body = slices.Clone(body)
 		body[len(body)/2] ^= 0x20
-	case Overlong:
+	case ExtraBody:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		u.raw(w, "HTTP/1.1 200 OK\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s%s", w.Header().Get("Content-Digest"), len(body), body, body)
 		return
-	case Unframed:
+	case NoLength:
 		u.raw(w, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s", body[:len(body)/2])
 		return
-	case Nonsense:
+	case InvalidHTTP:
 		u.raw(w, "\x00\x01\x02 what is this\r\n\r\n")
 		return
 	}
@@ -285,18 +285,18 @@
 	_, _ = fmt.Fprintf(conn, format, args...)
 }
 
-func (u *Upstream) call(parent *http.Request, habit Habit, call, id string) {
+func (u *Upstream) call(parent *http.Request, habit Behavior, call, id string) {
 	method, path, _ := strings.Cut(call, " ")
 	segments := strings.Split(parent.URL.Path, "/")
 	path = strings.ReplaceAll(path, "{last}", segments[len(segments)-1])
-	request, err := http.NewRequestWithContext(parent.Context(), method, "http://"+u.Reports+path, nil)
+	request, err := http.NewRequestWithContext(parent.Context(), method, "http://"+u.NodeAddress+path, nil)
 	if err != nil {
 		return
 	}
 	request.Header.Set(IDHeader, id)
 	once(request)
-	request.Header.Set(TruthHeader, parent.Header.Get("Traceparent"))
-	if habit.Passes {
+	request.Header.Set(ExpectedTraceHeader, parent.Header.Get("Traceparent"))
+	if habit.PropagatesTrace {
 		request.Header.Set("Traceparent", parent.Header.Get("Traceparent"))
 	}
 	if response, err := u.web.Do(request); err == nil {
@@ -314,8 +314,8 @@
 	return pieces[1]
 }
 
-// Body returns the answer to a request.
-func Body(id, service string, size int) []byte {
+// AnswerBody returns the answer to a request.
+func AnswerBody(id, service string, size int) []byte {
 	body, _ := json.Marshal(map[string]string{"id": id, "service": service, "filler": strings.Repeat("x", size)})
 	return body
 }
--- a/internal/testing/standin/visitors.go
+++ b/internal/testing/standin/visitors.go
@@ -16,34 +16,34 @@
 	"curlewreach/internal/testing/judge"
 )
 
-// Habitual is a request that visitors make.
-type Habitual struct {
+// PlannedRequest is a request that visitors make.
+type PlannedRequest struct {
 	Service string `json:"service"`
 	Route   string `json:"route"`
 	Group   string `json:"group"`
 	Method  string `json:"method"`
 	// Path may hold {n}, a random number below 40.
 	Path string `json:"path"`
-	// Part is its weight among all.
-	Part float64 `json:"part"`
+	// Weight is its weight among all.
+	Weight float64 `json:"part"`
 }
 
-// Visitors is a stand-in for callers behind one node.
-type Visitors struct {
+// Clients is a stand-in for callers behind one node.
+type Clients struct {
 	Scope base.Scope
 	Name  string
-	// To is the node's address for visitors.
-	To string
+	// NodeAddress is the node's address for visitors.
+	NodeAddress string
 	// Rate is the mean number of requests a second.
 	Rate    float64
-	Habits  []Habitual
+	Plan    []PlannedRequest
 	History *judge.History
 	web     *http.Client
 	crew    base.Group
 }
 
 // Run makes requests until the scope ends, then waits for the answers.
-func (v *Visitors) Run(s base.Scope) {
+func (v *Clients) Run(s base.Scope) {
 	v.web = &http.Client{Transport: &http.Transport{DialContext: s.Net.Dial, MaxIdleConnsPerHost: 32}, Timeout: 8 * time.Second}
 	gap := time.Duration(float64(time.Second) / v.Rate)
 	for count := 0; ; count++ {
@@ -53,31 +53,31 @@
 		}
 		id := fmt.Sprintf("%s-%d-%s", v.Name, count, s.Rand.Hex(4))
 		habit := v.pick(s.Rand.Float64())
-		v.crew.Go(func() { v.History.Called(v.Ask(s, habit, id)) })
+		v.crew.Go(func() { v.History.RecordCall(v.Send(s, habit, id)) })
 	}
 	v.crew.Wait()
 }
 
-func (v *Visitors) pick(at float64) Habitual {
+func (v *Clients) pick(at float64) PlannedRequest {
 	total := 0.0
-	for _, habit := range v.Habits {
-		total += habit.Part
+	for _, habit := range v.Plan {
+		total += habit.Weight
 	}
 	at *= total
-	for _, habit := range v.Habits {
-		if at -= habit.Part; at < 0 {
+	for _, habit := range v.Plan {
+		if at -= habit.Weight; at < 0 {
 			return habit
 		}
 	}
-	return v.Habits[0]
+	return v.Plan[0]
 }
 
-// Ask makes one request of the name id and returns what came of it, with the
+// Send makes one request of the name id and returns what came of it, with the
 // answer checked for being whole and this request's.
-func (v *Visitors) Ask(s base.Scope, habit Habitual, id string) judge.Call {
-	call := judge.Call{Via: v.Name, ID: id, Service: habit.Service, Route: habit.Route, Group: habit.Group, Begun: s.Clock.Mono()}
+func (v *Clients) Send(s base.Scope, habit PlannedRequest, id string) judge.Call {
+	call := judge.Call{Via: v.Name, ID: id, Service: habit.Service, Route: habit.Route, Group: habit.Group, Started: s.Clock.Mono()}
 	path := strings.ReplaceAll(habit.Path, "{n}", fmt.Sprint(s.Rand.IntN(40)))
-	request, err := http.NewRequestWithContext(context.WithoutCancel(s), habit.Method, "http://"+v.To+path, nil)
+	request, err := http.NewRequestWithContext(context.WithoutCancel(s), habit.Method, "http://"+v.NodeAddress+path, nil)
 	if err != nil {
 		call.Broken = err.Error()
 		return call
@@ -97,7 +97,7 @@
 	call.Ended = s.Clock.Mono()
 	call.Status = response.StatusCode
 	call.Trace = response.Header.Get("Curlew-Trace")
-	call.Again = response.Header.Get("Retry-After")
+	call.RetryAfter = response.Header.Get("Retry-After")
 	call.Outcome = response.Header.Get("Curlew-Outcome")
 	var said struct{ ID, Service, Kind, Reason string }
 	switch {
--- a/internal/tracing/exporter_test.go
+++ b/internal/tracing/exporter_test.go
@@ -22,7 +22,7 @@
 
 var _ = ginkgo.Describe("the span exporter", func() {
 	type testCluster struct {
-		network *simnet.World
+		network *simnet.Network
 		stops   []func()
 	}
 	newScope := func(cluster *testCluster, ip string) base.Scope {
@@ -46,7 +46,7 @@
 	ginkgo.It("given control machines that come and go, when spans are sent, then two live ones store each batch, and an unreachable one loses nothing", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
-			cluster := &testCluster{network: simnet.NewWorld(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
+			cluster := &testCluster{network: simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
 			var addresses []string
 			var stores []*Store
 			for i := range 4 {
