--- a/base/fault.go
+++ b/base/fault.go
@@ -8,83 +8,89 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is the kind of an error that reaches a caller or an operator. The list
-// is closed; callers decide by it and never by the text.
+// Kind classifies an error that reaches a caller or an operator. The set of
+// kinds is closed. Callers decide by the kind and never by the error text.
 type Kind string
 
-// The kinds of error. Answers holds the HTTP status of each.
+// The kinds of error. HTTPResponses maps each to an HTTP status.
 const (
-	// Malformed is input that can't be decoded.
+	// Malformed means that the input can't be decoded.
 	Malformed Kind = "malformed"
-	// Unsigned is a configuration without a signature.
+	// Unsigned means that a configuration has no signature.
 	Unsigned Kind = "unsigned"
-	// Untrusted is a signature by a key that isn't trusted, or one that doesn't
-	// match.
+	// Untrusted means that a signature was made with an untrusted key or doesn't
+	// match the signed data.
 	Untrusted Kind = "untrusted"
-	// StillAlive refuses to drop a machine as lost that may still serve.
+	// StillAlive rejects the removal of a machine as lost while it may still
+	// be serving.
 	StillAlive Kind = "still-alive"
-	// DanglingReference is a reference to something that doesn't exist.
+	// DanglingReference means that a referenced object doesn't exist.
 	DanglingReference Kind = "dangling"
-	// Duplicate is a name used twice.
+	// Duplicate means that a name is used more than once.
 	Duplicate Kind = "duplicate"
-	// Overlapping is a pair of routes that one path could match.
+	// Overlapping means that two routes could match the same path.
 	Overlapping Kind = "overlapping"
-	// TooLarge is input over a limit of size.
+	// TooLarge means that the input exceeds a size limit.
 	TooLarge Kind = "too-large"
-	// OutOfRange is a value outside its limits.
+	// OutOfRange means that a value is outside its limits.
 	OutOfRange Kind = "out-of-range"
-	// StaleBase is a change made against a configuration that is no longer the
-	// newest.
+	// StaleBase means that a change is based on a configuration that is no
+	// longer the newest.
 	StaleBase Kind = "stale-base"
-	// NoRoute is a request that no route matches.
+	// NoRoute means that no route matches the request.
 	NoRoute Kind = "no-route"
-	// Stale is a request judged by another configuration than the one in force
-	// at the receiver.
-	Stale Kind = "stale-serial"
-	// NoInstance means that no instance of the service can take the request.
+	// StaleSerial means that the request was evaluated against a configuration
+	// other than the one in force at the receiver.
+	StaleSerial Kind = "stale-serial"
+	// NoInstance means that no instance of the service can take the request now.
 	NoInstance Kind = "no-seat"
-	// Overloaded means that the admission queue is full.
+	// Overloaded means that the admission queue, or another limit on load, has no
+	// room for the request.
 	Overloaded Kind = "crowded"
-	// KeptApart means that requests which mustn't overlap are kept apart, and the
-	// turn of this one would come too late.
-	KeptApart Kind = "kept-apart"
+	// Contended means that requests which must not overlap are serialized and that
+	// this one can't have its turn in time.
+	Contended Kind = "kept-apart"
 	// Stopping means that the process is shutting down.
 	Stopping Kind = "stopping"
-	// Fenced is a request addressed to an earlier process, or one that came
-	// twice.
+	// Fenced means that the request was addressed to an earlier process, arrived
+	// twice, or was fenced off before it ran.
 	Fenced Kind = "fenced"
-	// Expired means that the deadline passed.
+	// Expired means that the request's deadline has passed.
 	Expired Kind = "expired"
-	// Uncertain means that the outcome isn't known, or that no majority could
-	// be reached.
+	// Uncertain means that the outcome or the current state is unknown, or that no
+	// majority could be reached.
 	Uncertain Kind = "uncertain"
-	// Garbled is an answer that is incomplete or fails its check.
-	Garbled Kind = "garbled"
-	// Lost means that the connection broke after the request may have run.
-	Lost Kind = "lost"
-	// Unreachable means that the other side could not be reached.
+	// InvalidResponse means that a response is incomplete or failed its
+	// integrity check.
+	InvalidResponse Kind = "garbled"
+	// ResponseLost means that no response arrived, usually because the connection
+	// broke, and that the request may have run.
+	ResponseLost Kind = "lost"
+	// Unreachable means that the remote end could not be reached.
 	Unreachable Kind = "unreachable"
-	// Superseded means that a proposal with a higher epoch goes first.
+	// Superseded means that a proposal with a higher epoch takes precedence.
 	Superseded Kind = "outranked"
-	// NoState means that the process has no state yet to answer from.
+	// NoState means that the process has not recovered or received the state that
+	// it needs to answer.
 	NoState Kind = "amnesiac"
-	// DiskFailure is a disk that fails or lags.
+	// DiskFailure means that a disk operation failed or took too long.
 	DiskFailure Kind = "disk-trouble"
-	// NotFound is a name that isn't known here.
+	// NotFound means that the name is unknown to the receiver.
 	NotFound Kind = "missing"
-	// Internal is a fault of ours: any error without a kind.
+	// Internal is an error inside this program: any error without a kind of its
+	// own.
 	Internal Kind = "internal"
 )
 
-// Answer is how an error kind is told over HTTP.
-type Answer struct {
+// HTTPResponse describes the HTTP response for a kind of error.
+type HTTPResponse struct {
 	Status int
-	// Retriable lets the answer carry Retry-After, as a later try may succeed.
+	// Retriable allows a Retry-After header, because a later attempt may succeed.
 	Retriable bool
 }
 
-// Answers holds the HTTP answer of each kind.
-var Answers = map[Kind]Answer{
+// HTTPResponses maps each kind to its HTTP response.
+var HTTPResponses = map[Kind]HTTPResponse{
 	Malformed:         {http.StatusBadRequest, false},
 	Unsigned:          {http.StatusForbidden, false},
 	Untrusted:         {http.StatusForbidden, false},
@@ -96,16 +102,16 @@
 	OutOfRange:        {http.StatusUnprocessableEntity, false},
 	StaleBase:         {http.StatusConflict, false},
 	NoRoute:           {http.StatusNotFound, false},
-	Stale:             {http.StatusServiceUnavailable, true},
+	StaleSerial:       {http.StatusServiceUnavailable, true},
 	NoInstance:        {http.StatusServiceUnavailable, true},
 	Overloaded:        {http.StatusServiceUnavailable, true},
-	KeptApart:         {http.StatusServiceUnavailable, true},
+	Contended:         {http.StatusServiceUnavailable, true},
 	Stopping:          {http.StatusServiceUnavailable, true},
 	Fenced:            {http.StatusServiceUnavailable, true},
 	Expired:           {http.StatusGatewayTimeout, true},
 	Uncertain:         {http.StatusServiceUnavailable, true},
-	Garbled:           {http.StatusBadGateway, false},
-	Lost:              {http.StatusBadGateway, false},
+	InvalidResponse:   {http.StatusBadGateway, false},
+	ResponseLost:      {http.StatusBadGateway, false},
 	Unreachable:       {http.StatusServiceUnavailable, true},
 	Superseded:        {http.StatusServiceUnavailable, true},
 	NoState:           {http.StatusServiceUnavailable, true},
@@ -114,42 +120,43 @@
 	Internal:          {http.StatusInternalServerError, false},
 }
 
-// Fault is an error with a kind. It is the one type of error that crosses the
-// network.
+// Fault is an error with a kind. It is the only error type that is sent over
+// the network.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// Path is the field that the error is about, if any.
+	// Path is the path of the field that the error is about, or empty.
 	Path   string `json:"path,omitempty"`
 	Reason string `json:"reason"`
-	// Run is set if the request may have run at the upstream.
-	Run bool `json:"-"`
-	// After is how long the caller should wait before it tries again; 0 says
-	// nothing.
-	After time.Duration `json:"-"`
+	// MayHaveRun is true if the request may have run at the upstream.
+	MayHaveRun bool `json:"-"`
+	// RetryAfter is how long the caller should wait before the next attempt; 0
+	// means that no delay is suggested.
+	RetryAfter time.Duration `json:"-"`
 }
 
-// WithRetryAfter sets the wait before the caller's next try and returns m.
-func (m *Fault) WithRetryAfter(after time.Duration) *Fault {
-	m.After = after
-	return m
+// WithRetryAfter sets the delay before the caller's next attempt and returns f.
+func (f *Fault) WithRetryAfter(wait time.Duration) *Fault {
+	f.RetryAfter = wait
+	return f
 }
 
-// Error returns kind, path and reason as one line.
-func (m *Fault) Error() string {
-	if m.Path == "" {
-		return fmt.Sprintf("%s: %s", m.Kind, m.Reason)
+// Error returns the kind, the path if there is one, and the reason, separated by
+// colons.
+func (f *Fault) Error() string {
+	if f.Path == "" {
+		return fmt.Sprintf("%s: %s", f.Kind, f.Reason)
 	}
-	return fmt.Sprintf("%s: %s: %s", m.Kind, m.Path, m.Reason)
+	return fmt.Sprintf("%s: %s: %s", f.Kind, f.Path, f.Reason)
 }
 
-// NewFault returns an error of a kind about a field (or "" for none), with a
-// formatted reason.
+// NewFault returns a Fault of the given kind with a formatted reason. The path
+// names the field that it is about and is empty for none.
 func NewFault(kind Kind, path, format string, args ...any) *Fault {
 	return &Fault{Kind: kind, Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// FaultOf returns the Fault in the error's chain, or one of kind Internal
-// with the error's text.
+// FaultOf returns the first Fault in the chain of err, or a Fault of kind
+// Internal with the text of err.
 func FaultOf(err error) *Fault {
 	var fault *Fault
 	if errors.As(err, &fault) {
--- a/base/journal.go
+++ b/base/journal.go
@@ -9,74 +9,75 @@
 	"github.com/gammazero/deque"
 )
 
-// Event is an entry of the journal.
+// Event is an entry in the journal.
 type Event struct {
 	// Serial numbers the events of one process, from 1 without gaps.
 	Serial uint64 `json:"serial"`
-	// At is the wall clock's time.
+	// At is the wall clock time of the event.
 	At time.Time `json:"at"`
-	// Mono is the monotonic clock's time.
+	// Mono is the monotonic clock time of the event.
 	Mono time.Duration `json:"mono"`
-	// Topic is the kind of event, one of a fixed set of words.
+	// Topic is the kind of event, from a fixed set of words.
 	Topic string `json:"topic"`
-	// Subject names what the event is about, for instance a request.
+	// Subject identifies what the event is about, for example a request.
 	Subject string `json:"subject,omitempty"`
 	Detail  string `json:"detail,omitempty"`
 }
 
-// EventSink is a reader of the journal that is told each event in order. Record is
-// called under the journal's lock: it must be quick and must not use the
-// journal.
+// EventSink receives each event of a journal in order. Record is called while
+// the journal's lock is held, so it must be fast and must not call the journal.
 type EventSink interface{ Record(Event) }
 
-// Journal keeps a process's newest events in memory and counts all by topic. It
-// is safe for concurrent use.
+// Journal keeps the newest events of a process in memory and counts all events
+// by topic. It is safe for concurrent use.
 type Journal struct {
-	mu     sync.Mutex
-	bound  int
-	serial uint64
-	events deque.Deque[Event]
-	views  []EventSink
-	counts map[string]uint64
+	mu       sync.Mutex
+	capacity int
+	serial   uint64
+	events   deque.Deque[Event]
+	sinks    []EventSink
+	counts   map[string]uint64
 }
 
-// NewJournal returns a journal that keeps the newest bound events and tells all
-// to the views.
-func NewJournal(bound int, views ...EventSink) *Journal {
-	return &Journal{bound: bound, views: views, counts: map[string]uint64{}}
+// NewJournal returns a journal that keeps the newest capacity events and passes
+// every event to the sinks.
+func NewJournal(capacity int, sinks ...EventSink) *Journal {
+	return &Journal{capacity: capacity, sinks: sinks, counts: map[string]uint64{}}
 }
 
-// Append numbers and stores an event. The oldest is forgotten beyond the bound.
+// Append sets the event's serial number, stores the event and passes it to the
+// sinks. It drops the oldest event if the journal is over capacity.
 func (j *Journal) Append(event Event) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.serial++
 	event.Serial = j.serial
 	j.events.PushBack(event)
-	if j.events.Len() > j.bound {
+	if j.events.Len() > j.capacity {
 		j.events.PopFront()
 	}
 	j.counts[event.Topic]++
-	for _, view := range j.views {
-		view.Record(event)
+	for _, sink := range j.sinks {
+		sink.Record(event)
 	}
 }
 
-// Subscribe adds a view, which is told the events from now on.
-func (j *Journal) Subscribe(view EventSink) {
+// Subscribe adds a sink, which receives the events appended from now on.
+func (j *Journal) Subscribe(sink EventSink) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.views = append(j.views, view)
+	j.sinks = append(j.sinks, sink)
 }
 
-// Len returns how many rows the journal holds in memory: events and topics.
+// Len returns the number of entries in memory: stored events plus topic counts.
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.events.Len() + len(j.counts)
 }
 
-// Counts returns the number of events so far by topic, forgotten ones too.
+// Counts returns the number of events appended so far by topic, including those
+// that were dropped.
 func (j *Journal) Counts() map[string]uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -87,19 +88,19 @@
 	return counts
 }
 
-// About iterates over the kept events about a subject, or over all if it is
-// empty, the oldest first. It sees the journal as it was at the call.
-func (j *Journal) About(subject string) iter.Seq[Event] {
+// Events iterates, oldest first, over the stored events about a subject, or over
+// all of them if subject is empty. It iterates over a snapshot taken at the call.
+func (j *Journal) Events(subject string) iter.Seq[Event] {
 	j.mu.Lock()
-	kept := make([]Event, 0, j.events.Len())
+	matching := make([]Event, 0, j.events.Len())
 	for i := range j.events.Len() {
 		if event := j.events.At(i); subject == "" || event.Subject == subject {
-			kept = append(kept, event)
+			matching = append(matching, event)
 		}
 	}
 	j.mu.Unlock()
 	return func(yield func(Event) bool) {
-		for _, event := range kept {
+		for _, event := range matching {
 			if !yield(event) {
 				return
 			}
@@ -107,17 +108,17 @@
 	}
 }
 
-// Last returns at most so many of the newest events about a subject, or of all
-// if that is empty, the oldest first.
-func (j *Journal) Last(subject string, most int) []Event {
+// Last returns, oldest first, at most limit of the newest stored events about a
+// subject, or of all of them if subject is empty.
+func (j *Journal) Last(subject string, limit int) []Event {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var kept []Event
-	for i := j.events.Len() - 1; i >= 0 && len(kept) < most; i-- {
+	var matching []Event
+	for i := j.events.Len() - 1; i >= 0 && len(matching) < limit; i-- {
 		if event := j.events.At(i); subject == "" || event.Subject == subject {
-			kept = append(kept, event)
+			matching = append(matching, event)
 		}
 	}
-	slices.Reverse(kept)
-	return kept
+	slices.Reverse(matching)
+	return matching
 }
--- a/base/journal_test.go
+++ b/base/journal_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = ginkgo.Describe("the journal", func() {
-	ginkgo.It("given a journal, when the last events about a subject are asked, then the newest come, the oldest first", func() {
+	ginkgo.It("given events about two subjects, when the last two about one are requested, then its two newest events are returned, oldest first", func() {
 		j := NewJournal(10)
 		for i := range 8 {
 			j.Append(Event{Topic: fmt.Sprint(i), Subject: []string{"a", "b"}[i%2]})
--- a/base/loop.go
+++ b/base/loop.go
@@ -5,46 +5,49 @@
 	"time"
 )
 
-// Tick calls do at each interval until the scope ends. Ticks that fall due
-// while do runs are dropped but for one.
+// Tick calls tick at each interval until the scope ends. If a call runs past one
+// or more ticks, one of them is delivered when it returns and the others are
+// dropped.
 //
-// It is no time.Ticker: one that is found due by the select of a goroutine in a
-// synctest bubble is run there, under a race context that all goroutines of the
-// bubble share, and two at a time bring the race detector down (Go 1.26).
-func Tick(s Scope, every time.Duration, do func(Scope)) {
-	next := time.Now().Add(every)
+// It doesn't use time.Ticker: if the select of a goroutine in a synctest bubble
+// finds a ticker expired, the ticker's function runs in that goroutine under a
+// race context that all goroutines of the bubble share, and two at the same time
+// crash the race detector (Go 1.26).
+func Tick(s Scope, interval time.Duration, tick func(Scope)) {
+	next := time.Now().Add(interval)
 	for {
 		Await(s, time.Until(next))
 		if s.Err() != nil {
 			return
 		}
-		next = followingTick(next, time.Now(), every)
-		do(s)
+		next = followingTick(next, time.Now(), interval)
+		tick(s)
 	}
 }
 
-// followingTick returns the first tick after now, of those that follow due at
-// each interval.
-func followingTick(due, now time.Time, every time.Duration) time.Time {
-	missed := max(now.Sub(due), 0) / every
-	return due.Add((missed + 1) * every)
+// followingTick returns the first tick that is after both due and now, where
+// ticks follow due at multiples of the interval.
+func followingTick(due, now time.Time, interval time.Duration) time.Time {
+	missed := max(now.Sub(due), 0) / interval
+	return due.Add((missed + 1) * interval)
 }
 
-// ForEach calls do for each item of the channel until the scope ends.
-func ForEach[T any](s Scope, in <-chan T, do func(T)) {
+// ForEach calls do for each item received from the channel until the scope ends.
+func ForEach[T any](s Scope, items <-chan T, do func(T)) {
 	for {
 		select {
 		case <-s.Done():
 			return
-		case item := <-in:
+		case item := <-items:
 			do(item)
 		}
 	}
 }
 
-// Await blocks until one of at most two signals is readable (true), or until
-// the scope ends or the longest wait is over (false).
-func Await(s Scope, longest time.Duration, signals ...<-chan struct{}) bool {
+// Await waits for one of at most two signal channels to be readable or closed.
+// It returns true if one is, and false if the scope ends or maxWait passes first.
+// If maxWait isn't positive, it returns at once whether a signal is readable.
+func Await(s Scope, maxWait time.Duration, signals ...<-chan struct{}) bool {
 	var first, second <-chan struct{}
 	if len(signals) > 0 {
 		first = signals[0]
@@ -52,11 +55,11 @@
 	if len(signals) > 1 {
 		second = signals[1]
 	}
-	if longest <= 0 {
+	if maxWait <= 0 {
 		return readable(first) || readable(second)
 	}
-	wakeup := time.NewTimer(longest)
-	defer wakeup.Stop()
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	select {
 	case <-s.Done():
 		return false
@@ -64,12 +67,13 @@
 		return true
 	case <-second:
 		return true
-	case <-wakeup.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-// readable reports whether a signal is readable now.
+// readable reports whether a signal channel is readable or closed now. If it
+// holds a value, the value is consumed.
 func readable(signal <-chan struct{}) bool {
 	select {
 	case <-signal:
@@ -79,46 +83,48 @@
 	}
 }
 
-// Broadcast wakes all that wait for a change. The zero value is ready for use.
+// Broadcast wakes all goroutines that wait for a change. The zero value is ready
+// for use.
 type Broadcast struct {
-	mu   sync.Mutex
-	rung chan struct{}
+	mu      sync.Mutex
+	changed chan struct{}
 }
 
-// Next returns a channel that the next Ring closes.
+// Next returns a channel that the next Notify closes.
 func (b *Broadcast) Next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.rung == nil {
-		b.rung = make(chan struct{})
+	if b.changed == nil {
+		b.changed = make(chan struct{})
 	}
-	return b.rung
+	return b.changed
 }
 
-// Notify wakes all that hold a channel from Heard.
+// Notify wakes all goroutines that wait on a channel from Next.
 func (b *Broadcast) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.rung != nil {
-		close(b.rung)
-		b.rung = nil
+	if b.changed != nil {
+		close(b.changed)
+		b.changed = nil
 	}
 }
 
-// Group is a group of goroutines to wait for.
+// Group starts goroutines and waits for all of them to end.
 type Group struct{ wg sync.WaitGroup }
 
-// Go runs do in a goroutine of the group.
-func (c *Group) Go(do func()) { c.wg.Go(do) }
+// Go calls do in a new goroutine of the group.
+func (g *Group) Go(do func()) { g.wg.Go(do) }
 
 // Wait blocks until all goroutines of the group have ended.
-func (c *Group) Wait() { c.wg.Wait() }
+func (g *Group) Wait() { g.wg.Wait() }
 
-// Parallel calls do for all items concurrently and returns when every call has.
+// Parallel calls do for each item in a goroutine of its own and returns when
+// every call has returned.
 func Parallel[T any](items []T, do func(T)) {
-	var crew Group
+	var group Group
 	for _, item := range items {
-		crew.Go(func() { do(item) })
+		group.Go(func() { do(item) })
 	}
-	crew.Wait()
+	group.Wait()
 }
--- a/base/loop_test.go
+++ b/base/loop_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func TestTickFallsDueAtEachIntervalAndDropsThoseMissedButForOne(t *testing.T) {
+func TestTickDropsAllButOneMissedTick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const every = 100 * time.Millisecond
+		const interval = 100 * time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
-		began := time.Now()
+		start := time.Now()
 		var at []time.Duration
-		Tick(Scope{Context: ctx}, every, func(Scope) {
-			at = append(at, time.Since(began))
+		Tick(Scope{Context: ctx}, interval, func(Scope) {
+			at = append(at, time.Since(start))
 			switch len(at) {
 			case 2:
 				time.Sleep(350 * time.Millisecond)
@@ -22,7 +22,7 @@
 				cancel()
 			}
 		})
-		expected := []time.Duration{every, 2 * every, 550 * time.Millisecond, 6 * every, 7 * every}
+		expected := []time.Duration{interval, 2 * interval, 550 * time.Millisecond, 6 * interval, 7 * interval}
 		for i := range expected {
 			if at[i] != expected[i] {
 				t.Fatalf("ticks at %v, want %v", at, expected)
@@ -31,26 +31,26 @@
 	})
 }
 
-func TestTickEndsWithTheScopeWhileItWaits(t *testing.T) {
+func TestTickReturnsWhenScopeEndsDuringWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		began := time.Now()
-		Tick(Scope{Context: ctx}, time.Hour, func(Scope) { t.Error("ticked") })
-		if took := time.Since(began); took != 50*time.Millisecond {
-			t.Errorf("ended after %v", took)
+		start := time.Now()
+		Tick(Scope{Context: ctx}, time.Hour, func(Scope) { t.Error("tick was called") })
+		if took := time.Since(start); took != 50*time.Millisecond {
+			t.Errorf("Tick returned after %v, want 50ms", took)
 		}
 	})
 }
 
-func TestAwaitOfNoTimeSeesASignalThatIsReadable(t *testing.T) {
+func TestAwaitWithoutWaitReportsReadableSignal(t *testing.T) {
 	s := Scope{Context: context.Background()}
 	signal := make(chan struct{})
 	if Await(s, 0, signal) || Await(s, -time.Second, nil, signal) {
-		t.Error("a signal that nobody gave")
+		t.Error("reported a signal that was not sent")
 	}
 	close(signal)
 	if !Await(s, 0, signal) || !Await(s, -time.Second, nil, signal) {
-		t.Error("a readable signal was missed")
+		t.Error("did not report a readable signal")
 	}
 }
--- a/base/net.go
+++ b/base/net.go
@@ -12,21 +12,21 @@
 	"strings"
 )
 
-// Net is the network as one machine sees it.
+// Net opens listeners and connections on the network of one machine.
 type Net interface {
 	// Listen opens a TCP listener.
 	Listen(address string) (net.Listener, error)
-	// Dial opens a connection, as net.Dialer.DialContext does.
+	// Dial opens a connection like net.Dialer.DialContext.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
-	// Holder identifies the sockets that listen at an IPv4 address, so that a
-	// successor at the same address can be told from its predecessor. It
-	// returns "" if that can't be learned.
-	Holder(address string) string
+	// ListenerID returns an identifier of the sockets that listen on an IPv4
+	// address and port. It differs between a process and its successor at the
+	// same address. It returns "" if the sockets can't be determined.
+	ListenerID(address string) string
 }
 
 type realNet struct{ dialer net.Dialer }
 
-// RealNet returns the machine's network.
+// RealNet returns the network of the operating system.
 func RealNet() Net { return &realNet{} }
 
 func (n *realNet) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -35,12 +35,14 @@
 	return n.dialer.DialContext(ctx, network, address)
 }
 
-// listening is the state TCP_LISTEN in /proc/net/tcp.
-const listening = "0A"
+// tcpListenState is the value of the state column in /proc/net/tcp for TCP_LISTEN.
+const tcpListenState = "0A"
 
-func (n *realNet) Holder(address string) string {
-	at, err := netip.ParseAddrPort(address)
-	if err != nil || !at.Addr().Is4() {
+// ListenerID returns the inodes of the listening sockets, sorted as text and
+// separated by commas. It includes sockets that listen on all addresses.
+func (n *realNet) ListenerID(address string) string {
+	addrPort, err := netip.ParseAddrPort(address)
+	if err != nil || !addrPort.Addr().Is4() {
 		return ""
 	}
 	file, err := os.Open("/proc/net/tcp")
@@ -48,17 +50,17 @@
 		return ""
 	}
 	defer file.Close()
-	wanted := procName(at.Addr().As4(), at.Port())
-	anywhere := procName([4]byte{}, at.Port())
+	exact := procAddress(addrPort.Addr().As4(), addrPort.Port())
+	wildcard := procAddress([4]byte{}, addrPort.Port())
 	var inodes []string
 	lines := bufio.NewScanner(file)
 	lines.Scan()
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
-		if len(fields) < 10 || fields[3] != listening {
-			break
+		if len(fields) < 10 || fields[3] != tcpListenState {
+			break // listening sockets come first in the file
 		}
-		if fields[1] == wanted || fields[1] == anywhere {
+		if fields[1] == exact || fields[1] == wildcard {
 			inodes = append(inodes, fields[9])
 		}
 	}
@@ -66,7 +68,10 @@
 	return strings.Join(inodes, ",")
 }
 
-func procName(ip [4]byte, port uint16) string {
+// procAddress returns an IPv4 address and port in the notation of /proc/net/tcp:
+// the bytes of the address in reverse order, as on little-endian machines, and
+// the port, both in uppercase hexadecimal.
+func procAddress(ip [4]byte, port uint16) string {
 	slices.Reverse(ip[:])
 	return strings.ToUpper(hex.EncodeToString(ip[:])) + ":" + strings.ToUpper(strconv.FormatUint(uint64(port)|0x10000, 16)[1:])
 }
--- a/base/params.go
+++ b/base/params.go
@@ -16,9 +16,9 @@
 	"curlewreach/proto/wire"
 )
 
-// LoadParams reads params from a JSON file into a message. No file name means
-// nothing to read.
-func LoadParams(file string, into proto.Message) error {
+// LoadParams reads parameters from a JSON file into a message. It does nothing if
+// the file name is empty.
+func LoadParams(file string, message proto.Message) error {
 	if file == "" {
 		return nil
 	}
@@ -26,56 +26,58 @@
 	if err != nil {
 		return errors.Wrap(err, "params")
 	}
-	return errors.Wrap(protojson.Unmarshal(body, into), "params")
+	return errors.Wrap(protojson.Unmarshal(body, message), "params")
 }
 
-// DefaultBounds sets each bound that isn't set to its default, in b itself, and
-// returns it. A nil b gives the defaults.
+// DefaultBounds sets each unset bound in b to its default and returns b. If b is
+// nil, it returns a new message with all defaults.
 func DefaultBounds(b *wire.Bounds) *wire.Bounds {
 	if b == nil {
 		b = &wire.Bounds{}
 	}
-	usual := func(at **durationpb.Duration, d time.Duration) {
-		if *at == nil {
-			*at = durationpb.New(d)
+	setDefault := func(field **durationpb.Duration, value time.Duration) {
+		if *field == nil {
+			*field = durationpb.New(value)
 		}
 	}
-	usual(&b.InForce, 2*time.Second)
-	usual(&b.SlideBack, 250*time.Millisecond)
-	usual(&b.Leaving, 2*time.Second)
-	usual(&b.Grace, 6*time.Second)
-	usual(&b.Recovery, 15*time.Second)
-	usual(&b.Alone, 0)
+	setDefault(&b.InForce, 2*time.Second)
+	setDefault(&b.SlideBack, 250*time.Millisecond)
+	setDefault(&b.Leaving, 2*time.Second)
+	setDefault(&b.Grace, 6*time.Second)
+	setDefault(&b.Recovery, 15*time.Second)
+	setDefault(&b.Alone, 0)
 	return b
 }
 
-// CheckBounds returns an error that names each bound outside its limits.
+// CheckBounds returns an error that names each bound outside its limits, or nil.
 func CheckBounds(b *wire.Bounds) error {
-	within := func(low, high time.Duration) validation.Rule {
+	inRange := func(low, high time.Duration) validation.Rule {
 		return validation.By(func(value any) error {
 			d := value.(*durationpb.Duration).AsDuration()
 			return validation.Validate(d, validation.Min(low), validation.Max(high))
 		})
 	}
 	return validation.ValidateStruct(b,
-		validation.Field(&b.InForce, within(200*time.Millisecond, time.Minute)),
-		validation.Field(&b.SlideBack, within(20*time.Millisecond, 10*time.Second)),
-		validation.Field(&b.Leaving, within(200*time.Millisecond, time.Minute)),
-		validation.Field(&b.Grace, within(time.Second, 5*time.Minute)),
-		validation.Field(&b.Recovery, within(time.Second, 5*time.Minute)),
-		validation.Field(&b.Alone, within(0, 30*24*time.Hour)),
+		validation.Field(&b.InForce, inRange(200*time.Millisecond, time.Minute)),
+		validation.Field(&b.SlideBack, inRange(20*time.Millisecond, 10*time.Second)),
+		validation.Field(&b.Leaving, inRange(200*time.Millisecond, time.Minute)),
+		validation.Field(&b.Grace, inRange(time.Second, 5*time.Minute)),
+		validation.Field(&b.Recovery, inRange(time.Second, 5*time.Minute)),
+		validation.Field(&b.Alone, inRange(0, 30*24*time.Hour)),
 	)
 }
 
-// ErrorLines returns a validation error as sorted lines "field: reason".
+// ErrorLines returns the failures of a validation error as sorted lines of the
+// form "field: reason", with the names of nested fields joined by ": ". Any other
+// error becomes a single line.
 func ErrorLines(err error) []string {
-	var many validation.Errors
-	if !errors.As(err, &many) {
+	var fieldErrors validation.Errors
+	if !errors.As(err, &fieldErrors) {
 		return []string{err.Error()}
 	}
 	var lines []string
-	for name, each := range many {
-		for _, line := range ErrorLines(each) {
+	for name, fieldErr := range fieldErrors {
+		for _, line := range ErrorLines(fieldErr) {
 			lines = append(lines, fmt.Sprintf("%s: %s", name, line))
 		}
 	}
@@ -83,8 +85,9 @@
 	return lines
 }
 
-// PrintErrors prints a program's bad params and exits with code 2.
-func PrintErrors(program string, err error) {
-	fmt.Fprintf(os.Stderr, "%s: bad params\n  %s\n", program, strings.Join(ErrorLines(err), "\n  "))
+// ExitWithParamErrors prints the parameter errors of a program to standard error
+// and exits with status 2.
+func ExitWithParamErrors(program string, err error) {
+	fmt.Fprintf(os.Stderr, "%s: invalid parameters\n  %s\n", program, strings.Join(ErrorLines(err), "\n  "))
 	os.Exit(2)
 }
--- a/base/program.go
+++ b/base/program.go
@@ -12,16 +12,17 @@
 	"curlewreach/internal/storage"
 )
 
-// Version is the release that all programs tell by --version.
+// Version is the release that all programs print for --version.
 const Version = "0.1.0"
 
-// journalBound is the number of events kept in memory, a few MB: minutes of a
-// busy process.
-const journalBound = 20000
+// journalCapacity is the number of events kept in memory. They take a few MB and
+// cover some minutes of a busy process.
+const journalCapacity = 20000
 
-// NewScope returns the surroundings of a real process: the machine's clock,
-// network and randomness, its data folder (none if empty), a log in JSON lines
-// at the level on standard error, and a journal that is logged at debug level.
+// NewScope returns the scope of a production process: the operating system's
+// clock, network and random source, storage in the folder (none if it is empty),
+// a log of JSON lines at the given level on standard error, and a journal whose
+// events are logged at debug level.
 func NewScope(program, node, folder, level string) (Scope, error) {
 	disk := storage.None()
 	if folder != "" {
@@ -33,23 +34,24 @@
 	log := hclog.New(&hclog.LoggerOptions{Name: program, Level: hclog.LevelFromString(level), Output: os.Stderr, JSONFormat: true}).With("node", node)
 	return Scope{
 		Context: context.Background(), Node: node, Clock: RealClock(), Net: RealNet(), Disk: disk, Rand: random.New(), Log: log,
-		Journal: NewJournal(journalBound, logView{log}),
+		Journal: NewJournal(journalCapacity, logSink{log}),
 	}, nil
 }
 
-type logView struct{ log hclog.Logger }
+// logSink logs journal events at debug level.
+type logSink struct{ log hclog.Logger }
 
-func (v logView) Record(event Event) {
-	v.log.Debug(event.Topic, "subject", event.Subject, "detail", event.Detail)
+func (s logSink) Record(event Event) {
+	s.log.Debug(event.Topic, "subject", event.Subject, "detail", event.Detail)
 }
 
-// Signals calls reload at each SIGHUP, and stop at the first SIGTERM or SIGINT,
-// after which it returns.
-func Signals(stop func(), reload func()) {
+// HandleSignals calls reload on each SIGHUP. On the first SIGTERM or SIGINT it
+// calls stop and returns.
+func HandleSignals(stop func(), reload func()) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	for each := range signals {
-		if each != syscall.SIGHUP {
+	for received := range signals {
+		if received != syscall.SIGHUP {
 			stop()
 			return
 		}
--- a/base/scope.go
+++ b/base/scope.go
@@ -1,8 +1,8 @@
-// Package base holds what every program of the project runs on: the process's
-// surroundings (clock, network, disk, randomness, log and journal, together a
-// Scope), loops and locks written once, HTTP servers and clients, params,
-// metrics, and the closed list of error kinds. Production and simulation differ
-// only in the surroundings that the Scope carries.
+// Package base holds what all programs of the project share: the environment of a
+// process (clock, network, storage, random source, log and journal, together a
+// Scope), loops, locks and concurrent tables, parameters, validation rules and the
+// closed set of error kinds. Production and simulation differ only in the
+// environment that the Scope holds.
 package base
 
 import (
@@ -15,9 +15,9 @@
 	"curlewreach/internal/storage"
 )
 
-// Scope is the surroundings that a part of a process runs in: its lifetime, as
-// a context, and the machine's clock, network, disk, randomness, log and
-// journal. It is passed by value.
+// Scope is the environment of a component of a process: a context that bounds its
+// lifetime, the node's name, and the machine's clock, network, storage, random
+// source, log and journal. It is passed by value.
 type Scope struct {
 	context.Context
 	Node    string
@@ -29,25 +29,28 @@
 	Journal *Journal
 }
 
-// WithContext returns the scope with another context.
+// WithContext returns a copy of the scope with the given context.
 func (s Scope) WithContext(ctx context.Context) Scope {
 	s.Context = ctx
 	return s
 }
 
-// WithTimeout returns the scope with a time limit.
+// WithTimeout returns a copy of the scope that ends after d, when the returned
+// function is called or when the original scope ends, whichever comes first.
 func (s Scope) WithTimeout(d time.Duration) (Scope, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(s.Context, d)
 	return s.WithContext(ctx), cancel
 }
 
-// WithCancel returns the scope with a lifetime that cancel ends early.
+// WithCancel returns a copy of the scope that ends when the returned function is
+// called or when the original scope ends.
 func (s Scope) WithCancel() (Scope, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.Context)
 	return s.WithContext(ctx), cancel
 }
 
-// Record appends an event to the journal, stamped with the scope's clock.
+// Record appends an event to the journal with the current times of the scope's
+// clock.
 func (s Scope) Record(topic, subject, detail string) {
 	s.Journal.Append(Event{At: s.Clock.Wall(), Mono: s.Clock.Mono(), Topic: topic, Subject: subject, Detail: detail})
 }
--- a/base/table.go
+++ b/base/table.go
@@ -8,14 +8,15 @@
 	"sync/atomic"
 )
 
-// Table is a map that is read without locks and replaced as a whole by each
-// change. It suits tables that change rarely. The zero value is empty.
+// Table is a copy-on-write map: reads take no lock, and each change replaces the
+// whole map, so it suits tables that change rarely. The zero value is an empty
+// table.
 type Table[V any] struct {
 	mu   sync.Mutex
 	rows atomic.Pointer[map[string]V]
 }
 
-// Snapshot returns the present rows. Nobody may change them.
+// Snapshot returns the current rows. Callers must not modify the map.
 func (t *Table[V]) Snapshot() map[string]V {
 	if rows := t.rows.Load(); rows != nil {
 		return *rows
@@ -23,14 +24,13 @@
 	return nil
 }
 
-// Get returns a row and whether there is one.
+// Get returns the row for a key and whether it exists.
 func (t *Table[V]) Get(key string) (V, bool) {
 	row, ok := t.Snapshot()[key]
 	return row, ok
 }
 
-// All iterates over the rows in the order of their keys, as they were at the
-// call.
+// All iterates in key order over a snapshot of the rows taken at the call.
 func (t *Table[V]) All() iter.Seq2[string, V] {
 	rows := t.Snapshot()
 	return func(yield func(string, V) bool) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Update calls change with a copy of the rows, which then takes their place.
-// Changes follow each other; change must not change the table again.
+// Update calls change with a copy of the rows and then publishes the copy. Updates
+// are serialized by a lock, so change must not update the table itself.
 func (t *Table[V]) Update(change func(rows map[string]V)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +55,7 @@
 	t.rows.Store(&rows)
 }
 
-// Put sets one row.
+// Put sets the row for a key.
 func (t *Table[V]) Put(key string, row V) {
 	t.Update(func(rows map[string]V) { rows[key] = row })
 }
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -67,7 +67,7 @@
 		return h.State(), nil
 	}, whole)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(h.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(h.scope.Journal.Events(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 		httpserver.ReplyJSON(w, http.StatusOK, h.scope.Journal.Counts())
@@ -152,7 +152,7 @@
 	case wire.Verdict_TAKEN:
 		return http.StatusOK
 	case wire.Verdict_BOUNCED:
-		if answer, ok := base.Answers[base.Kind(outcome.GetMishap().GetKind())]; ok {
+		if answer, ok := base.HTTPResponses[base.Kind(outcome.GetMishap().GetKind())]; ok {
 			return answer.Status
 		}
 	}
@@ -161,5 +161,5 @@
 
 func refuse(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
-	httpserver.ReplyJSON(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
+	httpserver.ReplyJSON(w, base.HTTPResponses[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
--- a/internal/listednode/answer.go
+++ b/internal/listednode/answer.go
@@ -95,14 +95,14 @@
 }
 
 func rejectTo(w http.ResponseWriter, fault *base.Fault) {
-	answer := base.Answers[fault.Kind]
+	answer := base.HTTPResponses[fault.Kind]
 	outcome := "not-run"
-	if fault.Run {
+	if fault.MayHaveRun {
 		outcome = "unknown"
 	}
 	w.Header().Set(outcomeHeader, outcome)
 	if answer.Retriable {
-		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.After.Seconds())))))
+		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.RetryAfter.Seconds())))))
 	}
 	httpserver.ReplyJSON(w, answer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -265,11 +265,11 @@
 	at, ahead, usual := t.turn(key, identifier)
 	if ahead > 0 && !patient {
 		t.quit(key)
-		return nil, base.NewFault(base.KeptApart, "", "another such request has the turn here")
+		return nil, base.NewFault(base.Contended, "", "another such request has the turn here")
 	}
 	if t.clock.Mono()+time.Duration(ahead)*usual > until {
 		t.quit(key)
-		return nil, base.NewFault(base.KeptApart, "", "its turn would come after the deadline")
+		return nil, base.NewFault(base.Contended, "", "its turn would come after the deadline")
 	}
 	if !at.latch.Lock(s) {
 		t.quit(key)
--- a/internal/listednode/call_tracker_test.go
+++ b/internal/listednode/call_tracker_test.go
@@ -77,7 +77,7 @@
 			Expect(fault.Kind).To(Equal(base.Expired))
 			begun := s.Clock.Mono()
 			_, fault = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, begun+time.Minute, false)
-			Expect(fault.Kind).To(Equal(base.KeptApart), "who may still go elsewhere is turned back at once")
+			Expect(fault.Kind).To(Equal(base.Contended), "who may still go elsewhere is turned back at once")
 			Expect(s.Clock.Mono()).To(Equal(begun))
 			together := further()
 			together.Route.Together = true
@@ -95,7 +95,7 @@
 			held, fault := t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			_, fault = t.Apart(s, &callInProgress{way: way, seat: &instance{}}, s.Clock.Mono()+100*time.Millisecond, true)
-			Expect(fault.Kind).To(Equal(base.KeptApart), "a wait that can't end in time is turned back at once")
+			Expect(fault.Kind).To(Equal(base.Contended), "a wait that can't end in time is turned back at once")
 			held()
 			Expect(t.apart).To(BeEmpty(), "nothing is kept for keys no longer waited for")
 		})
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -69,7 +69,7 @@
 		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
 	if !n.claims.Good(signed.Serial) {
-		if fault := n.abreast(s, signed.Serial); fault != nil && fault.Kind != base.Stale {
+		if fault := n.abreast(s, signed.Serial); fault != nil && fault.Kind != base.StaleSerial {
 			return nil, fault
 		}
 		signed = n.slice.Load()
@@ -197,7 +197,7 @@
 // The error is what to tell the caller if there is none, or if no repeat is
 // left to spend.
 func (n *Node) next(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
-	if last := ledger.Last(); last != nil && last.Fault.Kind == base.Stale {
+	if last := ledger.Last(); last != nil && last.Fault.Kind == base.StaleSerial {
 		fresh, fault := n.renew(s, ledger)
 		if fault != nil {
 			return nil, candidate{}, fault
@@ -292,7 +292,7 @@
 	case caught.fault != nil:
 		attempt.Fault = caught.fault
 		attempt.State = NotRun
-		if caught.fault.Run {
+		if caught.fault.MayHaveRun {
 			attempt.State = Doubtful
 		}
 	default:
@@ -300,7 +300,7 @@
 		if err != nil {
 			reason = err.Error()
 		}
-		attempt.Fault = base.NewFault(base.Lost, "", "%s", reason)
+		attempt.Fault = base.NewFault(base.ResponseLost, "", "%s", reason)
 		attempt.State = Doubtful
 		if s.Err() != nil {
 			attempt.Fault = base.NewFault(base.Expired, "", "no answer within the deadline")
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -294,7 +294,7 @@
 		held, _, _ := n.claims.Held()
 		switch {
 		case held != nil && held.Serial > serial:
-			return base.NewFault(base.Stale, "", "serial %d is in force here, not %d", held.Serial, serial)
+			return base.NewFault(base.StaleSerial, "", "serial %d is in force here, not %d", held.Serial, serial)
 		case held != nil && held.Serial == serial && n.claims.Good(serial):
 			return nil
 		}
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -62,12 +62,12 @@
 	}
 	bounded, cancel := s.WithTimeout(t.oldest / 3)
 	defer cancel()
-	holder := t.scope.Net.Holder(report.Address)
+	holder := t.scope.Net.ListenerID(report.Address)
 	probe, err := t.scope.Net.Dial(bounded, "tcp", report.Address)
 	if err != nil {
 		return base.NewFault(base.Unreachable, "address", "%s", err)
 	}
-	if s.Err() != nil || t.scope.Net.Holder(report.Address) != holder {
+	if s.Err() != nil || t.scope.Net.ListenerID(report.Address) != holder {
 		_ = probe.Close()
 		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
 	}
@@ -117,7 +117,7 @@
 
 // Held reports whether the same socket still listens at the instance's address.
 func (t *Instances) Held(at *instance) bool {
-	return t.scope.Net.Holder(at.said().Address) == at.holder
+	return t.scope.Net.ListenerID(at.said().Address) == at.holder
 }
 
 // Void ends an instance, until it reports again.
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -72,7 +72,7 @@
 }
 
 func (a *Attempt) turnedBack() bool {
-	return a.Fault != nil && (a.Fault.Kind == base.Stale || a.Fault.Kind == base.KeptApart && a.Impatient)
+	return a.Fault != nil && (a.Fault.Kind == base.StaleSerial || a.Fault.Kind == base.Contended && a.Impatient)
 }
 
 // Last returns the newest attempt, or nil.
@@ -109,13 +109,13 @@
 // Apart reports whether any attempt was turned back as such requests are kept
 // apart.
 func (l *Ledger) Apart() bool {
-	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.KeptApart })
+	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.Contended })
 }
 
 // Tried reports whether an instance was tried and needn't be again.
 func (l *Ledger) Tried(seat string) bool {
 	for _, attempt := range l.Attempts {
-		if attempt.Seat == seat && attempt.Fault.Kind != base.Stale && !(l.Patient && attempt.turnedBack()) {
+		if attempt.Seat == seat && attempt.Fault.Kind != base.StaleSerial && !(l.Patient && attempt.turnedBack()) {
 			return true
 		}
 	}
@@ -153,10 +153,10 @@
 func (l *Ledger) Verdict(now time.Duration) *base.Fault {
 	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Way.Service.Name)
 	if last := l.Last(); last != nil && last.Fault != nil {
-		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, After: last.Fault.After}
+		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, RetryAfter: last.Fault.RetryAfter}
 	} else if now >= l.Until {
 		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
 	}
-	verdict.Run = l.Doubtful()
+	verdict.MayHaveRun = l.Doubtful()
 	return verdict
 }
--- a/internal/listednode/ledger_test.go
+++ b/internal/listednode/ledger_test.go
@@ -16,7 +16,7 @@
 		func(repeatable bool, expected Decision, states ...State) {
 			ledger := &Ledger{Way: bundle.RouteMatch{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Until: time.Second}
 			for _, state := range states {
-				ledger.Add(&Attempt{State: state, Fault: &base.Fault{Kind: base.Lost}})
+				ledger.Add(&Attempt{State: state, Fault: &base.Fault{Kind: base.ResponseLost}})
 			}
 			Expect(ledger.Next(0)).To(Equal(expected))
 		},
@@ -30,9 +30,9 @@
 	)
 	ginkgo.It("given the deadline passed, when asked, then it gives up, and a doubtful attempt is never called not run", func() {
 		ledger := &Ledger{Way: bundle.RouteMatch{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Until: time.Second}
-		ledger.Add(&Attempt{State: Doubtful, Fault: &base.Fault{Kind: base.Lost}})
+		ledger.Add(&Attempt{State: Doubtful, Fault: &base.Fault{Kind: base.ResponseLost}})
 		ledger.Add(&Attempt{State: NotRun, Fault: &base.Fault{Kind: base.NoInstance}})
 		Expect(ledger.Next(time.Second)).To(Equal(GiveUp))
-		Expect(ledger.Verdict(time.Second).Run).To(BeTrue())
+		Expect(ledger.Verdict(time.Second).MayHaveRun).To(BeTrue())
 	})
 })
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -26,7 +26,7 @@
 
 func faultPiece(attempt string, fault *base.Fault) *wire.CarryReply {
 	return &wire.CarryReply{Piece: &wire.CarryReply_Mishap{Mishap: &wire.CarryMishap{
-		Attempt: attempt, Kind: string(fault.Kind), Reason: fault.Reason, Run: fault.Run, AfterUs: uint64(fault.After.Microseconds()),
+		Attempt: attempt, Kind: string(fault.Kind), Reason: fault.Reason, Run: fault.MayHaveRun, AfterUs: uint64(fault.RetryAfter.Microseconds()),
 	}}}
 }
 
@@ -48,7 +48,7 @@
 	}
 	if !n.fences.Start(ask.Attempt) {
 		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
-		fault.Run = !n.fences.Fence(ask.Attempt)
+		fault.MayHaveRun = !n.fences.Fence(ask.Attempt)
 		return fault
 	}
 	leave := n.enter()
@@ -72,7 +72,7 @@
 	}
 	bundle := n.slice.Load()
 	if bundle.Serial != ask.Serial {
-		return base.NewFault(base.Stale, "", "serial %d is in force here", bundle.Serial)
+		return base.NewFault(base.StaleSerial, "", "serial %d is in force here", bundle.Serial)
 	}
 	way, known := bundle.Route(ask.Service, ask.Route)
 	if !known {
@@ -133,7 +133,7 @@
 		request.Body = io.NopCloser(bytes.NewReader(ask.Body))
 	}
 	if !n.claims.Good(ask.Serial) {
-		return base.NewFault(base.Stale, "", "serial %d is no longer sure here", ask.Serial)
+		return base.NewFault(base.StaleSerial, "", "serial %d is no longer sure here", ask.Serial)
 	}
 	if s.Err() != nil || !n.fences.Hand(ask.Attempt) {
 		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
@@ -167,7 +167,7 @@
 // ran returns an error about a request that may have run.
 func ran(kind base.Kind, format string, args ...any) *base.Fault {
 	fault := base.NewFault(kind, "", format, args...)
-	fault.Run = true
+	fault.MayHaveRun = true
 	return fault
 }
 
@@ -179,7 +179,7 @@
 		if s.Err() != nil {
 			return 0, ran(base.Expired, "the upstream did not answer in time")
 		}
-		return 0, ran(base.Lost, "the upstream's answer was lost: %s", err)
+		return 0, ran(base.ResponseLost, "the upstream's answer was lost: %s", err)
 	}
 	defer response.Body.Close()
 	return response.StatusCode, relay(response, ask.Attempt, tell)
@@ -190,23 +190,23 @@
 	digest, given := promised(response.Header)
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || given
 	if !framed || response.StatusCode == http.StatusSwitchingProtocols {
-		return ran(base.Garbled, "the upstream's answer has no certain end")
+		return ran(base.InvalidResponse, "the upstream's answer has no certain end")
 	}
 	head := &wire.CarryHead{Attempt: attempt, Status: uint32(response.StatusCode), Headers: headersOf(response.Header), Size: response.ContentLength}
 	sealing, whole := newSeal(head), sha256.New()
 	if err := tell(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
-		return ran(base.Lost, "the asking node went away")
+		return ran(base.ResponseLost, "the asking node went away")
 	}
 	size, fault := relayBody(response.Body, io.MultiWriter(sealing, whole), tell)
 	if fault != nil {
 		return fault
 	}
 	if given && !bytes.Equal(digest, whole.Sum(nil)) {
-		return ran(base.Garbled, "the upstream's answer does not fit its digest")
+		return ran(base.InvalidResponse, "the upstream's answer does not fit its digest")
 	}
 	tail := &wire.CarryTail{Attempt: attempt, Digest: sealing.sum(), Size: size}
 	if err := tell(&wire.CarryReply{Piece: &wire.CarryReply_Tail{Tail: tail}}); err != nil {
-		return ran(base.Lost, "the asking node went away")
+		return ran(base.ResponseLost, "the asking node went away")
 	}
 	return nil
 }
@@ -221,14 +221,14 @@
 			size += uint64(got)
 			_, _ = digests.Write(chunk[:got])
 			if tell(&wire.CarryReply{Piece: &wire.CarryReply_Chunk{Chunk: bytes.Clone(chunk[:got])}}) != nil {
-				return size, ran(base.Lost, "the asking node went away")
+				return size, ran(base.ResponseLost, "the asking node went away")
 			}
 		}
 		if err == io.EOF {
 			return size, nil
 		}
 		if err != nil {
-			return size, ran(base.Garbled, "the upstream's answer broke off: %s", err)
+			return size, ran(base.InvalidResponse, "the upstream's answer broke off: %s", err)
 		}
 	}
 }
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -123,7 +123,7 @@
 	defer n.picking.Unlock()
 	at := n.recordOf(picked)
 	at.flying--
-	if attempt.State != Answered && attempt.Fault.Kind != base.Overloaded && attempt.Fault.Kind != base.Stale && attempt.Fault.Kind != base.KeptApart {
+	if attempt.State != Answered && attempt.Fault.Kind != base.Overloaded && attempt.Fault.Kind != base.StaleSerial && attempt.Fault.Kind != base.Contended {
 		at.cool = n.scope.Clock.Mono() + n.patience
 	}
 }
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -24,7 +24,7 @@
 	fault   *base.Fault
 }
 
-var errForeign = base.NewFault(base.Garbled, "", "a piece of another attempt's answer")
+var errForeign = base.NewFault(base.InvalidResponse, "", "a piece of another attempt's answer")
 
 func (c *responseReader) take(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
@@ -41,7 +41,7 @@
 		if piece.Mishap.Attempt != c.attempt.Name {
 			return errForeign
 		}
-		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, Run: piece.Mishap.Run, After: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
+		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, MayHaveRun: piece.Mishap.Run, RetryAfter: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // is passed on only now.
 func (c *responseReader) takeTail(tail *wire.CarryTail) error {
 	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
-		return base.NewFault(base.Garbled, "", "the seal does not fit the answer")
+		return base.NewFault(base.InvalidResponse, "", "the seal does not fit the answer")
 	}
 	c.whole = true
 	if c.flowing {
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -67,7 +67,7 @@
 		expect := func(status int, fault *base.Fault, wanted base.Kind) {
 			Expect(fault).NotTo(BeNil())
 			Expect(fault.Kind).To(Equal(wanted), fault.Reason)
-			Expect(status).To(Equal(base.Answers[wanted].Status))
+			Expect(status).To(Equal(base.HTTPResponses[wanted].Status))
 			Expect(fault.Reason).NotTo(BeEmpty())
 		}
 		status, fault := f.post("/v1/draft", `{"base": 1, "bundle": {`)
--- a/internal/testing/listedfleet/doors_test.go
+++ b/internal/testing/listedfleet/doors_test.go
@@ -97,7 +97,7 @@
 		begun := time.Now()
 		status, said, err := f.raw(visitors, "POST /lending/hold/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nslow", time.Minute)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status).To(Equal(base.Answers[base.Malformed].Status), said)
+		Expect(status).To(Equal(base.HTTPResponses[base.Malformed].Status), said)
 		Expect(time.Since(begun)).To(BeNumerically("<", 7*time.Second), "a body that never ends is given up on by the deadline")
 		Expect(f.Ready(f.Every())).To(BeTrue())
 		Expect(f.ask(m, hold, "after all").Status).To(Equal(200))
--- a/internal/testing/listedfleet/kin_test.go
+++ b/internal/testing/listedfleet/kin_test.go
@@ -51,7 +51,7 @@
 		}
 		alarms := 0
 		for _, controller := range f.Keels {
-			for event := range controller.Journal.About("") {
+			for event := range controller.Journal.Events("") {
 				if event.Topic == "standing" && event.Detail == membership.Absent {
 					alarms++
 				}
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -257,7 +257,7 @@
 	for _, m := range f.Keels {
 		if m.Controller != nil {
 			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.Helm.State()))
-			for event := range m.Journal.About("") {
+			for event := range m.Journal.Events("") {
 				switch event.Topic {
 				case "phase", "waiting", "blank", "sick-key", "recovered", "set-aside", "disk-trouble":
 					lines = append(lines, fmt.Sprint("\n  ", event.Mono, " ", event.Topic, " ", event.Subject, " ", event.Detail))
