--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -29,7 +29,7 @@
 		return h.Draft(ctx, request.(*wire.DraftRequest))
 	}, h.decode(func() proto.Message { return &wire.DraftRequest{} }))
 	serve("POST /v1/sign", func(ctx context.Context, request any) (any, error) {
-		return h.Sign(ctx, request.(*wire.SignRequest))
+		return h.Submit(ctx, request.(*wire.SignRequest))
 	}, h.decode(func() proto.Message { return &wire.SignRequest{} }))
 	serve("GET /v1/submission/{id}", func(ctx context.Context, request any) (any, error) {
 		return h.Status(ctx, request.(*http.Request).PathValue("id"))
@@ -84,7 +84,7 @@
 
 // State returns this machine's view of the stored keys.
 func (h *ControlPlane) State() *wire.StateReply {
-	seen := h.Settled()
+	seen := h.Chosen()
 	reply := &wire.StateReply{Keel: h.self, Phase: strings.ToLower(h.store.Store().Phase().String()), Committed: seen.committed, Staged: seen.staged, Learner: h.Learning().GetHolder(), Owed: uint32(h.traces.PendingCopies())}
 	for _, key := range h.store.Store().Keys() {
 		owner, epoch, _ := h.store.Owner(key)
--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -52,8 +52,8 @@
 	return &AdmissionQueue{clock: clock, limit: max(limit, 1), bound: bound, lanes: map[string]*groupQueue{}}
 }
 
-// Resize sets how many requests may be inside.
-func (g *AdmissionQueue) Resize(limit int) {
+// SetLimit sets how many requests may be inside.
+func (g *AdmissionQueue) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(limit, 1)
@@ -78,10 +78,10 @@
 	return granted
 }
 
-// Enter waits to be let in until the time given. The caller calls leave when
+// Acquire waits to be let in until the time given. The caller calls leave when
 // its request has ended. The error is of kind Crowded if it can't be let in in
 // time or the queue is full, and Expired if the time passed.
-func (g *AdmissionQueue) Enter(s base.Scope, group string, weight float64, until time.Duration) (leave func(), fault *base.Fault) {
+func (g *AdmissionQueue) Acquire(s base.Scope, group string, weight float64, until time.Duration) (leave func(), fault *base.Fault) {
 	g.mu.Lock()
 	at := g.lanes[group]
 	if at == nil {
--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -15,7 +15,7 @@
 	for range callers {
 		go func() {
 			for range rounds {
-				leave, fault := g.Enter(s, group, weight, s.Clock.Mono()+time.Second)
+				leave, fault := g.Acquire(s, group, weight, s.Clock.Mono()+time.Second)
 				if fault != nil {
 					time.Sleep(time.Millisecond)
 					continue
@@ -65,12 +65,12 @@
 	ginkgo.It("given a full queue, when more come, then they are bounced early and none waits past its deadline", func() {
 		bubble(func(s base.Scope) {
 			g := NewAdmissionQueue(s.Clock, 1, 5)
-			leave, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			leave, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
 				go func() {
-					_, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+					_, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 					kinds <- fault.Kind
 				}()
 			}
@@ -80,7 +80,7 @@
 			Expect(kinds).To(HaveLen(20))
 			leave()
 			Expect(g.InFlight()).To(BeZero())
-			again, fault := g.Enter(s, "a", 1, s.Clock.Mono()+time.Second)
+			again, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			again()
 		})
--- a/internal/listednode/budget.go
+++ b/internal/listednode/budget.go
@@ -41,20 +41,20 @@
 	most  uint32
 }
 
-// Budget divides the spans that a node may record each second among the groups
+// SpanBudget divides the spans that a node may record each second among the groups
 // by the weights of their shares. What a group left unused in a second is lent
 // to all in the next. It takes no lock.
-type Budget struct {
+type SpanBudget struct {
 	clock base.Clock
 	lent  meter
 	rows  atomic.Pointer[map[string]groupBudget]
 }
 
-// NewBudget returns a budget that grants nothing before Set.
-func NewBudget(clock base.Clock) *Budget { return &Budget{clock: clock} }
+// NewSpanBudget returns a budget that grants nothing before Set.
+func NewSpanBudget(clock base.Clock) *SpanBudget { return &SpanBudget{clock: clock} }
 
-// Set divides by a bundle's shares.
-func (b *Budget) Set(signed *bundle.Bundle) {
+// SetShares divides by a bundle's shares.
+func (b *SpanBudget) SetShares(signed *bundle.Bundle) {
 	total := 0.0
 	shares := signed.Raw.GetCommon().GetShares()
 	for _, share := range shares {
@@ -74,7 +74,7 @@
 }
 
 // Spend takes one span for a group, and reports whether there was one left.
-func (b *Budget) Spend(group string) bool {
+func (b *SpanBudget) Spend(group string) bool {
 	rows := b.rows.Load()
 	if rows == nil {
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-func (b *Budget) spare(rows map[string]groupBudget, second uint64) (left uint32) {
+func (b *SpanBudget) spare(rows map[string]groupBudget, second uint64) (left uint32) {
 	for _, row := range rows {
 		if used := row.meter.used(second); used < row.most {
 			left += row.most - used
@@ -97,8 +97,8 @@
 	return left
 }
 
-// Spent returns the spans granted so far, by group.
-func (b *Budget) Spent() map[string]uint64 {
+// Granted returns the spans granted so far, by group.
+func (b *SpanBudget) Granted() map[string]uint64 {
 	spent := map[string]uint64{}
 	if rows := b.rows.Load(); rows != nil {
 		for group, row := range *rows {
--- a/internal/listednode/budget_test.go
+++ b/internal/listednode/budget_test.go
@@ -21,7 +21,7 @@
 		}
 		return bundle.Index(nil, b)
 	}
-	play := func(budget *Budget, clock *simnet.Clock, seconds int, asks map[string]int) (got map[string]int) {
+	play := func(budget *SpanBudget, clock *simnet.Clock, seconds int, asks map[string]int) (got map[string]int) {
 		got = map[string]int{}
 		for range seconds {
 			for _, group := range []string{"a", "b", "c"} {
@@ -39,8 +39,8 @@
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
 			clock := simnet.NewClock(time.Now())
-			budget := NewBudget(clock)
-			budget.Set(shares(1, 1, 1))
+			budget := NewSpanBudget(clock)
+			budget.SetShares(shares(1, 1, 1))
 			play(budget, clock, 2, map[string]int{"a": 200, "b": 200, "c": 200})
 			all := play(budget, clock, 10, map[string]int{"a": 200, "b": 200, "c": 200})
 			Expect(all).To(Equal(map[string]int{"a": 300, "b": 300, "c": 300}))
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -114,22 +114,22 @@
 	}
 }
 
-// Parent is what was found out about a further call: its parent if it is Tied, or
+// Attribution is what was found out about a further call: its parent if it is Tied, or
 // the spans of the candidates if there are several.
-type Parent struct {
+type Attribution struct {
 	Parent     *callInProgress
 	Candidates []string
-	Tied       bool
+	Certain    bool
 }
 
-// Find ties a further call, given its route, its path's placeholders and the
+// FindParent ties a further call, given its route, its path's placeholders and the
 // name of the trace header.
-func (t *CallTracker) Find(r *http.Request, way bundle.RouteMatch, holes map[string]string, header string) Parent {
+func (t *CallTracker) FindParent(r *http.Request, way bundle.RouteMatch, holes map[string]string, header string) Attribution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if parent := t.flights[spanIn(r.Header.Get(header))]; parent != nil {
 		parent.seat.passes = true
-		return Parent{Parent: parent, Tied: true}
+		return Attribution{Parent: parent, Certain: true}
 	}
 	child := fieldsOf(r, holes)
 	var candidates []*callInProgress
@@ -141,10 +141,10 @@
 	}
 	switch len(candidates) {
 	case 0:
-		return Parent{}
+		return Attribution{}
 	case 1:
 		candidates[0].arrive(called)
-		return Parent{Parent: candidates[0], Tied: true}
+		return Attribution{Parent: candidates[0], Certain: true}
 	}
 	names := make([]string, len(candidates))
 	for i, each := range candidates {
@@ -153,12 +153,12 @@
 		each.seat.passes = false
 	}
 	slices.Sort(names)
-	return Parent{Candidates: names}
+	return Attribution{Candidates: names}
 }
 
-// Spent notes that a further call for parent took from the time given until
+// RecordCall notes that a further call for parent took from the time given until
 // now.
-func (t *CallTracker) Spent(parent *callInProgress, from time.Duration) {
+func (t *CallTracker) RecordCall(parent *callInProgress, from time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	parent.further = append(parent.further, interval{from, t.clock.Mono()})
@@ -207,10 +207,10 @@
 	return "00-" + trail.Trace + "-" + span + "-" + flags
 }
 
-// Apart waits until no other request is at work whose further calls couldn't be
+// Serialize waits until no other request is at work whose further calls couldn't be
 // told from those of f. The caller calls leave when f has ended. An impatient
 // caller is turned back at once, with kind Apart.
-func (t *CallTracker) Apart(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), fault *base.Fault) {
+func (t *CallTracker) Serialize(s base.Scope, f *callInProgress, until time.Duration, patient bool) (leave func(), fault *base.Fault) {
 	keys := t.keysOf(f)
 	turns := map[int]func(){}
 	var kept []func()
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -68,7 +68,7 @@
 	if signed == nil {
 		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
-	if !n.claims.Good(signed.Serial) {
+	if !n.claims.IsCurrent(signed.Serial) {
 		if fault := n.abreast(s, signed.Serial); fault != nil && fault.Kind != base.StaleSerial {
 			return nil, fault
 		}
@@ -84,7 +84,7 @@
 	}
 	s, cancel := s.WithTimeout(way.Deadline())
 	defer cancel()
-	leave, fault := n.gate.Enter(s, way.Group, signed.Share(way.Group).GetCarried(), until)
+	leave, fault := n.gate.Acquire(s, way.Group, signed.Share(way.Group).GetCarried(), until)
 	if fault != nil {
 		return nil, fault
 	}
@@ -94,13 +94,13 @@
 		return nil, fault
 	}
 	defer give()
-	return n.answerWith(s, e, signed, &Ledger{Way: way, Until: until}, body)
+	return n.answerWith(s, e, signed, &Ledger{Match: way, Deadline: until}, body)
 }
 
 // body reads a request's body within the time given. The caller calls give when
 // it is no longer needed.
 func (n *Node) body(e *clientRequest, within time.Duration) (body []byte, give func(), fault *base.Fault) {
-	longest := n.dials.Load().Longest
+	longest := n.dials.Load().MaxBodyBytes
 	room := int64(longest) + 1
 	if e.request.ContentLength >= 0 {
 		room = min(room, e.request.ContentLength)
@@ -126,7 +126,7 @@
 // answerWith answers a request that was let in, and records a span of it if the
 // odds and the group's budget say so.
 func (n *Node) answerWith(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte) (any, error) {
-	way := ledger.Way
+	way := ledger.Match
 	trail, spent := n.trail(e, signed, way)
 	defer spent()
 	e.w.Header().Set(traceHeader, trail.Trace)
@@ -145,12 +145,12 @@
 
 func (n *Node) trail(e *clientRequest, signed *bundle.Bundle, way bundle.RouteMatch) (*wire.Trail, func()) {
 	if e.inner {
-		tie := n.ties.Find(e.request, way, signed.PathParams(way, e.request.URL.Path), signed.Tracing().GetHeader())
-		if tie.Tied {
+		tie := n.ties.FindParent(e.request, way, signed.PathParams(way, e.request.URL.Path), signed.Tracing().GetHeader())
+		if tie.Certain {
 			n.scope.Record("tied", way.Identifier(), tie.Parent.span)
 			from := n.scope.Clock.Mono()
 			trail := &wire.Trail{Trace: tie.Parent.trail.Trace, Parent: tie.Parent.span, Sampled: tie.Parent.trail.Sampled}
-			return trail, func() { n.ties.Spent(tie.Parent, from) }
+			return trail, func() { n.ties.RecordCall(tie.Parent, from) }
 		}
 		if len(tie.Candidates) > 0 {
 			n.scope.Record("ambiguous", way.Identifier(), "")
@@ -165,8 +165,8 @@
 // settle makes attempts until there is an answer to relay or nothing more to try.
 func (n *Node) settle(s base.Scope, e *clientRequest, signed *bundle.Bundle, ledger *Ledger, body []byte, trail *wire.Trail) (any, error) {
 	defer func() {
-		if ledger.Last() != nil && !ledger.Arrived() {
-			n.repeats.Refund(ledger.Way.Service.Name)
+		if ledger.Last() != nil && !ledger.MayHaveReachedUpstream() {
+			n.repeats.RevokeEarned(ledger.Match.Service.Name)
 		}
 	}()
 	var got *answer
@@ -175,20 +175,20 @@
 		case Relay:
 			return got, nil
 		case GiveUp:
-			return nil, ledger.Verdict(s.Clock.Mono())
+			return nil, ledger.FinalFault(s.Clock.Mono())
 		}
 		fresh, picked, fault := n.next(s, signed, ledger)
 		if fault != nil {
 			return nil, fault
 		}
 		signed = fresh
-		attempt := &Attempt{Name: n.scope.Rand.Hex(8), Node: picked.node, Seat: picked.seat.Address, Started: s.Clock.Mono(), Impatient: !ledger.Patient}
+		attempt := &Attempt{ID: n.scope.Rand.Hex(8), Node: picked.node, Instance: picked.seat.Address, StartedAt: s.Clock.Mono(), NoWait: !ledger.MayWait}
 		if ledger.Last() == nil {
-			n.repeats.Earn(ledger.Way.Service.Name)
+			n.repeats.Earn(ledger.Match.Service.Name)
 		}
 		ledger.Add(attempt)
-		got = n.attempt(s, e, signed, picked, attempt, ledger.Way, ledger.Until, body, trail, len(ledger.Attempts)-1, ledger.Patient)
-		attempt.Ended = s.Clock.Mono()
+		got = n.attempt(s, e, signed, picked, attempt, ledger.Match, ledger.Deadline, body, trail, len(ledger.Attempts)-1, ledger.MayWait)
+		attempt.EndedAt = s.Clock.Mono()
 		n.judge(picked, attempt)
 	}
 }
@@ -204,12 +204,12 @@
 		}
 		signed = fresh
 	}
-	if ledger.Doubtful() && !n.repeats.Spend(ledger.Way.Service.Name) {
-		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
+	if ledger.MayHaveRun() && !n.repeats.Spend(ledger.Match.Service.Name) {
+		return nil, candidate{}, ledger.FinalFault(s.Clock.Mono())
 	}
 	picked, found := n.pickPatiently(signed, ledger)
 	if !found {
-		return nil, candidate{}, ledger.Verdict(s.Clock.Mono())
+		return nil, candidate{}, ledger.FinalFault(s.Clock.Mono())
 	}
 	return signed, picked, nil
 }
@@ -219,23 +219,23 @@
 func (n *Node) renew(s base.Scope, ledger *Ledger) (*bundle.Bundle, *base.Fault) {
 	base.Await(s, time.Duration(float64(n.claims.length)*behindRatio/4), n.risenBell.Next())
 	signed := n.slice.Load()
-	fresh, known := signed.Route(ledger.Way.Service.Name, ledger.Way.Route.Name)
+	fresh, known := signed.Route(ledger.Match.Service.Name, ledger.Match.Route.Name)
 	if !known {
 		return nil, base.NewFault(base.NoRoute, "", "serial %d has no such route", signed.Serial)
 	}
-	ledger.Way = fresh
+	ledger.Match = fresh
 	return signed, nil
 }
 
 // pickPatiently picks an instance. If all that is left would turn the request
 // back to keep it apart, the request waits there from now on.
 func (n *Node) pickPatiently(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
-	picked, found := n.pick(signed, ledger.Way, ledger)
-	if found || ledger.Patient || !ledger.Apart() {
+	picked, found := n.pick(signed, ledger.Match, ledger)
+	if found || ledger.MayWait || !ledger.WasKeptApart() {
 		return picked, found
 	}
-	ledger.Patient = true
-	return n.pick(signed, ledger.Way, ledger)
+	ledger.MayWait = true
+	return n.pick(signed, ledger.Match, ledger)
 }
 
 type transport func(ctx context.Context, ask *wire.CarryRequest, tell emit) error
@@ -273,12 +273,12 @@
 	caught := &responseReader{node: n, errand: e, attempt: attempt}
 	defer func() { n.room.give(caught.roomy) }()
 	ask := &wire.CarryRequest{
-		Attempt: attempt.Name, Incarnation: picked.incarnation, Serial: signed.Serial,
+		Attempt: attempt.ID, Incarnation: picked.incarnation, Serial: signed.Serial,
 		Service: way.Service.Name, Route: way.Route.Name, Seat: picked.seat.Address, Group: way.Group,
 		Method: e.request.Method, Target: e.request.URL.RequestURI(), Headers: headersOf(e.request.Header), Body: body,
 		NotAfterUs: (until + picked.offset).Microseconds(), Trail: trail, Ordinal: uint32(ordinal), Patient: patient,
 	}
-	n.scope.Record("attempt", trail.Trace, attempt.Name+" of "+way.Identifier()+" at "+picked.node+" "+attempt.Seat)
+	n.scope.Record("attempt", trail.Trace, attempt.ID+" of "+way.Identifier()+" at "+picked.node+" "+attempt.Instance)
 	err := n.courier(picked)(s, ask, caught.take)
 	switch {
 	case caught.flowing && (!caught.whole || err != nil):
@@ -293,7 +293,7 @@
 		attempt.Fault = caught.fault
 		attempt.State = NotRun
 		if caught.fault.MayHaveRun {
-			attempt.State = Doubtful
+			attempt.State = Indeterminate
 		}
 	default:
 		reason := "the carrying node broke off"
@@ -301,7 +301,7 @@
 			reason = err.Error()
 		}
 		attempt.Fault = base.NewFault(base.ResponseLost, "", "%s", reason)
-		attempt.State = Doubtful
+		attempt.State = Indeterminate
 		if s.Err() != nil {
 			attempt.Fault = base.NewFault(base.Expired, "", "no answer within the deadline")
 		}
@@ -310,7 +310,7 @@
 			attempt.Fault.Kind = base.Unreachable
 		}
 	}
-	n.scope.Record("attempt-mishap", trail.Trace, attempt.Name+": "+attempt.Fault.Error())
+	n.scope.Record("attempt-mishap", trail.Trace, attempt.ID+": "+attempt.Fault.Error())
 	return nil
 }
 
@@ -325,6 +325,6 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s), n.patience)
 	defer cancel()
-	reply, err := n.peerClient(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.Name, Incarnation: picked.incarnation}))
+	reply, err := n.peerClient(picked.address).Fence(ctx, connect.NewRequest(&wire.FenceRequest{Attempt: attempt.ID, Incarnation: picked.incarnation}))
 	return err == nil && reply.Msg.Never
 }
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -73,9 +73,9 @@
 	return c.held, c.staged, c.ballot
 }
 
-// Good reports whether the bundle of that serial number is held and sure to be
+// IsCurrent reports whether the bundle of that serial number is held and sure to be
 // the newest.
-func (c *Confirmations) Good(serial uint64) bool { return c.goodIn(serial, 0) }
+func (c *Confirmations) IsCurrent(serial uint64) bool { return c.goodIn(serial, 0) }
 
 func (c *Confirmations) goodIn(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
@@ -118,9 +118,9 @@
 	return good >= signed.ApplicationMachines()/2+1
 }
 
-// Heard takes in news of a core machine that were asked for at the time given.
+// ApplyNews takes in news of a core machine that were asked for at the time given.
 // It returns the bundle held if that changed.
-func (c *Confirmations) Heard(controller int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) ApplyNews(controller int, asked time.Duration, news *wire.NewsReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice, staged := open(news.Slice), open(news.Staged)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,17 +163,17 @@
 	}
 }
 
-// Recall sets a bundle read from disk, which is held once a majority confirms
+// SetFromDisk sets a bundle read from disk, which is held once a majority confirms
 // it.
-func (c *Confirmations) Recall(signed *bundle.Bundle) {
+func (c *Confirmations) SetFromDisk(signed *bundle.Bundle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recalled = signed
 }
 
-// Confirmed takes in another node's confirmation that was asked for at the time given. It
+// ApplyConfirmation takes in another node's confirmation that was asked for at the time given. It
 // returns the bundle held if that changed.
-func (c *Confirmations) Confirmed(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
+func (c *Confirmations) ApplyConfirmation(asked time.Duration, reply *wire.VouchReply, open func(*wire.Sealed) *bundle.Bundle) (risen *bundle.Bundle) {
 	slice := open(reply.Slice)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,12 +243,12 @@
 	reply, err := n.peerClient(machine.Address).Vouch(ctx, connect.NewRequest(&wire.VouchRequest{Node: n.self, Serial: serial, Odds: n.keeper.Serial()}))
 	if err == nil && reply.Msg.Node == machine.Name {
 		n.load(reply.Msg.Odds)
-		n.risen(n.claims.Confirmed(asked, reply.Msg, n.open))
+		n.risen(n.claims.ApplyConfirmation(asked, reply.Msg, n.open))
 	}
 }
 
 func (c *Confirmations) backers(known *bundle.Bundle, serial uint64) []*wire.Machine {
-	good := c.Good(serial)
+	good := c.IsCurrent(serial)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var every, fresh []*wire.Machine
@@ -295,7 +295,7 @@
 		switch {
 		case held != nil && held.Serial > serial:
 			return base.NewFault(base.StaleSerial, "", "serial %d is in force here, not %d", held.Serial, serial)
-		case held != nil && held.Serial == serial && n.claims.Good(serial):
+		case held != nil && held.Serial == serial && n.claims.IsCurrent(serial):
 			return nil
 		}
 		left := until - s.Clock.Mono()
--- a/internal/listednode/fences.go
+++ b/internal/listednode/fences.go
@@ -29,8 +29,8 @@
 	return &Fences{clock: clock, keep: keep, fences: map[string]*fence{}}
 }
 
-// Start notes a new attempt, and reports false if it was known.
-func (f *Fences) Start(attempt string) bool {
+// Register notes a new attempt, and reports false if it was known.
+func (f *Fences) Register(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fences[attempt] != nil {
@@ -40,9 +40,9 @@
 	return true
 }
 
-// Hand allows handing the request to the upstream, once and unless it was
+// Deliver allows handing the request to the upstream, once and unless it was
 // barred.
-func (f *Fences) Hand(attempt string) bool {
+func (f *Fences) Deliver(attempt string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.fences[attempt]
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -55,7 +55,7 @@
 		t.mu.Lock()
 		known.report.Store(report)
 		known.at = t.scope.Clock.Mono()
-		known.gate.Resize(int(report.Capacity))
+		known.gate.SetLimit(int(report.Capacity))
 		t.mu.Unlock()
 		t.publish()
 		return nil
@@ -92,11 +92,11 @@
 		_, _ = probe.Read(one[:])
 		_ = probe.Close()
 	}
-	t.Void(at, "the probe connection closed")
+	t.Invalidate(at, "the probe connection closed")
 }
 
 func (t *Instances) again(s base.Scope, at *instance) net.Conn {
-	if at.holder == "" || !t.Held(at) {
+	if at.holder == "" || !t.StillListening(at) {
 		return nil
 	}
 	bounded, cancel := s.WithTimeout(t.oldest / 3)
@@ -115,13 +115,13 @@
 	return probe
 }
 
-// Held reports whether the same socket still listens at the instance's address.
-func (t *Instances) Held(at *instance) bool {
+// StillListening reports whether the same socket still listens at the instance's address.
+func (t *Instances) StillListening(at *instance) bool {
 	return t.scope.Net.ListenerID(at.said().Address) == at.holder
 }
 
-// Void ends an instance, until it reports again.
-func (t *Instances) Void(at *instance, reason string) {
+// Invalidate ends an instance, until it reports again.
+func (t *Instances) Invalidate(at *instance, reason string) {
 	t.mu.Lock()
 	if at.void != "" {
 		t.mu.Unlock()
@@ -169,7 +169,7 @@
 	}
 	t.mu.Unlock()
 	for _, at := range old {
-		t.Void(at, "no report came in time")
+		t.Invalidate(at, "no report came in time")
 	}
 }
 
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -19,8 +19,8 @@
 	Answered
 	// NotRun is an attempt that surely didn't run.
 	NotRun
-	// Doubtful is an attempt that may have run.
-	Doubtful
+	// Indeterminate is an attempt that may have run.
+	Indeterminate
 )
 
 // String returns the state's name.
@@ -30,15 +30,15 @@
 
 // Attempt is one try to carry a request to an instance.
 type Attempt struct {
-	Name string
+	ID   string
 	Node string
-	// Seat is the instance's address.
-	Seat string
-	// Impatient attempts are turned back rather than kept waiting where such
+	// Instance is the instance's address.
+	Instance string
+	// NoWait attempts are turned back rather than kept waiting where such
 	// requests are kept apart.
-	Impatient bool
-	Started   time.Duration
-	Ended     time.Duration
+	NoWait    bool
+	StartedAt time.Duration
+	EndedAt   time.Duration
 	State     State
 	Fault     *base.Fault
 }
@@ -63,16 +63,16 @@
 // Ledger lists the attempts for one request. What to do next is read off it
 // alone.
 type Ledger struct {
-	Way bundle.RouteMatch
-	// Until is the request's deadline by the monotonic clock.
-	Until    time.Duration
+	Match bundle.RouteMatch
+	// Deadline is the request's deadline by the monotonic clock.
+	Deadline time.Duration
 	Attempts []*Attempt
-	// Patient lets the next attempts wait where such requests are kept apart.
-	Patient bool
+	// MayWait lets the next attempts wait where such requests are kept apart.
+	MayWait bool
 }
 
 func (a *Attempt) turnedBack() bool {
-	return a.Fault != nil && (a.Fault.Kind == base.StaleSerial || a.Fault.Kind == base.Contended && a.Impatient)
+	return a.Fault != nil && (a.Fault.Kind == base.StaleSerial || a.Fault.Kind == base.Contended && a.NoWait)
 }
 
 // Last returns the newest attempt, or nil.
@@ -86,18 +86,18 @@
 // Add appends an attempt.
 func (l *Ledger) Add(attempt *Attempt) { l.Attempts = append(l.Attempts, attempt) }
 
-// Doubtful reports whether any attempt may have run without an answer.
-func (l *Ledger) Doubtful() bool {
+// MayHaveRun reports whether any attempt may have run without an answer.
+func (l *Ledger) MayHaveRun() bool {
 	for _, attempt := range l.Attempts {
-		if attempt.State == Doubtful || attempt.State == Running {
+		if attempt.State == Indeterminate || attempt.State == Running {
 			return true
 		}
 	}
 	return false
 }
 
-// Arrived reports whether any attempt may have reached an upstream.
-func (l *Ledger) Arrived() bool {
+// MayHaveReachedUpstream reports whether any attempt may have reached an upstream.
+func (l *Ledger) MayHaveReachedUpstream() bool {
 	for _, attempt := range l.Attempts {
 		if attempt.State != NotRun {
 			return true
@@ -106,16 +106,16 @@
 	return false
 }
 
-// Apart reports whether any attempt was turned back as such requests are kept
+// WasKeptApart reports whether any attempt was turned back as such requests are kept
 // apart.
-func (l *Ledger) Apart() bool {
+func (l *Ledger) WasKeptApart() bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.Contended })
 }
 
 // Tried reports whether an instance was tried and needn't be again.
 func (l *Ledger) Tried(seat string) bool {
 	for _, attempt := range l.Attempts {
-		if attempt.Seat == seat && attempt.Fault.Kind != base.StaleSerial && !(l.Patient && attempt.turnedBack()) {
+		if attempt.Instance == seat && attempt.Fault.Kind != base.StaleSerial && !(l.MayWait && attempt.turnedBack()) {
 			return true
 		}
 	}
@@ -141,22 +141,22 @@
 		return Try
 	case last.State == Answered:
 		return Relay
-	case now >= l.Until, l.counted() >= mostAttempts:
+	case now >= l.Deadline, l.counted() >= mostAttempts:
 		return GiveUp
-	case l.Doubtful() && !l.Way.Route.Repeatable:
+	case l.MayHaveRun() && !l.Match.Route.Repeatable:
 		return GiveUp
 	}
 	return Try
 }
 
-// Verdict returns the error to tell the caller on giving up.
-func (l *Ledger) Verdict(now time.Duration) *base.Fault {
-	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Way.Service.Name)
+// FinalFault returns the error to tell the caller on giving up.
+func (l *Ledger) FinalFault(now time.Duration) *base.Fault {
+	verdict := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Match.Service.Name)
 	if last := l.Last(); last != nil && last.Fault != nil {
 		verdict = &base.Fault{Kind: last.Fault.Kind, Path: last.Fault.Path, Reason: last.Fault.Reason, RetryAfter: last.Fault.RetryAfter}
-	} else if now >= l.Until {
-		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Way.Identifier())
+	} else if now >= l.Deadline {
+		verdict = base.NewFault(base.Expired, "", "the deadline of %s has passed", l.Match.Identifier())
 	}
-	verdict.MayHaveRun = l.Doubtful()
+	verdict.MayHaveRun = l.MayHaveRun()
 	return verdict
 }
--- a/internal/listednode/ledger_test.go
+++ b/internal/listednode/ledger_test.go
@@ -14,7 +14,7 @@
 var _ = ginkgo.Describe("the ledger", func() {
 	ginkgo.DescribeTable("given attempts, when the next move is asked, then it follows from them alone",
 		func(repeatable bool, expected Decision, states ...State) {
-			ledger := &Ledger{Way: bundle.RouteMatch{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Until: time.Second}
+			ledger := &Ledger{Match: bundle.RouteMatch{Route: &wire.Route{Repeatable: repeatable}, Service: &wire.Service{}}, Deadline: time.Second}
 			for _, state := range states {
 				ledger.Add(&Attempt{State: state, Fault: &base.Fault{Kind: base.ResponseLost}})
 			}
@@ -23,16 +23,16 @@
 		ginkgo.Entry("first", false, Try),
 		ginkgo.Entry("answered", false, Relay, Answered),
 		ginkgo.Entry("not run", false, Try, NotRun),
-		ginkgo.Entry("doubtful and not repeatable", false, GiveUp, Doubtful),
-		ginkgo.Entry("doubtful, then not run", false, GiveUp, Doubtful, NotRun),
-		ginkgo.Entry("doubtful and repeatable", true, Try, Doubtful),
+		ginkgo.Entry("doubtful and not repeatable", false, GiveUp, Indeterminate),
+		ginkgo.Entry("doubtful, then not run", false, GiveUp, Indeterminate, NotRun),
+		ginkgo.Entry("doubtful and repeatable", true, Try, Indeterminate),
 		ginkgo.Entry("too many", true, GiveUp, NotRun, NotRun, NotRun, NotRun),
 	)
 	ginkgo.It("given the deadline passed, when asked, then it gives up, and a doubtful attempt is never called not run", func() {
-		ledger := &Ledger{Way: bundle.RouteMatch{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Until: time.Second}
-		ledger.Add(&Attempt{State: Doubtful, Fault: &base.Fault{Kind: base.ResponseLost}})
+		ledger := &Ledger{Match: bundle.RouteMatch{Route: &wire.Route{Repeatable: true}, Service: &wire.Service{}}, Deadline: time.Second}
+		ledger.Add(&Attempt{State: Indeterminate, Fault: &base.Fault{Kind: base.ResponseLost}})
 		ledger.Add(&Attempt{State: NotRun, Fault: &base.Fault{Kind: base.NoInstance}})
 		Expect(ledger.Next(time.Second)).To(Equal(GiveUp))
-		Expect(ledger.Verdict(time.Second).MayHaveRun).To(BeTrue())
+		Expect(ledger.FinalFault(time.Second).MayHaveRun).To(BeTrue())
 	})
 })
--- a/internal/listednode/news.go
+++ b/internal/listednode/news.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		n.heard[index].Store(int64(s.Clock.Mono()))
-		n.risen(n.claims.Heard(index, asked, reply.Msg, n.open))
+		n.risen(n.claims.ApplyNews(index, asked, reply.Msg, n.open))
 		n.learn(reply.Msg)
 		ask.Keel, ask.Roster, committed = reply.Msg.Keel, reply.Msg.Roster, reply.Msg.Serial
 	}
@@ -102,8 +102,8 @@
 	if held := n.slice.Load(); held != nil && held.Serial > signed.Serial {
 		return
 	}
-	n.repeats.Set(signed)
-	n.budget.Set(signed)
+	n.repeats.SetLimits(signed)
+	n.budget.SetShares(signed)
 	n.member.SetMachines(signed.Machines())
 	n.slice.Store(signed)
 	n.member.UpdateStatus(func(registry *wire.Roster) { registry.Holding = signed.Serial })
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -52,18 +52,18 @@
 
 // Tunables are the params that can change while a node runs.
 type Tunables struct {
-	// Held is the most bytes of an answer held back until its seal is checked;
+	// MaxBufferedBytes is the most bytes of an answer held back until its seal is checked;
 	// longer answers are streamed.
-	Held int
-	// Longest is the most bytes of a request's body.
-	Longest int
-	Trust   bundle.Trust
+	MaxBufferedBytes int
+	// MaxBodyBytes is the most bytes of a request's body.
+	MaxBodyBytes int
+	Trust        bundle.Trust
 }
 
-// Turn changes the params that can change while the node runs.
-func (n *Node) Turn(params *wire.VaneParams, trust bundle.Trust) {
-	n.dials.Store(&Tunables{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
-	n.gate.Resize(int(params.Flights))
+// UpdateParams changes the params that can change while the node runs.
+func (n *Node) UpdateParams(params *wire.VaneParams, trust bundle.Trust) {
+	n.dials.Store(&Tunables{MaxBufferedBytes: int(params.Held), MaxBodyBytes: int(params.Longest), Trust: trust})
+	n.gate.SetLimit(int(params.Flights))
 	n.scope.Record("params", "", "turned")
 }
 
@@ -85,7 +85,7 @@
 	gate        *AdmissionQueue
 	repeats     *RetryBudget
 	room        bodyMemory
-	budget      *Budget
+	budget      *SpanBudget
 	keeper      *tracing.Sampler
 	sink        *tracing.Exporter
 	slice       atomic.Pointer[bundle.Bundle]
@@ -116,15 +116,15 @@
 		patience: time.Duration(float64(leaving) * patience), force: bounds.InForce.AsDuration(), web: web,
 		outward: outwards(s.Net),
 		fences:  NewFences(s.Clock, 2*bounds.Grace.AsDuration()), ties: NewCallTracker(s.Clock),
-		gate: NewAdmissionQueue(s.Clock, int(params.Flights), int(params.Queue)), repeats: NewRetryBudget(), budget: NewBudget(s.Clock),
+		gate: NewAdmissionQueue(s.Clock, int(params.Flights), int(params.Queue)), repeats: NewRetryBudget(), budget: NewSpanBudget(s.Clock),
 		keeper: tracing.NewSampler(s.Rand), sink: tracing.NewExporter(s, web, tracing.StaticTargets(params.Seeds), int(params.Queue)), records: map[string]*record{},
 	}
 	n.claims = NewConfirmations(s.Clock, params.Name, len(params.Seeds), time.Duration(float64(bounds.SlideBack.AsDuration())*claimRatio), bounds.InForce.AsDuration(), bounds.Alone.AsDuration())
-	n.dials.Store(&Tunables{Held: int(params.Held), Longest: int(params.Longest), Trust: trust})
+	n.dials.Store(&Tunables{MaxBufferedBytes: int(params.Held), MaxBodyBytes: int(params.Longest), Trust: trust})
 	self := &wire.Roster{Node: params.Name, Address: params.Mates, Zone: params.Zone}
 	n.member = membership.NewMember(s, web, self, params.Seeds, nil, time.Duration(float64(leaving)*beatRatio))
 	n.member.Enrich = func(reply *wire.TellReply) {
-		reply.Carried, reply.Watched = n.gate.Granted(), n.budget.Spent()
+		reply.Carried, reply.Watched = n.gate.Granted(), n.budget.Granted()
 	}
 	n.seats = NewInstances(s, time.Duration(float64(leaving)*oldestRatio), int(params.Queue), func(rows []*wire.Seat) {
 		slices.SortFunc(rows, func(a, b *wire.Seat) int { return strings.Compare(a.Address, b.Address) })
@@ -195,17 +195,17 @@
 	if signed == nil {
 		return 0, "", false
 	}
-	return signed.Serial, bundle.Digest(signed.Sealed), n.claims.Good(signed.Serial) && !n.stopping.Load()
+	return signed.Serial, bundle.Digest(signed.Sealed), n.claims.IsCurrent(signed.Serial) && !n.stopping.Load()
 }
 
 // Bundle returns the bundle held, nil before the first.
 func (n *Node) Bundle() *bundle.Bundle { return n.slice.Load() }
 
-// Keeper returns the odds in force.
-func (n *Node) Keeper() *tracing.Sampler { return n.keeper }
+// Sampler returns the odds in force.
+func (n *Node) Sampler() *tracing.Sampler { return n.keeper }
 
 // Incarnation returns the random name of this process.
 func (n *Node) Incarnation() string { return n.member.Incarnation() }
 
-// Watched returns the spans recorded so far, by group.
-func (n *Node) Watched() map[string]uint64 { return n.budget.Spent() }
+// RecordedSpans returns the spans recorded so far, by group.
+func (n *Node) RecordedSpans() map[string]uint64 { return n.budget.Granted() }
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -46,7 +46,7 @@
 	if ask.Incarnation != n.member.Incarnation() {
 		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
-	if !n.fences.Start(ask.Attempt) {
+	if !n.fences.Register(ask.Attempt) {
 		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
 		fault.MayHaveRun = !n.fences.Fence(ask.Attempt)
 		return fault
@@ -82,7 +82,7 @@
 	if fault != nil {
 		return fault
 	}
-	out, fault := at.gate.Enter(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
+	out, fault := at.gate.Acquire(s, way.Group, bundle.Share(way.Group).GetCarried(), until)
 	if fault != nil {
 		return fault
 	}
@@ -96,7 +96,7 @@
 	put(ask.Headers, headers)
 	holes := bundle.PathParams(way, target.Path)
 	f.fields = func(name string) string { return lookup(name, holes, target.Query(), headers) }
-	join, fault := n.ties.Apart(s, f, until, ask.Patient)
+	join, fault := n.ties.Serialize(s, f, until, ask.Patient)
 	if fault != nil {
 		return fault
 	}
@@ -112,13 +112,13 @@
 	if err != nil {
 		n.scope.Record("dial-failed", ask.Service, strconv.Itoa(int(ask.Ordinal)))
 		if s.Err() == nil {
-			n.seats.Void(at, "dial: "+err.Error())
+			n.seats.Invalidate(at, "dial: "+err.Error())
 		}
 		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
 	}
 	defer conn.Close()
-	if !n.seats.Held(at) {
-		n.seats.Void(at, "another process listens there now")
+	if !n.seats.StillListening(at) {
+		n.seats.Invalidate(at, "another process listens there now")
 	}
 	if now, fault := n.seats.Find(ask.Service, ask.Seat); fault != nil || now != at {
 		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
@@ -132,10 +132,10 @@
 	if len(ask.Body) > 0 {
 		request.Body = io.NopCloser(bytes.NewReader(ask.Body))
 	}
-	if !n.claims.Good(ask.Serial) {
+	if !n.claims.IsCurrent(ask.Serial) {
 		return base.NewFault(base.StaleSerial, "", "serial %d is no longer sure here", ask.Serial)
 	}
-	if s.Err() != nil || !n.fences.Hand(ask.Attempt) {
+	if s.Err() != nil || !n.fences.Deliver(ask.Attempt) {
 		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
 	keeps := f.trail.GetSampled() && n.keeper.Sample(f.way.Identifier()) && n.budget.Spend(f.way.Group)
--- a/internal/listednode/process.go
+++ b/internal/listednode/process.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	v.Node.Turn(params, trust)
+	v.Node.UpdateParams(params, trust)
 	v.params = params
 	return nil
 }
--- a/internal/listednode/recall.go
+++ b/internal/listednode/recall.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if signed := n.open(sealed); signed != nil {
-		n.claims.Recall(signed)
+		n.claims.SetFromDisk(signed)
 		n.scope.Record("recalled", "", "a slice from disk, in force once a majority confirms it")
 	}
 }
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -29,7 +29,7 @@
 func (c *responseReader) take(reply *wire.CarryReply) error {
 	switch piece := reply.Piece.(type) {
 	case *wire.CarryReply_Head:
-		if c.head != nil || piece.Head.Attempt != c.attempt.Name {
+		if c.head != nil || piece.Head.Attempt != c.attempt.ID {
 			return errForeign
 		}
 		c.head, c.sealing = piece.Head, newSeal(piece.Head)
@@ -38,7 +38,7 @@
 	case *wire.CarryReply_Tail:
 		return c.takeTail(piece.Tail)
 	case *wire.CarryReply_Mishap:
-		if piece.Mishap.Attempt != c.attempt.Name {
+		if piece.Mishap.Attempt != c.attempt.ID {
 			return errForeign
 		}
 		c.fault = &base.Fault{Kind: base.Kind(piece.Mishap.Kind), Reason: piece.Mishap.Reason, MayHaveRun: piece.Mishap.Run, RetryAfter: time.Duration(piece.Mishap.AfterUs) * time.Microsecond}
@@ -54,7 +54,7 @@
 	}
 	_, _ = c.sealing.Write(chunk)
 	c.size += uint64(len(chunk))
-	if c.flowing || c.held.Len()+len(chunk) > c.node.dials.Load().Held || !c.hold(len(chunk)) {
+	if c.flowing || c.held.Len()+len(chunk) > c.node.dials.Load().MaxBufferedBytes || !c.hold(len(chunk)) {
 		if err := c.flow(); err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 // takeTail checks the seal. Of an answer that is being streamed, the last piece
 // is passed on only now.
 func (c *responseReader) takeTail(tail *wire.CarryTail) error {
-	if c.head == nil || tail.Attempt != c.attempt.Name || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
+	if c.head == nil || tail.Attempt != c.attempt.ID || tail.Size != c.size || !bytes.Equal(tail.Digest, c.sealing.sum()) {
 		return base.NewFault(base.InvalidResponse, "", "the seal does not fit the answer")
 	}
 	c.whole = true
--- a/internal/listednode/retry_budget.go
+++ b/internal/listednode/retry_budget.go
@@ -23,8 +23,8 @@
 // NewRetryBudget returns a store of tokens that is empty.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{retryBudgets: map[string]*serviceBudget{}} }
 
-// Set sets the ratios and the most that may be saved, by a bundle.
-func (r *RetryBudget) Set(signed *bundle.Bundle) {
+// SetLimits sets the ratios and the most that may be saved, by a bundle.
+func (r *RetryBudget) SetLimits(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, service := range signed.Raw.Services {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Refund takes it back, as the request didn't arrive.
-func (r *RetryBudget) Refund(service string) {
+// RevokeEarned takes it back, as the request didn't arrive.
+func (r *RetryBudget) RevokeEarned(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := r.retryBudgets[service]; at != nil {
--- a/internal/listednode/retry_budget_test.go
+++ b/internal/listednode/retry_budget_test.go
@@ -18,7 +18,7 @@
 		for seed := range uint64(20) {
 			rand := random.Seeded(seed)
 			retryBudget := NewRetryBudget()
-			retryBudget.Set(signed)
+			retryBudget.SetLimits(signed)
 			var events []bool
 			for range 2000 {
 				if rand.Float64() < 0.5 {
--- a/internal/listednode/span.go
+++ b/internal/listednode/span.go
@@ -14,18 +14,18 @@
 	now := n.scope.Clock.Mono()
 	var tries []interval
 	for _, attempt := range ledger.Attempts {
-		ended := attempt.Ended
+		ended := attempt.EndedAt
 		if attempt.State == Running {
 			ended = now
 		}
-		tries = append(tries, interval{attempt.Started, ended})
+		tries = append(tries, interval{attempt.StartedAt, ended})
 		child := proto.Clone(span).(*wire.Span)
-		child.Id, child.Parent, child.Side, child.Seat = attempt.Name, span.Id, tracing.AttemptSide, attempt.Seat
+		child.Id, child.Parent, child.Side, child.Seat = attempt.ID, span.Id, tracing.AttemptSide, attempt.Instance
 		child.Tags = map[string]string{"node": attempt.Node, "state": attempt.State.String()}
 		if attempt.Fault != nil {
 			child.Tags["kind"] = string(attempt.Fault.Kind)
 		}
-		n.timed(child, attempt.Started, ended, 0)
+		n.timed(child, attempt.StartedAt, ended, 0)
 		n.sink.Enqueue(child)
 	}
 	span.Tags = map[string]string{"attempts": strconv.Itoa(len(ledger.Attempts))}
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -38,20 +38,20 @@
 			n.atlas.Update(func(rows map[string]outlook) { delete(rows, name) })
 		}
 	}
-	n.gate.Forget(signed)
-	n.repeats.Forget(signed)
-	n.ties.Forget(signed)
+	n.gate.Prune(signed)
+	n.repeats.Prune(signed)
+	n.ties.Prune(signed)
 }
 
-// Forget drops groups that a bundle doesn't name.
-func (g *AdmissionQueue) Forget(signed *bundle.Bundle) {
+// Prune drops groups that a bundle doesn't name.
+func (g *AdmissionQueue) Prune(signed *bundle.Bundle) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	maps.DeleteFunc(g.lanes, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
 }
 
-// Forget drops services that a bundle doesn't name.
-func (r *RetryBudget) Forget(signed *bundle.Bundle) {
+// Prune drops services that a bundle doesn't name.
+func (r *RetryBudget) Prune(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.retryBudgets, func(service string, at *serviceBudget) bool {
@@ -59,8 +59,8 @@
 	})
 }
 
-// Forget drops routes that a bundle doesn't name.
-func (t *CallTracker) Forget(signed *bundle.Bundle) {
+// Prune drops routes that a bundle doesn't name.
+func (t *CallTracker) Prune(signed *bundle.Bundle) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maps.DeleteFunc(t.turns, func(identifier string, _ time.Duration) bool { return !signed.HasRoute(identifier) })
--- a/internal/testing/listedfleet/desk_test.go
+++ b/internal/testing/listedfleet/desk_test.go
@@ -23,7 +23,7 @@
 )
 
 func (f *Fleet) post(path, body string) (int, *base.Fault) {
-	response, err := f.Clerk.Web.Post("http://"+f.Clerk.Controllers[1]+path, "application/json", strings.NewReader(body))
+	response, err := f.Clerk.HTTPClient.Post("http://"+f.Clerk.Controllers[1]+path, "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	said, err := io.ReadAll(response.Body)
@@ -115,13 +115,13 @@
 		raised(f)
 		sealed := f.drafted(nudge(2))
 		bundle.Sign(sealed, f.Key)
-		for _, one := range f.Clerk.Each() {
-			outcome, err := one.Sign(f.Scope, "once", sealed)
+		for _, one := range f.Clerk.EachController() {
+			outcome, err := one.Submit(f.Scope, "once", sealed)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(outcome.Verdict).To(Equal(wire.Verdict_TAKEN))
 			Expect(outcome.Serial).To(Equal(uint64(2)))
 		}
-		outcome, err := f.Clerk.Sign(f.Scope, "replayed under another id", sealed)
+		outcome, err := f.Clerk.Submit(f.Scope, "replayed under another id", sealed)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(outcome.Verdict).To(Equal(wire.Verdict_BOUNCED))
 	})
@@ -134,14 +134,14 @@
 		trust, err := bundle.NewTrust(f.trusted)
 		Expect(err).NotTo(HaveOccurred())
 		for serial := uint64(1); serial <= 4; serial++ {
-			reply, err := f.Clerk.Show(f.Scope, serial)
+			reply, err := f.Clerk.Bundle(f.Scope, serial)
 			Expect(err).NotTo(HaveOccurred())
 			manifest, fault := trust.Verify(reply.Sealed)
 			Expect(fault).To(BeNil())
 			Expect(manifest.Serial).To(Equal(serial))
 			Expect(bundle.IsComplete(reply.Sealed, manifest)).To(BeTrue())
 		}
-		_, err = f.Clerk.Show(f.Scope, 9)
+		_, err = f.Clerk.Bundle(f.Scope, 9)
 		Expect(err).To(HaveOccurred())
 	})
 
--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -137,7 +137,7 @@
 	for _, m := range f.Every() {
 		m.Journal.Subscribe(tap{f.History, m.Name})
 	}
-	f.Clerk = &listedcore.Client{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, Signed: f.History.RecordSigned}
+	f.Clerk = &listedcore.Client{HTTPClient: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, OnSigned: f.History.RecordSigned}
 	s, cancel := f.Scope.WithCancel()
 	f.sampling = cancel
 	go f.sample(s)
@@ -314,7 +314,7 @@
 	for _, m := range f.Every() {
 		f.kill(m, false)
 	}
-	f.Clerk.Web.CloseIdleConnections()
+	f.Clerk.HTTPClient.CloseIdleConnections()
 	f.World.Close()
 	time.Sleep(time.Minute)
 }
@@ -336,7 +336,7 @@
 // Ready reports whether all of the machines that run are ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
-		if m.Controller != nil && !m.Controller.Helm.Ready() || m.Node != nil && !m.Node.Node.Ready() {
+		if m.Controller != nil && !m.Controller.ControlPlane.Ready() || m.Node != nil && !m.Node.Node.Ready() {
 			return false
 		}
 	}
--- a/internal/testing/listedfleet/kin_test.go
+++ b/internal/testing/listedfleet/kin_test.go
@@ -10,7 +10,7 @@
 )
 
 func (f *Fleet) standing(controller, of *Machine) string {
-	for sighting := range controller.Controller.Helm.View().All() {
+	for sighting := range controller.Controller.ControlPlane.View().All() {
 		if sighting.Roster.Node == of.Name {
 			return sighting.Standing
 		}
--- a/internal/testing/listedfleet/lens_test.go
+++ b/internal/testing/listedfleet/lens_test.go
@@ -14,8 +14,8 @@
 func (f *Fleet) holder() (*Machine, *wire.Learning) {
 	learning := &wire.Learning{}
 	for _, m := range f.Keels {
-		if m.Controller != nil && m.Controller.Helm.Learning().GetCycle() > learning.Cycle {
-			learning = m.Controller.Helm.Learning()
+		if m.Controller != nil && m.Controller.ControlPlane.Learning().GetCycle() > learning.Cycle {
+			learning = m.Controller.ControlPlane.Learning()
 		}
 	}
 	for _, m := range f.Keels {
@@ -63,7 +63,7 @@
 		raised(f)
 		f.Visit(60)
 		f.Pass(6 * time.Second)
-		held := f.Vanes[0].Node.Node.Keeper().Serial()
+		held := f.Vanes[0].Node.Node.Sampler().Serial()
 		Expect(held).To(BeNumerically(">", 0))
 		for _, m := range f.Keels {
 			for _, node := range f.Vanes {
@@ -78,7 +78,7 @@
 			Expect(call.Status).To(Equal(200), call.Kind)
 			Expect(call.Ended - call.Started).To(BeNumerically("<", 500*time.Millisecond))
 		}
-		keeper := f.Vanes[0].Node.Node.Keeper()
+		keeper := f.Vanes[0].Node.Node.Sampler()
 		Expect(keeper.Probability("catalogue/search")).To(BeNumerically("<", 1))
 		Expect(keeper.Probability("catalogue/never-seen")).To(Equal(1.0))
 		sound(f)
--- a/internal/testing/listedfleet/life_test.go
+++ b/internal/testing/listedfleet/life_test.go
@@ -22,7 +22,7 @@
 		kind := "vane "
 		if m.Controller != nil {
 			kind = "keel "
-			for name, size := range m.Controller.Helm.Sizes() {
+			for name, size := range m.Controller.ControlPlane.Sizes() {
 				note(kind+name, size)
 			}
 		}
--- a/internal/testing/listedfleet/odds_test.go
+++ b/internal/testing/listedfleet/odds_test.go
@@ -31,7 +31,7 @@
 		f.Visit(60)
 		f.Pass(6 * time.Second)
 		m := f.Vanes[1]
-		held := m.Node.Node.Keeper().Serial()
+		held := m.Node.Node.Sampler().Serial()
 		Expect(held).To(BeNumerically(">", 2))
 		f.Pass(500 * time.Millisecond)
 		for _, controller := range f.Keels {
@@ -39,8 +39,8 @@
 		}
 		f.PowerLoss(m)
 		Expect(f.Raise(m)).To(Succeed())
-		Expect(f.Until(20*time.Millisecond, func() bool { return m.Node.Node.Keeper().Serial() >= held-1 })).To(BeTrue())
-		Expect(m.Node.Node.Keeper().Probability("catalogue/search")).To(BeNumerically("<", 1))
+		Expect(f.Until(20*time.Millisecond, func() bool { return m.Node.Node.Sampler().Serial() >= held-1 })).To(BeTrue())
+		Expect(m.Node.Node.Sampler().Probability("catalogue/search")).To(BeNumerically("<", 1))
 		Expect(f.Until(5*time.Second, m.Node.Node.Ready)).To(BeTrue(), "mates vouch for what its disk has")
 		f.Leave()
 		sound(f)
@@ -59,7 +59,7 @@
 		Expect(f.Raise(m)).To(Succeed())
 		Expect(f.Until(5*time.Second, m.Node.Node.Ready)).To(BeTrue())
 		Expect(m.Journal.Counts()["odds-bounced"]).To(BeNumerically(">", 0))
-		Expect(m.Node.Node.Keeper().Serial()).To(BeNumerically(">", 2))
+		Expect(m.Node.Node.Sampler().Serial()).To(BeNumerically(">", 2))
 		f.Leave()
 		sound(f)
 	})
@@ -142,7 +142,7 @@
 		watched := func() map[string]map[string]uint64 {
 			rows := map[string]map[string]uint64{}
 			for _, m := range f.Vanes {
-				rows[m.Name] = m.Node.Node.Watched()
+				rows[m.Name] = m.Node.Node.RecordedSpans()
 			}
 			return rows
 		}
--- a/internal/testing/listedfleet/rollout_test.go
+++ b/internal/testing/listedfleet/rollout_test.go
@@ -240,10 +240,10 @@
 		}
 		Expect(f.tally(late)["answered"]).To(BeNumerically(">", len(late)*9/10))
 		sound(f)
-		reply, err := f.Clerk.Show(f.Scope, 0)
+		reply, err := f.Clerk.Bundle(f.Scope, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Serial).To(Equal(uint64(2)))
-		Expect(f.Until(5*time.Second, func() bool { return lost.Controller.Helm.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
+		Expect(f.Until(5*time.Second, func() bool { return lost.Controller.ControlPlane.Ready() })).To(BeTrue(), "a wiped core is whole again without an operator")
 	})
 
 	story("given power lost right after an ack, when the owner's disk is gone, then the newest bundle reads back whole", []uint64{1, 2, 3}, func(f *Fleet) {
@@ -258,7 +258,7 @@
 		}
 		var reply *wire.BundleReply
 		Expect(f.Until(10*time.Second, func() bool {
-			got, err := f.Clerk.Show(f.Scope, 2)
+			got, err := f.Clerk.Bundle(f.Scope, 2)
 			reply = got
 			return err == nil
 		})).To(BeTrue())
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -58,7 +58,7 @@
 	{"wipe", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Controller.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.ControlPlane.Ready() {
 				return func() {}
 			}
 		}
@@ -189,7 +189,7 @@
 	{"bit flip", func(f *Fleet, rand *random.Source) func() {
 		m := f.Keels[rand.IntN(len(f.Keels))]
 		for _, other := range f.Keels {
-			if other.cancel == nil || !other.Controller.Helm.Ready() {
+			if other.cancel == nil || !other.Controller.ControlPlane.Ready() {
 				return func() {}
 			}
 		}
@@ -208,7 +208,7 @@
 	}},
 	{"machine re-zoned", func(f *Fleet, rand *random.Source) func() {
 		m := f.Vanes[rand.IntN(len(f.Vanes))]
-		shown, err := f.Clerk.Show(f.Scope, 0)
+		shown, err := f.Clerk.Bundle(f.Scope, 0)
 		if err != nil {
 			return func() {}
 		}
@@ -218,16 +218,16 @@
 	}},
 	{"replayed and broken bundles", func(f *Fleet, rand *random.Source) func() {
 		for serial := range uint64(3) {
-			reply, err := f.Clerk.Show(f.Scope, serial+1)
+			reply, err := f.Clerk.Bundle(f.Scope, serial+1)
 			if err != nil {
 				continue
 			}
 			id := fmt.Sprint("replay-", serial, f.Scope.Clock.Mono())
-			if outcome, err := f.Clerk.Sign(f.Scope, id, reply.Sealed); err == nil {
+			if outcome, err := f.Clerk.Submit(f.Scope, id, reply.Sealed); err == nil {
 				f.History.RecordOutcome(outcome)
 			}
 			reply.Sealed.Signature[3] ^= 1
-			if outcome, err := f.Clerk.Sign(f.Scope, id+"-broken", reply.Sealed); err == nil {
+			if outcome, err := f.Clerk.Submit(f.Scope, id+"-broken", reply.Sealed); err == nil {
 				f.History.RecordOutcome(outcome)
 			}
 		}
@@ -256,7 +256,7 @@
 	var lines []string
 	for _, m := range f.Keels {
 		if m.Controller != nil {
-			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.Helm.State()))
+			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.ControlPlane.State()))
 			for event := range m.Journal.Events("") {
 				switch event.Topic {
 				case "phase", "waiting", "blank", "sick-key", "recovered", "set-aside", "disk-trouble":
@@ -276,7 +276,7 @@
 		for count := 0; s.Err() == nil; count++ {
 			submission := fmt.Sprint("push-", count)
 			ask, release := s.WithTimeout(8 * time.Second)
-			shown, err := f.Clerk.Show(ask, 0)
+			shown, err := f.Clerk.Bundle(ask, 0)
 			if err == nil {
 				outcome, err := f.Clerk.Apply(ask, submission, &wire.DraftRequest{Base: shown.Serial, Change: f.tweak(float64(1 + count%7))}, f.Key)
 				if err == nil {
@@ -391,7 +391,7 @@
 	for _, ack := range f.History.Acks() {
 		known[ack.Serial] = true
 	}
-	reply, err := f.Clerk.Show(f.Scope, 0)
+	reply, err := f.Clerk.Bundle(f.Scope, 0)
 	Expect(err).NotTo(HaveOccurred(), story+f.coreStates())
 	for serial := uint64(1); serial <= reply.Serial; serial++ {
 		if !known[serial] {
--- a/internal/testing/listedfleet/tap.go
+++ b/internal/testing/listedfleet/tap.go
@@ -59,10 +59,10 @@
 // bundle.
 func (f *Fleet) ReadBack() {
 	for _, m := range f.Keels {
-		if m.Controller == nil || !m.Controller.Helm.Ready() {
+		if m.Controller == nil || !m.Controller.ControlPlane.Ready() {
 			continue
 		}
-		reply, err := m.Controller.Helm.Read(f.Scope, 0)
+		reply, err := m.Controller.ControlPlane.Read(f.Scope, 0)
 		f.History.RecordReadback(m.Name, reply.GetSerial(), reply.GetSealed(), err)
 	}
 }
--- a/internal/testing/listedfleet/trouble_test.go
+++ b/internal/testing/listedfleet/trouble_test.go
@@ -323,7 +323,7 @@
 						}
 					}
 					for _, m := range f.Vanes {
-						for _, count := range m.Node.Node.Watched() {
+						for _, count := range m.Node.Node.RecordedSpans() {
 							recorded[sample] += count
 						}
 					}
--- a/internal/testing/listedfleet/ways_test.go
+++ b/internal/testing/listedfleet/ways_test.go
@@ -139,7 +139,7 @@
 			Expect(f.Until(10*time.Second, func() bool { return f.Ready([]*Machine{m}) })).To(BeTrue(), m.Name)
 		}
 		Expect(f.Raise(next)).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return next.Controller.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return next.Controller.ControlPlane.Ready() })).To(BeTrue())
 		change := &wire.Change{DropMachines: []string{lost.Name}, Machines: []*wire.Machine{next.Machine}}
 		Expect(f.push("third", 2, change).Verdict).To(Equal(wire.Verdict_TAKEN))
 		f.Pass(2 * time.Second)
@@ -149,7 +149,7 @@
 		f.ReadBack()
 		Expect(f.push("fourth", 3, nudge(4)).Verdict).To(Equal(wire.Verdict_TAKEN))
 		Expect(f.Raise(kept[0])).To(Succeed())
-		Expect(f.Until(10*time.Second, func() bool { return kept[0].Controller.Helm.Ready() })).To(BeTrue())
+		Expect(f.Until(10*time.Second, func() bool { return kept[0].Controller.ControlPlane.Ready() })).To(BeTrue())
 		f.Pass(2 * time.Second)
 		f.ReadBack()
 		f.Leave()
