--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -108,7 +108,7 @@
 		fmt.Printf("%-8s pid %d\n", strings.TrimSuffix(filepath.Base(child.Args[2]), ".json"), child.Process.Pid)
 	}
 	fmt.Printf("visitors %s, logs in %s\n", f.entrances[0], f.Folder)
-	base.Signals(func() {}, func() {})
+	base.HandleSignals(func() {}, func() {})
 	return nil
 }
 
@@ -253,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	base.Signals(m.Stop, func() {})
+	base.HandleSignals(m.Stop, func() {})
 	return nil
 }
 
@@ -283,6 +283,6 @@
 	}
 	defer server.Close()
 	go base.Tick(s, openHeartbeat, func(base.Scope) { _ = n.Heartbeat(instance) })
-	base.Signals(n.Stop, func() {})
+	base.HandleSignals(n.Stop, func() {})
 	return nil
 }
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -67,7 +67,7 @@
 		return c.State(), nil
 	}, rawRequest)
 	mux.HandleFunc("GET /v1/journal", func(w http.ResponseWriter, r *http.Request) {
-		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(c.scope.Journal.About(r.URL.Query().Get("subject"))))
+		httpserver.ReplyJSON(w, http.StatusOK, slices.Collect(c.scope.Journal.Events(r.URL.Query().Get("subject"))))
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
 		httpserver.ReplyJSON(w, http.StatusOK, c.scope.Journal.Counts())
@@ -159,7 +159,7 @@
 	case wire.Verdict_TAKEN:
 		return http.StatusOK
 	case wire.Verdict_BOUNCED:
-		if answer, ok := base.Answers[base.Kind(outcome.GetMishap().GetKind())]; ok {
+		if answer, ok := base.HTTPResponses[base.Kind(outcome.GetMishap().GetKind())]; ok {
 			return answer.Status
 		}
 	}
@@ -169,5 +169,5 @@
 // encodeError writes an error as a JSON object with the fault.
 func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	fault := base.FaultOf(err)
-	httpserver.ReplyJSON(w, base.Answers[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
+	httpserver.ReplyJSON(w, base.HTTPResponses[fault.Kind].Status, map[string]any{"verdict": "BOUNCED", "mishap": fault})
 }
