--- a/internal/dataplane/link_pacing_test.go
+++ b/internal/dataplane/link_pacing_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	slowLinkMbps    = 11
-	largeAnswerSize = 300_000
+	slowLinkMegabits = 11
+	largeAnswerSize  = 300_000
 )
 
 // largeTransferTime is how long one large answer occupies the paced part of the slow link.
@@ -26,7 +26,7 @@
 
 // backlogAfter returns the backlog of an empty slow link after so many bytes.
 func backlogAfter(bytes int64) time.Duration {
-	pacer := admission.NewLinkPacer(&simulation.ManualClock{}, slowLinkMbps)
+	pacer := admission.NewLinkPacer(&simulation.ManualClock{}, slowLinkMegabits)
 	pacer.Wait(context.Background(), bytes)
 	return pacer.Backlog()
 }
@@ -35,7 +35,7 @@
 // other paths with small ones.
 func (s *testbed) startSlowLinkNode() *Node {
 	n := s.startNode(1, unreachableControllers)
-	n.linkPacer = admission.NewLinkPacer(s.Clock, slowLinkMbps)
+	n.linkPacer = admission.NewLinkPacer(s.Clock, slowLinkMegabits)
 	n.controlClient.Adopt(testConfiguration(1), true)
 	s.addUpstream(n, 32, func(w http.ResponseWriter, r *http.Request) {
 		size := 200
