--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -463,7 +463,7 @@
 	arrivals, sendTimes := c.arrivalsByService(), c.sendTimesByService()
 	worstExcess, largestShare := -1e9, 0.0
 	for _, service := range sortedKeys(arrivals) {
-		excess, share := c.checkRetryRatio(service, arrivals[service], sendTimes[service])
+		excess, share := c.checkRetryShare(service, arrivals[service], sendTimes[service])
 		worstExcess, largestShare = max(worstExcess, excess), max(largestShare, share)
 	}
 	c.verdict.Note = fmt.Sprintf("(largest excess over the ratio: %.1f retries, largest share %.2f)", worstExcess, largestShare)
@@ -512,10 +512,10 @@
 	return eligible
 }
 
-// checkRetryRatio checks the retries within each window of length retryWindow that ends with an arrival: they may
+// checkRetryShare checks the retries within each window of length retryWindow that ends with an arrival: they may
 // exceed retryRatio times the requests by retrySlack at most. It returns the largest excess, in retries, and the
 // largest share of retries in a window with more than 50 requests.
-func (c *checker) checkRetryRatio(service string, arrivals []serviceArrival, sendTimes []time.Duration) (worstExcess, largestShare float64) {
+func (c *checker) checkRetryShare(service string, arrivals []serviceArrival, sendTimes []time.Duration) (worstExcess, largestShare float64) {
 	worstExcess = -1e9
 	start, retries := 0, 0
 	for _, last := range arrivals {
