--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -1,8 +1,6 @@
-// Package listedfleet runs a whole fleet of listed machines in memory: the real
-// processes over a simulated network, disks and clocks (simnet) within a
-// testing/synctest bubble, with stand-in upstreams and visitors, and a history
-// that internal/testing/judge judges. Its tests are the stories of
-// docs/proof.md.
+// Package listedfleet runs a whole fleet of listed machines in memory: the real controller and node processes over a
+// simulated network, simulated disks and clocks (simnet), within a testing/synctest bubble, with test upstreams and
+// clients. Tests inject faults, and internal/testing/judge checks the recorded history. docs/proof.md lists the tests.
 package listedfleet
 
 import (
@@ -29,147 +27,152 @@
 )
 
 const (
-	// nearby, sameZone and crossZone are the usual times of a packet within a
-	// machine, within a zone and between zones.
-	nearby        = 20 * time.Microsecond
-	sameZone      = 200 * time.Microsecond
-	crossZone     = 1 * time.Millisecond
-	peersPort     = 7001
-	visitorsPort  = 7002
-	upstreamsPort = 7003
-	opsPort       = 7004
-	operatorsPort = 7005
-	// journalBound is the number of events kept of each machine.
-	journalBound = 5000
-	// reportEvery is the interval of the upstreams' reports.
-	reportEvery = 500 * time.Millisecond
+	// sameMachineDelay, sameZoneDelay and crossZoneDelay are the usual one-way delays of a packet within a machine,
+	// within a zone and between zones.
+	sameMachineDelay = 20 * time.Microsecond
+	sameZoneDelay    = 200 * time.Microsecond
+	crossZoneDelay   = 1 * time.Millisecond
+	peersPort        = 7001
+	clientsPort      = 7002
+	upstreamsPort    = 7003
+	opsPort          = 7004
+	operatorsPort    = 7005
+	// journalLimit is the number of events that each machine's journal keeps.
+	journalLimit = 5000
+	// reportInterval is the interval of an upstream's reports to its node.
+	reportInterval = 500 * time.Millisecond
 )
 
-// Machine is a machine and the process running on it, if any.
+// Machine is a simulated machine. Its process is a controller if Core is set, otherwise a node; Controller and Node are
+// nil while no process runs. Disk, Clock and Journal outlive a process.
 type Machine struct {
 	*wire.Machine
-	IP         string
-	Disk       *simnet.Disk
-	Clock      *simnet.Clock
-	Journal    *base.Journal
-	Node       *listednode.Process
-	Controller *listedcore.Process
-	mount      *simnet.Mount
-	thaw       func()
-	stopping   atomic.Bool
-	up         atomic.Bool
-	lives      int
-	back       func()
-	cancel     context.CancelFunc
+	IP             string
+	Disk           *simnet.Disk
+	Clock          *simnet.Clock
+	Journal        *base.Journal
+	Node           *listednode.Process
+	Controller     *listedcore.Process
+	mount          *simnet.Mount
+	thaw           func()
+	stopping       atomic.Bool
+	running        atomic.Bool
+	starts         int
+	endDisturbance func()
+	cancel         context.CancelFunc
 }
 
-// At returns the address of a port on the machine.
-func (m *Machine) At(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
+// PortAddress returns the machine's address for a port, as "ip:port".
+func (m *Machine) PortAddress(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
-func (m *Machine) owner() string { return fmt.Sprintf("%s life %d", m.Name, m.lives) }
+// processName identifies one run of the machine's process on the network. The random choices of the process depend on
+// it.
+func (m *Machine) processName() string { return fmt.Sprintf("%s life %d", m.Name, m.starts) }
 
-// Fleet is a fleet in memory and all that happened to it.
+// Fleet is a simulated fleet: controllers, nodes, upstreams, clients and an operator on one simulated network, with the
+// recorded history. The same Seed gives the same random choices.
 type Fleet struct {
-	Scope   base.Scope
-	Seed    uint64
-	World   *simnet.Network
-	Keels   []*Machine
-	Vanes   []*Machine
-	Seats   []*standin.Upstream
-	History *judge.History
-	// Story tells what was done, for failure messages.
-	Story string
-	// Diskless starts application machines without a data folder.
-	Diskless bool
-	Key      ed25519.PrivateKey
-	Clerk    *listedcore.Client
-	// Shape is the first bundle to sign.
-	Shape  *wire.Bundle
-	Habits []standin.Behavior
-	Plan   []standin.PlannedRequest
-	// Tune and TuneKeel, if set, change the params that processes start with.
-	Tune           func(*wire.VaneParams)
-	TuneController func(*wire.KeelParams)
-	trusted        []string
-	seeds          []string
-	born           time.Time
-	visiting       context.CancelFunc
-	crew           base.Group
-	living         sync.Mutex
-	sampling       context.CancelFunc
+	Scope       base.Scope
+	Seed        uint64
+	World       *simnet.Network
+	Controllers []*Machine
+	Nodes       []*Machine
+	Upstreams   []*standin.Upstream
+	History     *judge.History
+	// Description names the run and its faults in failure messages.
+	Description string
+	// Diskless starts nodes without a data folder.
+	Diskless       bool
+	OperatorKey    ed25519.PrivateKey
+	OperatorClient *listedcore.Client
+	// InitialBundle lists the machines and is the first bundle that an operator applies.
+	InitialBundle *wire.Bundle
+	Behaviors     []standin.Behavior
+	Plan          []standin.PlannedRequest
+	// AdjustNodeParams and AdjustControllerParams, if set, change the params of each process before it starts.
+	AdjustNodeParams       func(*wire.VaneParams)
+	AdjustControllerParams func(*wire.KeelParams)
+	trustedKeys            []string
+	seeds                  []string
+	startTime              time.Time
+	cancelLoad             context.CancelFunc
+	loadTasks              base.Group
+	mu                     sync.Mutex
+	cancelSampling         context.CancelFunc
 }
 
-// New returns a fleet of the shape's machines, none of them running. All that
-// is random follows from the seed. It must be called within a bubble, and ended
-// with End.
-func New(seed uint64, shape *wire.Bundle) *Fleet {
-	f := &Fleet{Seed: seed, Shape: proto.Clone(shape).(*wire.Bundle), born: time.Now()}
+// New returns a fleet of the machines in the bundle, none of them running, and assigns their addresses. All random
+// choices follow from the seed. It must be called within a synctest bubble, and the fleet must be closed with Close.
+func New(seed uint64, initialBundle *wire.Bundle) *Fleet {
+	f := &Fleet{Seed: seed, InitialBundle: proto.Clone(initialBundle).(*wire.Bundle), startTime: time.Now()}
 	zones := map[string]string{}
 	f.World = simnet.NewNetwork(f.rand("world"), func(from, to string) time.Duration {
 		switch {
 		case from == to:
-			return nearby
+			return sameMachineDelay
 		case zones[from] == zones[to]:
-			return sameZone
+			return sameZoneDelay
 		}
-		return crossZone
+		return crossZoneDelay
 	})
 	var operators []string
-	for i, each := range f.Shape.Common.Machines {
+	for i, each := range f.InitialBundle.Common.Machines {
 		ip := fmt.Sprintf("10.9.0.%d", i+1)
 		each.Address = fmt.Sprintf("%s:%d", ip, peersPort)
 		zones[ip] = each.Zone
-		m := &Machine{Machine: each, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + each.Name)), Clock: simnet.NewClock(f.born), Journal: base.NewJournal(journalBound)}
+		m := &Machine{Machine: each, IP: ip, Disk: simnet.NewDisk(f.rand("disk " + each.Name)), Clock: simnet.NewClock(f.startTime), Journal: base.NewJournal(journalLimit)}
 		if each.Core {
-			f.Keels = append(f.Keels, m)
+			f.Controllers = append(f.Controllers, m)
 			f.seeds = append(f.seeds, each.Address)
-			operators = append(operators, m.At(operatorsPort))
+			operators = append(operators, m.PortAddress(operatorsPort))
 		} else {
-			f.Vanes = append(f.Vanes, m)
+			f.Nodes = append(f.Nodes, m)
 		}
 	}
 	seedBytes := make([]byte, ed25519.SeedSize)
 	seedBytes[0] = byte(seed)
-	f.Key = ed25519.NewKeyFromSeed(seedBytes)
-	f.trusted = []string{base64.StdEncoding.EncodeToString(f.Key.Public().(ed25519.PublicKey))}
-	f.Scope = f.scope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.born), base.NewJournal(journalBound))
+	f.OperatorKey = ed25519.NewKeyFromSeed(seedBytes)
+	f.trustedKeys = []string{base64.StdEncoding.EncodeToString(f.OperatorKey.Public().(ed25519.PublicKey))}
+	f.Scope = f.newScope("story", "10.9.9.9", simnet.NewDisk(f.rand("story disk")), simnet.NewClock(f.startTime), base.NewJournal(journalLimit))
 	f.History = judge.NewHistory(f.Scope.Clock)
-	for _, m := range f.Every() {
-		m.Journal.Subscribe(tap{f.History, m.Name})
+	for _, m := range f.Machines() {
+		m.Journal.Subscribe(journalRecorder{f.History, m.Name})
 	}
-	f.Clerk = &listedcore.Client{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, Signed: f.History.RecordSigned}
+	f.OperatorClient = &listedcore.Client{Web: &http.Client{Transport: &http.Transport{DialContext: f.Scope.Net.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}, Controllers: operators, Signed: f.History.RecordSigned}
 	s, cancel := f.Scope.WithCancel()
-	f.sampling = cancel
-	go f.sample(s)
+	f.cancelSampling = cancel
+	go f.sampleNodes(s)
 	return f
 }
 
+// rand returns a source of random numbers that depends on the fleet's seed and the name only.
 func (f *Fleet) rand(name string) *random.Source { return simnet.NamedRand(f.Seed, name) }
 
-func (f *Fleet) scope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
+func (f *Fleet) newScope(name, ip string, disk storage.Disk, clock base.Clock, journal *base.Journal) base.Scope {
 	return f.World.NewScope(f.Seed, name, ip, disk, clock, journal)
 }
 
-// Raise starts a machine's process.
-func (f *Fleet) Raise(m *Machine) error {
-	m.lives++
+// StartProcess starts the machine's process on the disk that earlier runs left, and ends a disturbance that Kill or
+// PowerLoss recorded. It returns the error of the start.
+func (f *Fleet) StartProcess(m *Machine) error {
+	m.starts++
 	m.mount = simnet.NewMount(m.Disk)
-	s := f.scope(m.owner(), m.IP, m.mount, m.Clock, m.Journal)
+	s := f.newScope(m.processName(), m.IP, m.mount, m.Clock, m.Journal)
 	s, m.cancel = s.WithCancel()
-	if m.back != nil {
-		m.back()
-		m.back = nil
+	if m.endDisturbance != nil {
+		m.endDisturbance()
+		m.endDisturbance = nil
 	}
 	if m.Core {
-		params := &wire.KeelParams{Name: m.Name, Zone: m.Zone, Mates: m.Address, Operators: m.At(operatorsPort), Seeds: f.seeds, Folder: "data", Trusted: f.trusted}
-		if f.TuneController != nil {
-			f.TuneController(params)
+		params := &wire.KeelParams{Name: m.Name, Zone: m.Zone, Mates: m.Address, Operators: m.PortAddress(operatorsPort), Seeds: f.seeds, Folder: "data", Trusted: f.trustedKeys}
+		if f.AdjustControllerParams != nil {
+			f.AdjustControllerParams(params)
 		}
 		controller, err := listedcore.Start(s, params)
-		f.living.Lock()
-		defer f.living.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		m.Controller = controller
-		m.up.Store(err == nil)
+		m.running.Store(err == nil)
 		return err
 	}
 	folder := "data"
@@ -177,41 +180,43 @@
 		s.Disk, folder = storage.None(), ""
 	}
 	params := &wire.VaneParams{
-		Name: m.Name, Zone: m.Zone, Mates: m.Address, Visitors: m.At(visitorsPort), Upstreams: m.At(upstreamsPort), Ops: m.At(opsPort),
-		Seeds: f.seeds, Folder: folder, Trusted: f.trusted,
+		Name: m.Name, Zone: m.Zone, Mates: m.Address, Visitors: m.PortAddress(clientsPort), Upstreams: m.PortAddress(upstreamsPort), Ops: m.PortAddress(opsPort),
+		Seeds: f.seeds, Folder: folder, Trusted: f.trustedKeys,
 	}
-	if f.Tune != nil {
-		f.Tune(params)
+	if f.AdjustNodeParams != nil {
+		f.AdjustNodeParams(params)
 	}
 	node, err := listednode.Start(s, params)
-	f.living.Lock()
-	defer f.living.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	m.Node = node
-	m.up.Store(err == nil)
+	m.running.Store(err == nil)
 	return err
 }
 
-// Kill ends a machine's process at once.
+// Kill ends the machine's process at once, without a graceful stop. If one ran, it records an unplanned disturbance until
+// StartProcess.
 func (f *Fleet) Kill(m *Machine) {
-	f.down(m, "killed")
-	f.kill(m, false)
+	f.beginOutage(m, "killed")
+	f.terminate(m, false)
 }
 
-// PowerLoss ends a machine without a word to its peers; its disk loses what
-// wasn't synced.
+// PowerLoss ends the machine's process at once and drops what its disk hasn't synced. Peers see no connection close. If
+// the process ran, it records an unplanned disturbance until StartProcess.
 func (f *Fleet) PowerLoss(m *Machine) {
-	f.down(m, "power lost")
-	f.kill(m, true)
+	f.beginOutage(m, "power lost")
+	f.terminate(m, true)
 	m.Disk.PowerLoss()
 }
 
-func (f *Fleet) down(m *Machine, cause string) {
+// beginOutage records an unplanned disturbance of a machine that runs, until its next start.
+func (f *Fleet) beginOutage(m *Machine, cause string) {
 	if m.cancel != nil {
-		m.back = f.History.RecordDisturbance(m.Name, cause, false)
+		m.endDisturbance = f.History.RecordDisturbance(m.Name, cause, false)
 	}
 }
 
-// Stop ends a machine's process as planned.
+// Stop stops the machine's process gracefully, and waits for it. It records a planned disturbance for that time.
 func (f *Fleet) Stop(m *Machine) {
 	end := f.History.RecordDisturbance(m.Name, "stop", true)
 	m.stopping.Store(true)
@@ -222,23 +227,23 @@
 	case m.Controller != nil:
 		m.Controller.Stop()
 	}
-	f.kill(m, false)
+	f.terminate(m, false)
 	end()
 }
 
-// Freeze stops a machine's process where it is, with its network and disk,
-// until thaw.
+// Freeze suspends the machine's process, that is, its clock, network and disk, until thaw is called or the process ends.
+// It records an unplanned disturbance for that time. thaw may be called repeatedly.
 func (f *Fleet) Freeze(m *Machine) (thaw func()) {
-	end := f.Trouble(m.Name, "frozen")
-	life := m.owner()
+	end := f.StartDisturbance(m.Name, "frozen")
+	process := m.processName()
 	m.Clock.Freeze(true)
-	f.World.Freeze(life)
+	f.World.Freeze(process)
 	release := m.Disk.Stall()
 	var once sync.Once
 	m.thaw = func() {
 		once.Do(func() {
 			m.Clock.Freeze(false)
-			f.World.Thaw(life)
+			f.World.Thaw(process)
 			release()
 			end()
 		})
@@ -246,19 +251,21 @@
 	return m.thaw
 }
 
-// Trouble notes in the history that a trouble begins; end notes its end.
-func (f *Fleet) Trouble(name, cause string) (end func()) {
+// StartDisturbance records an unplanned disturbance of the named machine from now until end is called.
+func (f *Fleet) StartDisturbance(name, cause string) (end func()) {
 	return f.History.RecordDisturbance(name, cause, false)
 }
 
-func (f *Fleet) kill(m *Machine, silent bool) {
+// terminate ends the machine's process at once, if it runs, and resumes it first if it is frozen. If silent, its peers
+// see no connection close.
+func (f *Fleet) terminate(m *Machine, silent bool) {
 	if m.cancel == nil {
 		return
 	}
-	m.up.Store(false)
+	m.running.Store(false)
 	m.cancel()
 	m.mount.Unmount()
-	f.World.Crash(m.IP, m.owner(), silent)
+	f.World.Crash(m.IP, m.processName(), silent)
 	if m.thaw != nil {
 		m.thaw()
 	}
@@ -268,72 +275,71 @@
 	if m.Node != nil {
 		m.Node.Kill()
 	}
-	f.living.Lock()
-	defer f.living.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	m.Controller, m.Node, m.cancel = nil, nil, nil
 }
 
-// Seat starts an upstream beside a machine.
-func (f *Fleet) Seat(m *Machine, service string, port, capacity int) (*standin.Upstream, error) {
+// StartUpstream starts an upstream of a service beside the machine's node. The capacity is in concurrent requests.
+func (f *Fleet) StartUpstream(m *Machine, service string, port, capacity int) (*standin.Upstream, error) {
 	u := &standin.Upstream{
-		Scope:   f.scope(fmt.Sprintf("%s %s %d %d", m.Name, service, port, len(f.Seats)), m.IP, m.Disk, m.Clock, m.Journal),
-		Service: service, Address: m.At(port), Zone: m.Zone, Capacity: capacity, NodeAddress: m.At(upstreamsPort), Behaviors: f.Habits, History: f.History,
+		Scope:   f.newScope(fmt.Sprintf("%s %s %d %d", m.Name, service, port, len(f.Upstreams)), m.IP, m.Disk, m.Clock, m.Journal),
+		Service: service, Address: m.PortAddress(port), Zone: m.Zone, Capacity: capacity, NodeAddress: m.PortAddress(upstreamsPort), Behaviors: f.Behaviors, History: f.History,
 	}
-	f.Seats = append(f.Seats, u)
-	return u, u.Start(reportEvery)
+	f.Upstreams = append(f.Upstreams, u)
+	return u, u.Start(reportInterval)
 }
 
-// Visit lets visitors make so many requests a second over the whole fleet,
-// until Leave.
-func (f *Fleet) Visit(rate float64) {
+// StartLoad starts clients at every node, which make requests at the given total rate per second until StopLoad.
+func (f *Fleet) StartLoad(rate float64) {
 	s, cancel := f.Scope.WithCancel()
-	f.visiting = cancel
-	for _, m := range f.Vanes {
-		each := f.scope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal)
-		visitors := &standin.Clients{Scope: each, Name: m.Name, NodeAddress: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Plan: f.Plan, History: f.History}
-		f.crew.Go(func() { visitors.Run(each.WithContext(s)) })
+	f.cancelLoad = cancel
+	for _, m := range f.Nodes {
+		clientScope := f.newScope("visitors "+m.Name, m.IP, m.Disk, m.Clock, m.Journal)
+		clients := &standin.Clients{Scope: clientScope, Name: m.Name, NodeAddress: m.PortAddress(clientsPort), Rate: rate / float64(len(f.Nodes)), Plan: f.Plan, History: f.History}
+		f.loadTasks.Go(func() { clients.Run(clientScope.WithContext(s)) })
 	}
 }
 
-// Leave ends the visitors and waits for their answers.
-func (f *Fleet) Leave() {
-	if f.visiting != nil {
-		f.visiting()
-		f.crew.Wait()
-		f.visiting = nil
+// StopLoad stops the clients of StartLoad and waits for the answers to their requests.
+func (f *Fleet) StopLoad() {
+	if f.cancelLoad != nil {
+		f.cancelLoad()
+		f.loadTasks.Wait()
+		f.cancelLoad = nil
 	}
 }
 
-// End ends everything, so that no goroutine is left in the bubble.
-func (f *Fleet) End() {
-	f.Leave()
-	f.sampling()
-	for _, u := range f.Seats {
+// Close stops the clients, kills all upstreams and processes, closes the network, and waits until no goroutine is left in
+// the bubble.
+func (f *Fleet) Close() {
+	f.StopLoad()
+	f.cancelSampling()
+	for _, u := range f.Upstreams {
 		u.Kill()
 	}
-	for _, m := range f.Every() {
-		f.kill(m, false)
+	for _, m := range f.Machines() {
+		f.terminate(m, false)
 	}
-	f.Clerk.Web.CloseIdleConnections()
+	f.OperatorClient.Web.CloseIdleConnections()
 	f.World.Close()
 	time.Sleep(time.Minute)
 }
 
-// Pass lets the time pass.
-func (f *Fleet) Pass(d time.Duration) { base.Await(f.Scope, d) }
+// Sleep waits for d on the fleet's clock.
+func (f *Fleet) Sleep(d time.Duration) { base.Await(f.Scope, d) }
 
-// Until lets the time pass until reached returns true, and reports whether it
-// did within the longest time.
-func (f *Fleet) Until(longest time.Duration, reached func() bool) bool {
-	for begun := time.Now(); time.Since(begun) < longest; f.Pass(5 * time.Millisecond) {
-		if reached() {
+// WaitUntil checks the condition every 5 ms, for at most timeout, and reports whether it became true.
+func (f *Fleet) WaitUntil(timeout time.Duration, condition func() bool) bool {
+	for start := time.Now(); time.Since(start) < timeout; f.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
-	return reached()
+	return condition()
 }
 
-// Ready reports whether all of the machines that run are ready.
+// Ready reports whether all processes on the machines are ready. A machine without a running process counts as ready.
 func (f *Fleet) Ready(machines []*Machine) bool {
 	for _, m := range machines {
 		if m.Controller != nil && !m.Controller.Helm.Ready() || m.Node != nil && !m.Node.Node.Ready() {
@@ -343,10 +349,9 @@
 	return true
 }
 
-// AllOn reports whether all application machines that run hold the bundle of
-// the serial or a newer one.
-func (f *Fleet) AllOn(serial uint64) bool {
-	for _, m := range f.Vanes {
+// AllNodesHaveSerial reports whether all running nodes hold the bundle with the serial or a newer one.
+func (f *Fleet) AllNodesHaveSerial(serial uint64) bool {
+	for _, m := range f.Nodes {
 		if m.Node != nil && (m.Node.Node.Bundle() == nil || m.Node.Node.Bundle().Serial < serial) {
 			return false
 		}
@@ -354,32 +359,34 @@
 	return true
 }
 
-// Apply drafts, signs and hands in a change as an operator does.
+// Apply drafts, signs and submits a change as an operator does, and records the outcome in the history.
 func (f *Fleet) Apply(submission string, request *wire.DraftRequest) (*wire.Outcome, error) {
-	outcome, err := f.Clerk.Apply(f.Scope, submission, request, f.Key)
+	outcome, err := f.OperatorClient.Apply(f.Scope, submission, request, f.OperatorKey)
 	if err == nil {
 		f.History.RecordOutcome(outcome)
 	}
 	return outcome, err
 }
 
-// Cut cuts two machines off from each other, both ways.
-func (f *Fleet) Cut(a, b *Machine) {
+// Partition cuts the links between two machines, in both directions.
+func (f *Fleet) Partition(a, b *Machine) {
 	f.World.Cut(a.IP, b.IP)
 	f.World.Cut(b.IP, a.IP)
 }
 
-// Bounds returns the bounds to judge by.
+// Bounds returns the bounds that the judge checks the history against.
 func (f *Fleet) Bounds() judge.Bounds { return judge.DefaultBounds() }
 
-// Every returns all machines.
-func (f *Fleet) Every() []*Machine { return append(append([]*Machine{}, f.Vanes...), f.Keels...) }
+// Machines returns all machines, the nodes first.
+func (f *Fleet) Machines() []*Machine {
+	return append(append([]*Machine{}, f.Nodes...), f.Controllers...)
+}
 
-// Isolate cuts a machine off from all others.
+// Isolate cuts the links between a machine and all others, in both directions.
 func (f *Fleet) Isolate(m *Machine) {
-	for _, other := range f.Every() {
+	for _, other := range f.Machines() {
 		if other != m {
-			f.Cut(m, other)
+			f.Partition(m, other)
 		}
 	}
 }
--- /dev/null
+++ b/internal/testing/listedfleet/memory_growth_test.go
@@ -0,0 +1,102 @@
+package listedfleet
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"curlewreach/internal/testing/standin"
+	"curlewreach/proto/wire"
+)
+
+// largestSizes returns the largest size of each table, of the journal and of the disk (in files and bytes) over all nodes
+// and over all controllers.
+func (f *Fleet) largestSizes() map[string]int {
+	largest := map[string]int{}
+	add := func(name string, size int) { largest[name] = max(largest[name], size) }
+	for _, m := range f.Machines() {
+		kind := "node "
+		if m.Controller != nil {
+			kind = "controller "
+			for name, size := range m.Controller.Helm.Sizes() {
+				add(kind+name, size)
+			}
+		}
+		if m.Node != nil {
+			for name, size := range m.Node.Node.Sizes() {
+				add(kind+name, size)
+			}
+		}
+		add(kind+"files", len(m.Disk.Names()))
+		add(kind+"bytes", m.Disk.Bytes())
+	}
+	return largest
+}
+
+var _ = ginkgo.Describe("long-running processes", func() {
+	ginkgo.It("given many bundles, added services, killed upstreams and restarts, when sizes are compared, then none grows", func() {
+		if os.Getenv("SEEDS") != "" {
+			ginkgo.Skip("sizes are compared once, without the race detector")
+		}
+		runFleet(1, libraryBundle(4), func(f *Fleet) {
+			f.AdjustControllerParams = func(p *wire.KeelParams) { p.Traces, p.Serials = 500, 4 }
+			f.AdjustNodeParams = func(p *wire.VaneParams) { p.Bounds = &wire.Bounds{} }
+			startAll(f)
+			f.StartLoad(8)
+			serial, port := uint64(1), 9000
+			var tempUpstream *standin.Upstream
+			runRounds := func(rounds int) map[string]int {
+				for range rounds {
+					name := fmt.Sprint("guest-", serial)
+					change := &wire.Change{
+						Services: []*wire.Service{{Name: name, Routes: []*wire.Route{{Name: "r", Method: "GET", Path: "/" + name + "/r"}}}},
+						Shares:   []*wire.Share{{Group: fmt.Sprint("group-", serial), Services: []string{name}, Carried: 1, Watched: 1}},
+					}
+					if serial > 1 {
+						change.DropServices, change.DropShares = []string{fmt.Sprint("guest-", serial-1)}, []string{fmt.Sprint("group-", serial-1)}
+					}
+					Expect(f.push(fmt.Sprint("life-", serial), serial, change).Verdict).To(Equal(wire.Verdict_TAKEN))
+					if tempUpstream != nil {
+						tempUpstream.Kill()
+						f.Upstreams = f.Upstreams[:len(f.Upstreams)-1]
+					}
+					port++
+					var err error
+					tempUpstream, err = f.StartUpstream(f.Nodes[int(serial)%4], name, port, 4)
+					Expect(err).NotTo(HaveOccurred())
+					f.Sleep(2 * time.Second)
+					f.send(f.Nodes[0], standin.PlannedRequest{Service: name, Route: "r", Method: "GET", Path: "/" + name + "/r"}, name)
+					m := f.Machines()[int(serial)%7]
+					f.Stop(m)
+					Expect(f.StartProcess(m)).To(Succeed())
+					serial++
+					f.Sleep(3 * time.Second)
+				}
+				f.Sleep(62 * time.Second)
+				return f.largestSizes()
+			}
+			rounds := 8
+			if os.Getenv("MEASURE") != "" {
+				rounds = 40
+			}
+			early := runRounds(rounds)
+			late := runRounds(2 * rounds)
+			for _, name := range slices.Sorted(maps.Keys(late)) {
+				ginkgo.GinkgoWriter.Printf("MEASURE memory growth, %s: %d, then %d\n", name, early[name], late[name])
+				if strings.HasSuffix(name, "journal") {
+					Expect(late[name]).To(BeNumerically("<", journalLimit+200))
+					continue
+				}
+				Expect(late[name]).To(BeNumerically("<=", early[name]+early[name]/4+8), name)
+			}
+			f.StopLoad()
+			expectNoViolations(f)
+		})
+	})
+})
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -20,139 +20,141 @@
 )
 
 const (
-	usualSeeds  = 6
-	soakRounds  = 8
-	recoverTime = 15 * time.Second
+	defaultSeedCount = 6
+	soakRounds       = 8
+	recoveryTime     = 15 * time.Second
 )
 
-type trouble struct {
-	name  string
-	cause func(f *Fleet, rand *random.Source) (mend func())
+// faultScenario injects a fault until undo is called.
+type faultScenario struct {
+	name   string
+	inject func(f *Fleet, rand *random.Source) (undo func())
 }
 
-func any1(f *Fleet, rand *random.Source) *Machine {
-	every := f.Every()
-	return every[rand.IntN(len(every))]
+func randomMachine(f *Fleet, rand *random.Source) *Machine {
+	machines := f.Machines()
+	return machines[rand.IntN(len(machines))]
 }
 
-func raise(f *Fleet, m *Machine) func() {
+// restartFunc returns a function that ends a stall of the machine's disk and starts its process, unless that runs.
+func restartFunc(f *Fleet, m *Machine) func() {
 	return func() {
 		if m.cancel == nil {
 			m.Disk.EndStall()
-			Expect(f.Raise(m)).To(Succeed())
+			Expect(f.StartProcess(m)).To(Succeed())
 		}
 	}
 }
 
-var troubles = []trouble{
+var faultScenarios = []faultScenario{
 	{"kill", func(f *Fleet, rand *random.Source) func() {
-		m := any1(f, rand)
+		m := randomMachine(f, rand)
 		f.Kill(m)
-		return raise(f, m)
+		return restartFunc(f, m)
 	}},
-	{"power", func(f *Fleet, rand *random.Source) func() {
-		m := any1(f, rand)
+	{"power loss", func(f *Fleet, rand *random.Source) func() {
+		m := randomMachine(f, rand)
 		f.PowerLoss(m)
-		return raise(f, m)
+		return restartFunc(f, m)
 	}},
-	{"wipe", func(f *Fleet, rand *random.Source) func() {
-		m := f.Keels[rand.IntN(len(f.Keels))]
-		for _, other := range f.Keels {
+	{"wiped controller disk", func(f *Fleet, rand *random.Source) func() {
+		m := f.Controllers[rand.IntN(len(f.Controllers))]
+		for _, other := range f.Controllers {
 			if other.cancel == nil || !other.Controller.Helm.Ready() {
 				return func() {}
 			}
 		}
 		f.PowerLoss(m)
 		m.Disk.Wipe()
-		return raise(f, m)
+		return restartFunc(f, m)
 	}},
-	{"everything", func(f *Fleet, rand *random.Source) func() {
-		var mends []func()
-		for _, m := range f.Every() {
+	{"power loss of all machines", func(f *Fleet, rand *random.Source) func() {
+		var undos []func()
+		for _, m := range f.Machines() {
 			f.PowerLoss(m)
-			mends = append(mends, raise(f, m))
+			undos = append(undos, restartFunc(f, m))
 		}
 		return func() {
-			for _, mend := range mends {
-				mend()
+			for _, undo := range undos {
+				undo()
 			}
 		}
 	}},
-	{"core down", func(f *Fleet, rand *random.Source) func() {
-		var mends []func()
-		for _, m := range f.Keels {
+	{"all controllers killed", func(f *Fleet, rand *random.Source) func() {
+		var undos []func()
+		for _, m := range f.Controllers {
 			f.Kill(m)
-			mends = append(mends, raise(f, m))
+			undos = append(undos, restartFunc(f, m))
 		}
 		return func() {
-			for _, mend := range mends {
-				mend()
+			for _, undo := range undos {
+				undo()
 			}
 		}
 	}},
-	{"stop", func(f *Fleet, rand *random.Source) func() {
-		m := f.Vanes[rand.IntN(len(f.Vanes))]
+	{"graceful stop of a node", func(f *Fleet, rand *random.Source) func() {
+		m := f.Nodes[rand.IntN(len(f.Nodes))]
 		if m.Node != nil {
 			f.Stop(m)
 		}
-		return raise(f, m)
+		return restartFunc(f, m)
 	}},
-	{"cut", func(f *Fleet, rand *random.Source) func() {
-		a, b := any1(f, rand), any1(f, rand)
+	{"cut link", func(f *Fleet, rand *random.Source) func() {
+		a, b := randomMachine(f, rand), randomMachine(f, rand)
 		f.World.Cut(a.IP, b.IP)
 		if rand.IntN(2) == 0 {
 			f.World.Cut(b.IP, a.IP)
 		}
 		return f.World.HealAll
 	}},
-	{"isolate", func(f *Fleet, rand *random.Source) func() {
-		f.Isolate(any1(f, rand))
+	{"isolated machine", func(f *Fleet, rand *random.Source) func() {
+		f.Isolate(randomMachine(f, rand))
 		return f.World.HealAll
 	}},
-	{"core cut off", func(f *Fleet, rand *random.Source) func() {
-		for _, controller := range f.Keels {
-			for _, node := range f.Vanes {
-				f.Cut(controller, node)
+	{"controllers cut off from nodes", func(f *Fleet, rand *random.Source) func() {
+		for _, controller := range f.Controllers {
+			for _, node := range f.Nodes {
+				f.Partition(controller, node)
 			}
 		}
 		return f.World.HealAll
 	}},
-	{"core split", func(f *Fleet, rand *random.Source) func() {
-		for i, a := range f.Keels {
-			for _, b := range f.Keels[i+1:] {
-				f.Cut(a, b)
+	{"controllers cut off from each other", func(f *Fleet, rand *random.Source) func() {
+		for i, a := range f.Controllers {
+			for _, b := range f.Controllers[i+1:] {
+				f.Partition(a, b)
 			}
 		}
 		return f.World.HealAll
 	}},
 	{"faulty upstream", func(f *Fleet, rand *random.Source) func() {
-		u := f.Seats[rand.IntN(len(f.Seats))]
+		u := f.Upstreams[rand.IntN(len(f.Upstreams))]
 		faults := []standin.Fault{standin.CloseUnanswered, standin.Truncate, standin.Corrupt, standin.NoLength, standin.Hang, standin.InvalidHTTP}
 		u.SetFault(faults[rand.IntN(len(faults))])
 		return func() { u.SetFault(standin.NoFault) }
 	}},
-	{"full disk", func(f *Fleet, rand *random.Source) func() {
-		m := f.Keels[rand.IntN(len(f.Keels))]
+	{"full controller disk", func(f *Fleet, rand *random.Source) func() {
+		m := f.Controllers[rand.IntN(len(f.Controllers))]
 		m.Disk.SetFull(true)
 		return func() { m.Disk.SetFull(false) }
 	}},
-	{"stalled disk", func(f *Fleet, rand *random.Source) func() {
-		return f.Keels[rand.IntN(len(f.Keels))].Disk.Stall()
+	{"stalled controller disk", func(f *Fleet, rand *random.Source) func() {
+		return f.Controllers[rand.IntN(len(f.Controllers))].Disk.Stall()
 	}},
 	{"clock jump", func(f *Fleet, rand *random.Source) func() {
-		any1(f, rand).Clock.Jump(time.Duration(rand.IntN(7200)-3600) * time.Second)
+		randomMachine(f, rand).Clock.Jump(time.Duration(rand.IntN(7200)-3600) * time.Second)
 		return func() {}
 	}},
-	{"frozen", func(f *Fleet, rand *random.Source) func() {
-		m := any1(f, rand)
+	{"frozen process", func(f *Fleet, rand *random.Source) func() {
+		m := randomMachine(f, rand)
 		if m.cancel == nil || m.Clock.Frozen() {
 			return func() {}
 		}
 		return f.Freeze(m)
 	}},
-	{"frozen core", func(f *Fleet, rand *random.Source) func() {
+	{"two frozen controllers", func(f *Fleet, rand *random.Source) func() {
 		var thaws []func()
-		for _, m := range f.Keels[:2] {
+		for _, m := range f.Controllers[:2] {
 			if m.cancel != nil && !m.Clock.Frozen() {
 				thaws = append(thaws, f.Freeze(m))
 			}
@@ -163,10 +165,10 @@
 			}
 		}
 	}},
-	{"slow and losing links", func(f *Fleet, rand *random.Source) func() {
-		end := f.Trouble("links", "slow")
-		m := any1(f, rand)
-		for _, other := range f.Every() {
+	{"slow and lossy links", func(f *Fleet, rand *random.Source) func() {
+		end := f.StartDisturbance("links", "slow")
+		m := randomMachine(f, rand)
+		for _, other := range f.Machines() {
 			link := simnet.Link{ExtraDelay: time.Duration(rand.IntN(30)) * time.Millisecond, Loss: 0.05 * rand.Float64()}
 			f.World.SetLink(m.IP, other.IP, link)
 			f.World.SetLink(other.IP, m.IP, link)
@@ -177,38 +179,38 @@
 		}
 	}},
 	{"slow disk", func(f *Fleet, rand *random.Source) func() {
-		m := any1(f, rand)
+		m := randomMachine(f, rand)
 		m.Disk.SetLatency(time.Duration(5+rand.IntN(60)) * time.Millisecond)
 		return func() { m.Disk.SetLatency(0) }
 	}},
-	{"full disk of an application machine", func(f *Fleet, rand *random.Source) func() {
-		m := f.Vanes[rand.IntN(len(f.Vanes))]
+	{"full node disk", func(f *Fleet, rand *random.Source) func() {
+		m := f.Nodes[rand.IntN(len(f.Nodes))]
 		m.Disk.SetFull(true)
 		return func() { m.Disk.SetFull(false) }
 	}},
-	{"bit flip", func(f *Fleet, rand *random.Source) func() {
-		m := f.Keels[rand.IntN(len(f.Keels))]
-		for _, other := range f.Keels {
+	{"flipped bits on a controller disk", func(f *Fleet, rand *random.Source) func() {
+		m := f.Controllers[rand.IntN(len(f.Controllers))]
+		for _, other := range f.Controllers {
 			if other.cancel == nil || !other.Controller.Helm.Ready() {
 				return func() {}
 			}
 		}
 		f.PowerLoss(m)
 		m.Disk.FlipBits([]string{"/v-", "/p-", "roll-", "brand"}[rand.IntN(4)])
-		return raise(f, m)
+		return restartFunc(f, m)
 	}},
 	{"upstream leaves and returns", func(f *Fleet, rand *random.Source) func() {
-		u := f.Seats[rand.IntN(len(f.Seats))]
+		u := f.Upstreams[rand.IntN(len(f.Upstreams))]
 		u.AnnounceLeaving()
 		return u.CancelLeaving
 	}},
-	{"crowd", func(f *Fleet, rand *random.Source) func() {
-		stop := f.crowd(400)
+	{"overload", func(f *Fleet, rand *random.Source) func() {
+		stop := f.startExtraLoad(400)
 		return stop
 	}},
-	{"machine re-zoned", func(f *Fleet, rand *random.Source) func() {
-		m := f.Vanes[rand.IntN(len(f.Vanes))]
-		shown, err := f.Clerk.Show(f.Scope, 0)
+	{"machine moved to another zone", func(f *Fleet, rand *random.Source) func() {
+		m := f.Nodes[rand.IntN(len(f.Nodes))]
+		shown, err := f.OperatorClient.Show(f.Scope, 0)
 		if err != nil {
 			return func() {}
 		}
@@ -216,35 +218,35 @@
 		f.push(fmt.Sprint("zone-", f.Scope.Clock.Mono()), shown.Serial, &wire.Change{Machines: []*wire.Machine{{Name: m.Name, Address: m.Address, Zone: zone}}})
 		return func() {}
 	}},
-	{"replayed and broken bundles", func(f *Fleet, rand *random.Source) func() {
+	{"replayed and corrupted bundles", func(f *Fleet, rand *random.Source) func() {
 		for serial := range uint64(3) {
-			reply, err := f.Clerk.Show(f.Scope, serial+1)
+			reply, err := f.OperatorClient.Show(f.Scope, serial+1)
 			if err != nil {
 				continue
 			}
 			id := fmt.Sprint("replay-", serial, f.Scope.Clock.Mono())
-			if outcome, err := f.Clerk.Sign(f.Scope, id, reply.Sealed); err == nil {
+			if outcome, err := f.OperatorClient.Sign(f.Scope, id, reply.Sealed); err == nil {
 				f.History.RecordOutcome(outcome)
 			}
 			reply.Sealed.Signature[3] ^= 1
-			if outcome, err := f.Clerk.Sign(f.Scope, id+"-broken", reply.Sealed); err == nil {
+			if outcome, err := f.OperatorClient.Sign(f.Scope, id+"-broken", reply.Sealed); err == nil {
 				f.History.RecordOutcome(outcome)
 			}
 		}
 		return func() {}
 	}},
-	{"passed address", func(f *Fleet, rand *random.Source) func() {
-		at := rand.IntN(len(f.Seats))
-		old := f.Seats[at]
-		if len(f.seatsOf(old.Service)) < 2 {
+	{"address taken over by another service", func(f *Fleet, rand *random.Source) func() {
+		index := rand.IntN(len(f.Upstreams))
+		replaced := f.Upstreams[index]
+		if len(f.upstreamsOf(replaced.Service)) < 2 {
 			return func() {}
 		}
-		service := f.Shape.Services[rand.IntN(len(f.Shape.Services))].Name
-		for _, m := range f.Vanes {
-			if strings.HasPrefix(old.Address, m.IP+":") {
-				old.Kill()
-				f.Seats = append(f.Seats[:at], f.Seats[at+1:]...)
-				_, err := f.Seat(m, service, 8001, 16)
+		service := f.InitialBundle.Services[rand.IntN(len(f.InitialBundle.Services))].Name
+		for _, m := range f.Nodes {
+			if strings.HasPrefix(replaced.Address, m.IP+":") {
+				replaced.Kill()
+				f.Upstreams = append(f.Upstreams[:index], f.Upstreams[index+1:]...)
+				_, err := f.StartUpstream(m, service, 8001, 16)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
@@ -252,9 +254,11 @@
 	}},
 }
 
-func (f *Fleet) coreStates() string {
+// controllerStates describes the controllers' state and their journals' events on storage and recovery, for failure
+// messages.
+func (f *Fleet) controllerStates() string {
 	var lines []string
-	for _, m := range f.Keels {
+	for _, m := range f.Controllers {
 		if m.Controller != nil {
 			lines = append(lines, fmt.Sprint("\n", m.Name, " ", m.Controller.Helm.State()))
 			for event := range m.Journal.About("") {
@@ -268,22 +272,23 @@
 	return strings.Join(lines, "")
 }
 
-func (f *Fleet) pusher() (stop func()) {
+// startPushing starts an operator that applies a change every 1.2 s, with a timeout of 8 s, until stop is called.
+func (f *Fleet) startPushing() (stop func()) {
 	s, cancel := f.Scope.WithCancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for count := 0; s.Err() == nil; count++ {
 			submission := fmt.Sprint("push-", count)
-			ask, release := s.WithTimeout(8 * time.Second)
-			shown, err := f.Clerk.Show(ask, 0)
+			attemptScope, cancelAttempt := s.WithTimeout(8 * time.Second)
+			shown, err := f.OperatorClient.Show(attemptScope, 0)
 			if err == nil {
-				outcome, err := f.Clerk.Apply(ask, submission, &wire.DraftRequest{Base: shown.Serial, Change: f.tweak(float64(1 + count%7))}, f.Key)
+				outcome, err := f.OperatorClient.Apply(attemptScope, submission, &wire.DraftRequest{Base: shown.Serial, Change: f.watchedShareChange(float64(1 + count%7))}, f.OperatorKey)
 				if err == nil {
 					f.History.RecordOutcome(outcome)
 				}
 			}
-			release()
+			cancelAttempt()
 			base.Await(s, 1200*time.Millisecond)
 		}
 	}()
@@ -293,106 +298,113 @@
 	}
 }
 
-func (f *Fleet) tweak(weight float64) *wire.Change {
-	share := proto.Clone(f.Shape.Common.Shares[0]).(*wire.Share)
+// watchedShareChange returns a change of the first group's weight for recorded spans.
+func (f *Fleet) watchedShareChange(weight float64) *wire.Change {
+	share := proto.Clone(f.InitialBundle.Common.Shares[0]).(*wire.Share)
 	share.Watched = weight
 	return &wire.Change{Shares: []*wire.Share{share}}
 }
 
-func (f *Fleet) crowd(rate float64) (stop func()) {
+// startExtraLoad starts more clients at every node, with the given total rate per second, until stop is called.
+func (f *Fleet) startExtraLoad(rate float64) (stop func()) {
 	s, cancel := f.Scope.WithCancel()
-	var crew base.Group
-	for _, m := range f.Vanes {
-		each := f.scope(fmt.Sprint("crowd ", m.Name, f.Scope.Clock.Mono()), m.IP, m.Disk, m.Clock, m.Journal)
-		visitors := &standin.Clients{Scope: each, Name: fmt.Sprint("crowd-", m.Name), NodeAddress: m.At(visitorsPort), Rate: rate / float64(len(f.Vanes)), Plan: f.Plan, History: f.History}
-		crew.Go(func() { visitors.Run(each.WithContext(s)) })
+	var loadTasks base.Group
+	for _, m := range f.Nodes {
+		clientScope := f.newScope(fmt.Sprint("crowd ", m.Name, f.Scope.Clock.Mono()), m.IP, m.Disk, m.Clock, m.Journal)
+		clients := &standin.Clients{Scope: clientScope, Name: fmt.Sprint("crowd-", m.Name), NodeAddress: m.PortAddress(clientsPort), Rate: rate / float64(len(f.Nodes)), Plan: f.Plan, History: f.History}
+		loadTasks.Go(func() { clients.Run(clientScope.WithContext(s)) })
 	}
 	return func() {
 		cancel()
-		crew.Wait()
+		loadTasks.Wait()
 	}
 }
 
-// badDay causes random troubles and tells which.
-type badDay struct {
+// faultInjector injects random faults and keeps a list of them.
+type faultInjector struct {
 	*Fleet
-	rand *random.Source
-	told []string
+	rand     *random.Source
+	injected []string
 }
 
-func (d *badDay) cause() (mend func()) {
-	chosen := troubles[d.rand.IntN(len(troubles))]
-	d.told = append(d.told, fmt.Sprintf("%s %s", d.Scope.Clock.Mono(), chosen.name))
-	end := d.Trouble("day", chosen.name)
-	heal := chosen.cause(d.Fleet, d.rand)
+func (d *faultInjector) injectOne() (undo func()) {
+	scenario := faultScenarios[d.rand.IntN(len(faultScenarios))]
+	d.injected = append(d.injected, fmt.Sprintf("%s %s", d.Scope.Clock.Mono(), scenario.name))
+	endDisturbance := d.StartDisturbance("fleet", scenario.name)
+	undoFault := scenario.inject(d.Fleet, d.rand)
 	return func() {
-		heal()
-		end()
+		undoFault()
+		endDisturbance()
 	}
 }
 
-// round causes up to three troubles that overlap, and mends them.
-func (d *badDay) round() {
-	var mends []func()
+// injectRound injects up to three faults that overlap, and undoes them.
+func (d *faultInjector) injectRound() {
+	var undos []func()
 	for range 1 + d.rand.IntN(3) {
-		mends = append(mends, d.cause())
-		d.Pass(time.Duration(d.rand.IntN(600)) * time.Millisecond)
+		undos = append(undos, d.injectOne())
+		d.Sleep(time.Duration(d.rand.IntN(600)) * time.Millisecond)
 	}
-	d.Pass(time.Duration(500+d.rand.IntN(2500)) * time.Millisecond)
-	for _, mend := range mends {
-		mend()
+	d.Sleep(time.Duration(500+d.rand.IntN(2500)) * time.Millisecond)
+	for _, undo := range undos {
+		undo()
 	}
-	d.Pass(time.Duration(d.rand.IntN(2000)) * time.Millisecond)
+	d.Sleep(time.Duration(d.rand.IntN(2000)) * time.Millisecond)
 }
 
-func (d *badDay) heal() {
+// repairAll heals all links and restarts all machines that are down.
+func (d *faultInjector) repairAll() {
 	d.World.HealAll()
-	for _, m := range d.Every() {
-		raise(d.Fleet, m)()
+	for _, m := range d.Machines() {
+		restartFunc(d.Fleet, m)()
 	}
 }
 
+// soak injects random faults under load while bundles change, and checks that every rule holds, that requests succeed
+// again after recoveryTime, and that all machines are ready. The last fault begins while clients still send requests.
 func soak(f *Fleet) {
-	day := &badDay{Fleet: f, rand: f.rand("troubles")}
-	raised(f)
-	f.Visit(50)
-	stop := f.pusher()
+	injector := &faultInjector{Fleet: f, rand: f.rand("troubles")}
+	startAll(f)
+	f.StartLoad(50)
+	stop := f.startPushing()
 	for range soakRounds {
-		day.round()
+		injector.injectRound()
 	}
-	day.heal()
+	injector.repairAll()
 	f.History.RecordReturn()
-	f.Pass(recoverTime + 2*time.Second)
+	f.Sleep(recoveryTime + 2*time.Second)
 	stop()
-	back := f.Scope.Clock.Mono()
-	f.Pass(3 * time.Second)
-	last := day.cause()
-	f.Pass(700 * time.Millisecond)
-	f.Leave()
-	last()
-	day.heal()
-	f.Pass(recoverTime)
-	f.Story = fmt.Sprintf("seed %d: %s", f.Seed, strings.Join(day.told, "; "))
-	f.learnOutcomes(f.Story)
-	f.ReadBack()
-	sound(f, judge.RunOnce, judge.WholeAnswers, judge.AllowedServices, judge.InForce, judge.NoRegression, judge.SingleAck, judge.Durability, judge.Recovery)
+	recovered := f.Scope.Clock.Mono()
+	f.Sleep(3 * time.Second)
+	undo := injector.injectOne()
+	f.Sleep(700 * time.Millisecond)
+	f.StopLoad()
+	undo()
+	injector.repairAll()
+	f.Sleep(recoveryTime)
+	f.Description = fmt.Sprintf("seed %d: %s", f.Seed, strings.Join(injector.injected, "; "))
+	f.recordUnknownOutcomes(f.Description)
+	f.RecordReadbacks()
+	expectNoViolations(f, judge.RunOnce, judge.WholeAnswers, judge.AllowedServices, judge.InForce, judge.NoRegression, judge.SingleAck, judge.Durability, judge.Recovery)
 	var late []judge.Call
 	for _, call := range f.History.Calls() {
-		if call.Started > back && call.Started < back+2500*time.Millisecond {
+		if call.Started > recovered && call.Started < recovered+2500*time.Millisecond {
 			late = append(late, call)
 		}
 	}
-	Expect(f.tally(late)["answered"]).To(BeNumerically(">", len(late)*3/4), f.Story)
-	Expect(f.Ready(f.Every())).To(BeTrue(), f.Story)
+	Expect(f.outcomeCounts(late)["answered"]).To(BeNumerically(">", len(late)*3/4), f.Description)
+	Expect(f.Ready(f.Machines())).To(BeTrue(), f.Description)
 }
 
-func (f *Fleet) learnOutcomes(story string) {
+// recordUnknownOutcomes records each serial that is stored but whose acknowledgement no operator received, so that the
+// judge doesn't take it for a bundle that was never accepted.
+func (f *Fleet) recordUnknownOutcomes(description string) {
 	known := map[uint64]bool{}
 	for _, ack := range f.History.Acks() {
 		known[ack.Serial] = true
 	}
-	reply, err := f.Clerk.Show(f.Scope, 0)
-	Expect(err).NotTo(HaveOccurred(), story+f.coreStates())
+	reply, err := f.OperatorClient.Show(f.Scope, 0)
+	Expect(err).NotTo(HaveOccurred(), description+f.controllerStates())
 	for serial := uint64(1); serial <= reply.Serial; serial++ {
 		if !known[serial] {
 			f.History.RecordOutcome(&wire.Outcome{Serial: serial, Verdict: wire.Verdict_UNKNOWN})
@@ -400,28 +412,28 @@
 	}
 }
 
-var _ = ginkgo.Describe("a long day", func() {
-	first, count := uint64(1), usualSeeds
+var _ = ginkgo.Describe("random faults", func() {
+	first, seedCount := uint64(1), defaultSeedCount
 	if text := os.Getenv("SOAK_SEEDS"); text != "" {
-		from, many, _ := strings.Cut(text, "+")
+		from, length, _ := strings.Cut(text, "+")
 		first, _ = strconv.ParseUint(from, 10, 64)
-		count, _ = strconv.Atoi(many)
+		seedCount, _ = strconv.Atoi(length)
 	}
 	var seeds []uint64
-	for i := range count {
+	for i := range seedCount {
 		seeds = append(seeds, first+uint64(i))
 	}
 	for len(seeds) > 0 {
 		batch := seeds[:min(6, len(seeds))]
 		seeds = seeds[len(batch):]
-		ginkgo.It(fmt.Sprintf("given random troubles of seeds %d to %d, when all is mended, then no rule was broken and service is back", batch[0], batch[len(batch)-1]), func() {
-			base.Parallel(few(batch), func(seed uint64) {
+		ginkgo.It(fmt.Sprintf("given random faults of seeds %d to %d, when all are repaired, then every rule holds and requests succeed again", batch[0], batch[len(batch)-1]), func() {
+			base.Parallel(limitSeeds(batch), func(seed uint64) {
 				if seed%2 == 1 {
-					bubble(seed, shape(4), soak)
+					runFleet(seed, libraryBundle(4), soak)
 					return
 				}
-				bubble(seed, shapeOf("gauge", 6), func(f *Fleet) {
-					f.gauge()
+				runFleet(seed, exampleBundle("gauge", 6), func(f *Fleet) {
+					f.useGaugeWorkload()
 					soak(f)
 				})
 			})
--- a/internal/testing/listedfleet/suite_test.go
+++ b/internal/testing/listedfleet/suite_test.go
@@ -19,48 +19,55 @@
 	"curlewreach/proto/wire"
 )
 
-var suite *testing.T
+// suiteT is the test that runs the suite. synctest.Test needs it.
+var suiteT *testing.T
 
 func TestFleet(t *testing.T) {
-	suite = t
+	suiteT = t
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	ginkgo.RunSpecs(t, "fleet")
 }
 
-func story(text string, seeds []uint64, tell func(f *Fleet)) {
+// scenario adds a spec that runs on a fleet of the library example with four nodes, once for each seed.
+func scenario(text string, seeds []uint64, run func(f *Fleet)) {
 	ginkgo.It(text, func() {
-		base.Parallel(few(seeds), func(seed uint64) { bubble(seed, shape(4), tell) })
+		base.Parallel(limitSeeds(seeds), func(seed uint64) { runFleet(seed, libraryBundle(4), run) })
 	})
 }
 
-func few(seeds []uint64) []uint64 {
-	if most, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
-		return seeds[:min(most, len(seeds))]
+// limitSeeds returns only the first SEEDS seeds if that environment variable is set to a number.
+func limitSeeds(seeds []uint64) []uint64 {
+	if limit, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
+		return seeds[:min(limit, len(seeds))]
 	}
 	return seeds
 }
 
-func bubble(seed uint64, shape *wire.Bundle, tell func(f *Fleet)) {
-	synctest.Test(suite, func(*testing.T) {
+// runFleet runs a test on a new fleet within a synctest bubble, and closes the fleet.
+func runFleet(seed uint64, initialBundle *wire.Bundle, run func(f *Fleet)) {
+	synctest.Test(suiteT, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
-		f := New(seed, shape)
-		f.Habits, f.Plan = habits, plan
-		defer f.End()
-		tell(f)
+		f := New(seed, initialBundle)
+		f.Behaviors, f.Plan = behaviors, plan
+		defer f.Close()
+		run(f)
 	})
 }
 
-func shape(vanes int) *wire.Bundle { return shapeOf("library", vanes) }
+// libraryBundle returns the bundle of the library example with three controllers and the given number of nodes.
+func libraryBundle(nodes int) *wire.Bundle { return exampleBundle("library", nodes) }
 
-func shapeOf(example string, vanes int) *wire.Bundle {
+// exampleBundle returns the bundle of an example with three controllers, the given number of nodes and a learning cycle
+// of one second.
+func exampleBundle(example string, nodes int) *wire.Bundle {
 	b := &wire.Bundle{}
 	if err := protojson.Unmarshal(exampleFile(example, "bundle.json"), b); err != nil {
 		panic(err)
 	}
-	for i := len(b.Common.Machines) - 3; i < vanes; i++ {
+	for i := len(b.Common.Machines) - 3; i < nodes; i++ {
 		b.Common.Machines = append(b.Common.Machines, &wire.Machine{Name: fmt.Sprint("app-", i+1), Zone: string(rune('a' + i%3))})
 	}
-	b.Common.Machines = b.Common.Machines[:3+vanes]
+	b.Common.Machines = b.Common.Machines[:3+nodes]
 	b.Common.Tracing.Cycle = durationpb.New(time.Second)
 	return b
 }
@@ -73,19 +80,20 @@
 	return body
 }
 
-func (f *Fleet) gauge() {
-	f.Habits, f.Plan = nil, nil
-	for name, into := range map[string]any{"habits.json": &f.Habits, "plan.json": &f.Plan} {
-		if err := json.Unmarshal(exampleFile("gauge", name), into); err != nil {
+// useGaugeWorkload loads the behaviors and the planned requests of the gauge example, with fillers of at most 20 kB.
+func (f *Fleet) useGaugeWorkload() {
+	f.Behaviors, f.Plan = nil, nil
+	for name, target := range map[string]any{"habits.json": &f.Behaviors, "plan.json": &f.Plan} {
+		if err := json.Unmarshal(exampleFile("gauge", name), target); err != nil {
 			panic(err)
 		}
 	}
-	for i := range f.Habits {
-		f.Habits[i].FillerBytes = min(f.Habits[i].FillerBytes, 20000)
+	for i := range f.Behaviors {
+		f.Behaviors[i].FillerBytes = min(f.Behaviors[i].FillerBytes, 20000)
 	}
 }
 
-var habits = []standin.Behavior{
+var behaviors = []standin.Behavior{
 	{Prefix: "/catalogue/search", MinDelay: 4, Jitter: 3, FillerBytes: 200},
 	{Prefix: "/catalogue/report", MinDelay: 20, Jitter: 60, FillerBytes: 4000},
 	{Prefix: "/catalogue/licences", MinDelay: 1, Jitter: 1, FillerBytes: 60},
