--- a/internal/testing/listedfleet/fleet.go
+++ b/internal/testing/listedfleet/fleet.go
@@ -1,6 +1,6 @@
 // Package listedfleet runs a whole fleet of listed machines in memory: the real controller and node processes over a
 // simulated network, simulated disks and clocks (simnet), within a testing/synctest bubble, with test upstreams and
-// clients. Tests inject faults, and internal/testing/judge checks the recorded history. docs/proof.md lists the tests.
+// clients. Tests inject faults, and internal/testing/judge checks the recorded history. docs/proof.md describes the tests.
 package listedfleet
 
 import (
@@ -87,8 +87,9 @@
 	OperatorClient *listedcore.Client
 	// InitialBundle lists the machines and is the first bundle that an operator applies.
 	InitialBundle *wire.Bundle
-	Behaviors     []standin.Behavior
-	Plan          []standin.PlannedRequest
+	// Behaviors are those of new upstreams, and Plan is what the clients of StartLoad request.
+	Behaviors []standin.Behavior
+	Plan      []standin.PlannedRequest
 	// AdjustNodeParams and AdjustControllerParams, if set, change the params of each process before it starts.
 	AdjustNodeParams       func(*wire.VaneParams)
 	AdjustControllerParams func(*wire.KeelParams)
@@ -97,8 +98,9 @@
 	startTime              time.Time
 	cancelLoad             context.CancelFunc
 	loadTasks              base.Group
-	mu                     sync.Mutex
-	cancelSampling         context.CancelFunc
+	// mu guards Controller and Node of each machine, which sampleNodes reads.
+	mu             sync.Mutex
+	cancelSampling context.CancelFunc
 }
 
 // New returns a fleet of the machines in the bundle, none of them running, and assigns their addresses. All random
--- a/internal/testing/listedfleet/fleet_size_test.go
+++ b/internal/testing/listedfleet/fleet_size_test.go
@@ -16,7 +16,7 @@
 // trafficMu guards the results of fleets that run in parallel.
 var trafficMu sync.Mutex
 
-// traffic is what one node's share of all traffic is per second.
+// traffic is the mean traffic per node and second.
 type traffic struct{ bytes, packets float64 }
 
 // measureTraffic waits for the given time and returns the traffic of all machines in it, per node and second.
--- a/internal/testing/listedfleet/learning_test.go
+++ b/internal/testing/listedfleet/learning_test.go
@@ -89,7 +89,7 @@
 		name         string
 		passesHeader bool
 		hasKeys      bool
-		together     bool
+		concurrent   bool
 		maxCalls     uint32
 		minCorrect   float64
 	}{
@@ -97,7 +97,7 @@
 		{"have matching key fields", false, true, false, 0, 0.9},
 		{"have no key fields", false, false, false, 0, 1},
 		{"have no key fields, at most one per parent", false, false, false, 1, 1},
-		{"have no key fields, on a route that allows ambiguous calls", false, false, true, 0, 0},
+		{"have no key fields, on a route that allows concurrency", false, false, true, 0, 0},
 	} {
 		scenario("given onward calls that "+mode.name+", when several are in flight, then none is attributed to a wrong parent", []uint64{1, 2}, func(f *Fleet) {
 			f.Behaviors = []standin.Behavior{
@@ -107,7 +107,7 @@
 			f.Plan = []standin.PlannedRequest{{Service: "lending", Route: "borrow", Group: "patrons", Method: "POST", Path: "/lending/borrow/{n}", Weight: 1}}
 			for _, route := range f.InitialBundle.Services[1].Routes {
 				if route.Name == "borrow" {
-					route.Together = mode.together
+					route.Together = mode.concurrent
 					route.Further[0].Most = mode.maxCalls
 					if !mode.hasKeys {
 						route.Further[0].Keys = nil
--- a/internal/testing/listedfleet/memory_growth_test.go
+++ b/internal/testing/listedfleet/memory_growth_test.go
@@ -15,8 +15,8 @@
 	"curlewreach/proto/wire"
 )
 
-// largestSizes returns the largest size of each table, of the journal and of the disk (in files and bytes) over all nodes
-// and over all controllers.
+// largestSizes returns the largest size of each table, of the journal and of the disk (in files and bytes) over all
+// nodes and over all controllers.
 func (f *Fleet) largestSizes() map[string]int {
 	largest := map[string]int{}
 	add := func(name string, size int) { largest[name] = max(largest[name], size) }
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -20,9 +20,11 @@
 )
 
 const (
+	// defaultSeedCount is the number of seeds unless SOAK_SEEDS is set, as FIRST+COUNT.
 	defaultSeedCount = 6
 	soakRounds       = 8
-	recoveryTime     = 15 * time.Second
+	// recoveryTime is the judge's default bound on the time until requests succeed again.
+	recoveryTime = 15 * time.Second
 )
 
 // faultScenario injects a fault until undo is called.
@@ -328,10 +330,10 @@
 }
 
 func (d *faultInjector) injectOne() (undo func()) {
-	scenario := faultScenarios[d.rand.IntN(len(faultScenarios))]
-	d.injected = append(d.injected, fmt.Sprintf("%s %s", d.Scope.Clock.Mono(), scenario.name))
-	endDisturbance := d.StartDisturbance("fleet", scenario.name)
-	undoFault := scenario.inject(d.Fleet, d.rand)
+	selected := faultScenarios[d.rand.IntN(len(faultScenarios))]
+	d.injected = append(d.injected, fmt.Sprintf("%s %s", d.Scope.Clock.Mono(), selected.name))
+	endDisturbance := d.StartDisturbance("fleet", selected.name)
+	undoFault := selected.inject(d.Fleet, d.rand)
 	return func() {
 		undoFault()
 		endDisturbance()
