--- a/internal/dataplane/model_cluster_test.go
+++ b/internal/dataplane/model_cluster_test.go
@@ -35,14 +35,14 @@
 }
 
 const (
-	modelDuration   = 3 * time.Second       // requests and faults begin within this time
-	modelLinger     = 60 * time.Millisecond // how long an attempt outlives its connection
-	modelEntries    = 8                     // small, so that attempts are evicted
-	modelRetryRatio = 0.2
-	modelRetrySlack = 2
-	modelTries      = 2
-	modelUpstreams  = 2
-	maxModelSteps   = 100_000
+	modelDuration         = 3 * time.Second       // requests and faults begin within this time
+	modelLinger           = 60 * time.Millisecond // how long an attempt outlives its connection
+	modelEntries          = 8                     // small, so that attempts are evicted
+	modelRetryBudgetRatio = 0.2
+	modelRetryBudgetSlack = 2
+	modelTries            = 2
+	modelUpstreams        = 2
+	maxModelSteps         = 100_000
 )
 
 // modelEvent is a scheduled event. sequence orders events at the same time.
@@ -213,7 +213,7 @@
 			m.addViolation("%s was held past its time", r.id)
 		}
 	}
-	if float64(retries) > modelRetryRatio*float64(total)+modelRetrySlack {
+	if float64(retries) > modelRetryBudgetRatio*float64(total)+modelRetryBudgetSlack {
 		m.addViolation("%d further arrivals of %d requests", retries, total)
 	}
 }
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -36,7 +36,7 @@
 	m := n.cluster
 	n.generation++
 	n.running = true
-	n.retryBudget = retry.NewBudget(m, modelRetryRatio, modelRetrySlack, time.Hour, func() int { return len(m.nodes) })
+	n.retryBudget = retry.NewBudget(m, modelRetryBudgetRatio, modelRetryBudgetSlack, time.Hour, func() int { return len(m.nodes) })
 	n.fences = fencing.NewWithTable(n.incarnation(), attempts.NewTable(n.incarnation(), m.Mono, attempts.Bounds{
 		Entries: modelEntries, Age: time.Minute, AnswerBytes: 1 << 10, LargestAnswer: 1 << 10, AnswerAge: 300 * time.Millisecond,
 	}))
