--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -80,7 +80,7 @@
 }
 
 // Acquire waits for admission until the deadline. The caller calls release when its request has ended. The
-// error is of kind Overloaded if the queue is full or the wait would exceed the deadline, and Expired if
+// fault is of kind Overloaded if the queue is full or the wait would exceed the deadline, and Expired if
 // the deadline has passed.
 func (q *AdmissionQueue) Acquire(s base.Scope, group string, weight float64, deadline time.Duration) (release func(), fault *base.Fault) {
 	q.mu.Lock()
--- a/internal/listednode/body_memory.go
+++ b/internal/listednode/body_memory.go
@@ -9,13 +9,13 @@
 }
 
 // reserve reserves size bytes and reports whether that was possible.
-func (r *bodyMemory) reserve(size int64) bool {
-	if r.used.Add(size) <= r.limit {
+func (m *bodyMemory) reserve(size int64) bool {
+	if m.used.Add(size) <= m.limit {
 		return true
 	}
-	r.used.Add(-size)
+	m.used.Add(-size)
 	return false
 }
 
 // release gives size bytes back.
-func (r *bodyMemory) release(size int64) { r.used.Add(-size) }
+func (m *bodyMemory) release(size int64) { m.used.Add(-size) }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -98,18 +98,18 @@
 // expects reports whether the request may make the call, and the index of the first such further call of
 // its route.
 func (c *callInProgress) expects(match bundle.RouteMatch, childField func(string) string) (index int, expected bool) {
-	for at, further := range c.match.Route.Further {
+	for i, further := range c.match.Route.Further {
 		if further.Service == match.Service.Name && further.Route == match.Route.Name && keysMatch(further, c.field, childField) &&
-			(further.Most == 0 || c.callCounts[at] < int(further.Most)) {
-			return at, true
+			(further.Most == 0 || c.callCounts[i] < int(further.Most)) {
+			return i, true
 		}
 	}
 	return 0, false
 }
 
-// recordArrival counts a further call. After the last one of its kind, the next request with the same key
-// may run.
-func (c *callInProgress) recordArrival(index int) {
+// recordFurtherCall counts a further call, given by its index in the route's list. After the last one that the
+// route declares for that index, the next request with the same key may run.
+func (c *callInProgress) recordFurtherCall(index int) {
 	if c.callCounts == nil {
 		c.callCounts = map[int]int{}
 	}
@@ -151,17 +151,17 @@
 	case 0:
 		return Attribution{}
 	case 1:
-		candidates[0].recordArrival(furtherIndex)
+		candidates[0].recordFurtherCall(furtherIndex)
 		return Attribution{Parent: candidates[0], Certain: true}
 	}
-	names := make([]string, len(candidates))
+	spanIDs := make([]string, len(candidates))
 	for i, each := range candidates {
-		names[i] = each.spanID
+		spanIDs[i] = each.spanID
 		each.uncertain = true
 		each.instance.passesTraceHeader = false
 	}
-	slices.Sort(names)
-	return Attribution{Candidates: names}
+	slices.Sort(spanIDs)
+	return Attribution{Candidates: spanIDs}
 }
 
 // RecordCall records that a further call of parent took from the time given until now.
@@ -220,7 +220,7 @@
 }
 
 // Serialize waits until no request is running whose further calls could not be told from those of c. The
-// caller calls release when the request has ended. The error is of kind KeptApart if the wait would exceed
+// caller calls release when the request has ended. The fault is of kind Contended if the wait would exceed
 // the deadline, or if the caller may not wait and there is such a request; it is of kind Expired if the
 // deadline has passed.
 func (t *CallTracker) Serialize(s base.Scope, c *callInProgress, deadline time.Duration, mayWait bool) (release func(), fault *base.Fault) {
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -74,7 +74,7 @@
 		return nil, base.NewFault(base.Uncertain, "", "this node has no bundle yet")
 	}
 	if !n.confirmations.IsCurrent(signed.Serial) {
-		// Stale means that a newer bundle is held by now, which is loaded below.
+		// StaleSerial means that a newer bundle is held by now, which is loaded below.
 		if fault := n.awaitSerial(s, signed.Serial); fault != nil && fault.Kind != base.StaleSerial {
 			return nil, fault
 		}
@@ -205,7 +205,7 @@
 }
 
 // nextCandidate picks an instance for the next attempt and returns the bundle under which to make it. The
-// error, for the client, says that there is no instance left or that the retry budget is used up.
+// fault, for the client, says that there is no instance left or that the retry budget is used up.
 func (n *Node) nextCandidate(s base.Scope, signed *bundle.Bundle, ledger *Ledger) (*bundle.Bundle, candidate, *base.Fault) {
 	if last := ledger.Last(); last != nil && last.Fault.Kind == base.StaleSerial {
 		newer, fault := n.awaitNewerBundle(s, ledger)
@@ -237,11 +237,11 @@
 	return signed, nil
 }
 
-// pickOrWait picks an instance. If the only ones left rejected the request with kind KeptApart, because it
+// pickOrWait picks an instance. If the only ones left rejected the request with kind Contended, because it
 // may not run concurrently with others there, the next attempts may wait for their turn.
 func (n *Node) pickOrWait(signed *bundle.Bundle, ledger *Ledger) (candidate, bool) {
 	picked, found := n.pick(signed, ledger.Match, ledger)
-	if found || ledger.MayWait || !ledger.WasKeptApart() {
+	if found || ledger.MayWait || !ledger.WasContended() {
 		return picked, found
 	}
 	ledger.MayWait = true
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -75,7 +75,8 @@
 // IsCurrent reports whether the bundle with the serial is held and confirmed to be the newest.
 func (c *Confirmations) IsCurrent(serial uint64) bool { return c.isCurrentIn(serial, 0) }
 
-// isCurrentIn reports whether that will still be so after the time ahead, without further confirmations.
+// isCurrentIn reports whether IsCurrent will still be true after the time ahead, without further
+// confirmations.
 func (c *Confirmations) isCurrentIn(serial uint64, ahead time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +104,9 @@
 	return c.maxWithoutCore > 0 && c.clock.Mono()-c.lastCoreMajority > c.maxWithoutCore
 }
 
-// confirmedByPeers reports the same of a majority of the bundle's application machines, among which this
-// node counts ownVote. c.mu must be held.
+// confirmedByPeers reports whether a majority of the bundle's application machines confirms, until the time
+// ahead from now, that there is no newer bundle. This node's own confirmation counts as ownVote, 0 or 1. It
+// returns false if the last majority of controllers was too long ago. c.mu must be held.
 func (c *Confirmations) confirmedByPeers(signed *bundle.Bundle, ahead time.Duration, ownVote int) bool {
 	if c.withoutCoreTooLong() {
 		return false
@@ -128,7 +130,7 @@
 // ApplyNews processes a controller's reply to a request sent at askedAt. verify decodes a bundle and
 // returns nil for an invalid one. It returns the bundle held if that has changed, otherwise nil.
 func (c *Confirmations) ApplyNews(controller int, askedAt time.Duration, news *wire.NewsReply, verify func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
-	slice, staged := verify(news.Slice), verify(news.Staged)
+	offered, staged := verify(news.Slice), verify(news.Staged)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// The reply's state dates from after the time that the controller held the request.
@@ -142,7 +144,7 @@
 	if staged != nil && quorum.CompareBallots(news.Ballot, c.ballot) == 0 && staged.Serial == news.StagedSerial {
 		c.staged = staged
 	}
-	adopted = c.adoptNewest(slice)
+	adopted = c.adoptNewest(offered)
 	if c.held != nil && c.confirmedByCore(c.held.Serial, 0) {
 		c.lastCoreMajority = c.clock.Mono()
 	}
@@ -186,14 +188,14 @@
 // ApplyConfirmation processes another node's reply to a request sent at askedAt. verify decodes a bundle
 // and returns nil for an invalid one. It returns the bundle held if that has changed, otherwise nil.
 func (c *Confirmations) ApplyConfirmation(askedAt time.Duration, reply *wire.VouchReply, verify func(*wire.Sealed) *bundle.Bundle) (adopted *bundle.Bundle) {
-	slice := verify(reply.Slice)
+	offered := verify(reply.Slice)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers[reply.Node] = confirmation{validFrom: askedAt, serial: max(reply.Serial, reply.Staged), definite: reply.Definite}
 	if reply.Definite && reply.Serial > c.inForce {
 		c.inForce = reply.Serial
 	}
-	adopted = c.adoptNewest(slice)
+	adopted = c.adoptNewest(offered)
 	// A majority without this node's own vote suffices to make it definite.
 	if c.held != nil && !c.definite && c.held.Serial >= c.inForce && c.confirmedByPeers(c.held, 0, 0) {
 		c.definite = true
@@ -311,7 +313,7 @@
 }
 
 // awaitSerial waits until the bundle with the serial is held and confirmed, for at most bundleWaitRatio of
-// the validity. The error is of kind Stale if a newer bundle is held, and Uncertain if none is confirmed in
+// the validity. The fault is of kind StaleSerial if a newer bundle is held, and Uncertain if none is confirmed in
 // time.
 func (n *Node) awaitSerial(s base.Scope, serial uint64) *base.Fault {
 	deadline := s.Clock.Mono() + time.Duration(float64(n.confirmations.validity)*bundleWaitRatio)
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -19,7 +19,7 @@
 	invalidReason     string // "" while the instance is valid
 	queue             *AdmissionQueue
 	passesTraceHeader bool   // guarded by the call tracker's mutex
-	listener          string // as returned by base.Net.Holder
+	listenerID        string // as returned by base.Net.ListenerID; identifies the listening socket
 }
 
 // lastReport returns the instance's newest report.
@@ -42,7 +42,7 @@
 	return &Instances{scope: s, maxReportAge: maxReportAge, maxWaiting: maxWaiting, onChange: onChange, byAddress: map[string]*instance{}}
 }
 
-// Report stores an instance's report. A new instance must accept a connection; otherwise the error is of
+// Report stores an instance's report. A new instance must accept a connection; otherwise the fault is of
 // kind Unreachable.
 func (t *Instances) Report(s base.Scope, report *wire.Seat) *base.Fault {
 	t.mu.Lock()
@@ -60,16 +60,16 @@
 	}
 	bounded, cancel := s.WithTimeout(t.maxReportAge / 3)
 	defer cancel()
-	listener := t.scope.Net.ListenerID(report.Address)
+	listenerID := t.scope.Net.ListenerID(report.Address)
 	probe, err := t.scope.Net.Dial(bounded, "tcp", report.Address)
 	if err != nil {
 		return base.NewFault(base.Unreachable, "address", "%s", err)
 	}
-	if s.Err() != nil || t.scope.Net.ListenerID(report.Address) != listener {
+	if s.Err() != nil || t.scope.Net.ListenerID(report.Address) != listenerID {
 		_ = probe.Close()
 		return base.NewFault(base.Unreachable, "address", "the instance disconnected or another process took over its address")
 	}
-	next := &instance{reportedAt: t.scope.Clock.Mono(), probe: probe, listener: listener, queue: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.maxWaiting)}
+	next := &instance{reportedAt: t.scope.Clock.Mono(), probe: probe, listenerID: listenerID, queue: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.maxWaiting)}
 	next.report.Store(report)
 	t.mu.Lock()
 	if prior := t.byAddress[report.Address]; prior != nil && prior.probe != nil {
@@ -98,7 +98,7 @@
 // reconnectProbe opens a new probe connection. It returns nil if the instance is invalid, can't be reached,
 // or another socket listens at its address.
 func (t *Instances) reconnectProbe(s base.Scope, i *instance) net.Conn {
-	if i.listener == "" || !t.StillListening(i) {
+	if i.listenerID == "" || !t.StillListening(i) {
 		return nil
 	}
 	bounded, cancel := s.WithTimeout(t.maxReportAge / 3)
@@ -119,7 +119,7 @@
 
 // StillListening reports whether the same socket still listens at the instance's address.
 func (t *Instances) StillListening(i *instance) bool {
-	return t.scope.Net.ListenerID(i.lastReport().Address) == i.listener
+	return t.scope.Net.ListenerID(i.lastReport().Address) == i.listenerID
 }
 
 // Invalidate removes an instance from use until it reports again.
@@ -141,7 +141,7 @@
 	return i.invalidReason == "" && t.scope.Clock.Mono()-i.reportedAt <= t.maxReportAge
 }
 
-// Find returns the instance of a service at an address. The error is of kind NoInstance.
+// Find returns the instance of a service at an address. The fault is of kind NoInstance.
 func (t *Instances) Find(service, address string) (*instance, *base.Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/listednode/ledger.go
+++ b/internal/listednode/ledger.go
@@ -35,7 +35,7 @@
 	Node string
 	// Instance is the instance's address.
 	Instance string
-	// NoWait makes the instance's node reject the attempt, with kind KeptApart, if it would have to wait
+	// NoWait makes the instance's node reject the attempt, with kind Contended, if it would have to wait
 	// for requests whose further calls could not be told from those of this one.
 	NoWait    bool
 	StartedAt time.Duration
@@ -109,8 +109,8 @@
 	return false
 }
 
-// WasKeptApart reports whether an attempt was rejected with kind KeptApart.
-func (l *Ledger) WasKeptApart() bool {
+// WasContended reports whether an attempt was rejected with kind Contended.
+func (l *Ledger) WasContended() bool {
 	return slices.ContainsFunc(l.Attempts, func(a *Attempt) bool { return a.Fault != nil && a.Fault.Kind == base.Contended })
 }
 
@@ -153,7 +153,7 @@
 }
 
 // FinalFault returns the error to respond with after giving up: that of the last attempt if there is one.
-// Its Run is set if any attempt may have run.
+// Its MayHaveRun is set if any attempt may have run.
 func (l *Ledger) FinalFault(now time.Duration) *base.Fault {
 	fault := base.NewFault(base.NoInstance, "", "no upstream of %s could be reached", l.Match.Service.Name)
 	if last := l.Last(); last != nil && last.Fault != nil {
--- a/internal/listednode/news.go
+++ b/internal/listednode/news.go
@@ -103,7 +103,8 @@
 	})
 }
 
-// adopt puts a bundle in force unless it is nil or older than the one in force.
+// adopt makes a bundle the one that this node holds and applies its limits, unless it is nil or older than
+// the one held. Requests are served under it while IsCurrent is true for it.
 func (n *Node) adopt(signed *bundle.Bundle) {
 	if signed == nil {
 		return
--- a/internal/listednode/node.go
+++ b/internal/listednode/node.go
@@ -34,8 +34,8 @@
 	// fullNewsRatio is the interval at which a node asks a controller for all sightings again, as a
 	// multiple of the in-force bound.
 	fullNewsRatio = 8
-	// sliceFile and probabilitiesFile hold the bundle's slice and the sampling probabilities that a node
-	// starts with.
+	// sliceFile and probabilitiesFile hold the slice of the bundle, that is, the parts of it that this node
+	// needs, and the sampling probabilities that a node starts with.
 	sliceFile         = "slice"
 	probabilitiesFile = "odds"
 
--- a/internal/listednode/pick.go
+++ b/internal/listednode/pick.go
@@ -96,8 +96,8 @@
 }
 
 // statsOf returns the stats of a candidate and marks them as used. n.pickMu must be held.
-func (n *Node) statsOf(each candidate) *candidateStats {
-	key := each.node + " " + each.instance.Address
+func (n *Node) statsOf(c candidate) *candidateStats {
+	key := c.node + " " + c.instance.Address
 	stats := n.stats[key]
 	if stats == nil {
 		stats = &candidateStats{}
@@ -109,14 +109,14 @@
 
 // score returns the cost of a candidate, mainly its attempts in flight in proportion to its capacity.
 // n.pickMu must be held.
-func (n *Node) score(each candidate) float64 {
-	stats := n.statsOf(each)
-	score := (float64(stats.inFlight) + 1) / float64(max(each.instance.Capacity, 1))
-	score *= 1 + each.instance.Weight
-	if each.instance.Zone != n.zone {
+func (n *Node) score(c candidate) float64 {
+	stats := n.statsOf(c)
+	score := (float64(stats.inFlight) + 1) / float64(max(c.instance.Capacity, 1))
+	score *= 1 + c.instance.Weight
+	if c.instance.Zone != n.zone {
 		score *= 1 + otherZonePenalty
 	}
-	if each.standing != membership.Alive {
+	if c.standing != membership.Alive {
 		score *= 1 + failurePenalty*notAliveFactor
 	}
 	if stats.avoidUntil > n.scope.Clock.Mono() {
--- a/internal/listednode/response.go
+++ b/internal/listednode/response.go
@@ -107,14 +107,14 @@
 
 // writeFault responds with an error of the node itself.
 func writeFault(w http.ResponseWriter, fault *base.Fault) {
-	httpAnswer := base.HTTPResponses[fault.Kind]
+	response := base.HTTPResponses[fault.Kind]
 	outcome := "not-run"
 	if fault.MayHaveRun {
 		outcome = "unknown"
 	}
 	w.Header().Set(outcomeHeader, outcome)
-	if httpAnswer.Retriable {
+	if response.Retriable {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(fault.RetryAfter.Seconds())))))
 	}
-	httpserver.ReplyJSON(w, httpAnswer.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
+	httpserver.ReplyJSON(w, response.Status, map[string]string{"kind": string(fault.Kind), "reason": fault.Reason, "outcome": outcome})
 }
--- a/internal/listednode/span_budget.go
+++ b/internal/listednode/span_budget.go
@@ -13,8 +13,8 @@
 type spanCounter struct{ seconds [2]atomic.Uint64 }
 
 // spend counts a span in a second and reports true, unless the limit is reached.
-func (m *spanCounter) spend(second uint64, limit uint32) bool {
-	slot := &m.seconds[second%2]
+func (c *spanCounter) spend(second uint64, limit uint32) bool {
+	slot := &c.seconds[second%2]
 	for {
 		state := slot.Load()
 		used := uint32(state)
@@ -32,8 +32,8 @@
 
 // used returns the number of spans in a second, 0 if the second is neither the current one nor the one
 // before.
-func (m *spanCounter) used(second uint64) uint32 {
-	state := m.seconds[second%2].Load()
+func (c *spanCounter) used(second uint64) uint32 {
+	state := c.seconds[second%2].Load()
 	if state>>32 != second {
 		return 0
 	}
--- a/internal/listednode/sweep.go
+++ b/internal/listednode/sweep.go
@@ -48,15 +48,17 @@
 func (q *AdmissionQueue) Prune(signed *bundle.Bundle) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	maps.DeleteFunc(q.groups, func(group string, at *groupQueue) bool { return at.waiting.Len() == 0 && signed.Share(group) == nil })
+	maps.DeleteFunc(q.groups, func(group string, queue *groupQueue) bool {
+		return queue.waiting.Len() == 0 && signed.Share(group) == nil
+	})
 }
 
 // Prune removes the services that are not in a bundle, except those with negative tokens.
 func (r *RetryBudget) Prune(signed *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.services, func(service string, at *serviceBudget) bool {
-		return at.maxTokens > 0 && at.tokens >= 0 && signed.Service(service) == nil
+	maps.DeleteFunc(r.services, func(service string, budget *serviceBudget) bool {
+		return budget.maxTokens > 0 && budget.tokens >= 0 && signed.Service(service) == nil
 	})
 }
 
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -224,20 +224,20 @@
 }
 
 // Keep stores a batch, or queues it for a peer if the caller asks for a copy.
-func (v storeService) Keep(_ context.Context, request *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error) {
+func (s storeService) Keep(_ context.Context, request *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error) {
 	if request.Msg.Copy {
-		v.store.queueCopy(request.Msg.Batch)
+		s.store.queueCopy(request.Msg.Batch)
 		return connect.NewResponse(&wire.KeepReply{}), nil
 	}
-	v.store.Add(request.Msg.GetBatch().GetSpans())
+	s.store.Add(request.Msg.GetBatch().GetSpans())
 	return connect.NewResponse(&wire.KeepReply{}), nil
 }
 
-func (v storeService) Recent(_ context.Context, request *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error) {
-	spans, after := v.store.Recent(request.Msg.After, int(request.Msg.Limit))
-	return connect.NewResponse(&wire.RecentReply{Spans: spans, After: after, Incarnation: v.store.incarnation}), nil
+func (s storeService) Recent(_ context.Context, request *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error) {
+	spans, after := s.store.Recent(request.Msg.After, int(request.Msg.Limit))
+	return connect.NewResponse(&wire.RecentReply{Spans: spans, After: after, Incarnation: s.store.incarnation}), nil
 }
 
-func (v storeService) Trace(_ context.Context, request *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error) {
-	return connect.NewResponse(&wire.TraceReply{Spans: v.store.Trace(request.Msg.Trace)}), nil
+func (s storeService) Trace(_ context.Context, request *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error) {
+	return connect.NewResponse(&wire.TraceReply{Spans: s.store.Trace(request.Msg.Trace)}), nil
 }
