--- a/internal/dataplane/balancer/table.go
+++ b/internal/dataplane/balancer/table.go
@@ -97,13 +97,13 @@
 	peers          map[string]*peer
 	// controllers holds when each controller was last heard.
 	controllers map[string]time.Duration
-	// nodesByInstanceService is a cache of the node names by the service of their instance; nil if it must be
+	// nodesByService is a cache of the node names by the service of their instance; nil if it must be
 	// rebuilt.
-	nodesByInstanceService map[string][]string
-	size                   int
-	sizeCountedAt          time.Duration
-	nodesByService         map[string]int // nodes of each service in one zone; replaced, never modified after it has been returned
-	servicesCountedAt      time.Duration
+	nodesByService map[string][]string
+	size           int
+	sizeCountedAt  time.Duration
+	nodeCounts     map[string]int // nodes of each service in one zone; replaced, never modified after it has been returned
+	nodeCountsAt   time.Duration
 }
 
 // NewTable returns an empty table for the node named self. A controller's reports count for observationTTL
@@ -163,7 +163,7 @@
 		p.relativeLatency = 1
 	}
 	if p.status.GetInstance().GetService() != nodeStatus.GetInstance().GetService() {
-		t.nodesByInstanceService = nil
+		t.nodesByService = nil
 	}
 	p.status = nodeStatus
 }
@@ -228,15 +228,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Mono()
-	if t.nodesByService == nil || now-t.servicesCountedAt > countTTL {
-		t.nodesByService, t.servicesCountedAt = map[string]int{}, now
+	if t.nodeCounts == nil || now-t.nodeCountsAt > countTTL {
+		t.nodeCounts, t.nodeCountsAt = map[string]int{}, now
 		for _, p := range t.peers {
 			if p.status.GetZone() == zone && p.status.Service != "" {
-				t.nodesByService[p.status.Service]++
+				t.nodeCounts[p.status.Service]++
 			}
 		}
 	}
-	return t.nodesByService
+	return t.nodeCounts
 }
 
 // Sweep removes absent peers that were not heard of for longer than silence and have no attempt in flight.
@@ -246,7 +246,7 @@
 	for name, p := range t.peers {
 		if p.inFlight == 0 && t.clock.Mono()-p.heardAt > silence && t.absent(p) {
 			delete(t.peers, name)
-			t.nodesByInstanceService = nil
+			t.nodesByService = nil
 		}
 	}
 }
@@ -269,15 +269,15 @@
 
 // indexByService returns the sorted names of the nodes by the service of their upstream instance.
 func (t *Table) indexByService() map[string][]string {
-	if t.nodesByInstanceService == nil {
-		t.nodesByInstanceService = map[string][]string{}
+	if t.nodesByService == nil {
+		t.nodesByService = map[string][]string{}
 		for _, name := range slices.Sorted(maps.Keys(t.peers)) {
 			if instance := t.peers[name].status.GetInstance(); instance != nil {
-				t.nodesByInstanceService[instance.Service] = append(t.nodesByInstanceService[instance.Service], name)
+				t.nodesByService[instance.Service] = append(t.nodesByService[instance.Service], name)
 			}
 		}
 	}
-	return t.nodesByInstanceService
+	return t.nodesByService
 }
 
 // eligible yields the peers whose upstreams may take requests for a service.
@@ -362,15 +362,15 @@
 	return p.relativeLatency
 }
 
-// expectedWait estimates how long a request waits at a full upstream. slots is the fraction of the upstream's
-// slots that must be released first. serviceTime is how long such requests usually occupy a slot; it applies
+// expectedWait estimates how long a request waits at a full upstream. slotFraction is the fraction of the
+// upstream's slots that must be released first. serviceTime is how long such requests usually occupy a slot; it applies
 // if the upstream has not reported its own.
-func (p *peer) expectedWait(slots float64, rank int, serviceTime, now time.Duration) time.Duration {
+func (p *peer) expectedWait(slotFraction float64, rank int, serviceTime, now time.Duration) time.Duration {
 	slotTime := serviceTime
 	if p.load.ServiceTimeMs > 0 {
 		slotTime = time.Duration(p.load.ServiceTimeMs) * time.Millisecond
 	}
-	wait := time.Duration(slots * float64(slotTime))
+	wait := time.Duration(slotFraction * float64(slotTime))
 	switch {
 	case rank <= admission.MaxUrgentRank:
 		return time.Duration(urgentWaitRatio * float64(wait))
--- a/internal/dataplane/controlclient/client.go
+++ b/internal/dataplane/controlclient/client.go
@@ -48,8 +48,8 @@
 	scope            base.Scope
 	settings         Settings
 	hooks            Hooks
-	http             *http.Client
-	refreshHTTP      *http.Client // separate, so that a refresh never waits for a connection used by a poll
+	pollHTTP         *http.Client
+	refreshHTTP      *http.Client // separate from pollHTTP, so that a refresh never waits for a connection used by a poll
 	startedAt        time.Duration
 	confirmationWait time.Duration
 	directory        *directory
@@ -70,7 +70,7 @@
 func New(s base.Scope, settings Settings, httpClient *http.Client, hooks Hooks) *Client {
 	now := s.Clock.Mono()
 	return &Client{
-		scope: s, settings: settings, hooks: hooks, http: httpClient,
+		scope: s, settings: settings, hooks: hooks, pollHTTP: httpClient,
 		refreshHTTP: httpserver.NewClientWithDialTimeout(s, base.ScaleDuration(settings.InForce, refreshDialTimeoutRatio)),
 		startedAt:   now, confirmationWait: base.ScaleDuration(settings.Contact, confirmationWaitRatio),
 		directory: newDirectory(s.Clock, s.Rand, settings.Contact, settings.Seeds),
--- a/internal/dataplane/controlclient/polls.go
+++ b/internal/dataplane/controlclient/polls.go
@@ -223,7 +223,7 @@
 	}
 	for _, address := range start {
 		s, stop := c.scope.WithCancel()
-		p := &controllerPoll{address: address, client: wireconnect.NewMoorClient(c.http, "http://"+address), stop: stop}
+		p := &controllerPoll{address: address, client: wireconnect.NewMoorClient(c.pollHTTP, "http://"+address), stop: stop}
 		c.polls[address] = p
 		c.scope.Record("asking", address, "")
 		c.tasks.Go(func() { c.runPolls(s, p) })
--- a/internal/dataplane/delivery.go
+++ b/internal/dataplane/delivery.go
@@ -75,7 +75,7 @@
 	now := n.scope.Clock.Mono()
 	rank := metadata.Rank
 	if caller := d.request.Header.Get(n.headers.Caller); caller != "" {
-		if d.nested = n.callers.RecordCall(metadata.Route, caller, n.peers.NodesByService(n.params.Zone)); d.nested {
+		if d.nested = n.nestedCallDetector.RecordCall(metadata.Route, caller, n.peers.NodesByService(n.params.Zone)); d.nested {
 			rank = min(rank, admission.MaxUrgentRank)
 		}
 	}
--- a/internal/dataplane/local_instance.go
+++ b/internal/dataplane/local_instance.go
@@ -14,8 +14,8 @@
 const (
 	// maxMissedHeartbeats is how many heartbeat intervals an instance may be silent before it is dropped.
 	maxMissedHeartbeats = 4
-	// initialHoldTime is how long a request is expected to hold a slot of a new instance, until some have been measured.
-	initialHoldTime = 150 * time.Millisecond
+	// initialServiceTime is how long a request is expected to hold a slot of a new instance, until some have been measured.
+	initialServiceTime = 150 * time.Millisecond
 )
 
 // LocalInstance tracks the upstream instance beside this node from its heartbeats. It is safe for concurrent use.
@@ -31,10 +31,10 @@
 	changed           base.Broadcast
 }
 
-// NewLocalInstance returns a LocalInstance without an upstream. An upstream is dropped after four heartbeat
-// intervals of silence.
+// NewLocalInstance returns a LocalInstance without an instance. heartbeat is the interval at which an instance
+// sends heartbeats; it is dropped after maxMissedHeartbeats intervals of silence.
 func NewLocalInstance(clock base.Clock, heartbeat time.Duration) *LocalInstance {
-	return &LocalInstance{clock: clock, heartbeatInterval: heartbeat, departed: map[string]time.Duration{}, queue: admission.NewQueue(clock, 1, initialHoldTime)}
+	return &LocalInstance{clock: clock, heartbeatInterval: heartbeat, departed: map[string]time.Duration{}, queue: admission.NewQueue(clock, 1, initialServiceTime)}
 }
 
 // Heartbeat records what the upstream reports about itself. Heartbeats that are out of sequence or come from an
@@ -63,7 +63,7 @@
 	l.lastHeartbeat = l.clock.Mono()
 	isNew := previous == nil || previous.Id != instance.Id
 	if isNew {
-		l.queue = admission.NewQueue(l.clock, int(instance.Capacity), initialHoldTime)
+		l.queue = admission.NewQueue(l.clock, int(instance.Capacity), initialServiceTime)
 	} else if previous.Capacity != instance.Capacity {
 		l.queue.Resize(int(instance.Capacity))
 	}
@@ -80,8 +80,8 @@
 	l.changed.Notify()
 }
 
-// Leave removes an instance that said it leaves, or in whose place another one was found. Its later heartbeats are
-// ignored.
+// Leave removes an instance that announced that it leaves, or at whose address another one was found. Its later
+// heartbeats are ignored.
 func (l *LocalInstance) Leave(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	return l.instance, l.queue, l.revision
 }
 
-// Sweep drops an instance that has been silent for four heartbeat intervals, and forgets instances that left more
+// Sweep drops an instance that has been silent for maxMissedHeartbeats intervals, and forgets instances that left more
 // than a minute ago.
 func (l *LocalInstance) Sweep() {
 	l.mu.Lock()
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -55,9 +55,9 @@
 	// wait for one.
 	spanFlushInterval = time.Second
 	maxPendingSpans   = 512
-	// absenceReportLifetime is how long a controller's reports on absent peers count after it last answered, and how
-	// long a peer that answered a request is not taken for absent.
-	absenceReportLifetime = 4 * controlclient.MaxPollWait
+	// observationTTL is how long a controller's reports on peers count after it last answered, and how long a
+	// peer that answered a request is not taken for absent.
+	observationTTL = 4 * controlclient.MaxPollWait
 )
 
 // Phases of a graceful stop. The ratios are of the grace period (params.Grace).
@@ -82,7 +82,7 @@
 	headers             forwarding.HeaderNames
 	incarnation         string
 	startedAt           time.Duration
-	client              *http.Client
+	httpClient          *http.Client
 	peerConnections     *connection.Pool
 	instanceConnections *connection.Pool
 	peers               *balancer.Table
@@ -92,12 +92,12 @@
 	failureRates        balancer.FailureRate
 	bodyMemory          *admission.BodyMemory
 	latencies           *retry.Latencies
-	callers             *callgraph.NestedCallDetector
+	nestedCallDetector  *callgraph.NestedCallDetector
 	fences              *fencing.Fences
 	nestedRoutes        base.Table[bool] // routes that upstreams call while they serve other requests; "further" in views
 	callTracker         *callgraph.Tracker
 	sampler             *tracing.Sampler
-	spanSink            *tracing.Exporter
+	exporter            *tracing.Exporter
 	controlClient       *controlclient.Client
 	stopping            atomic.Bool
 	rejecting           atomic.Bool // set late in a stop: new requests are rejected
@@ -164,7 +164,7 @@
 	}
 	n.tasks.Go(func() { n.controlClient.Run(s) })
 	n.tasks.Go(func() { n.watchInstance(s) })
-	n.tasks.Go(func() { n.spanSink.Run(s, spanFlushInterval) })
+	n.tasks.Go(func() { n.exporter.Run(s, spanFlushInterval) })
 	n.tasks.Go(func() { base.Tick(s, sweepInterval, func(base.Scope) { n.sweep() }) })
 	s.Log.Info("started", "zone", p.Zone, "service", p.Service)
 	return n, nil
@@ -174,20 +174,20 @@
 func newNode(s base.Scope, p *wire.NodeParams, headers forwarding.HeaderNames) *Node {
 	inForce, contact := p.InForce.AsDuration(), p.Contact.AsDuration()
 	n := &Node{
-		scope: s, params: p, headers: headers.Canonical(), incarnation: s.Rand.Hex(6), startedAt: s.Clock.Mono(), client: httpserver.NewClientWithDialTimeout(s, controlclient.DialTimeout(contact)),
+		scope: s, params: p, headers: headers.Canonical(), incarnation: s.Rand.Hex(6), startedAt: s.Clock.Mono(), httpClient: httpserver.NewClientWithDialTimeout(s, controlclient.DialTimeout(contact)),
 		peerConnections:     connection.NewPool(s.Net, s.Clock, peerIdleTimeout, base.ScaleDuration(inForce, dialTimeoutRatio), base.ScaleDuration(inForce, ackTimeoutRatio)),
 		instanceConnections: connection.NewPool(s.Net, s.Clock, upstreamIdleTimeout, base.ScaleDuration(inForce, dialTimeoutRatio), base.ScaleDuration(inForce, ackTimeoutRatio)),
-		peers:               balancer.NewTable(s.Clock, p.Name, absenceReportLifetime), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
-		bodyMemory: admission.NewBodyMemory(p.MemoryMb), linkPacer: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), sampler: tracing.NewSampler(s.Rand), callers: callgraph.NewNestedCallDetector(),
+		peers:               balancer.NewTable(s.Clock, p.Name, observationTTL), instance: NewLocalInstance(s.Clock, p.Beat.AsDuration()),
+		bodyMemory: admission.NewBodyMemory(p.MemoryMb), linkPacer: admission.NewLinkPacer(s.Clock, p.LinkMegabits), latencies: retry.NewLatencies(), sampler: tracing.NewSampler(s.Rand), nestedCallDetector: callgraph.NewNestedCallDetector(),
 	}
 	n.peers.LocalLoad = n.loadReport
 	n.fences = fencing.New(s, fencing.Settings{Incarnation: n.incarnation, InForce: inForce, MemoryMb: p.MemoryMb, RequestIDHeader: n.headers.RequestID}, n.countOutcome)
 	n.retryBudget = retry.NewBudget(s.Clock, p.RepeatRatio, p.RepeatSlack, p.RepeatWindow.AsDuration(), n.peers.Size)
-	n.controlClient = controlclient.New(s, controlclient.Settings{InForce: inForce, Contact: contact, Seeds: p.Seeds}, n.client, controlclient.Hooks{
+	n.controlClient = controlclient.New(s, controlclient.Settings{InForce: inForce, Contact: contact, Seeds: p.Seeds}, n.httpClient, controlclient.Hooks{
 		Status: n.nodeStatus, ApplyObservations: n.peers.ApplyObservations, RemoveController: n.peers.RemoveController, Sampling: n.sampler,
 	})
-	n.spanSink = tracing.NewExporter(s, n.client, n.controlClient.Responsive, maxPendingSpans)
-	n.callTracker = callgraph.NewTracker(s, p.Name, n.sampler, n.spanSink.Enqueue)
+	n.exporter = tracing.NewExporter(s, n.httpClient, n.controlClient.Responsive, maxPendingSpans)
+	n.callTracker = callgraph.NewTracker(s, p.Name, n.sampler, n.exporter.Enqueue)
 	n.clientConnections = connection.NewClientConnections(s.Clock, inForce, n.clientIdleTimeout)
 	return n
 }
--- a/internal/dataplane/peer_server.go
+++ b/internal/dataplane/peer_server.go
@@ -37,7 +37,7 @@
 	return p, ok && err == nil && p.id != ""
 }
 
-// servePeer serves peers: requests that they forward to the local upstream, and their questions about earlier
+// servePeer serves peers: requests that they forward to the local upstream, and their queries about earlier
 // attempts.
 func (n *Node) servePeer(w http.ResponseWriter, r *http.Request) {
 	n.inFlight.Add(1)
