--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -70,7 +70,8 @@
 	taken[name] = true
 }
 
-// checkMatch checks a route's host and prefix, and that no other route has the same ones.
+// checkMatch checks a route's host and prefix, and that no other route has the same ones. taken holds the labels of
+// the routes checked before, for the fault.
 func (f *faults) checkMatch(path string, route *wire.ConfigurationRoute, taken map[routeKey]string) {
 	host, prefix := normalizeHost(route.GetHost()), route.GetPrefix()
 	if host == "" {
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -26,11 +26,11 @@
 		t.services[service.GetName()] = service
 	}
 	for _, raw := range c.GetRoutes() {
-		name := normalizeHost(raw.GetHost())
-		routes := t.hosts[name]
+		host := normalizeHost(raw.GetHost())
+		routes := t.hosts[host]
 		if routes == nil {
 			routes = &hostRoutes{byPrefix: map[string]*Route{}}
-			t.hosts[name] = routes
+			t.hosts[host] = routes
 		}
 		routes.byPrefix[raw.GetPrefix()] = NewRoute(raw)
 		routes.longestPrefix = max(routes.longestPrefix, len(raw.GetPrefix()))
@@ -70,11 +70,11 @@
 }
 
 // normalizeHost returns the host in lower case and without its port. It leaves the colons of IPv6 addresses.
-func normalizeHost(name string) string {
-	if colon := strings.LastIndexByte(name, ':'); colon >= 0 && strings.Trim(name[colon+1:], "0123456789") == "" {
-		if !strings.Contains(name[:colon], ":") || name[colon-1] == ']' {
-			name = name[:colon]
+func normalizeHost(host string) string {
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.Trim(host[colon+1:], "0123456789") == "" {
+		if !strings.Contains(host[:colon], ":") || host[colon-1] == ']' {
+			host = host[:colon]
 		}
 	}
-	return strings.ToLower(name)
+	return strings.ToLower(host)
 }
--- a/internal/controlplane/confirm.go
+++ b/internal/controlplane/confirm.go
@@ -51,8 +51,7 @@
 	return r.last
 }
 
-// readAfter returns the newest configuration as a majority read found it that started after the arrival of the
-// request.
+// readAfter returns the newest configuration found by a majority read that started after the request arrived.
 func (m *Server) readAfter(s base.Scope, arrival readSequence) readResult {
 	return m.reads.readAfter(s, arrival, m.readFromMajority)
 }
@@ -66,11 +65,11 @@
 	}
 	s, cancel := m.scope.WithTimeout(ratioOf(m.params.Load().Ack, operatorTimeoutRatio))
 	defer cancel()
-	survey := c.replica.QuorumRead(s, ConfigurationKey)
-	if !survey.MajorityReplied || !survey.UpToDate {
+	result := c.replica.QuorumRead(s, ConfigurationKey)
+	if !result.MajorityReplied || !result.UpToDate {
 		return readResult{}
 	}
-	return readResult{version: m.configuration.Load().decode(m.scope, survey.Version), confirmed: true}
+	return readResult{version: m.configuration.Load().decode(m.scope, result.Version), confirmed: true}
 }
 
 // majorityAge returns how long ago the last round started in which a majority answered; known is false if there
@@ -107,8 +106,7 @@
 	return req.Confirm || req.Wants && req.Serial == 0
 }
 
-// answerConfirmed answers with a configuration that a majority read confirmed which started after the poll
-// arrived. Without a majority it answers unconfirmed as soon as the node would learn something new, and otherwise
+// answerConfirmed answers with a configuration confirmed by a majority read that started after the poll arrived. Without a majority it answers unconfirmed as soon as the node would learn something new, and otherwise
 // retries for as long as the node waits.
 func (m *Server) answerConfirmed(s base.Scope, req *wire.PollRequest, maxWait time.Duration) (*connect.Response[wire.PollReply], error) {
 	began := s.Clock.Mono()
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -37,7 +37,7 @@
 	retryIntervalRatio   = 0.05  // of InForce: pause before an attempt is repeated
 	handOverTimeoutRatio = 0.3   // of Grace: timeout of handing over the sampling duty, the vote and the registers
 	stopTimeoutRatio     = 0.8   // of Grace: timeout of the orderly part of a stop
-	foundingWaitRatio    = 0.25  // of Ack: how long the founder collects the replicas that become the first members
+	bootstrapWaitRatio   = 0.25  // of Ack: how long the bootstrap leader collects join requests before it creates the first generation
 
 	// expiryChecks is how often per Absent bound the registry is searched for silent nodes.
 	expiryChecks = 8
@@ -137,7 +137,7 @@
 	})
 }
 
-// watchReplica picks up newly chosen versions and logs changes of ownership and membership until the scope ends.
+// watchReplica decodes newly chosen versions and logs changes of ownership and membership until the scope ends.
 func (m *Server) watchReplica(s base.Scope, c *core) {
 	var logged membershipLog
 	for s.Err() == nil {
--- a/internal/controlplane/join.go
+++ b/internal/controlplane/join.go
@@ -22,8 +22,8 @@
 	spansPerMB = 20
 	maxSpans   = 50000
 
-	replaceVoterRatio    = 0.3  // of Ack: a voter silent for so long may be replaced by a replica that has caught up
-	underReplicatedRatio = 0.15 // of InForce: how long a version may be on too few disks before it is read again
+	voterTimeoutRatio  = 0.3  // of Ack: a voter silent for so long may be replaced by a replica that has caught up
+	recommitAfterRatio = 0.15 // of InForce: how long a version may be on too few disks before it is read again
 
 	// votersPerFailure is how many more voters it takes to tolerate one more failure: a majority must remain.
 	votersPerFailure = 2
@@ -60,7 +60,7 @@
 }
 
 // openCore builds the core from what the disk holds. A machine whose stored state can't be read joins as a
-// newcomer and never founds a fleet, whatever its settings say: other machines may still hold the old fleet's
+// newcomer and never bootstraps a fleet, whatever its settings say: other machines may still hold the old fleet's
 // state.
 func (m *Server) openCore(s base.Scope) (*core, error) {
 	p := m.params.Load()
@@ -77,8 +77,8 @@
 	}
 	settings := replica.Settings{
 		Address: m.address, Seeds: replicaSeeds(p), Bootstrap: p.Founding && state == nil && err == nil,
-		TargetVoters: votersPerFailure*int(p.Tolerated) + 1, StatusInterval: ratioOf(p.InForce, statusIntervalRatio), VoterTimeout: ratioOf(p.Ack, replaceVoterRatio),
-		RecommitAfter: ratioOf(p.InForce, underReplicatedRatio), BootstrapWait: ratioOf(p.Ack, foundingWaitRatio),
+		TargetVoters: votersPerFailure*int(p.Tolerated) + 1, StatusInterval: ratioOf(p.InForce, statusIntervalRatio), VoterTimeout: ratioOf(p.Ack, voterTimeoutRatio),
+		RecommitAfter: ratioOf(p.InForce, recommitAfterRatio), BootstrapWait: ratioOf(p.Ack, bootstrapWaitRatio),
 	}
 	c.replica = replica.New(s, settings, store, state, m.client, ratioOf(p.Ack, roundTimeoutRatio))
 	c.traces = tracing.OpenStore(s, min(int(p.MemoryMb)*spansPerMB, maxSpans))
--- a/internal/controlplane/params.go
+++ b/internal/controlplane/params.go
@@ -54,8 +54,8 @@
 }
 
 // replicaSeeds returns the addresses of the seeds' replicas, sorted, with the port of this machine's peer address.
-// If this machine is a seed it is listed as well: a founder that has lost its disk recognises by this list that it
-// is the one to found the fleet again.
+// If this machine is a seed it is listed as well: a bootstrap leader that has lost its disk recognises by this list
+// that it is the leader.
 func replicaSeeds(p *wire.ControllerParams) []string {
 	_, port, _ := net.SplitHostPort(p.Peers)
 	var addresses []string
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -26,7 +26,7 @@
 	minNotifyDelay     = 10 * time.Millisecond
 	notifyDelayPerNode = 400 * time.Microsecond
 	maxNotifyDelay     = 60 * time.Millisecond
-	// maxMissedChecks is by how many check intervals two checks may be apart before this machine takes itself to have
+	// maxMissedChecks is by how many check intervals two checks may be apart before this machine is considered to have
 	// stalled.
 	maxMissedChecks = 3
 )
--- a/internal/controlplane/sampling.go
+++ b/internal/controlplane/sampling.go
@@ -56,7 +56,7 @@
 	tracing        *wire.Tracing
 	cycle          time.Duration
 	cursors        map[string]*spanCursor
-	localCursor    uint64        // how far the local trace store had been read when the cycle last changed
+	localCursor    uint64        // end of the local trace store when the cycle last changed
 	spansSince     time.Duration // since when spans wait for a cycle, negative if none do
 	cycleChangedAt time.Duration
 	lastCycle      uint64
@@ -96,9 +96,9 @@
 	}
 }
 
-// holderOverdue reports whether the holder of the duty has missed takeoverCycles cycles: spans have been waiting
-// here for so long while the cycle number stood still, or nothing has been written and the holder was not heard
-// either.
+// holderOverdue reports whether the holder of the duty has missed takeoverCycles cycles: for that long, either spans
+// have been waiting here without a new cycle, or no cycle was written and the holder was not heard. Each call also
+// updates the fields that record since when spans have been waiting and when the cycle last changed.
 func (l *samplingLearner) holderOverdue(s base.Scope, state *wire.Learning) bool {
 	now := s.Clock.Mono()
 	spans, _ := l.core.traces.Recent(l.localCursor, 1)
@@ -118,7 +118,7 @@
 }
 
 // runCycle runs one cycle on the newest spans and writes its result, which also takes the duty. Nothing is written
-// if the duty has meanwhile passed to a machine that is neither holder nor this one. After a failure the spans are
+// if the duty has meanwhile passed to a machine other than the given holder and this one. After a failure the spans are
 // kept for the next cycle.
 func (l *samplingLearner) runCycle(s base.Scope, configuration *wire.Configuration, holder string) {
 	cycleScope, cancel := s.WithTimeout(l.cycle)
--- a/internal/controlplane/version.go
+++ b/internal/controlplane/version.go
@@ -51,12 +51,12 @@
 	s, cancel := m.scope.WithContext(ctx).WithTimeout(ratioOf(m.params.Load().Ack, operatorTimeoutRatio))
 	defer cancel()
 	for {
-		survey := c.replica.QuorumRead(s, ConfigurationKey)
-		if !survey.MajorityReplied {
+		result := c.replica.QuorumRead(s, ConfigurationKey)
+		if !result.MajorityReplied {
 			return nil, base.NewFault(base.Unreachable, ConfigurationKey, "no majority of disks answered")
 		}
-		if survey.UpToDate {
-			return m.configuration.Load().decode(s, survey.Version).head.GetConfiguration(), nil
+		if result.UpToDate {
+			return m.configuration.Load().decode(s, result.Version).head.GetConfiguration(), nil
 		}
 		value, err := c.replica.Read(s, ConfigurationKey)
 		if err == nil {
--- a/internal/listedcore/client.go
+++ b/internal/listedcore/client.go
@@ -169,12 +169,12 @@
 	if err != nil {
 		return nil, err
 	}
-	opened, fault := bundle.Decode(draft.Sealed)
+	decoded, fault := bundle.Decode(draft.Sealed)
 	if fault != nil {
 		return nil, fault
 	}
-	if !proto.Equal(opened, draft.Bundle) {
-		return nil, errors.New("the manifest does not fit the bundle shown")
+	if !proto.Equal(decoded, draft.Bundle) {
+		return nil, errors.New("the bundle to sign differs from the one that the draft shows")
 	}
 	bundle.Sign(draft.Sealed, key)
 	if c.OnSigned != nil {
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -39,8 +39,9 @@
 	// open, as a fraction of the slide-back bound. So a node polls again within
 	// that bound.
 	newsHoldRatio = 0.3
-	// patientHoldRatio is the same for polls marked as patient, as a fraction of
-	// the in-force bound.
+	// patientHoldRatio is the same for polls that a node marks as patient, as a
+	// fraction of the in-force bound. A node does so if enough other core machines
+	// answer its polls sooner.
 	patientHoldRatio = 0.125
 )
 
@@ -81,7 +82,8 @@
 	// InForceBound is the longest that a submitted bundle may take to come into
 	// force. Timeouts and intervals are fractions of it.
 	InForceBound time.Duration
-	// SlideBackBound limits for how long a node's poll is held open.
+	// SlideBackBound is the longest that a node may rely on the confirmation that its
+	// bundle is the newest one. A node's poll is held open for a fraction of it.
 	SlideBackBound time.Duration
 	// RequiredSilence is how long a machine must have been silent before a bundle
 	// may declare it lost.
@@ -151,9 +153,9 @@
 			return
 		}
 		c.scope.Record("unsettled", key, "its newest entry is held by less than a majority of disks; reading it under a new epoch")
-		bounded, cancel := s.WithTimeout(c.inForceBound)
+		callScope, cancel := s.WithTimeout(c.inForceBound)
 		defer cancel()
-		_, _ = c.replica.Read(bounded, key)
+		_, _ = c.replica.Read(callScope, key)
 		lastChosen = s.Clock.Mono()
 	})
 }
@@ -251,14 +253,14 @@
 		c.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
 	}
-	signed := bundle.Index(sealed, raw)
+	indexed := bundle.Index(sealed, raw)
 	c.indexedBundles.Update(func(rows map[string]*bundle.Bundle) {
 		if len(rows) >= maxIndexedBundles {
 			clear(rows)
 		}
-		rows[key] = signed
+		rows[key] = indexed
 	})
-	return signed
+	return indexed
 }
 
 // Draft returns the next bundle, unsigned, made from a whole bundle or from a change
@@ -266,8 +268,8 @@
 // the current bundle, and otherwise describes the first fault found.
 func (c *ControlPlane) Draft(_ context.Context, request *wire.DraftRequest) (*wire.DraftReply, error) {
 	current := &wire.Bundle{}
-	if signed := c.Current(); signed != nil {
-		current = signed.Raw
+	if inForce := c.Current(); inForce != nil {
+		current = inForce.Raw
 	}
 	if request.Base != current.Serial {
 		return nil, base.NewFault(base.StaleBase, "base", "the newest serial is %d", current.Serial)
--- a/internal/listedcore/learning.go
+++ b/internal/listedcore/learning.go
@@ -102,10 +102,10 @@
 // the learner. It changes nothing if another machine has become the learner since.
 func (c *ControlPlane) runCycle(s base.Scope, current *bundle.Bundle, cursors map[string]*spanCursor, learner string) {
 	settings := current.Tracing()
-	bounded, cancel := s.WithTimeout(settings.GetCycle().AsDuration())
+	cycleScope, cancel := s.WithTimeout(settings.GetCycle().AsDuration())
 	defer cancel()
-	spans := c.readSpans(bounded, cursors)
-	err := c.replica.Change(bounded, LearningKey, func(old []byte) ([]byte, error) {
+	spans := c.readSpans(cycleScope, cursors)
+	err := c.replica.Change(cycleScope, LearningKey, func(old []byte) ([]byte, error) {
 		prior := &wire.Learning{}
 		if err := proto.Unmarshal(old, prior); err != nil {
 			return nil, err
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -60,9 +60,9 @@
 	for {
 		changed := c.newsChanged.Next()
 		held := s.Clock.Mono() - started
-		reply, fresh := c.newsFor(request.Msg)
-		if fresh || held >= hold || !base.Await(s, hold-held, changed) {
-			if !fresh {
+		reply, hasNews := c.newsFor(request.Msg)
+		if hasNews || held >= hold || !base.Await(s, hold-held, changed) {
+			if !hasNews {
 				held = s.Clock.Mono() - started
 				reply, _ = c.newsFor(request.Msg)
 			}
@@ -74,43 +74,44 @@
 
 // newsFor returns the reply to a poll, and whether it has anything that the node
 // doesn't know.
-func (c *ControlPlane) newsFor(request *wire.NewsRequest) (reply *wire.NewsReply, fresh bool) {
+func (c *ControlPlane) newsFor(request *wire.NewsRequest) (reply *wire.NewsReply, hasNews bool) {
 	reply = &wire.NewsReply{Keel: c.member.Incarnation(), Roster: c.member.View().Serial()}
 	reply.Vouches, reply.Accepted = c.replica.Ready() && !c.replica.Store().IsDamaged(BundleKey), c.Accepted().committed
 	chosen := c.Chosen()
 	if chosen.entry != nil {
 		reply.Ballot = &wire.Ballot{Epoch: chosen.entry.Epoch.GetNumber(), Keel: chosen.entry.Epoch.GetKeel(), Serial: chosen.entry.Serial}
 		reply.Serial, reply.StagedSerial = chosen.committed, chosen.staged
-		fresh = quorum.CompareBallots(reply.Ballot, request.Ballot) > 0
+		hasNews = quorum.CompareBallots(reply.Ballot, request.Ballot) > 0
 	}
-	concerns, sliceFresh := c.addSlice(request, reply)
-	fresh = c.addStagedSlice(request, reply, chosen) || sliceFresh || fresh
+	needsService, sliceHasNews := c.addSlice(request, reply)
+	hasNews = c.addStagedSlice(request, reply, chosen) || sliceHasNews || hasNews
 	if learning := c.Learning(); learning.GetOdds().GetSerial() > request.Odds {
-		reply.Odds, fresh = learning.Odds, true
+		reply.Odds, hasNews = learning.Odds, true
 	}
-	return reply, c.addSightings(request, reply, concerns) || fresh
+	return reply, c.addSightings(request, reply, needsService) || hasNews
 }
 
 // addSlice adds the node's slice of the bundle in force if the node lacks that bundle
 // or a part of the slice. The slice is left out if the node has that bundle staged.
-// addSlice returns which services concern the node, and whether it lacked anything.
-func (c *ControlPlane) addSlice(request *wire.NewsRequest, reply *wire.NewsReply) (concerns func(service string) bool, fresh bool) {
+// addSlice returns a function that reports whether the node needs a service, and
+// whether the node lacked anything.
+func (c *ControlPlane) addSlice(request *wire.NewsRequest, reply *wire.NewsReply) (needsService func(service string) bool, hasNews bool) {
 	current := c.Current()
 	if current == nil {
 		return func(string) bool { return true }, false
 	}
-	concerns = current.NeededServices(request.Node, request.Seats)
-	slice := bundle.Slice(current.Sealed, concerns)
-	fresh = current.Serial > request.Serial || (current.Serial == request.Serial && lacksPart(slice, request.Parts))
-	if fresh && current.Serial != request.Staged {
+	needsService = current.NeededServices(request.Node, request.Seats)
+	slice := bundle.Slice(current.Sealed, needsService)
+	hasNews = current.Serial > request.Serial || (current.Serial == request.Serial && lacksPart(slice, request.Parts))
+	if hasNews && current.Serial != request.Staged {
 		reply.Slice = slice
 	}
-	return concerns, fresh
+	return needsService, hasNews
 }
 
 // addStagedSlice adds the node's slice of the bundle being rolled out if the node
 // doesn't have it. It reports whether it did.
-func (c *ControlPlane) addStagedSlice(request *wire.NewsRequest, reply *wire.NewsReply, chosen *headView) (fresh bool) {
+func (c *ControlPlane) addStagedSlice(request *wire.NewsRequest, reply *wire.NewsReply, chosen *headView) (added bool) {
 	if chosen.staged == 0 || chosen.staged == request.Staged {
 		return false
 	}
@@ -125,7 +126,7 @@
 // addSightings adds the machines whose status has changed since the node's last poll,
 // or all of them if that poll was answered by another incarnation. It reports whether
 // the view has changed.
-func (c *ControlPlane) addSightings(request *wire.NewsRequest, reply *wire.NewsReply, concerns func(service string) bool) (fresh bool) {
+func (c *ControlPlane) addSightings(request *wire.NewsRequest, reply *wire.NewsReply, needsService func(service string) bool) (hasNews bool) {
 	since := request.Roster
 	if request.Keel != reply.Keel {
 		since = 0
@@ -133,7 +134,7 @@
 		return false
 	}
 	for sighting := range c.member.View().Since(since) {
-		reply.Sightings = append(reply.Sightings, membership.FilterServices(sighting, concerns))
+		reply.Sightings = append(reply.Sightings, membership.FilterServices(sighting, needsService))
 	}
 	return true
 }
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -167,8 +167,8 @@
 	s, cancel := c.scope.WithContext(ctx).WithTimeout(c.inForceBound * 2)
 	defer cancel()
 	if owner, _, known := c.replica.Owner(BundleKey); known && !c.replica.Owns(BundleKey) && c.replica.HeardWithin(owner, c.inForceBound/2) {
-		bounded, cancel := s.WithTimeout(c.inForceBound)
-		reply, err := c.peers[owner.Name].Propose(bounded, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
+		callScope, cancel := s.WithTimeout(c.inForceBound)
+		reply, err := c.peers[owner.Name].Propose(callScope, connect.NewRequest(&wire.ProposeRequest{Sign: request}))
 		cancel()
 		if err == nil {
 			return reply.Msg.Outcome
@@ -367,8 +367,8 @@
 			continue
 		}
 		c.scope.Record("mending", "", "a roll-out was left unresolved")
-		bounded, cancel := s.WithTimeout(c.inForceBound)
-		_, _ = c.resolve(bounded, false)
+		callScope, cancel := s.WithTimeout(c.inForceBound)
+		_, _ = c.resolve(callScope, false)
 		cancel()
 		stagedSince = s.Clock.Mono()
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -142,17 +142,17 @@
 
 // sendHeartbeats sends this machine's status to its heartbeat targets and reports its view, within one heartbeat interval.
 func (m *Member) sendHeartbeats(s base.Scope) {
-	bounded, cancel := s.WithTimeout(m.heartbeatInterval)
+	callScope, cancel := s.WithTimeout(m.heartbeatInterval)
 	defer cancel()
 	self := m.Status()
 	m.view.Observe(self, 0)
 	var group base.Group
 	for _, address := range m.heartbeatTargets() {
 		group.Go(func() {
-			_, _ = m.client(address).Beat(bounded, connect.NewRequest(&wire.BeatRequest{Roster: self}))
+			_, _ = m.client(address).Beat(callScope, connect.NewRequest(&wire.BeatRequest{Roster: self}))
 		})
 	}
-	group.Go(func() { m.reportSightings(bounded) })
+	group.Go(func() { m.reportSightings(callScope) })
 	group.Wait()
 }
 
@@ -219,6 +219,7 @@
 // server handles the requests of other members.
 type server struct{ member *Member }
 
+// Tell returns this machine's JournalReport.
 func (s server) Tell(_ context.Context, request *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error) {
 	return connect.NewResponse(s.member.JournalReport(request.Msg)), nil
 }
@@ -228,6 +229,7 @@
 	return wireconnect.NewKinHandler(server{m}, httpserver.HandlerOptions())
 }
 
+// Beat handles a heartbeat, which carries the status of its sender.
 func (s server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
 	if request.Msg.GetRoster().GetNode() == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "has no node name"))
@@ -236,6 +238,7 @@
 	return connect.NewResponse(&wire.BeatReply{Watched: true}), nil
 }
 
+// Sight handles a report of all machines in the view of another member.
 func (s server) Sight(_ context.Context, request *connect.Request[wire.SightRequest]) (*connect.Response[wire.SightReply], error) {
 	for _, sighting := range request.Msg.Sightings {
 		if sighting.GetRoster().GetNode() == "" {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -92,56 +92,56 @@
 func (v *View) Observe(status *wire.Roster, silence time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	known := v.peers[status.Node]
-	if known == nil {
+	entry := v.peers[status.Node]
+	if entry == nil {
 		if len(v.peers) >= maxPeers {
 			return
 		}
-		known = &peer{}
-		v.peers[status.Node] = known
+		entry = &peer{}
+		v.peers[status.Node] = entry
 		v.scope.Record("mate", status.Node, "first heard from")
 	}
-	if slices.Contains(known.endedIncarnations, status.Incarnation) {
+	if slices.Contains(entry.endedIncarnations, status.Incarnation) {
 		return
 	}
-	if known.status != nil && known.status.Incarnation != status.Incarnation {
-		known.endedIncarnations = append(known.endedIncarnations, known.status.Incarnation)
-		if len(known.endedIncarnations) > maxEndedIncarnations {
-			known.endedIncarnations = known.endedIncarnations[1:]
+	if entry.status != nil && entry.status.Incarnation != status.Incarnation {
+		entry.endedIncarnations = append(entry.endedIncarnations, entry.status.Incarnation)
+		if len(entry.endedIncarnations) > maxEndedIncarnations {
+			entry.endedIncarnations = entry.endedIncarnations[1:]
 		}
-		known.status = nil
-		known.lastHeard = 0
+		entry.status = nil
+		entry.lastHeard = 0
 		v.scope.Record("mate", status.Node, "restarted as a new incarnation")
 	}
 	now := v.scope.Clock.Mono()
-	known.lastHeard = max(known.lastHeard, now-silence)
+	entry.lastHeard = max(entry.lastHeard, now-silence)
 	offset := time.Duration(status.ClockUs)*time.Microsecond - now
-	if known.status == nil {
-		known.clockOffset, known.offsetUpdated = offset, now
+	if entry.status == nil {
+		entry.clockOffset, entry.offsetUpdated = offset, now
 	}
-	known.clockOffset = max(offset, known.clockOffset-time.Duration(maxClockDrift*float64(now-known.offsetUpdated)))
-	known.offsetUpdated = now
-	if known.status == nil || status.Serial > known.status.Serial {
-		known.status = status
-		v.markChanged(known)
+	entry.clockOffset = max(offset, entry.clockOffset-time.Duration(maxClockDrift*float64(now-entry.offsetUpdated)))
+	entry.offsetUpdated = now
+	if entry.status == nil || status.Serial > entry.status.Serial {
+		entry.status = status
+		v.markChanged(entry)
 	}
-	if v.lastStandings[status.Node] != v.standingOf(known) {
-		v.lastStandings[status.Node] = v.standingOf(known)
+	if v.lastStandings[status.Node] != v.standingOf(entry) {
+		v.lastStandings[status.Node] = v.standingOf(entry)
 		v.scope.Record("standing", status.Node, v.lastStandings[status.Node])
-		v.markChanged(known)
+		v.markChanged(entry)
 	}
 }
 
 // markChanged gives a machine the view's next serial and notifies those who wait for a change.
-func (v *View) markChanged(known *peer) {
+func (v *View) markChanged(entry *peer) {
 	v.serial++
-	known.changeSerial = v.serial
+	entry.changeSerial = v.serial
 	v.changed.Notify()
 }
 
-// standingOf computes a machine's current standing.
-func (v *View) standingOf(p *peer) string {
-	silence := v.scope.Clock.Mono() - p.lastHeard
+// standingOf returns a machine's current standing, by the time since it was last heard from.
+func (v *View) standingOf(entry *peer) string {
+	silence := v.scope.Clock.Mono() - entry.lastHeard
 	switch {
 	case silence > v.absentAfter:
 		return Absent
@@ -156,16 +156,16 @@
 func (v *View) RefreshStandings() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for name, known := range v.peers {
-		if v.scope.Clock.Mono()-known.lastHeard > forgetFactor*v.absentAfter {
+	for name, entry := range v.peers {
+		if v.scope.Clock.Mono()-entry.lastHeard > forgetFactor*v.absentAfter {
 			delete(v.peers, name)
 			delete(v.lastStandings, name)
 			continue
 		}
-		if standing := v.standingOf(known); standing != v.lastStandings[name] {
+		if standing := v.standingOf(entry); standing != v.lastStandings[name] {
 			v.lastStandings[name] = standing
 			v.scope.Record("standing", name, standing)
-			v.markChanged(known)
+			v.markChanged(entry)
 		}
 	}
 }
@@ -195,13 +195,13 @@
 	defer v.mu.Unlock()
 	now := v.scope.Clock.Mono()
 	sightings := make([]*wire.Sighting, 0, len(v.peers))
-	for _, known := range v.peers {
-		if known.status == nil || known.changeSerial <= serial {
+	for _, entry := range v.peers {
+		if entry.status == nil || entry.changeSerial <= serial {
 			continue
 		}
-		status := proto.Clone(known.status).(*wire.Roster)
-		status.ClockUs = (now + known.clockOffset).Microseconds()
-		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.standingOf(known), SilenceUs: uint64((now - known.lastHeard).Microseconds())})
+		status := proto.Clone(entry.status).(*wire.Roster)
+		status.ClockUs = (now + entry.clockOffset).Microseconds()
+		sightings = append(sightings, &wire.Sighting{Roster: status, Standing: v.standingOf(entry), SilenceUs: uint64((now - entry.lastHeard).Microseconds())})
 	}
 	slices.SortFunc(sightings, func(a, b *wire.Sighting) int { return strings.Compare(a.Roster.Node, b.Roster.Node) })
 	return slices.Values(sightings)
@@ -211,8 +211,8 @@
 func (v *View) Standing(node string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if known := v.peers[node]; known != nil {
-		return v.standingOf(known)
+	if entry := v.peers[node]; entry != nil {
+		return v.standingOf(entry)
 	}
 	return Absent
 }
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -89,8 +89,8 @@
 }
 
 // recoveryQuorum returns the number of other disks to fetch from. Every majority
-// that this disk was part of before it lost its files includes at least one of
-// any that many others.
+// that this disk was part of before it lost its files includes at least one
+// disk of any group of that many others.
 func (r *Replica) recoveryQuorum() int { return len(r.acceptors) - r.majority() + 1 }
 
 // bootstrapPeers returns how many other disks allow this blank disk to start a new
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -48,11 +48,11 @@
 	roundTimeout  time.Duration
 	mu            sync.Mutex
 	ownerStates   map[string]*ownerState
-	chosen        base.Table[*wire.Entry]
+	chosen        base.Table[*wire.Entry] // by key
 	chosenChanged base.Broadcast
-	lastHeard     base.Table[time.Duration]
-	copies        base.Table[int]
-	wiped         bool
+	lastHeard     base.Table[time.Duration] // by the peer's name
+	copies        base.Table[int]           // by key
+	wiped         bool                      // set by DiskWiped
 }
 
 // Option changes how a Replica starts.
@@ -165,11 +165,11 @@
 func (r *Replica) acquireOwnership(s base.Scope, key string, state *ownerState) error {
 	promised, _ := r.store.Peek(key)
 	epoch := &wire.Epoch{Number: promised.GetNumber() + 1, Keel: controllerID(r.peers[r.selfIndex].Address)}
-	own := r.requestPromises(s, r.acceptors[r.selfIndex:r.selfIndex+1], 1, &wire.PromiseRequest{Key: key, Epoch: epoch})[0]
-	if own.err != nil {
-		return own.err
+	ownReply := r.requestPromises(s, r.acceptors[r.selfIndex:r.selfIndex+1], 1, &wire.PromiseRequest{Key: key, Epoch: epoch})[0]
+	if ownReply.err != nil {
+		return ownReply.err
 	}
-	if !own.body.Granted {
+	if !ownReply.body.Granted {
 		return base.NewFault(base.Superseded, key, "a higher epoch was promised")
 	}
 	replies := r.requestPromises(s, r.acceptors, r.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
@@ -357,8 +357,8 @@
 		highest = local
 	}
 	if compareEntries(highest, local) > 0 {
-		bounded, cancel := s.WithTimeout(r.roundTimeout)
-		_, _, _ = r.store.Accept(bounded, highest)
+		callScope, cancel := s.WithTimeout(r.roundTimeout)
+		_, _, _ = r.store.Accept(callScope, highest)
 		cancel()
 	}
 	r.markChosen(highest)
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -32,7 +32,7 @@
 	manifestsKept = 2
 )
 
-// keySnapshot is a copy of a key's promise and entry. It is not changed.
+// keySnapshot is a copy of a key's promise and entry. It is immutable.
 type keySnapshot struct {
 	promised *wire.Epoch
 	entry    *wire.Entry
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -157,7 +157,8 @@
 }
 
 // joinBootstrap lets a new replica take part in a first start that has not finished. It must be certain that no first
-// generation exists: the replica at the leader's address needs the word of all other seeds, any other the leader's.
+// generation exists: the replica at the leader's address needs such a reply from all other seeds, any other replica only
+// from the leader.
 func (m *Machine) joinBootstrap(address string, reply *wire.ReplicaReply) {
 	if m.isVoter() || m.awaitsBootstrap() || m.learnedMembership != nil || reply.Standing != wire.Standing_FOUNDING {
 		return
--- a/internal/replica/generation.go
+++ b/internal/replica/generation.go
@@ -26,7 +26,7 @@
 	lastHeard time.Duration
 	caughtUp  bool
 	leaving   bool
-	verified  bool // it has replied under its identity, so its requests were not delayed ones of a disk that is lost
+	verified  bool // it has replied under its identity; this excludes delayed requests of an identity whose disk is lost
 }
 
 // reconfiguration is the state of this replica's attempt to install the next generation.
@@ -61,7 +61,8 @@
 	}
 }
 
-// verifyLearner sends a request with a short reply to the learner's address, to find out which identity replies there.
+// verifyLearner sends a request with a short reply to the learner's address, to find out which identity replies there. A
+// Confirm changes nothing at its receiver.
 func (m *Machine) verifyLearner(id, address string) {
 	request := &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Confirm{Confirm: &wire.ConfirmAsk{}}}
 	m.send(address, request, func(reply *wire.ReplicaReply) {
@@ -257,6 +258,7 @@
 	return registers
 }
 
+// installAll installs the next generation, with the given registers, on a majority of its voters.
 func (m *Machine) installAll(next *wire.Membership, registers map[string]*wire.Register) {
 	newRequest := func() *wire.ReplicaRequest {
 		return &wire.ReplicaRequest{Ask: &wire.ReplicaRequest_Install{Install: &wire.InstallAsk{Membership: next, Registers: registers}}}
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -16,13 +16,14 @@
 	"curlewreach/proto/wire"
 )
 
-// Settings configures a Machine. The durations are derived from the time limits in the product's configuration.
+// Settings configures a Machine. The caller derives the durations from the bounds in its own settings.
 type Settings struct {
 	// Address is where other replicas reach this one.
 	Address string
 	// Seeds are the configured addresses of other replicas.
 	Seeds []string
-	// Bootstrap is true if the whole system starts for the first time.
+	// Bootstrap is true if the whole system starts for the first time. It has an effect only on a replica whose disk
+	// holds no identity.
 	Bootstrap bool
 	// TargetVoters is the minimum number of voters wanted, if that many replicas are available.
 	TargetVoters int
@@ -92,16 +93,16 @@
 	now      time.Duration
 	output   Output
 
-	state          *wire.ReplicaState // newest state, possibly not yet on disk
-	durable        *wire.ReplicaState // last state known to be on disk
-	stateNumber    uint64             // version number of state
-	saving         *Save              // handed out, outcome not yet known
-	durableNumber  uint64             // version number of durable
-	pendingReplies []pendingReply
+	state         *wire.ReplicaState // newest state, possibly not yet on disk
+	durable       *wire.ReplicaState // last state known to be on disk
+	stateNumber   uint64             // version number of state
+	saving        *Save              // handed out, outcome not yet known
+	durableNumber uint64             // version number of durable
+	saveCallbacks []saveCallback
 
 	lastRequest     uint64
 	pendingRequests map[uint64]func(*wire.ReplicaReply)
-	deferred        []func()
+	deferred        []func() // callbacks that runDeferred runs
 
 	learnedMembership  *wire.Membership // newest membership reported by another replica
 	chosen             map[string]*wire.Version
@@ -111,9 +112,9 @@
 	uninterruptedSince time.Duration            // start of the current period without a process pause
 	lastTick           time.Duration
 	nextStatusRound    time.Duration
-	underReplicated    map[string]time.Duration
-	copies             map[string]int      // voters that held each key's newest version in the last status round
-	learners           map[string]*learner // by identity
+	underReplicated    map[string]time.Duration // by key: since when less than a majority holds its newest version, or when it was last read again
+	copies             map[string]int           // voters that held each key's newest version in the last status round
+	learners           map[string]*learner      // by identity
 	statusRounds       uint64
 	heardMajority      bool                     // a majority has replied since this replica started or entered its generation
 	lastMajorityRound  time.Duration            // start of the last status round that a majority replied to
@@ -125,8 +126,8 @@
 	leaving            bool
 }
 
-// pendingReply is a callback that waits until the state with the given number is on disk.
-type pendingReply struct {
+// saveCallback is a callback that waits until the state with the given number is on disk.
+type saveCallback struct {
 	number   uint64
 	complete func(saved bool)
 }
@@ -151,7 +152,8 @@
 	return m
 }
 
-// ensureIdentity draws a new identity if the state has none.
+// ensureIdentity generates an identity if the state has none. If the whole system starts for the first time, it also
+// stores the seeds that take part in that start.
 func (m *Machine) ensureIdentity() {
 	if m.state.Id != "" {
 		return
@@ -185,7 +187,7 @@
 		m.deferred = append(m.deferred, func() { complete(true) })
 		return
 	}
-	m.pendingReplies = append(m.pendingReplies, pendingReply{m.stateNumber, complete})
+	m.saveCallbacks = append(m.saveCallbacks, saveCallback{m.stateNumber, complete})
 }
 
 // HandleSaved takes the outcome of a Save. If it failed, the replica continues from the last state on disk.
@@ -202,11 +204,11 @@
 		m.settings.RecordEvent("disk-trouble", "", "the state could not be saved")
 		m.rollback()
 	}
-	replies := m.pendingReplies
-	m.pendingReplies = nil
-	for _, each := range replies {
+	callbacks := m.saveCallbacks
+	m.saveCallbacks = nil
+	for _, each := range callbacks {
 		if ok && each.number > number {
-			m.pendingReplies = append(m.pendingReplies, each)
+			m.saveCallbacks = append(m.saveCallbacks, each)
 			continue
 		}
 		m.deferred = append(m.deferred, func() { each.complete(ok) })
@@ -263,7 +265,8 @@
 	m.runDeferred()
 }
 
-// observeReply records what every reply carries: that its sender is alive, and the membership that it knows.
+// observeReply records what every reply carries: that its sender is alive, and the membership that it knows. If sender
+// and receiver are in different generations, it brings the next status round forward.
 func (m *Machine) observeReply(reply *wire.ReplicaReply) {
 	if reply.From != "" {
 		m.lastHeard[reply.From] = m.now
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -40,10 +40,10 @@
 	mu         sync.Mutex // held only while the machine runs, never across I/O
 	machine    *Machine
 	lastTicket uint64
-	tickets    map[uint64]chan Result
+	tickets    map[uint64]chan Result // receive the results of this process's own operations
 	lastCall   uint64
-	calls      map[uint64]chan *wire.ReplicaReply
-	clients    map[string]wireconnect.ReplicasClient
+	calls      map[uint64]chan *wire.ReplicaReply    // receive the replies to requests of other replicas
+	clients    map[string]wireconnect.ReplicasClient // by address
 }
 
 // New returns a replica. state is what the store held when it was opened, or nil; requestTimeout limits each request to
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// pauseIntervals is how many status intervals without a tick count as a pause of this process. Silence of other
-	// replicas during a pause is not held against them.
+	// pauseIntervals is how many status intervals without a tick count as a pause of this process. The silence of
+	// other replicas during a pause is not counted.
 	pauseIntervals = 3
 	// responsiveRounds is how many status rounds a voter may be silent before a status round no longer waits for it.
 	responsiveRounds = 2
@@ -42,7 +42,7 @@
 }
 
 // startStatusRound asks all members for their registers. If no members are known, its reads fail at once and no request
-// is sent: callers retry within moments, so only pollMembers may decide how often the seeds are asked.
+// is sent: callers retry after a short pause, so only pollMembers may decide how often the seeds are asked.
 func (m *Machine) startStatusRound(reads []*quorumRead) {
 	members := m.newestMembership()
 	if members == nil {
@@ -211,9 +211,9 @@
 	})
 }
 
-func allTrue(truths map[string]bool) bool {
-	for _, truth := range truths {
-		if !truth {
+func allTrue(values map[string]bool) bool {
+	for _, value := range values {
+		if !value {
 			return false
 		}
 	}
--- a/internal/replica/view.go
+++ b/internal/replica/view.go
@@ -64,6 +64,6 @@
 	if voter == nil {
 		return false
 	}
-	at, known := m.lastHeard[voter.Id]
-	return known && m.now-at <= window
+	heardAt, known := m.lastHeard[voter.Id]
+	return known && m.now-heardAt <= window
 }
