--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -253,14 +253,14 @@
 		c.scope.Record("bundle-unreadable", "", fault.Error())
 		return nil
 	}
-	indexed := bundle.Index(sealed, raw)
+	opened := bundle.Index(sealed, raw)
 	c.indexedBundles.Update(func(rows map[string]*bundle.Bundle) {
 		if len(rows) >= maxIndexedBundles {
 			clear(rows)
 		}
-		rows[key] = indexed
+		rows[key] = opened
 	})
-	return indexed
+	return opened
 }
 
 // Draft returns the next bundle, unsigned, made from a whole bundle or from a change
