--- a/internal/command/ctl/place.go
+++ b/internal/command/ctl/place.go
@@ -25,7 +25,7 @@
 	if err := placement.Check(plan); err != nil {
 		return invalidFileError{errors.New(strings.Join(base.ErrorLines(err), "\n  "))}
 	}
-	seats, conflicts := placement.Solve(plan)
+	assignments, conflicts := placement.Solve(plan)
 	if len(conflicts) > 0 {
 		for _, each := range conflicts {
 			fmt.Fprintln(os.Stderr, " ", each)
@@ -33,8 +33,8 @@
 		return errUnsatisfiable
 	}
 	t := newTable("SERVICE", "MACHINE", "ZONE")
-	for _, seat := range seats {
-		t.add(seat.Service, seat.Machine, seat.Zone)
+	for _, assignment := range assignments {
+		t.add(assignment.Service, assignment.Machine, assignment.Zone)
 	}
 	t.print(a.Sort, a.Filter)
 	return nil
--- a/internal/command/ctl/queries.go
+++ b/internal/command/ctl/queries.go
@@ -63,11 +63,11 @@
 			if each.Roster.Core {
 				kind = "controller"
 			}
-			var seats []string
-			for _, seat := range each.Roster.Seats {
-				seats = append(seats, seat.Service+"@"+seat.Address)
+			var upstreams []string
+			for _, upstream := range each.Roster.Seats {
+				upstreams = append(upstreams, upstream.Service+"@"+upstream.Address)
 			}
-			t.add(each.Roster.Node, each.Roster.Zone, kind, each.Standing, formatMicros(each.SilenceUs), strings.Join(seats, " "))
+			t.add(each.Roster.Node, each.Roster.Zone, kind, each.Standing, formatMicros(each.SilenceUs), strings.Join(upstreams, " "))
 		}
 		t.print(a.Sort, a.Filter)
 	})
--- a/internal/command/ctl/wrong.go
+++ b/internal/command/ctl/wrong.go
@@ -90,7 +90,7 @@
 		report.add("%s sees serial %d staged and not settled", state.Keel, state.Staged)
 	}
 	if state.Owed > 0 {
-		report.add("%s owes %d batches of spans to a mate", state.Keel, state.Owed)
+		report.add("%s owes %d batches of spans to a peer", state.Keel, state.Owed)
 	}
 	for _, key := range state.Keys {
 		if key.Sick {
--- a/internal/command/simulate/open.go
+++ b/internal/command/simulate/open.go
@@ -63,9 +63,9 @@
 // openFleet is an open fleet in child processes of this one.
 type openFleet struct {
 	openArgs
-	controllers []string // addresses of the controllers for other machines
-	entrances   []string // addresses of the nodes for clients
-	children    []*exec.Cmd
+	controllers     []string // addresses of the controllers for other machines
+	clientAddresses []string // addresses at which the nodes serve clients
+	children        []*exec.Cmd
 }
 
 // parseCommand parses the arguments of a subcommand. If no folder is named, it creates a temporary
@@ -107,7 +107,7 @@
 	for _, child := range f.children {
 		fmt.Printf("%-8s pid %d\n", strings.TrimSuffix(filepath.Base(child.Args[2]), ".json"), child.Process.Pid)
 	}
-	fmt.Printf("visitors %s, logs in %s\n", f.entrances[0], f.Folder)
+	fmt.Printf("visitors %s, logs in %s\n", f.clientAddresses[0], f.Folder)
 	base.HandleSignals(func() {}, func() {})
 	return nil
 }
@@ -129,7 +129,7 @@
 	for i := range f.Nodes {
 		name, service := fmt.Sprintf("app-%d", i+1), []string{"books", "loans"}[i%2]
 		at := func(port int) string { return fmt.Sprintf("127.0.3.%d:%d", i+1, port) }
-		f.entrances = append(f.entrances, at(7001))
+		f.clientAddresses = append(f.clientAddresses, at(7001))
 		if err := f.startChild(openNodeSubcommand, name, &wire.NodeParams{
 			Name: name, Zone: fmt.Sprintf("z%d", i%openControllers+1), Service: service, Upstream: at(8080), Outward: at(7001), Inward: at(7002), Ready: at(7003), Control: at(7004), Peers: at(openPeersPort),
 			Seeds: f.controllers, Beat: durationpb.New(openHeartbeat), Leaving: durationpb.New(2 * time.Second), InForce: durationpb.New(2 * time.Second), Grace: durationpb.New(6 * time.Second),
@@ -221,7 +221,7 @@
 		time.Sleep(time.Duration(float64(time.Second) / f.Rate))
 		go func() {
 			path := []string{"search", "search", "lend"}[i%3]
-			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.entrances[i%len(f.entrances)]+"/"+path+"/x", nil)
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.clientAddresses[i%len(f.clientAddresses)]+"/"+path+"/x", nil)
 			if err != nil {
 				return
 			}
@@ -241,38 +241,38 @@
 
 // openControllerMain runs a controller in a child process.
 func openControllerMain(file string) error {
-	p := &wire.ControllerParams{}
-	if err := base.LoadParams(file, p); err != nil {
+	params := &wire.ControllerParams{}
+	if err := base.LoadParams(file, params); err != nil {
 		return err
 	}
-	s, err := base.NewScope(program, p.Name, p.Folder, p.Log)
+	s, err := base.NewScope(program, params.Name, params.Folder, params.Log)
 	if err != nil {
 		return err
 	}
-	m, err := controlplane.Start(s, p, notFound[*controlplane.Server])
+	server, err := controlplane.Start(s, params, notFound[*controlplane.Server])
 	if err != nil {
 		return err
 	}
-	base.HandleSignals(m.Stop, func() {})
+	base.HandleSignals(server.Stop, func() {})
 	return nil
 }
 
 // openNodeMain runs a node and its stand-in upstream in a child process.
 func openNodeMain(file string) error {
-	p := &wire.NodeParams{}
-	if err := base.LoadParams(file, p); err != nil {
+	params := &wire.NodeParams{}
+	if err := base.LoadParams(file, params); err != nil {
 		return err
 	}
-	s, err := base.NewScope(program, p.Name, "", p.Log)
+	s, err := base.NewScope(program, params.Name, "", params.Log)
 	if err != nil {
 		return err
 	}
-	n, err := dataplane.Start(s, p, forwarding.DefaultHeaderNames, notFound[*dataplane.Node])
+	node, err := dataplane.Start(s, params, forwarding.DefaultHeaderNames, notFound[*dataplane.Node])
 	if err != nil {
 		return err
 	}
-	instance := &wire.Instance{Id: p.Name + "-" + s.Rand.Hex(3), Service: p.Service, Address: p.Upstream, Zone: p.Zone, Capacity: openCapacity}
-	server, err := httpserver.Serve(s, p.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	instance := &wire.Instance{Id: params.Name + "-" + s.Rand.Hex(3), Service: params.Service, Address: params.Upstream, Zone: params.Zone, Capacity: openCapacity}
+	server, err := httpserver.Serve(s, params.Upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(rand.N(openMaxDelay))
 		w.Header().Set(forwarding.DefaultHeaderNames.RequestID, r.Header.Get(forwarding.DefaultHeaderNames.RequestID))
 		w.Header().Set(forwarding.DefaultHeaderNames.Seal, "whole")
@@ -282,7 +282,7 @@
 		return err
 	}
 	defer server.Close()
-	go base.Tick(s, openHeartbeat, func(base.Scope) { _ = n.Heartbeat(instance) })
-	base.HandleSignals(n.Stop, func() {})
+	go base.Tick(s, openHeartbeat, func(base.Scope) { _ = node.Heartbeat(instance) })
+	base.HandleSignals(node.Stop, func() {})
 	return nil
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -74,41 +74,41 @@
 
 // Address returns the address that the server listens at, with the actual port if
 // port 0 was requested.
-func (d *Server) Address() string { return d.listener.Addr().String() }
+func (srv *Server) Address() string { return srv.listener.Addr().String() }
 
 // Shutdown stops listening, waits for the requests in flight until ctx ends, and
 // then closes all connections.
-func (d *Server) Shutdown(ctx context.Context) {
-	_ = d.server.Shutdown(ctx)
-	d.Close()
+func (srv *Server) Shutdown(ctx context.Context) {
+	_ = srv.server.Shutdown(ctx)
+	srv.Close()
 }
 
 // CloseWhenIdle stops listening, waits until no request is in flight, at most until
 // the scope ends, and closes all connections. Unlike Shutdown it doesn't wait for
 // connections without a request yet, which a client may have dialled in advance:
 // Shutdown waits five seconds for those.
-func (d *Server) CloseWhenIdle(s base.Scope) {
-	d.CloseListener()
+func (srv *Server) CloseWhenIdle(s base.Scope) {
+	srv.CloseListener()
 	for idle := 0; idle < idleChecks && s.Err() == nil; idle++ {
 		base.Await(s, idleCheckInterval)
-		if d.inFlight.Load() > 0 {
+		if srv.inFlight.Load() > 0 {
 			idle = -1
 		}
 	}
-	d.Close()
+	srv.Close()
 }
 
 // DisableKeepAlives makes the server close each connection after its current
 // response. New connections are still accepted.
-func (d *Server) DisableKeepAlives() { d.server.SetKeepAlivesEnabled(false) }
+func (srv *Server) DisableKeepAlives() { srv.server.SetKeepAlivesEnabled(false) }
 
 // CloseListener closes the listener. Open connections stay open.
-func (d *Server) CloseListener() { _ = d.listener.Close() }
+func (srv *Server) CloseListener() { _ = srv.listener.Close() }
 
 // Close closes the listener and all connections at once.
-func (d *Server) Close() {
-	_ = d.server.Close()
-	d.tasks.Wait()
+func (srv *Server) Close() {
+	_ = srv.server.Close()
+	srv.tasks.Wait()
 }
 
 // NewClient returns an HTTP client for calls between processes of the mesh over the
--- a/internal/testing/judge/rules.go
+++ b/internal/testing/judge/rules.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkAllowedServices checks routes only if any bundle was recorded as signed.
+// checkAllowedServices checks that the first segment of a run's path names the service that ran it and, if any bundle was
+// recorded as signed, that one of these bundles routes the request there.
 func checkAllowedServices(c *ruleCheck) {
 	for _, run := range c.runs {
 		c.addChecked()
--- a/internal/testing/judge/rules_repeats.go
+++ b/internal/testing/judge/rules_repeats.go
@@ -29,6 +29,7 @@
 	distinct, repeated int
 }
 
+// adjust adds change to the count of the arrival's kind.
 func (w *slidingWindow) adjust(arrival arrival, change int) {
 	if arrival.repeated {
 		w.repeated += change
@@ -37,6 +38,7 @@
 	}
 }
 
+// add counts an arrival and drops those that lie more than span before it. Arrivals must be added in order of time.
 func (w *slidingWindow) add(last arrival) {
 	w.arrivals = append(w.arrivals, last)
 	w.adjust(last, 1)
--- a/internal/testing/judge/rules_stops.go
+++ b/internal/testing/judge/rules_stops.go
@@ -20,8 +20,8 @@
 }
 
 // overlaps reports whether the disturbance overlaps a closed interval of time.
-func (d Disturbance) overlaps(from, till time.Duration) bool {
-	return d.From <= till && (d.Until < 0 || d.Until >= from)
+func (d Disturbance) overlaps(from, until time.Duration) bool {
+	return d.From <= until && (d.Until < 0 || d.Until >= from)
 }
 
 // checkPlannedStops checks calls during which there was a planned stop and no other disturbance. A passed deadline or a
--- a/internal/testing/openfleet/client.go
+++ b/internal/testing/openfleet/client.go
@@ -86,8 +86,8 @@
 // recordStrayBytes records bytes that arrived on a connection without a request, unless err says that it ended.
 func (c *client) recordStrayBytes(conn *clientConn, err error) {
 	if err == nil {
-		bytes, _ := conn.in.Peek(conn.in.Buffered())
-		appendRecord(c.history, &c.history.strayBytes, fmt.Sprintf("%s: %q after %s", c.name, bytes[:min(len(bytes), 60)], conn.lastID))
+		stray, _ := conn.in.Peek(conn.in.Buffered())
+		appendRecord(c.history, &c.history.strayBytes, fmt.Sprintf("%s: %q after %s", c.name, stray[:min(len(stray), 60)], conn.lastID))
 	}
 }
 
--- a/internal/testing/openfleet/fleet.go
+++ b/internal/testing/openfleet/fleet.go
@@ -395,7 +395,7 @@
 	return f.History.StartDisturbance(name, cause, false)
 }
 
-// Partition drops all traffic between two machines, in both directions.
+// Partition holds back all traffic between two machines, in both directions, until World.Heal or World.HealAll.
 func (f *Fleet) Partition(a, b *Machine) {
 	f.World.Cut(a.IP, b.IP)
 	f.World.Cut(b.IP, a.IP)
@@ -412,8 +412,8 @@
 	m.Upstream.Kill()
 }
 
-// Freeze suspends the machine's process (its clock, network and disk) until thaw is called, and records an unplanned
-// disturbance for that time.
+// Freeze blocks the network operations and disk writes of the machine's process until thaw is called, as if the process
+// was suspended; its clock and timers run on. It records an unplanned disturbance for that time.
 func (f *Fleet) Freeze(m *Machine) (thaw func()) {
 	end := f.StartDisturbance(m.Name, "frozen")
 	process := m.processName()
--- a/internal/testing/openfleet/rules.go
+++ b/internal/testing/openfleet/rules.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// overlaps reports whether the disturbance lies at least partly between from and until. A Till below zero means that it
+// overlaps reports whether the disturbance lies at least partly between from and until. A negative Until means that it
 // hasn't ended.
 func overlaps(s *judge.Disturbance, from, until time.Duration) bool {
 	return s.From <= until && (s.Until < 0 || s.Until >= from)
@@ -233,8 +233,8 @@
 // disturbed reports whether an unplanned disturbance, of one of the named machines if any are given, lay between
 // contactBound before from and until.
 func (c *checker) disturbed(from, until time.Duration, names ...string) bool {
-	return slices.ContainsFunc(c.disturbances, func(s *judge.Disturbance) bool {
-		return !s.Planned && (len(names) == 0 || slices.Contains(names, s.Node)) && overlaps(s, from-contactBound, until)
+	return slices.ContainsFunc(c.disturbances, func(d *judge.Disturbance) bool {
+		return !d.Planned && (len(names) == 0 || slices.Contains(names, d.Node)) && overlaps(d, from-contactBound, until)
 	})
 }
 
@@ -243,8 +243,8 @@
 func checkGracefulStop(c *checker) {
 	for id, outcome := range c.outcomes {
 		attempt := c.attemptsByID[id]
-		i := slices.IndexFunc(c.disturbances, func(s *judge.Disturbance) bool {
-			return s.Planned && s.Node == attempt.Node && overlaps(s, attempt.SentAt, outcome.EndedAt)
+		i := slices.IndexFunc(c.disturbances, func(d *judge.Disturbance) bool {
+			return d.Planned && d.Node == attempt.Node && overlaps(d, attempt.SentAt, outcome.EndedAt)
 		})
 		if i < 0 || c.disturbed(attempt.SentAt, outcome.EndedAt) {
 			continue
@@ -302,9 +302,9 @@
 // had an unplanned disturbance between contactBound before the request was sent and its end. Disturbances of other
 // nodes don't exempt it.
 func (c *checker) configBoundHolds(attempt *Attempt, outcome *Outcome) bool {
-	return !slices.ContainsFunc(c.disturbances, func(s *judge.Disturbance) bool {
-		relevant := s.Node == attempt.Node || strings.HasPrefix(s.Node, controllerPrefix) || s.Node == allLinks
-		return relevant && !s.Planned && overlaps(s, attempt.SentAt-contactBound, outcome.EndedAt)
+	return !slices.ContainsFunc(c.disturbances, func(d *judge.Disturbance) bool {
+		relevant := d.Node == attempt.Node || strings.HasPrefix(d.Node, controllerPrefix) || d.Node == allLinks
+		return relevant && !d.Planned && overlaps(d, attempt.SentAt-contactBound, outcome.EndedAt)
 	})
 }
 
