--- a/internal/controlplane/join_test.go
+++ b/internal/controlplane/join_test.go
@@ -65,8 +65,8 @@
 			f.start(i, false)
 		}
 		time.Sleep(10 * time.Second)
-		for _, k := range f.controllers {
-			Expect(k.server.Ready()).To(BeFalse())
+		for _, c := range f.controllers {
+			Expect(c.server.Ready()).To(BeFalse())
 		}
 	})
 
--- a/internal/controlplane/propose_test.go
+++ b/internal/controlplane/propose_test.go
@@ -17,8 +17,8 @@
 // with a serial.
 func (f *fleet) expectAgreement(serial uint64) {
 	Expect(f.eventually(func() bool {
-		for i, k := range f.controllers {
-			if k.server != nil && (f.newestSerial(i) != serial || k.server.configuration.Load().serial() != serial || !k.server.Settled()) {
+		for i, c := range f.controllers {
+			if c.server != nil && (f.newestSerial(i) != serial || c.server.configuration.Load().serial() != serial || !c.server.Settled()) {
 				return false
 			}
 		}
@@ -28,8 +28,8 @@
 
 // ownerIndex returns the index of the control machine that owns the configuration's register, or -1.
 func (f *fleet) ownerIndex() int {
-	for i, k := range f.controllers {
-		if k.server != nil && k.server.core.Load().replica.Owns(ConfigurationKey) {
+	for i, c := range f.controllers {
+		if c.server != nil && c.server.core.Load().replica.Owns(ConfigurationKey) {
 			return i
 		}
 	}
@@ -130,8 +130,8 @@
 		_, err := f.propose(owner, fullProposal(2, 1, "/half/"))
 		Expect(err).To(HaveOccurred())
 		f.kill(owner)
-		for _, k := range f.controllers {
-			k.disk.SetFull(false)
+		for _, c := range f.controllers {
+			c.disk.SetFull(false)
 		}
 		Expect(f.proposeUntilAnswered(owner+1, fullProposal(2, 1, "/rival/")).Kind).To(BeEmpty())
 		f.start(owner, false)
@@ -150,16 +150,16 @@
 		}
 		_, err := f.propose(owner, fullProposal(2, 1, "/half/"))
 		Expect(err).To(HaveOccurred())
-		for _, k := range f.controllers {
-			k.disk.SetFull(false)
+		for _, c := range f.controllers {
+			c.disk.SetFull(false)
 		}
 		Expect(f.eventuallyWithin(4*time.Second, func() bool {
 			same, settled := 0, f.controllers[0].server.configuration.Load()
-			for _, k := range f.controllers {
-				if held := k.server.core.Load().replica.Accepted(ConfigurationKey); proto.Equal(held, settled.version) {
+			for _, c := range f.controllers {
+				if held := c.server.core.Load().replica.Accepted(ConfigurationKey); proto.Equal(held, settled.version) {
 					same++
 				}
-				if !k.server.Settled() || k.server.configuration.Load().serial() != settled.serial() {
+				if !c.server.Settled() || c.server.configuration.Load().serial() != settled.serial() {
 					return false
 				}
 			}
@@ -281,8 +281,8 @@
 		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		newest := uint64(1)
 		for round, injectFault := range []func(k *controller) func(){
-			func(k *controller) func() { return k.disk.Stall() },
-			func(k *controller) func() { k.disk.SetFull(true); return func() { k.disk.SetFull(false) } },
+			func(c *controller) func() { return c.disk.Stall() },
+			func(c *controller) func() { c.disk.SetFull(true); return func() { c.disk.SetFull(false) } },
 		} {
 			owner := f.ownerIndex()
 			release := injectFault(f.controllers[owner])
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -48,7 +48,7 @@
 		last.Instance = &wire.Instance{Id: "i", Service: "loans", Address: "10.9.1.1:80", Zone: "z", Capacity: 4, Sequence: 1, WarmMs: 900}
 		r.update(last)
 		number := uint64(1)
-		reportsChange := func(change func(p *wire.NodeStatus)) bool {
+		reportsChange := func(change func(status *wire.NodeStatus)) bool {
 			before := r.revision
 			number++
 			next := proto.Clone(last).(*wire.NodeStatus)
@@ -58,21 +58,23 @@
 			last = next
 			return r.revision > before
 		}
-		Expect(reportsChange(func(p *wire.NodeStatus) {})).To(BeFalse())
-		Expect(reportsChange(func(p *wire.NodeStatus) { p.Serial, p.Instance.Sequence, p.Instance.WarmMs = 9, 2, 0 })).To(BeFalse())
-		for _, change := range []func(p *wire.NodeStatus){
-			func(p *wire.NodeStatus) { p.Incarnation = "two" },
-			func(p *wire.NodeStatus) { p.Inward = "10.9.1.1:7009" },
-			func(p *wire.NodeStatus) { p.Service = "gauge" },
-			func(p *wire.NodeStatus) { p.Stopping = true },
-			func(p *wire.NodeStatus) { p.Instance.Leaving = true },
-			func(p *wire.NodeStatus) { p.Instance.Id = "j" },
-			func(p *wire.NodeStatus) { p.Instance.Address = "10.9.1.1:81" },
-			func(p *wire.NodeStatus) { p.Instance.Capacity = 5 },
-			func(p *wire.NodeStatus) { p.Instance = nil },
+		Expect(reportsChange(func(status *wire.NodeStatus) {})).To(BeFalse())
+		Expect(reportsChange(func(status *wire.NodeStatus) {
+			status.Serial, status.Instance.Sequence, status.Instance.WarmMs = 9, 2, 0
+		})).To(BeFalse())
+		for _, change := range []func(status *wire.NodeStatus){
+			func(status *wire.NodeStatus) { status.Incarnation = "two" },
+			func(status *wire.NodeStatus) { status.Inward = "10.9.1.1:7009" },
+			func(status *wire.NodeStatus) { status.Service = "books" },
+			func(status *wire.NodeStatus) { status.Stopping = true },
+			func(status *wire.NodeStatus) { status.Instance.Leaving = true },
+			func(status *wire.NodeStatus) { status.Instance.Id = "j" },
+			func(status *wire.NodeStatus) { status.Instance.Address = "10.9.1.1:81" },
+			func(status *wire.NodeStatus) { status.Instance.Capacity = 5 },
+			func(status *wire.NodeStatus) { status.Instance = nil },
 		} {
 			Expect(reportsChange(change)).To(BeTrue())
-			Expect(reportsChange(func(p *wire.NodeStatus) {})).To(BeFalse())
+			Expect(reportsChange(func(status *wire.NodeStatus) {})).To(BeFalse())
 		}
 	})
 
@@ -93,7 +95,7 @@
 	spec("given a silent node, when the bound has passed, then it is absent and later forgotten; other nodes stay", func(r *registry) {
 		r.update(nodeStatus("silent", 1))
 		number := uint64(1)
-		heartbeat := func() { number++; r.update(nodeStatus("well", number)) }
+		heartbeat := func() { number++; r.update(nodeStatus("alive", number)) }
 		heartbeat()
 		before := r.revision
 		Expect(expireFor(r, 2, heartbeat)).To(Equal([]string{"silent"}))
--- a/internal/controlplane/sampling_test.go
+++ b/internal/controlplane/sampling_test.go
@@ -25,9 +25,9 @@
 
 // learnerIndex returns the index of the control machine that holds the duty of the sampling learner, or -1.
 func (f *fleet) learnerIndex() int {
-	for i, k := range f.controllers {
-		if k.server != nil {
-			holder := k.server.learning.Load().state.GetHolder()
+	for i, c := range f.controllers {
+		if c.server != nil {
+			holder := c.server.learning.Load().state.GetHolder()
 			for j := range f.controllers {
 				if holder == peerAddress(j) {
 					return j
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -77,12 +77,12 @@
 func (f *fleet) runOperator(s base.Scope, h *history, name int) {
 	for round := 0; s.Err() == nil; round++ {
 		base.Await(s, time.Duration(f.scope.Rand.IntN(1500))*time.Millisecond)
-		m := f.controller(f.scope.Rand.IntN(len(f.controllers)))
-		if m == nil {
+		server := f.controller(f.scope.Rand.IntN(len(f.controllers)))
+		if server == nil {
 			continue
 		}
 		atLeast := h.newestSerial()
-		current, err := m.Configuration(s)
+		current, err := server.Configuration(s)
 		if err != nil {
 			continue
 		}
@@ -105,13 +105,13 @@
 		if s.Err() != nil {
 			break
 		}
-		m := f.controller(f.scope.Rand.IntN(len(f.controllers)))
-		if m == nil {
+		server := f.controller(f.scope.Rand.IntN(len(f.controllers)))
+		if server == nil {
 			base.Await(s, 50*time.Millisecond)
 			continue
 		}
 		ctx, cancel := context.WithTimeout(s, time.Duration(20+f.scope.Rand.IntN(1000))*time.Millisecond)
-		outcome, err := m.Propose(ctx, p)
+		outcome, err := server.Propose(ctx, p)
 		cancel()
 		if err == nil {
 			return answer{p, outcome.Kind == "", true}
@@ -169,12 +169,12 @@
 }
 
 func (f *fleet) injectPowerLossOfAll(_ int, wait func(ms int)) {
-	for k := range f.controllers {
-		f.powerLoss(k)
+	for i := range f.controllers {
+		f.powerLoss(i)
 	}
 	wait(500)
-	for k := range f.controllers {
-		f.start(k, false)
+	for i := range f.controllers {
+		f.start(i, false)
 	}
 }
 
@@ -213,12 +213,12 @@
 }
 
 func (f *fleet) injectSlowDisks(_ int, wait func(ms int)) {
-	for k := range f.controllers {
-		f.controllers[k].disk.SetLatency(time.Duration(f.scope.Rand.IntN(30)) * time.Millisecond)
+	for i := range f.controllers {
+		f.controllers[i].disk.SetLatency(time.Duration(f.scope.Rand.IntN(30)) * time.Millisecond)
 	}
 	wait(3000)
-	for k := range f.controllers {
-		f.controllers[k].disk.SetLatency(0)
+	for i := range f.controllers {
+		f.controllers[i].disk.SetLatency(0)
 	}
 }
 
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -62,7 +62,7 @@
 func newFleet(seed uint64, count int) *fleet {
 	f := &fleet{seed: seed, startTime: time.Now()}
 	f.network = simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
-	f.scope = f.newScope("10.9.9.9", "story", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.startTime))
+	f.scope = f.newScope("10.9.9.9", "test", simnet.NewDisk(random.Seeded(seed)), simnet.NewClock(f.startTime))
 	f.client = httpserver.NewClient(f.scope)
 	for i := range count {
 		f.controllers = append(f.controllers, &controller{index: i, disk: simnet.NewDisk(random.Seeded(seed*31 + uint64(i))), clock: simnet.NewClock(f.startTime)})
@@ -83,12 +83,12 @@
 
 // start starts a control machine on its disk.
 func (f *fleet) start(i int, founding bool) {
-	k := f.controllers[i]
-	k.starts++
-	k.incarnation = fmt.Sprintf("control machine %d life %d", i, k.starts)
-	k.mount = simnet.NewMount(k.disk)
-	s := f.newScope(hostAddress(i), k.incarnation, k.mount, k.clock)
-	s, k.cancel = s.WithCancel()
+	c := f.controllers[i]
+	c.starts++
+	c.incarnation = fmt.Sprintf("control machine %d start %d", i, c.starts)
+	c.mount = simnet.NewMount(c.disk)
+	s := f.newScope(hostAddress(i), c.incarnation, c.mount, c.clock)
+	s, c.cancel = s.WithCancel()
 	p := &wire.ControllerParams{Name: fmt.Sprint("core-", i+1), Zone: "z", Peers: peerAddress(i), Operators: hostAddress(i) + ":7005", Founding: founding, Folder: "data"}
 	for j := range f.controllers {
 		p.Seeds = append(p.Seeds, hostAddress(j)+":7005")
@@ -96,10 +96,10 @@
 	if f.adjustParams != nil {
 		f.adjustParams(p)
 	}
-	m, err := Start(s, p, func(*Server) http.Handler { return http.NotFoundHandler() })
+	server, err := Start(s, p, func(*Server) http.Handler { return http.NotFoundHandler() })
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	f.mu.Lock()
-	k.server = m
+	c.server = server
 	f.mu.Unlock()
 }
 
@@ -108,18 +108,18 @@
 
 // crash ends a control machine; silent leaves its connections open instead of resetting them.
 func (f *fleet) crash(i int, silent bool) {
-	k := f.controllers[i]
-	if k.server == nil {
+	c := f.controllers[i]
+	if c.server == nil {
 		return
 	}
-	m := k.server
+	server := c.server
 	f.mu.Lock()
-	k.server = nil
+	c.server = nil
 	f.mu.Unlock()
-	k.cancel()
-	k.mount.Unmount()
-	f.network.Crash(hostAddress(i), k.incarnation, silent)
-	m.Kill()
+	c.cancel()
+	c.mount.Unmount()
+	f.network.Crash(hostAddress(i), c.incarnation, silent)
+	server.Kill()
 }
 
 // powerLoss crashes a control machine silently; its disk loses what was not synced.
@@ -152,8 +152,8 @@
 }
 
 func (f *fleet) ready() bool {
-	for _, k := range f.controllers {
-		if k.server != nil && !k.server.Ready() {
+	for _, c := range f.controllers {
+		if c.server != nil && !c.server.Ready() {
 			return false
 		}
 	}
@@ -166,11 +166,11 @@
 }
 
 func (f *fleet) propose(i int, p *wire.ConfigurationProposal) (*wire.ConfigurationOutcome, error) {
-	m := f.controller(i)
-	if m == nil {
+	server := f.controller(i)
+	if server == nil {
 		return nil, base.NewFault(base.Unreachable, "", "down")
 	}
-	return m.Propose(f.scope, p)
+	return server.Propose(f.scope, p)
 }
 
 // commits proposes at one control machine and reports whether the proposal was acknowledged as committed.
@@ -193,11 +193,11 @@
 
 // newestSerial returns the serial of the configuration that a control machine reads from a majority, or 0.
 func (f *fleet) newestSerial(i int) uint64 {
-	m := f.controllers[i].server
-	if m == nil {
+	server := f.controllers[i].server
+	if server == nil {
 		return 0
 	}
-	configuration, err := m.Configuration(f.scope)
+	configuration, err := server.Configuration(f.scope)
 	if err != nil {
 		return 0
 	}
