--- a/internal/command/ctl/open_test.go
+++ b/internal/command/ctl/open_test.go
@@ -157,7 +157,7 @@
 		ginkgo.Entry("a node on an older serial", func(fleet *fleetView) { fleet.nodeViews["app-1"].Serial = 4 }, "node app-1 is on serial 4, the newest is 5"),
 		ginkgo.Entry("a node with an unconfirmed configuration", func(fleet *fleetView) {
 			fleet.nodeViews["app-1"].Polled = []*wire.ControlView{{Address: "10.0.0.1:7"}}
-		}, "node app-1 serves a configuration that no majority has vouched for since it started"),
+		}, "node app-1 serves a configuration that no majority has confirmed since it started"),
 		ginkgo.Entry("a node heard by one controller only", func(fleet *fleetView) {
 			fleet.observations["app-1"].presentAt, fleet.observations["app-1"].absentAt = []string{"core-1"}, []string{"core-2"}
 		}, "node app-1 is not heard by core-2, though by core-1"),
@@ -168,6 +168,6 @@
 		ginkgo.Entry("an overloaded node", func(fleet *fleetView) {
 			v := fleet.nodeViews["app-1"]
 			v.Gate.Flying, v.Gate.Waiting, v.Gate.RestMs, v.BacklogMs, v.RetryBudgets = 4, 2, 70, 300, []*wire.RetryBudgetView{{Service: "books", Spent: true}}
-		}, "the gate at node app-1 is full: 4 of 4 taken, 2 wait, a new request would wait 70ms", "the link of node app-1 is behind by 300ms", "node app-1 has spent its repeats for service books"),
+		}, "the gate at node app-1 is full: 4 of 4 taken, 2 wait, a new request would wait 70ms", "the link of node app-1 is behind by 300ms", "node app-1 has used up its retry budget for service books"),
 	)
 })
--- a/internal/command/ctl/openwrong.go
+++ b/internal/command/ctl/openwrong.go
@@ -107,7 +107,7 @@
 	checkRepairs(controller, add)
 	checkVoters(controller, add)
 	if newest > 0 && controller.Phase == phaseFounded && controller.Learner == "" {
-		add("controller %s knows of nobody who learns the odds", name)
+		add("controller %s knows of no learner of the sampling odds", name)
 	}
 }
 
@@ -162,7 +162,7 @@
 // checkNodeView adds what is wrong according to a node's own view.
 func checkNodeView(name string, view *wire.NodeView, newest uint64, add func(string, ...any)) {
 	if view.Serial > 0 && !view.Confirmed && len(view.Polled) > 0 {
-		add("node %s serves a configuration that no majority has vouched for since it started", name)
+		add("node %s serves a configuration that no majority has confirmed since it started", name)
 	}
 	if view.ConfigStale {
 		add("node %s last knew its configuration to be the newest %s ago", name, formatMillis(view.ConfigAgeMs))
@@ -186,12 +186,12 @@
 	}
 	for _, budget := range view.RetryBudgets {
 		if budget.Spent {
-			add("node %s has spent its repeats for service %s", name, budget.Service)
+			add("node %s has used up its retry budget for service %s", name, budget.Service)
 		}
 	}
 	for _, peer := range view.Peers {
 		if peer.AvoidedMs > 0 && !peer.Absent {
-			add("node %s could lately not reach node %s", name, peer.Node)
+			add("node %s could not reach node %s lately", name, peer.Node)
 		}
 	}
 }
--- a/internal/command/simulate/replace.go
+++ b/internal/command/simulate/replace.go
@@ -190,7 +190,7 @@
 			continue
 		}
 		if outcome.Msg.Kind != "" {
-			return errors.Errorf("serial %d was refused: %v", change.Serial, outcome.Msg.Reasons)
+			return errors.Errorf("serial %d was rejected: %v", change.Serial, outcome.Msg.Reasons)
 		}
 		r.serial++
 		return nil
--- a/internal/command/simulate/traffic.go
+++ b/internal/command/simulate/traffic.go
@@ -99,8 +99,8 @@
 func (f *fleet) startClients(s, sending base.Scope, rate float64) *base.Group {
 	clients := &base.Group{}
 	for _, each := range f.nodes {
-		visitors := &standin.Clients{Scope: s, Name: each.Name, NodeAddress: each.address(clientsPort), Rate: rate / float64(len(f.nodes)), Plan: f.requests, History: f.history}
-		clients.Go(func() { visitors.Run(sending) })
+		nodeClients := &standin.Clients{Scope: s, Name: each.Name, NodeAddress: each.address(clientsPort), Rate: rate / float64(len(f.nodes)), Plan: f.requests, History: f.history}
+		clients.Go(func() { nodeClients.Run(sending) })
 	}
 	return clients
 }
--- a/internal/command/standins/main.go
+++ b/internal/command/standins/main.go
@@ -28,8 +28,8 @@
 	Runs     string `help:"file to append a JSON line to for each request that was run"`
 }
 
-// visitorsArgs are the options of 'visitors'. go-arg derives the flags from the field names.
-type visitorsArgs struct {
+// clientsArgs are the options of 'visitors'. go-arg derives the flags from the field names.
+type clientsArgs struct {
 	Name    string  `default:"visitor" help:"prefix of the request IDs"`
 	To      string  `arg:"required" help:"IP:port at which the node serves clients"`
 	Rate    float64 `default:"10" help:"requests per second"`
@@ -40,7 +40,7 @@
 // args are the subcommands of the command.
 type args struct {
 	Upstream *upstreamArgs `arg:"subcommand:upstream" help:"stand in for an upstream instance"`
-	Visitors *visitorsArgs `arg:"subcommand:visitors" help:"stand in for clients"`
+	Visitors *clientsArgs  `arg:"subcommand:visitors" help:"stand in for clients"`
 }
 
 func (args) Version() string { return program + " " + base.Version }
@@ -114,13 +114,13 @@
 }
 
 // run sends requests and prints the results as JSON.
-func (v *visitorsArgs) run(s base.Scope) error {
+func (c *clientsArgs) run(s base.Scope) error {
 	history := judge.NewHistory(s.Clock)
-	standIn := &standin.Clients{Scope: s, Name: v.Name, NodeAddress: v.To, Rate: v.Rate, History: history}
-	if err := readJSON(v.Plan, &standIn.Plan); err != nil {
+	standIn := &standin.Clients{Scope: s, Name: c.Name, NodeAddress: c.To, Rate: c.Rate, History: history}
+	if err := readJSON(c.Plan, &standIn.Plan); err != nil {
 		return err
 	}
-	bounded, cancel := s.WithTimeout(time.Duration(v.Seconds) * time.Second)
+	bounded, cancel := s.WithTimeout(time.Duration(c.Seconds) * time.Second)
 	defer cancel()
 	standIn.Run(bounded)
 	return json.NewEncoder(os.Stdout).Encode(history.Calls())
