--- a/internal/dataplane/client_connections_test.go
+++ b/internal/dataplane/client_connections_test.go
@@ -99,7 +99,7 @@
 		setIdleLimit(other, 1, longLimit)
 		s.addUpstream(other, 4, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("pages")) })
 		time.Sleep(idleTime - time.Second)
-		n.peers.ApplyObservations("keel", true, []*wire.Observation{{NodeStatus: other.nodeStatus()}})
+		n.peers.ApplyObservations("core-2", true, []*wire.Observation{{NodeStatus: other.nodeStatus()}})
 		s.Go(n.Stop)
 		time.Sleep(time.Second)
 		response, err := client.get("two")
--- a/internal/dataplane/config_change_test.go
+++ b/internal/dataplane/config_change_test.go
@@ -43,31 +43,31 @@
 }
 
 var _ = ginkgo.Describe("a configuration change while a request runs", func() {
-	var p *requestFixture
-	ginkgo.BeforeEach(func() { p = newRequestFixture(false) })
-	ginkgo.AfterEach(func() { p.close() })
+	var f *requestFixture
+	ginkgo.BeforeEach(func() { f = newRequestFixture(false) })
+	ginkgo.AfterEach(func() { f.close() })
 
 	loseAnswerDuring := func(route string, change func(*wire.ConfigurationRoute)) clientResponse {
-		p.first.setBehavior("row", func(t *transaction) bool {
+		f.first.setBehavior("case", func(t *transaction) bool {
 			t.execute()
-			changeRoute(p.clientNode, route, change)
+			changeRoute(f.clientNode, route, change)
 			return t.reset()
 		})
-		return p.connect().roundTrip("row", route, nil)
+		return f.connect().roundTrip("case", route, nil)
 	}
 	ginkgo.It("given a route that stays repeatable, when the answer is lost, then a second upstream runs the request", func() {
 		Expect(loseAnswerDuring(repeatable, keepUnchanged).status).To(Equal(http.StatusOK))
-		Expect(p.second.executionsOf("row")).To(Equal(1))
+		Expect(f.second.executionsOf("case")).To(Equal(1))
 	})
 	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one attempt": allowOneTry, "is gone": nil} {
 		ginkgo.It("given a route that now "+name+", when the answer is lost, then no second upstream runs the request", func() {
 			Expect(loseAnswerDuring(repeatable, change).status).To(Equal(http.StatusBadGateway))
-			Expect(p.second.executionsOf("row")).To(BeZero())
+			Expect(f.second.executionsOf("case")).To(BeZero())
 		})
 	}
 	ginkgo.It("given a route that becomes repeatable, when the answer is lost, then no second upstream runs the request", func() {
 		Expect(loseAnswerDuring(once, makeRepeatable).status).To(Equal(http.StatusBadGateway))
-		Expect(p.second.executionsOf("row")).To(BeZero())
+		Expect(f.second.executionsOf("case")).To(BeZero())
 	})
 	ginkgo.It("given a route that now allows more attempts, when two failed, then there is no third", func() {
 		ledger := &retry.Ledger{Repeatable: true, MaxTries: 2, Deadline: time.Hour, Attempts: []*retry.Attempt{{State: forwarding.Indeterminate, ReachedUpstream: true}, {State: forwarding.Indeterminate, ReachedUpstream: true}}}
@@ -76,45 +76,45 @@
 	})
 
 	hangDuring := func(change func(*wire.ConfigurationRoute)) clientResponse {
-		primeLatencies(p.clientNode, repeatable)
-		p.first.setBehavior("row", func(t *transaction) bool {
+		primeLatencies(f.clientNode, repeatable)
+		f.first.setBehavior("case", func(t *transaction) bool {
 			t.execute()
-			changeRoute(p.clientNode, repeatable, change)
+			changeRoute(f.clientNode, repeatable, change)
 			return t.hang()
 		})
-		return p.connect().roundTrip("row", repeatable, nil)
+		return f.connect().roundTrip("case", repeatable, nil)
 	}
 	ginkgo.It("given a route that stays repeatable, when its upstream is slow, then a second one is asked", func() {
 		Expect(hangDuring(keepUnchanged).status).To(Equal(http.StatusOK))
-		Expect(p.second.executionsOf("row")).To(Equal(1))
+		Expect(f.second.executionsOf("case")).To(Equal(1))
 	})
 	for name, change := range map[string]func(*wire.ConfigurationRoute){"may run once": makeOnce, "allows one attempt": allowOneTry, "is gone": nil} {
 		ginkgo.It("given a route that now "+name+", when its upstream is slow, then no second one is asked", func() {
 			Expect(hangDuring(change).status).To(Equal(http.StatusGatewayTimeout))
-			Expect(p.second.executionsOf("row")).To(BeZero())
+			Expect(f.second.executionsOf("case")).To(BeZero())
 		})
 	}
 
 	ginkgo.It("given a node that knows the newer configuration, when a peer that doesn't know it sends a retry, then it isn't run", func() {
-		changeRoute(p.peerNode, repeatable, makeOnce)
+		changeRoute(f.peerNode, repeatable, makeOnce)
 		repeat := func(serial uint64) clientResponse {
 			metadata := forwarding.Metadata{Service: books, Route: repeatable, Serial: serial, Retry: true, SoftDeadlineIn: time.Second, HardDeadlineIn: time.Second}
-			return p.sendAsPeer("row", repeatable, metadata)
+			return f.sendAsPeer("case", repeatable, metadata)
 		}
 		Expect(repeat(1).status).To(Equal(http.StatusServiceUnavailable))
-		Expect(p.second.executionsOf("row")).To(BeZero())
-		changeRoute(p.peerNode, repeatable, keepUnchanged)
+		Expect(f.second.executionsOf("case")).To(BeZero())
+		changeRoute(f.peerNode, repeatable, keepUnchanged)
 		Expect(repeat(1).status).To(Equal(http.StatusOK))
-		Expect(p.second.executionsOf("row")).To(Equal(1))
+		Expect(f.second.executionsOf("case")).To(Equal(1))
 	})
 
 	ginkgo.It("given a route that allows one attempt, when the upstream is slow or its answer is lost, then no second one is asked", func() {
-		changeRoute(p.clientNode, repeatable, allowOneTry)
-		primeLatencies(p.clientNode, repeatable)
-		p.first.setBehavior("silent", func(t *transaction) bool { t.execute(); return t.hang() })
-		Expect(p.connect().roundTrip("silent", repeatable, nil).status).To(Equal(http.StatusGatewayTimeout))
-		p.first.setBehavior("lost", func(t *transaction) bool { t.execute(); return t.reset() })
-		Expect(p.connect().roundTrip("lost", repeatable, nil).status).To(Equal(http.StatusBadGateway))
-		Expect(p.second.executionsOf("silent") + p.second.executionsOf("lost")).To(BeZero())
+		changeRoute(f.clientNode, repeatable, allowOneTry)
+		primeLatencies(f.clientNode, repeatable)
+		f.first.setBehavior("silent", func(t *transaction) bool { t.execute(); return t.hang() })
+		Expect(f.connect().roundTrip("silent", repeatable, nil).status).To(Equal(http.StatusGatewayTimeout))
+		f.first.setBehavior("lost", func(t *transaction) bool { t.execute(); return t.reset() })
+		Expect(f.connect().roundTrip("lost", repeatable, nil).status).To(Equal(http.StatusBadGateway))
+		Expect(f.second.executionsOf("silent") + f.second.executionsOf("lost")).To(BeZero())
 	})
 })
--- a/internal/dataplane/control_polls_test.go
+++ b/internal/dataplane/control_polls_test.go
@@ -43,7 +43,7 @@
 }
 
 // startControllers starts stub controllers and returns their addresses, the serial of the newest configuration, and
-// a tally of the requests for configurations.
+// a counter of the requests for configurations.
 func (s *testbed) startControllers(count int, handoutDelay time.Duration) (seeds []string, newestSerial *atomic.Uint64, requests *simulation.EventCounter) {
 	newestSerial, requests = &atomic.Uint64{}, &simulation.EventCounter{}
 	for i := range count {
--- a/internal/dataplane/full_peer_test.go
+++ b/internal/dataplane/full_peer_test.go
@@ -39,7 +39,7 @@
 			node.peers.AttemptBegun("app-2")
 			node.peers.AttemptEnded("app-2", &forwarding.LoadReport{Load: admission.Load{InFlight: 4, Waiting: 4, Limit: 4, ServiceTimeMs: 100}}, 0, 0, false)
 			before := requests.Add("asked", 0)
-			reply := s.get(node.params.Outward, "/search/1", requestHeader(fmt.Sprint("visitor-", i), 4*time.Second))
+			reply := s.get(node.params.Outward, "/search/1", requestHeader(fmt.Sprint("request-", i), 4*time.Second))
 			Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
 			Expect(reply.retryAfter).To(BeNumerically(">", 0))
 			Expect(reply.elapsed).To(BeNumerically("<", 100*time.Millisecond))
@@ -51,7 +51,7 @@
 	// could be asked again and again.
 	itSimulated("given a full peer that seems to have free slots, when a client sends a request with a long timeout, then the peer is asked at most twice", func(s *testbed) {
 		node, requests := fullPeer(s)
-		reply := s.get(node.params.Outward, "/search/1", requestHeader("visitor", 4*time.Second))
+		reply := s.get(node.params.Outward, "/search/1", requestHeader("request", 4*time.Second))
 		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(requests.Add("asked", 0)).To(BeNumerically("<=", 2))
 	})
--- a/internal/dataplane/link_pacing_test.go
+++ b/internal/dataplane/link_pacing_test.go
@@ -66,9 +66,9 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		lookup := s.get(n.params.Inward, "/index/1", peerRequestHeader("small", "index", time.Second))
-		Expect(lookup.status).To(Equal(http.StatusOK))
-		Expect(lookup.elapsed).To(BeNumerically("<", 30*time.Millisecond))
+		small := s.get(n.params.Inward, "/index/1", peerRequestHeader("small", "index", time.Second))
+		Expect(small.status).To(Equal(http.StatusOK))
+		Expect(small.elapsed).To(BeNumerically("<", 30*time.Millisecond))
 		s.Wait()
 		longest := time.Duration(0)
 		for _, each := range took {
--- a/internal/dataplane/model_cluster_test.go
+++ b/internal/dataplane/model_cluster_test.go
@@ -162,9 +162,9 @@
 	once       bool
 	origin     *modelNode
 	generation int
-	until      time.Duration
+	deadline   time.Duration
 	ledger     *retry.Ledger
-	answered   time.Duration
+	answeredAt time.Duration
 	status     int
 	answer     *forwarding.Response
 	exempt     bool
@@ -178,7 +178,7 @@
 	}
 	until := m.now + time.Duration(50+m.draw(900))*time.Millisecond
 	once := m.draw(2) == 0
-	r := &modelRequest{id: fmt.Sprint("r", len(m.requests)), once: once, origin: n, generation: n.generation, until: until}
+	r := &modelRequest{id: fmt.Sprint("r", len(m.requests)), once: once, origin: n, generation: n.generation, deadline: until}
 	r.ledger = &retry.Ledger{Repeatable: !once, MaxTries: modelTries, Deadline: until}
 	m.requests = append(m.requests, r)
 	n.retryBudget.Earn(modelService)
@@ -209,7 +209,7 @@
 			m.addViolation("%s came to upstreams %d times", r.id, m.arrivals[r.id])
 		}
 		m.checkAnswer(r)
-		if r.status == 0 && !r.exempt || r.answered > r.until {
+		if r.status == 0 && !r.exempt || r.answeredAt > r.deadline {
 			m.addViolation("%s was held past its time", r.id)
 		}
 	}
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -182,9 +182,9 @@
 // answerClient records the first answer to a request.
 func (n *modelNode) answerClient(r *modelRequest, status int, a *forwarding.Response) {
 	if r.status == 0 {
-		r.status, r.answered, r.answer = status, n.cluster.now, a
+		r.status, r.answeredAt, r.answer = status, n.cluster.now, a
 		if r.exempt {
-			r.answered = 0
+			r.answeredAt = 0
 		}
 	}
 }
@@ -201,7 +201,7 @@
 		n.advance(r)
 	}
 	if to == n {
-		n.deliver(r.id, attempts.Reference{}, r.until, settle)
+		n.deliver(r.id, attempts.Reference{}, r.deadline, settle)
 		return
 	}
 	if !to.running {
@@ -288,7 +288,7 @@
 		a.reply(*refusal)
 		return
 	}
-	a.stop = n.deliver(a.request.id, ref, a.request.until, func(o forwarding.Outcome) {
+	a.stop = n.deliver(a.request.id, ref, a.request.deadline, func(o forwarding.Outcome) {
 		fencing.Finish(ref, o)
 		a.done = true
 		a.reply(o)
@@ -354,7 +354,7 @@
 		a.settle(doubtful)
 		return
 	}
-	giveUp := time.Duration(fencing.QueryTimeRatio * float64(a.request.until-m.now))
+	giveUp := time.Duration(fencing.QueryTimeRatio * float64(a.request.deadline-m.now))
 	replied := false
 	n.schedule(giveUp, func() {
 		if !replied {
@@ -380,7 +380,7 @@
 
 // fetch waits for the answer of an attempt that is still running at the peer.
 func (a *modelAttempt) fetch() {
-	a.sendQuestion(a.request.until-a.from.cluster.now, func(reply *wire.AttemptReply) {
+	a.sendQuestion(a.request.deadline-a.from.cluster.now, func(reply *wire.AttemptReply) {
 		if reply == nil {
 			a.settle(forwarding.IndeterminateOutcome(base.ResponseLost, "the answer could not be fetched"))
 			return
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -170,11 +170,11 @@
 }
 
 // nextAnswer reads up to this request's answer. A rejection may come without an ID.
-func (c *modelConn) nextAnswer(id string, any bool) (modelAnswer, bool) {
+func (c *modelConn) nextAnswer(id string, acceptAny bool) (modelAnswer, bool) {
 	for len(c.inbox) > 0 {
 		a := c.inbox[0]
 		c.inbox = c.inbox[1:]
-		if a.id == id || a.id == "" && a.notRun || any {
+		if a.id == id || a.id == "" && a.notRun || acceptAny {
 			return a, true
 		}
 	}
--- a/internal/dataplane/path_bench_test.go
+++ b/internal/dataplane/path_bench_test.go
@@ -71,7 +71,7 @@
 		if i >= matching {
 			service = "other-" + strconv.Itoa(i%559)
 		}
-		name := fmt.Sprintf("mate-%05d", i)
+		name := fmt.Sprintf("peer-%05d", i)
 		observations = append(observations, &wire.Observation{NodeStatus: &wire.NodeStatus{
 			Node: name, Incarnation: "one", Number: 1, Inward: address(i), Zone: fmt.Sprint("zone-", i%23), Service: service,
 			Instance: &wire.Instance{Id: "i-" + name, Service: service, Address: address(i), Zone: fmt.Sprint("zone-", i%23), Capacity: 64},
@@ -276,7 +276,7 @@
 	b.Run("direct", func(b *testing.B) { benchLatency(b, func() { benchExchange(b, pool, upstream, request) }) })
 	for _, total := range []int{29, 500, 2000, 4000, 16000} {
 		observations := benchObservations(total, 0, func(int) string { return "10.0.0.1:1" })
-		clientNode.peers.ApplyObservations("keel", true, append(observations, observation))
+		clientNode.peers.ApplyObservations("core-2", true, append(observations, observation))
 		b.Run(fmt.Sprint("mesh/roster=", total), func(b *testing.B) {
 			benchLatency(b, func() { benchCall(b, pool, clientNode.params.Outward, request) })
 		})
--- a/internal/dataplane/requests_test.go
+++ b/internal/dataplane/requests_test.go
@@ -59,7 +59,7 @@
 type requestCase struct {
 	name             string
 	previous         behavior                // handles the request before, on the same connection
-	setUp            func(p *requestFixture) // changes the server between the two requests
+	setUp            func(f *requestFixture) // changes the server between the two requests
 	behavior         behavior                // handles the request
 	body             []byte                  // of the request
 	expectOnce       result
@@ -113,8 +113,8 @@
 	doubtful := func(name string, behave behavior) requestCase { return doubtfulCase(name, behave, afterLoss) }
 	return []requestCase{
 		answeredCase("a complete answer", succeed, connectionKept),
-		{name: "dialing refused", setUp: func(p *requestFixture) { p.first.refuseConnections() }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
-		{name: "no reply to dialing", setUp: func(p *requestFixture) { p.first.blockDialing(p) }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
+		{name: "dialing refused", setUp: func(f *requestFixture) { f.first.refuseConnections() }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
+		{name: "no reply to dialing", setUp: func(f *requestFixture) { f.first.blockDialing(f) }, expectOnce: servedBySecond, expectRepeatable: servedBySecond, connection: serverAvoided},
 		idle("a reset on the idle connection", succeedThen(func(t *transaction) bool { return t.reset() })),
 		idle("a close of the idle connection", succeedThen(func(*transaction) bool { return false })),
 		idle("half a close of the idle connection", succeedThen(func(t *transaction) bool {
@@ -278,7 +278,7 @@
 }
 
 // blockDialing makes dialing hang: it replaces the listener by one that accepts nothing and fills its backlog.
-func (s *stubServer) blockDialing(p *requestFixture) {
+func (s *stubServer) blockDialing(f *requestFixture) {
 	s.refuseConnections()
 	host, port, err := net.SplitHostPort(s.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -287,7 +287,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	Expect(err).NotTo(HaveOccurred())
-	p.cleanups = append(p.cleanups, func() { _ = unix.Close(fd) })
+	f.cleanups = append(f.cleanups, func() { _ = unix.Close(fd) })
 	Expect(unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)).To(Succeed())
 	address := &unix.SockaddrInet4{Port: number}
 	copy(address.Addr[:], net.ParseIP(host).To4())
@@ -295,25 +295,25 @@
 	Expect(unix.Listen(fd, 0)).To(Succeed())
 	for range 2 {
 		if conn, err := net.DialTimeout("tcp", s.address, 50*time.Millisecond); err == nil {
-			p.cleanups = append(p.cleanups, func() { _ = conn.Close() })
+			f.cleanups = append(f.cleanups, func() { _ = conn.Close() })
 		}
 	}
 }
 
 // awaitIdleEvent waits until the node's machine has received what the server did to an idle connection.
-func awaitIdleEvent(p *requestFixture, pool *connection.Pool, r requestCase) {
+func awaitIdleEvent(f *requestFixture, pool *connection.Pool, r requestCase) {
 	if r.previous == nil {
 		return
 	}
-	Eventually(func() (silent int) {
-		silent, _ = pool.CountIdle(p.first.address)
-		return silent
+	Eventually(func() (quiet int) {
+		quiet, _ = pool.CountIdle(f.first.address)
+		return quiet
 	}).Should(BeZero())
 }
 
 // check compares the answer and the runs with the expected result. In no case may a request that may run once run
 // twice, or one run that was reported as not run.
-func (r requestCase) check(p *requestFixture, id, kind string, expected result, response clientResponse) {
+func (r requestCase) check(f *requestFixture, id, kind string, expected result, response clientResponse) {
 	Expect(response.err).NotTo(HaveOccurred())
 	Expect(response.status).To(Equal(expected.status), "status; body %q", response.body)
 	Expect(response.sealed).To(Equal(expected.sealed), "seal")
@@ -321,7 +321,7 @@
 		Expect(response.body).To(Equal(bodyOf(id, expected.server)))
 		Expect(response.id).To(Equal(id))
 	}
-	first, second := p.first.executionsOf(id), p.second.executionsOf(id)
+	first, second := f.first.executionsOf(id), f.second.executionsOf(id)
 	Expect(first).To(Equal(expected.ranFirst), "runs by the first")
 	Expect(second).To(Equal(expected.ranSecond), "runs by the second")
 	if kind == once {
@@ -348,48 +348,48 @@
 
 // connectionAfter returns what became of the connection of the request with the given ID, by the connection that
 // request "after" used.
-func (p *requestFixture) connectionAfter(id string) string {
-	switch p.first.connectionOf("after") {
+func (f *requestFixture) connectionAfter(id string) string {
+	switch f.first.connectionOf("after") {
 	case 0:
 		return serverAvoided
-	case p.first.connectionOf(id):
+	case f.first.connectionOf(id):
 		return connectionKept
 	}
 	return connectionReplaced
 }
 
-// run sends three requests on one client connection: "before" opens the connection to the server, "row" is the case,
+// run sends three requests on one client connection: "before" opens the connection to the server, "case" is the case,
 // and "after" shows what became of that connection.
 func (r requestCase) run(asPeer bool, kind string) {
-	p := newRequestFixture(asPeer)
-	defer p.close()
-	pool := p.clientNode.instanceConnections
+	f := newRequestFixture(asPeer)
+	defer f.close()
+	pool := f.clientNode.instanceConnections
 	if asPeer {
-		pool = p.clientNode.peerConnections
+		pool = f.clientNode.peerConnections
 	}
-	client := p.connect()
+	client := f.connect()
 	if r.previous != nil {
-		p.first.setBehavior("before", r.previous)
+		f.first.setBehavior("before", r.previous)
 	}
 	if r.behavior != nil {
-		p.first.setBehavior("row", r.behavior)
+		f.first.setBehavior("case", r.behavior)
 	}
 	Expect(client.roundTrip("before", repeatable, nil).status).To(Equal(http.StatusOK))
-	awaitIdleEvent(p, pool, r)
-	pool.AssumeOpenAfter(p.first.address, time.Hour)
+	awaitIdleEvent(f, pool, r)
+	pool.AssumeOpenAfter(f.first.address, time.Hour)
 	if r.setUp != nil {
-		r.setUp(p)
+		r.setUp(f)
 	}
 	expected := r.expectRepeatable
 	if kind == once {
 		expected = r.expectOnce
 	}
 	startedAt := time.Now()
-	response := client.roundTrip("row", kind, r.body)
+	response := client.roundTrip("case", kind, r.body)
 	Expect(time.Since(startedAt)).To(BeNumerically("<", routeTimeout+timeoutSlack), "held past its timeout")
-	r.check(p, "row", kind, expected, response)
+	r.check(f, "case", kind, expected, response)
 	Expect(client.roundTrip("after", repeatable, nil).status).To(Equal(http.StatusOK))
-	Expect(p.connectionAfter("row")).To(Equal(r.connection), "the connection")
+	Expect(f.connectionAfter("case")).To(Equal(r.connection), "the connection")
 }
 
 var _ = ginkgo.Describe("request cases", func() {
--- a/internal/dataplane/stub_server_test.go
+++ b/internal/dataplane/stub_server_test.go
@@ -277,7 +277,7 @@
 	return s, cancel
 }
 
-func (p *requestFixture) startNode(name, zone string, address func() string) *Node {
+func (f *requestFixture) startNode(name, zone string, address func() string) *Node {
 	scope, cancel := realScope(name)
 	params := &wire.NodeParams{
 		Name: name, Zone: zone, Service: books, Outward: address(), Inward: address(), Ready: address(), Control: address(), Seeds: []string{address()},
@@ -286,7 +286,7 @@
 	}
 	n, err := Start(scope, params, forwarding.DefaultHeaderNames, func(*Node) http.Handler { return http.NotFoundHandler() })
 	Expect(err).NotTo(HaveOccurred())
-	p.cleanups = append(p.cleanups, n.Kill, cancel)
+	f.cleanups = append(f.cleanups, n.Kill, cancel)
 	return n
 }
 
@@ -319,10 +319,10 @@
 		port++
 		return fmt.Sprintf("%s:%d", ip, port)
 	}
-	p := &requestFixture{}
-	p.first, p.second = newStubServer("first", address(), asPeer), newStubServer("second", address(), false)
-	p.clientNode, p.peerNode = p.startNode("near", "a", address), p.startNode("far", "b", address)
-	for _, n := range []*Node{p.clientNode, p.peerNode} {
+	f := &requestFixture{}
+	f.first, f.second = newStubServer("first", address(), asPeer), newStubServer("second", address(), false)
+	f.clientNode, f.peerNode = f.startNode("near", "a", address), f.startNode("far", "b", address)
+	for _, n := range []*Node{f.clientNode, f.peerNode} {
 		n.controlClient.Adopt(routeClassConfiguration(1), true)
 	}
 	// A long warm-up makes the second rank last, so that requests go to the first however busy the test machine is.
@@ -330,23 +330,23 @@
 	instance := func(server *stubServer, zone string) *wire.Instance {
 		return &wire.Instance{Id: "i-" + server.name, Service: books, Address: server.address, Zone: zone, Capacity: 4, WarmMs: warmup[server.name]}
 	}
-	Expect(p.peerNode.Heartbeat(instance(p.second, "b"))).To(BeNil())
-	observations := []*wire.Observation{{NodeStatus: p.peerNode.nodeStatus()}}
+	Expect(f.peerNode.Heartbeat(instance(f.second, "b"))).To(BeNil())
+	observations := []*wire.Observation{{NodeStatus: f.peerNode.nodeStatus()}}
 	if asPeer {
 		observations = append(observations, &wire.Observation{NodeStatus: &wire.NodeStatus{
-			Node: "mate", Incarnation: "one", Number: 1, Inward: p.first.address, Zone: "a", Service: books, Instance: instance(p.first, "a"),
+			Node: "peer", Incarnation: "one", Number: 1, Inward: f.first.address, Zone: "a", Service: books, Instance: instance(f.first, "a"),
 		}})
 	} else {
-		Expect(p.clientNode.Heartbeat(instance(p.first, "a"))).To(BeNil())
+		Expect(f.clientNode.Heartbeat(instance(f.first, "a"))).To(BeNil())
 	}
-	p.clientNode.peers.ApplyObservations("keel", true, observations)
-	return p
+	f.clientNode.peers.ApplyObservations("core-2", true, observations)
+	return f
 }
 
-func (p *requestFixture) close() {
-	p.first.close()
-	p.second.close()
-	for _, end := range p.cleanups {
+func (f *requestFixture) close() {
+	f.first.close()
+	f.second.close()
+	for _, end := range f.cleanups {
 		end()
 	}
 }
@@ -357,10 +357,10 @@
 	reader *bufio.Reader
 }
 
-func (p *requestFixture) connect() *client {
-	conn, err := net.Dial("tcp", p.clientNode.params.Outward)
+func (f *requestFixture) connect() *client {
+	conn, err := net.Dial("tcp", f.clientNode.params.Outward)
 	Expect(err).NotTo(HaveOccurred())
-	p.cleanups = append(p.cleanups, func() { _ = conn.Close() })
+	f.cleanups = append(f.cleanups, func() { _ = conn.Close() })
 	return &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -411,8 +411,8 @@
 }
 
 // sendAsPeer sends a request to peerNode as another node does.
-func (p *requestFixture) sendAsPeer(id, route string, metadata forwarding.Metadata) clientResponse {
-	conn, err := net.Dial("tcp", p.peerNode.params.Inward)
+func (f *requestFixture) sendAsPeer(id, route string, metadata forwarding.Metadata) clientResponse {
+	conn, err := net.Dial("tcp", f.peerNode.params.Inward)
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
 	c := &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
