--- a/internal/controlplane/propose_test.go
+++ b/internal/controlplane/propose_test.go
@@ -280,7 +280,7 @@
 	scenario("given a stalled or full disk on the owner, when configurations are proposed at any control machine, then each is committed within a second", func(f *fleet) {
 		Expect(f.commits(0, fullProposal(1, 0))).To(BeTrue())
 		newest := uint64(1)
-		for round, injectFault := range []func(k *controller) func(){
+		for round, injectFault := range []func(c *controller) func(){
 			func(c *controller) func() { return c.disk.Stall() },
 			func(c *controller) func() { c.disk.SetFull(true); return func() { c.disk.SetFull(false) } },
 		} {
--- a/internal/controlplane/soak_test.go
+++ b/internal/controlplane/soak_test.go
@@ -66,6 +66,7 @@
 	h.served[c.Serial] = digest
 }
 
+// controller returns the server of a control machine, or nil while it is down.
 func (f *fleet) controller(i int) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/suite_test.go
+++ b/internal/controlplane/suite_test.go
@@ -59,6 +59,8 @@
 
 func peerAddress(i int) string { return hostAddress(i) + ":7001" }
 
+// newFleet starts count control machines with empty disks, which found the fleet. The same seed gives the same random
+// choices.
 func newFleet(seed uint64, count int) *fleet {
 	f := &fleet{seed: seed, startTime: time.Now()}
 	f.network = simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })
@@ -128,6 +130,7 @@
 	f.controllers[i].disk.PowerLoss()
 }
 
+// end ends stalls, kills all control machines, closes the network and lets the remaining timers expire.
 func (f *fleet) end() {
 	for i := range f.controllers {
 		f.controllers[i].disk.EndStall()
@@ -138,10 +141,13 @@
 	time.Sleep(time.Minute)
 }
 
+// eventually is eventuallyWithin with a limit of 20 s.
 func (f *fleet) eventually(condition func() bool) bool {
 	return f.eventuallyWithin(20*time.Second, condition)
 }
 
+// eventuallyWithin checks the condition every 5 ms until it is true, for limit at most, and reports whether it became
+// true.
 func (f *fleet) eventuallyWithin(limit time.Duration, condition func() bool) bool {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(5 * time.Millisecond) {
 		if condition() {
@@ -151,6 +157,7 @@
 	return condition()
 }
 
+// ready reports whether every running control machine is ready.
 func (f *fleet) ready() bool {
 	for _, c := range f.controllers {
 		if c.server != nil && !c.server.Ready() {
@@ -160,11 +167,13 @@
 	return true
 }
 
+// cut holds back all traffic between two control machines, in both directions, until the network heals.
 func (f *fleet) cut(a, b int) {
 	f.network.Cut(hostAddress(a), hostAddress(b))
 	f.network.Cut(hostAddress(b), hostAddress(a))
 }
 
+// propose proposes once at one control machine.
 func (f *fleet) propose(i int, p *wire.ConfigurationProposal) (*wire.ConfigurationOutcome, error) {
 	server := f.controller(i)
 	if server == nil {
@@ -204,6 +213,7 @@
 	return configuration.GetSerial()
 }
 
+// poll sends one poll to a control machine, as a node does, with a timeout of 3 s.
 func (f *fleet) poll(i int, req *wire.PollRequest) (*wire.PollReply, error) {
 	s, cancel := f.scope.WithTimeout(3 * time.Second)
 	defer cancel()
@@ -214,6 +224,7 @@
 	return reply.Msg, nil
 }
 
+// serviceName returns a pointer to the name, for a route's optional service.
 func serviceName(name string) *string { return &name }
 
 // fullProposal proposes a whole configuration with a route for / and one for each prefix.
@@ -228,6 +239,7 @@
 	return &wire.ConfigurationProposal{Configuration: c}
 }
 
+// nodeStatus returns a status of a node without an instance; number orders the statuses of one incarnation.
 func nodeStatus(node string, number uint64) *wire.NodeStatus {
 	return &wire.NodeStatus{Node: node, Incarnation: "one", Number: number, Inward: "10.9.1.1:7002", Zone: "z", Service: "loans"}
 }
--- a/internal/dataplane/client_connections_test.go
+++ b/internal/dataplane/client_connections_test.go
@@ -36,6 +36,7 @@
 	return &idleClient{conn, bufio.NewReader(conn)}
 }
 
+// get sends a request on the client's only connection and reads the response.
 func (c *idleClient) get(id string) (*http.Response, error) {
 	if _, err := c.conn.Write([]byte("GET /search/x HTTP/1.1\r\nHost: books.example\r\n" + forwarding.DefaultHeaderNames.RequestID + ": " + id + "\r\n" + forwarding.DefaultHeaderNames.TimeLeft + ": 3000\r\n\r\n")); err != nil {
 		return nil, err
--- a/internal/dataplane/fencing_test.go
+++ b/internal/dataplane/fencing_test.go
@@ -50,6 +50,7 @@
 	afterFault func()
 }
 
+// next takes the next fault from the script.
 func (n *faultyNet) next() connectionFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,6 +134,8 @@
 	return c
 }
 
+// newFencingFixture starts both nodes, with faultyNet between clientNode and peerNode, and an upstream of capacity 1
+// beside peerNode.
 func (s *testbed) newFencingFixture() *fencingFixture {
 	f := &fencingFixture{testbed: s, net: &faultyNet{}, workTime: 5 * time.Millisecond, answerSize: 100}
 	s.Wrap = func(net base.Net) base.Net {
@@ -172,6 +175,7 @@
 	f.net.script = script
 }
 
+// outcomeCount returns how often the node has counted an outcome of that name.
 func (n *Node) outcomeCount(what string) int {
 	count, known := n.outcomeCounts.Get(what)
 	if !known {
--- a/internal/dataplane/model_cluster_test.go
+++ b/internal/dataplane/model_cluster_test.go
@@ -233,6 +233,7 @@
 	}
 }
 
+// modelAnswerKey returns the key of an answer in modelCluster.answers.
 func modelAnswerKey(id string, status int, body string) string {
 	return fmt.Sprint(id, " ", status, " ", body)
 }
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -118,6 +118,8 @@
 	}
 }
 
+// startNext starts the ledger's next attempt. If no node is left to try or the retry budget is exhausted, it answers the
+// client instead.
 func (n *modelNode) startNext(r *modelRequest) {
 	repeat := r.ledger.UpstreamAttempts() > 0
 	to := n.selectNode(r)
@@ -136,6 +138,7 @@
 	return n.cluster.defects.retriesUnpaid || n.retryBudget.Spend(modelService)
 }
 
+// selectNode draws a node with an upstream that the request has not tried, or returns nil.
 func (n *modelNode) selectNode(r *modelRequest) *modelNode {
 	first := n.cluster.draw(modelUpstreams)
 	for i := range modelUpstreams {
@@ -147,6 +150,7 @@
 	return nil
 }
 
+// hedge starts a second attempt while the first one runs, if the ledger and the retry budget allow it.
 func (n *modelNode) hedge(r *modelRequest) {
 	allowed := r.ledger.MayHedge()
 	if n.cluster.defects.hedgeOfOnce {
@@ -157,6 +161,7 @@
 	}
 }
 
+// giveUp answers 502 if the request may have run, and 503 otherwise.
 func (n *modelNode) giveUp(r *modelRequest) {
 	mayHaveRun := r.ledger.MayHaveRun() && !n.cluster.defects.notRunAfterDoubt
 	if mayHaveRun {
@@ -389,6 +394,7 @@
 	})
 }
 
+// outcomeOf returns the outcome that a reply to a question shows, unless its answer belongs to another request.
 func (a *modelAttempt) outcomeOf(reply *wire.AttemptReply) forwarding.Outcome {
 	own := func(answer *forwarding.Response) bool {
 		return a.from.cluster.defects.identityShared || answer.Header.Get(forwarding.DefaultHeaderNames.RequestID) == a.request.id
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -27,6 +27,7 @@
 	inUse      bool
 }
 
+// modelAnswer is a response of a model upstream. notRun marks a rejection before execution.
 type modelAnswer struct {
 	id     string
 	notRun bool
@@ -69,16 +70,19 @@
 	return u.dial()
 }
 
+// drop ends a connection on the node's side and forgets it.
 func (u *modelUpstream) drop(c *modelConn) {
 	c.ended, c.reader = true, nil
 	u.conns = slices.DeleteFunc(u.conns, func(each *modelConn) bool { return each == c })
 }
 
+// endConnection ends the connection on the upstream's side. Answers in the inbox can still be read.
 func (c *modelConn) endConnection() {
 	c.ended = true
 	c.wake()
 }
 
+// receive delivers an answer to the node, unless the connection has ended.
 func (c *modelConn) receive(a modelAnswer) {
 	if c.ended {
 		return
@@ -87,6 +91,7 @@
 	c.wake()
 }
 
+// wake lets the waiting reader, if there is one, look at the connection again.
 func (c *modelConn) wake() {
 	if c.reader != nil {
 		c.reader()
--- a/internal/dataplane/requests_test.go
+++ b/internal/dataplane/requests_test.go
@@ -67,10 +67,12 @@
 	connection       string // what becomes of the connection
 }
 
+// responseWith returns a whole sealed 200 response with additional header lines.
 func (t *transaction) responseWith(lines ...string) string {
 	return t.responseHead(http.StatusOK, t.id, len(t.body()), append(lines, sealHeader())...) + t.body()
 }
 
+// truncatedResponse returns a response that ends in the middle of its body.
 func (t *transaction) truncatedResponse() string {
 	return t.responseHead(http.StatusOK, t.id, len(t.body()), sealHeader()) + t.body()[:len(t.body())/2]
 }
--- a/internal/dataplane/stub_server_test.go
+++ b/internal/dataplane/stub_server_test.go
@@ -268,6 +268,7 @@
 	cleanups   []func()
 }
 
+// realScope returns a scope on the operating system's clock and network, and the function that ends it.
 func realScope(name string) (base.Scope, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := base.Scope{
@@ -390,6 +391,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
+// receive reads the next response, for clientTimeout at most.
 func (c *client) receive() clientResponse {
 	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -405,6 +407,7 @@
 	}
 }
 
+// roundTrip sends a request and reads its response.
 func (c *client) roundTrip(id, route string, body []byte) clientResponse {
 	c.send(id, route, body)
 	return c.receive()
