--- a/internal/dataplane/client_connections_test.go
+++ b/internal/dataplane/client_connections_test.go
@@ -36,6 +36,7 @@
 	return &idleClient{conn, bufio.NewReader(conn)}
 }
 
+// get sends a request on the client's only connection and reads the response.
 func (c *idleClient) get(id string) (*http.Response, error) {
 	if _, err := c.conn.Write([]byte("GET /search/x HTTP/1.1\r\nHost: books.example\r\n" + forwarding.DefaultHeaderNames.RequestID + ": " + id + "\r\n" + forwarding.DefaultHeaderNames.TimeLeft + ": 3000\r\n\r\n")); err != nil {
 		return nil, err
@@ -99,7 +100,7 @@
 		setIdleLimit(other, 1, longLimit)
 		s.addUpstream(other, 4, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("pages")) })
 		time.Sleep(idleTime - time.Second)
-		n.peers.ApplyObservations("keel", true, []*wire.Observation{{NodeStatus: other.nodeStatus()}})
+		n.peers.ApplyObservations("core-2", true, []*wire.Observation{{NodeStatus: other.nodeStatus()}})
 		s.Go(n.Stop)
 		time.Sleep(time.Second)
 		response, err := client.get("two")
--- a/internal/dataplane/model_node_test.go
+++ b/internal/dataplane/model_node_test.go
@@ -118,6 +118,8 @@
 	}
 }
 
+// startNext starts the ledger's next attempt. If no node is left to try or the retry budget is exhausted, it answers the
+// client instead.
 func (n *modelNode) startNext(r *modelRequest) {
 	repeat := r.ledger.UpstreamAttempts() > 0
 	to := n.selectNode(r)
@@ -136,6 +138,7 @@
 	return n.cluster.defects.retriesUnpaid || n.retryBudget.Spend(modelService)
 }
 
+// selectNode draws a node with an upstream that the request has not tried, or returns nil.
 func (n *modelNode) selectNode(r *modelRequest) *modelNode {
 	first := n.cluster.draw(modelUpstreams)
 	for i := range modelUpstreams {
@@ -147,6 +150,7 @@
 	return nil
 }
 
+// hedge starts a second attempt while the first one runs, if the ledger and the retry budget allow it.
 func (n *modelNode) hedge(r *modelRequest) {
 	allowed := r.ledger.MayHedge()
 	if n.cluster.defects.hedgeOfOnce {
@@ -157,6 +161,7 @@
 	}
 }
 
+// giveUp answers 502 if the request may have run, and 503 otherwise.
 func (n *modelNode) giveUp(r *modelRequest) {
 	mayHaveRun := r.ledger.MayHaveRun() && !n.cluster.defects.notRunAfterDoubt
 	if mayHaveRun {
@@ -182,9 +187,9 @@
 // answerClient records the first answer to a request.
 func (n *modelNode) answerClient(r *modelRequest, status int, a *forwarding.Response) {
 	if r.status == 0 {
-		r.status, r.answered, r.answer = status, n.cluster.now, a
+		r.status, r.answeredAt, r.answer = status, n.cluster.now, a
 		if r.exempt {
-			r.answered = 0
+			r.answeredAt = 0
 		}
 	}
 }
@@ -201,7 +206,7 @@
 		n.advance(r)
 	}
 	if to == n {
-		n.deliver(r.id, attempts.Reference{}, r.until, settle)
+		n.deliver(r.id, attempts.Reference{}, r.deadline, settle)
 		return
 	}
 	if !to.running {
@@ -288,7 +293,7 @@
 		a.reply(*refusal)
 		return
 	}
-	a.stop = n.deliver(a.request.id, ref, a.request.until, func(o forwarding.Outcome) {
+	a.stop = n.deliver(a.request.id, ref, a.request.deadline, func(o forwarding.Outcome) {
 		fencing.Finish(ref, o)
 		a.done = true
 		a.reply(o)
@@ -354,7 +359,7 @@
 		a.settle(doubtful)
 		return
 	}
-	giveUp := time.Duration(fencing.QueryTimeRatio * float64(a.request.until-m.now))
+	giveUp := time.Duration(fencing.QueryTimeRatio * float64(a.request.deadline-m.now))
 	replied := false
 	n.schedule(giveUp, func() {
 		if !replied {
@@ -380,7 +385,7 @@
 
 // fetch waits for the answer of an attempt that is still running at the peer.
 func (a *modelAttempt) fetch() {
-	a.sendQuestion(a.request.until-a.from.cluster.now, func(reply *wire.AttemptReply) {
+	a.sendQuestion(a.request.deadline-a.from.cluster.now, func(reply *wire.AttemptReply) {
 		if reply == nil {
 			a.settle(forwarding.IndeterminateOutcome(base.ResponseLost, "the answer could not be fetched"))
 			return
@@ -389,6 +394,7 @@
 	})
 }
 
+// outcomeOf returns the outcome that a reply to a question shows, unless its answer belongs to another request.
 func (a *modelAttempt) outcomeOf(reply *wire.AttemptReply) forwarding.Outcome {
 	own := func(answer *forwarding.Response) bool {
 		return a.from.cluster.defects.identityShared || answer.Header.Get(forwarding.DefaultHeaderNames.RequestID) == a.request.id
--- a/internal/dataplane/model_upstream_test.go
+++ b/internal/dataplane/model_upstream_test.go
@@ -27,6 +27,7 @@
 	inUse      bool
 }
 
+// modelAnswer is a response of a model upstream. notRun marks a rejection before execution.
 type modelAnswer struct {
 	id     string
 	notRun bool
@@ -69,16 +70,19 @@
 	return u.dial()
 }
 
+// drop ends a connection on the node's side and forgets it.
 func (u *modelUpstream) drop(c *modelConn) {
 	c.ended, c.reader = true, nil
 	u.conns = slices.DeleteFunc(u.conns, func(each *modelConn) bool { return each == c })
 }
 
+// endConnection ends the connection on the upstream's side. Answers in the inbox can still be read.
 func (c *modelConn) endConnection() {
 	c.ended = true
 	c.wake()
 }
 
+// receive delivers an answer to the node, unless the connection has ended.
 func (c *modelConn) receive(a modelAnswer) {
 	if c.ended {
 		return
@@ -87,6 +91,7 @@
 	c.wake()
 }
 
+// wake lets the waiting reader, if there is one, look at the connection again.
 func (c *modelConn) wake() {
 	if c.reader != nil {
 		c.reader()
@@ -170,11 +175,11 @@
 }
 
 // nextAnswer reads up to this request's answer. A rejection may come without an ID.
-func (c *modelConn) nextAnswer(id string, any bool) (modelAnswer, bool) {
+func (c *modelConn) nextAnswer(id string, acceptAny bool) (modelAnswer, bool) {
 	for len(c.inbox) > 0 {
 		a := c.inbox[0]
 		c.inbox = c.inbox[1:]
-		if a.id == id || a.id == "" && a.notRun || any {
+		if a.id == id || a.id == "" && a.notRun || acceptAny {
 			return a, true
 		}
 	}
