--- a/proto/wire/wireconnect/attempts.connect.go
+++ b/proto/wire/wireconnect/attempts.connect.go
@@ -39,6 +39,8 @@
 
 // AttemptsClient is a client for the curlewreach.Attempts service.
 type AttemptsClient interface {
+	// Resolve returns the state of an attempt. An attempt that has not begun is fenced by the call: it never will
+	// begin.
 	Resolve(context.Context, *connect.Request[wire.AttemptQuestion]) (*connect.Response[wire.AttemptReply], error)
 }
 
@@ -74,6 +76,8 @@
 
 // AttemptsHandler is an implementation of the curlewreach.Attempts service.
 type AttemptsHandler interface {
+	// Resolve returns the state of an attempt. An attempt that has not begun is fenced by the call: it never will
+	// begin.
 	Resolve(context.Context, *connect.Request[wire.AttemptQuestion]) (*connect.Response[wire.AttemptReply], error)
 }
 
--- a/proto/wire/wireconnect/flow.connect.go
+++ b/proto/wire/wireconnect/flow.connect.go
@@ -43,8 +43,11 @@
 
 // FlowClient is a client for the curlewreach.Flow service.
 type FlowClient interface {
+	// Vouch confirms the newest bundle known, for nodes without a majority of controllers.
 	Vouch(context.Context, *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error)
+	// Carry runs an attempt at a local instance and streams the response back.
 	Carry(context.Context, *connect.Request[wire.CarryRequest]) (*connect.ServerStreamForClient[wire.CarryReply], error)
+	// Fence prevents an attempt from being delivered, if it has not been yet.
 	Fence(context.Context, *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error)
 }
 
@@ -104,8 +107,11 @@
 
 // FlowHandler is an implementation of the curlewreach.Flow service.
 type FlowHandler interface {
+	// Vouch confirms the newest bundle known, for nodes without a majority of controllers.
 	Vouch(context.Context, *connect.Request[wire.VouchRequest]) (*connect.Response[wire.VouchReply], error)
+	// Carry runs an attempt at a local instance and streams the response back.
 	Carry(context.Context, *connect.Request[wire.CarryRequest], *connect.ServerStream[wire.CarryReply]) error
+	// Fence prevents an attempt from being delivered, if it has not been yet.
 	Fence(context.Context, *connect.Request[wire.FenceRequest]) (*connect.Response[wire.FenceReply], error)
 }
 
--- a/proto/wire/wireconnect/helm.connect.go
+++ b/proto/wire/wireconnect/helm.connect.go
@@ -41,7 +41,9 @@
 
 // HelmClient is a client for the curlewreach.Helm service.
 type HelmClient interface {
+	// News is the long poll of the nodes.
 	News(context.Context, *connect.Request[wire.NewsRequest]) (*connect.Response[wire.NewsReply], error)
+	// Propose decides a submission that another controller forwards.
 	Propose(context.Context, *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error)
 }
 
@@ -89,7 +91,9 @@
 
 // HelmHandler is an implementation of the curlewreach.Helm service.
 type HelmHandler interface {
+	// News is the long poll of the nodes.
 	News(context.Context, *connect.Request[wire.NewsRequest]) (*connect.Response[wire.NewsReply], error)
+	// Propose decides a submission that another controller forwards.
 	Propose(context.Context, *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error)
 }
 
--- a/proto/wire/wireconnect/kin.connect.go
+++ b/proto/wire/wireconnect/kin.connect.go
@@ -43,8 +43,11 @@
 
 // KinClient is a client for the curlewreach.Kin service.
 type KinClient interface {
+	// Tell returns the journal report of the machine.
 	Tell(context.Context, *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error)
+	// Beat receives a heartbeat.
 	Beat(context.Context, *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error)
+	// Sight receives another machine's view of the fleet.
 	Sight(context.Context, *connect.Request[wire.SightRequest]) (*connect.Response[wire.SightReply], error)
 }
 
@@ -104,8 +107,11 @@
 
 // KinHandler is an implementation of the curlewreach.Kin service.
 type KinHandler interface {
+	// Tell returns the journal report of the machine.
 	Tell(context.Context, *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellReply], error)
+	// Beat receives a heartbeat.
 	Beat(context.Context, *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error)
+	// Sight receives another machine's view of the fleet.
 	Sight(context.Context, *connect.Request[wire.SightRequest]) (*connect.Response[wire.SightReply], error)
 }
 
--- a/proto/wire/wireconnect/lens.connect.go
+++ b/proto/wire/wireconnect/lens.connect.go
@@ -43,8 +43,11 @@
 
 // LensClient is a client for the curlewreach.Lens service.
 type LensClient interface {
+	// Keep stores a batch of spans, or queues it for a copy to a peer.
 	Keep(context.Context, *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error)
+	// Recent returns the spans added after a given one.
 	Recent(context.Context, *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error)
+	// Trace returns the spans of one trace.
 	Trace(context.Context, *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error)
 }
 
@@ -104,8 +107,11 @@
 
 // LensHandler is an implementation of the curlewreach.Lens service.
 type LensHandler interface {
+	// Keep stores a batch of spans, or queues it for a copy to a peer.
 	Keep(context.Context, *connect.Request[wire.KeepRequest]) (*connect.Response[wire.KeepReply], error)
+	// Recent returns the spans added after a given one.
 	Recent(context.Context, *connect.Request[wire.RecentRequest]) (*connect.Response[wire.RecentReply], error)
+	// Trace returns the spans of one trace.
 	Trace(context.Context, *connect.Request[wire.TraceRequest]) (*connect.Response[wire.TraceReply], error)
 }
 
--- a/proto/wire/wireconnect/moor.connect.go
+++ b/proto/wire/wireconnect/moor.connect.go
@@ -43,8 +43,11 @@
 
 // MoorClient is a client for the curlewreach.Moor service.
 type MoorClient interface {
+	// Hail is the long poll of the nodes. It replies at once if there is something new.
 	Hail(context.Context, *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error)
+	// Propose decides a configuration, or forwards it to the owner of the configuration's register.
 	Propose(context.Context, *connect.Request[wire.ConfigurationProposal]) (*connect.Response[wire.ConfigurationOutcome], error)
+	// Keels returns the voters.
 	Keels(context.Context, *connect.Request[wire.ControllersRequest]) (*connect.Response[wire.ControllersReply], error)
 }
 
@@ -104,8 +107,11 @@
 
 // MoorHandler is an implementation of the curlewreach.Moor service.
 type MoorHandler interface {
+	// Hail is the long poll of the nodes. It replies at once if there is something new.
 	Hail(context.Context, *connect.Request[wire.PollRequest]) (*connect.Response[wire.PollReply], error)
+	// Propose decides a configuration, or forwards it to the owner of the configuration's register.
 	Propose(context.Context, *connect.Request[wire.ConfigurationProposal]) (*connect.Response[wire.ConfigurationOutcome], error)
+	// Keels returns the voters.
 	Keels(context.Context, *connect.Request[wire.ControllersRequest]) (*connect.Response[wire.ControllersReply], error)
 }
 
--- a/proto/wire/wireconnect/replica.connect.go
+++ b/proto/wire/wireconnect/replica.connect.go
@@ -39,6 +39,7 @@
 
 // ReplicasClient is a client for the curlewreach.Replicas service.
 type ReplicasClient interface {
+	// Exchange handles one request of another replica.
 	Exchange(context.Context, *connect.Request[wire.ReplicaRequest]) (*connect.Response[wire.ReplicaReply], error)
 }
 
@@ -74,6 +75,7 @@
 
 // ReplicasHandler is an implementation of the curlewreach.Replicas service.
 type ReplicasHandler interface {
+	// Exchange handles one request of another replica.
 	Exchange(context.Context, *connect.Request[wire.ReplicaRequest]) (*connect.Response[wire.ReplicaReply], error)
 }
 
--- a/proto/wire/wireconnect/trove.connect.go
+++ b/proto/wire/wireconnect/trove.connect.go
@@ -47,10 +47,16 @@
 
 // TroveClient is a client for the curlewreach.Trove service.
 type TroveClient interface {
+	// Promise is the first phase of Paxos, or a read.
 	Promise(context.Context, *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error)
+	// Accept is the second phase of Paxos.
 	Accept(context.Context, *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error)
+	// Settle receives the notice that an entry is on a majority of disks. It is ignored unless this disk has the
+	// same entry.
 	Settle(context.Context, *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleReply], error)
+	// TakeOver makes the receiver the owner of a key.
 	TakeOver(context.Context, *connect.Request[wire.TakeOverRequest]) (*connect.Response[wire.TakeOverReply], error)
+	// Keys returns the keys and the phase of the disk.
 	Keys(context.Context, *connect.Request[wire.KeysRequest]) (*connect.Response[wire.KeysReply], error)
 }
 
@@ -134,10 +140,16 @@
 
 // TroveHandler is an implementation of the curlewreach.Trove service.
 type TroveHandler interface {
+	// Promise is the first phase of Paxos, or a read.
 	Promise(context.Context, *connect.Request[wire.PromiseRequest]) (*connect.Response[wire.PromiseReply], error)
+	// Accept is the second phase of Paxos.
 	Accept(context.Context, *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error)
+	// Settle receives the notice that an entry is on a majority of disks. It is ignored unless this disk has the
+	// same entry.
 	Settle(context.Context, *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleReply], error)
+	// TakeOver makes the receiver the owner of a key.
 	TakeOver(context.Context, *connect.Request[wire.TakeOverRequest]) (*connect.Response[wire.TakeOverReply], error)
+	// Keys returns the keys and the phase of the disk.
 	Keys(context.Context, *connect.Request[wire.KeysRequest]) (*connect.Response[wire.KeysReply], error)
 }
 
