--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -70,20 +70,20 @@
 		ginkgo.Entry("machine twice", base.Duplicate, "common.machines[1].name", func(b *wire.Bundle) { b.Common.Machines[1].Name = b.Common.Machines[0].Name }),
 		ginkgo.Entry("address twice", base.Duplicate, "common.machines[1].address", func(b *wire.Bundle) { b.Common.Machines[1].Address = b.Common.Machines[0].Address }),
 		ginkgo.Entry("no application machine", base.OutOfRange, "common.machines", func(b *wire.Bundle) { b.Common.Machines = b.Common.Machines[:3] }),
-		ginkgo.Entry("share of no service", base.DanglingReference, "common.shares[0].services[2]", func(b *wire.Bundle) { b.Common.Shares[0].Services = append(b.Common.Shares[0].Services, "ghost") }),
+		ginkgo.Entry("share of no service", base.DanglingReference, "common.shares[0].services[2]", func(b *wire.Bundle) { b.Common.Shares[0].Services = append(b.Common.Shares[0].Services, "unknown") }),
 		ginkgo.Entry("service in two shares", base.Duplicate, "common.shares[1].services[0]", func(b *wire.Bundle) { b.Common.Shares[1].Services = []string{"lending"} }),
 		ginkgo.Entry("service in no share", base.DanglingReference, "services[1].name", func(b *wire.Bundle) { b.Common.Shares[0].Services = []string{"catalogue"} }),
-		ginkgo.Entry("route's group unknown", base.DanglingReference, "services[0].routes[0].group", func(b *wire.Bundle) { b.Services[0].Routes[0].Group = "ghosts" }),
-		ginkgo.Entry("machine calls no service", base.DanglingReference, "common.machines[4].calls[0]", func(b *wire.Bundle) { b.Common.Machines[4].Calls = []string{"ghost"} }),
+		ginkgo.Entry("route's group unknown", base.DanglingReference, "services[0].routes[0].group", func(b *wire.Bundle) { b.Services[0].Routes[0].Group = "unknown" }),
+		ginkgo.Entry("machine calls no service", base.DanglingReference, "common.machines[4].calls[0]", func(b *wire.Bundle) { b.Common.Machines[4].Calls = []string{"unknown"} }),
 		ginkgo.Entry("route twice", base.Duplicate, "services[0].routes[1].name", func(b *wire.Bundle) { b.Services[0].Routes[1].Name = "search" }),
 		ginkgo.Entry("overlapping templates", base.Overlapping, "services[1].routes[2].path", func(b *wire.Bundle) { b.Services[1].Routes[2].Path = "/catalogue/{any}" }),
 		ginkgo.Entry("overlapping placeholders", base.Overlapping, "services[1].routes[2].path", func(b *wire.Bundle) { b.Services[1].Routes[2].Path = "/{any}/shelf/{n}" }),
-		ginkgo.Entry("further call to an unknown route", base.DanglingReference, "services[1].routes[0].further[0]", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Route = "ghost" }),
+		ginkgo.Entry("further call to an unknown route", base.DanglingReference, "services[1].routes[0].further[0]", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Route = "unknown" }),
 		ginkgo.Entry("bad key field", base.OutOfRange, "services[1].routes[0].further[0].keys[0].parent", func(b *wire.Bundle) { b.Services[1].Routes[0].Further[0].Keys[0].Parent = "cookie:x" }),
 		ginkgo.Entry("deadline beyond the grace period", base.OutOfRange, "services[0].routes[0].deadline", func(b *wire.Bundle) { b.Services[0].Routes[0].Deadline = durationpb.New(5100 * time.Millisecond) }),
 		ginkgo.Entry("too many repeats", base.OutOfRange, "services[0].repeats", func(b *wire.Bundle) { b.Services[0].Repeats = 0.3 }),
 		ginkgo.Entry("sampling probabilities that could be zero", base.OutOfRange, "common.tracing.epsilon", func(b *wire.Bundle) { b.Common.Tracing.Epsilon = -1 }),
-		ginkgo.Entry("unknown utility", base.OutOfRange, "common.tracing.utility", func(b *wire.Bundle) { b.Common.Tracing.Utility = "luck" }),
+		ginkgo.Entry("unknown utility", base.OutOfRange, "common.tracing.utility", func(b *wire.Bundle) { b.Common.Tracing.Utility = "unknown" }),
 	)
 
 	ginkgo.It("given too many routes, when checked, then it is rejected as too large", func() {
@@ -102,9 +102,9 @@
 		Expect(slice.Parts).To(HaveLen(2))
 		_, fault := trust.Verify(slice)
 		Expect(fault).To(BeNil())
-		raw, fault := Decode(slice)
+		decoded, fault := Decode(slice)
 		Expect(fault).To(BeNil())
-		Expect(raw.Services).To(HaveLen(1))
+		Expect(decoded.Services).To(HaveLen(1))
 		Expect(Slice(sealed, b.NeededServices("app-1", []string{"lending"})).Parts).To(HaveLen(3), "the further calls of an instance are needed as well")
 	})
 
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -40,14 +40,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, fault := Decode(sealed)
+		decoded, fault := Decode(sealed)
 		if fault != nil {
 			t.Fatal(fault)
 		}
-		if !proto.Equal(b, opened) {
+		if !proto.Equal(b, decoded) {
 			t.Fatal("a valid bundle changed by encoding and decoding")
 		}
-		checkSelfMatch(t, b, Index(sealed, opened))
+		checkSelfMatch(t, b, Index(sealed, decoded))
 		if tracing := b.Common.Tracing; !validTracing(tracing) {
 			t.Fatalf("invalid tracing params passed: %v", tracing)
 		}
@@ -90,13 +90,13 @@
 			return
 		}
 		manifest, fault := trust.Verify(received)
-		opened, _ := Decode(received)
+		decoded, _ := Decode(received)
 		if fault == nil && string(received.Manifest) != string(sealed.Manifest) {
 			t.Fatalf("verified a manifest that was not signed: serial %d", manifest.Serial)
 		}
-		if opened != nil {
-			Index(received, opened)
-			Apply(opened, &wire.Change{DropServices: []string{"lending"}, Machines: opened.GetCommon().GetMachines()})
+		if decoded != nil {
+			Index(received, decoded)
+			Apply(decoded, &wire.Change{DropServices: []string{"lending"}, Machines: decoded.GetCommon().GetMachines()})
 		}
 	})
 }
@@ -109,8 +109,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	opened, _ := Decode(sealed)
-	index := Index(sealed, opened)
+	decoded, _ := Decode(sealed)
+	index := Index(sealed, decoded)
 	for _, path := range []string{"/catalogue/search", "/lending/borrow/7", "//", "/%2e%2e/lending", "/lending/borrow/", "\xff"} {
 		f.Add("GET", path)
 	}
--- a/internal/listednode/admission_queue_test.go
+++ b/internal/listednode/admission_queue_test.go
@@ -34,20 +34,20 @@
 var _ = ginkgo.Describe("the admission queue", func() {
 	ginkgo.It("given two groups that overload it, when their weights are 3 to 1, then they are served 3 to 1", func() {
 		runInBubble(func(s base.Scope) {
-			g := NewAdmissionQueue(s.Clock, 4, 100)
-			heavy, light := loadGroup(s, g, "heavy", 3, 20, 300), loadGroup(s, g, "light", 1, 20, 300)
+			q := NewAdmissionQueue(s.Clock, 4, 100)
+			heavy, light := loadGroup(s, q, "heavy", 3, 20, 300), loadGroup(s, q, "light", 1, 20, 300)
 			time.Sleep(5 * time.Second)
 			Expect(float64(heavy.Load()) / float64(light.Load())).To(BeNumerically("~", 3, 0.3))
 			time.Sleep(time.Hour)
-			Expect(g.InFlight()).To(BeZero())
+			Expect(q.InFlight()).To(BeZero())
 		})
 	})
 
 	ginkgo.It("given a group that overloads it with forty callers, when another group has one caller, then that one is served at once", func() {
 		runInBubble(func(s base.Scope) {
-			g := NewAdmissionQueue(s.Clock, 4, 60)
-			loadGroup(s, g, "flood", 1, 40, 300)
-			steady := loadGroup(s, g, "calm", 1, 1, 100)
+			q := NewAdmissionQueue(s.Clock, 4, 60)
+			loadGroup(s, q, "flood", 1, 40, 300)
+			steady := loadGroup(s, q, "calm", 1, 1, 100)
 			time.Sleep(4 * time.Second)
 			Expect(steady.Load()).To(Equal(int64(100)))
 			time.Sleep(time.Hour)
@@ -56,8 +56,8 @@
 
 	ginkgo.It("given a single group with a low weight, when it makes requests, then it may use the whole limit", func() {
 		runInBubble(func(s base.Scope) {
-			g := NewAdmissionQueue(s.Clock, 4, 60)
-			served := loadGroup(s, g, "only", 0.1, 8, 100)
+			q := NewAdmissionQueue(s.Clock, 4, 60)
+			served := loadGroup(s, q, "only", 0.1, 8, 100)
 			time.Sleep(2010 * time.Millisecond)
 			Expect(served.Load()).To(BeNumerically("~", 800, 8))
 			time.Sleep(time.Hour)
@@ -66,13 +66,13 @@
 
 	ginkgo.It("given a full queue, when more requests come, then they are rejected at once and none waits past its deadline", func() {
 		runInBubble(func(s base.Scope) {
-			g := NewAdmissionQueue(s.Clock, 1, 5)
-			release, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
+			q := NewAdmissionQueue(s.Clock, 1, 5)
+			release, fault := q.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			kinds := make(chan base.Kind, 20)
 			for range 20 {
 				go func() {
-					_, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
+					_, fault := q.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 					kinds <- fault.Kind
 				}()
 			}
@@ -81,8 +81,8 @@
 			time.Sleep(time.Second)
 			Expect(kinds).To(HaveLen(20))
 			release()
-			Expect(g.InFlight()).To(BeZero())
-			releaseAgain, fault := g.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
+			Expect(q.InFlight()).To(BeZero())
+			releaseAgain, fault := q.Acquire(s, "a", 1, s.Clock.Mono()+time.Second)
 			Expect(fault).To(BeNil())
 			releaseAgain()
 		})
--- a/internal/listednode/call_tracker_test.go
+++ b/internal/listednode/call_tracker_test.go
@@ -80,9 +80,9 @@
 			_, fault = t.Serialize(s, &callInProgress{match: match, instance: &instance{}}, startedAt+time.Minute, false)
 			Expect(fault.Kind).To(Equal(base.Contended), "a request that may not wait is rejected at once")
 			Expect(s.Clock.Mono()).To(Equal(startedAt))
-			together := routeWithFurtherCall()
-			together.Route.Together = true
-			releaseConcurrent, fault := t.Serialize(s, &callInProgress{match: together, instance: &instance{}}, s.Clock.Mono()+time.Minute, true)
+			concurrent := routeWithFurtherCall()
+			concurrent.Route.Together = true
+			releaseConcurrent, fault := t.Serialize(s, &callInProgress{match: concurrent, instance: &instance{}}, s.Clock.Mono()+time.Minute, true)
 			Expect(fault).To(BeNil())
 			releaseConcurrent()
 			releasePassing, fault := t.Serialize(s, &callInProgress{match: match, instance: &instance{passesTraceHeader: true}}, s.Clock.Mono()+time.Minute, true)
--- a/internal/listednode/peer_server_test.go
+++ b/internal/listednode/peer_server_test.go
@@ -14,26 +14,26 @@
 	"curlewreach/base"
 )
 
-// startFlakyUpstream starts an upstream that breaks connections. It returns the count of the requests that
-// it broke off.
-func startFlakyUpstream() (address string, seen *atomic.Int64, end func()) {
+// startFlakyUpstream starts an upstream that closes connections as serveFlaky does. received counts the
+// requests that it did not answer.
+func startFlakyUpstream() (address string, received *atomic.Int64, stop func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	seen = &atomic.Int64{}
+	received = &atomic.Int64{}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveFlaky(conn, seen)
+			go serveFlaky(conn, received)
 		}
 	}()
-	return listener.Addr().String(), seen, func() { _ = listener.Close() }
+	return listener.Addr().String(), received, func() { _ = listener.Close() }
 }
 
 // serveFlaky answers requests of /warm. At any other request, which it counts, it closes the connection.
-func serveFlaky(conn net.Conn, seen *atomic.Int64) {
+func serveFlaky(conn net.Conn, received *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -42,7 +42,7 @@
 			return
 		}
 		if request.URL.Path != "/warm" {
-			seen.Add(1)
+			received.Add(1)
 			return
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/listednode/span_budget_test.go
+++ b/internal/listednode/span_budget_test.go
@@ -35,7 +35,7 @@
 		}
 		return granted
 	}
-	ginkgo.It("given groups that use all, some or none of their budgets, when a second has passed, then each keeps its part and the unused rest is available to all", func() {
+	ginkgo.It("given groups that use all, some or none of their budgets, when a second has passed, then each keeps its share and the unused rest is available to all", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
 			clock := simnet.NewClock(time.Now())
@@ -46,10 +46,10 @@
 			Expect(allFull).To(Equal(map[string]int{"a": 300, "b": 300, "c": 300}))
 			spendFor(budget, clock, 1, map[string]int{"a": 200, "b": 10})
 			partial := spendFor(budget, clock, 10, map[string]int{"a": 200, "b": 10})
-			Expect(partial["b"]).To(Equal(100), "a group below its part gets all that it asks for")
-			Expect(partial["a"]).To(Equal(800), "the overloading group gets its part, the rest of b's and all of c's")
+			Expect(partial["b"]).To(Equal(100), "a group below its share gets all that it requests")
+			Expect(partial["a"]).To(Equal(800), "the overloading group gets its share, the rest of b's and all of c's")
 			returned := spendFor(budget, clock, 10, map[string]int{"a": 200, "b": 10, "c": 200})
-			Expect(returned["c"]).To(BeNumerically(">=", 300), "a group that becomes active again has its part at once")
+			Expect(returned["c"]).To(BeNumerically(">=", 300), "a group that becomes active again has its share at once")
 			Expect(returned["b"]).To(Equal(100))
 		})
 	})
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -108,12 +108,12 @@
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		for _, other := range []int{1, 2} {
-			c.world.Cut(ip(0), ip(other))
-			c.world.Cut(ip(other), ip(0))
+			c.network.Cut(ip(0), ip(other))
+			c.network.Cut(ip(other), ip(0))
 		}
 		Expect(c.write(0, "lost")).NotTo(Succeed())
 		Expect(c.write(1, "two")).To(Succeed())
-		c.world.HealAll()
+		c.network.HealAll()
 		Expect(c.readEventually(0)).To(Equal("two"))
 		Expect(c.readEventually(1)).To(Equal("two"))
 	})
@@ -193,7 +193,7 @@
 			Expect(c.members[1].replica.Ready()).To(BeTrue(), "the state written after the recovery must be loaded")
 			Expect(c.storedValue(1)).To(Equal("newest"))
 			promisedAfterRestart, _ := m.replica.store.Peek("key")
-			Expect(compareEpochs(promisedAfterRestart, promised)).To(BeNumerically(">=", 0), "a promise must not be forgotten")
+			Expect(compareEpochs(promisedAfterRestart, promised)).To(BeNumerically(">=", 0), "a promise must not be lost")
 		}
 	})
 
@@ -231,7 +231,7 @@
 		Expect(c.readEventually(2)).To(Equal("last"))
 	})
 
-	scenario("given full disks on a majority, when the owner changes a key, then the change fails, and succeeds once there is room", func(c *threeDiskCluster) {
+	scenario("given full disks on a majority, when the owner changes a key, then the change fails, and succeeds once there is space", func(c *threeDiskCluster) {
 		c.waitForBootstrap()
 		Expect(c.write(0, "one")).To(Succeed())
 		c.members[0].disk.SetFull(true)
--- a/internal/quorum/suite_test.go
+++ b/internal/quorum/suite_test.go
@@ -18,6 +18,7 @@
 	"curlewreach/internal/testing/simnet"
 )
 
+// suite is the test that the synctest bubbles of specs belong to.
 var suite *testing.T
 
 func TestQuorum(t *testing.T) {
@@ -26,7 +27,8 @@
 	ginkgo.RunSpecs(t, "quorum")
 }
 
-// member is a simulated core machine with its disk.
+// member is a simulated core machine: its disk, which outlives crashes, and its
+// running process. cancel is nil while the process is down.
 type member struct {
 	disk    *simnet.Disk
 	mount   *simnet.Mount
@@ -37,7 +39,7 @@
 
 // threeDiskCluster is a set of three core machines in a simulated network.
 type threeDiskCluster struct {
-	world     *simnet.Network
+	network   *simnet.Network
 	seed      uint64
 	startTime time.Time
 	members   [3]*member
@@ -48,7 +50,7 @@
 func ip(i int) string { return fmt.Sprintf("10.9.0.%d", i+1) }
 
 func newThreeDiskCluster(seed uint64) *threeDiskCluster {
-	c := &threeDiskCluster{seed: seed, startTime: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	c := &threeDiskCluster{seed: seed, startTime: time.Now(), network: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range c.members {
 		c.members[i] = &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))}
 		c.start(i)
@@ -62,7 +64,7 @@
 	m := c.members[i]
 	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
-		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(c.startTime), Net: c.world.At(ip(i), "keel"), Disk: m.mount,
+		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(c.startTime), Net: c.network.At(ip(i), "core"), Disk: m.mount,
 		Rand: random.Seeded(c.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
@@ -88,7 +90,7 @@
 	}
 	m.cancel()
 	m.mount.Unmount()
-	c.world.Crash(ip(i), "", false)
+	c.network.Crash(ip(i), "", false)
 	m.server.Close()
 	m.cancel = nil
 }
@@ -98,7 +100,7 @@
 	for i := range c.members {
 		c.crash(i)
 	}
-	c.world.Close()
+	c.network.Close()
 	time.Sleep(time.Minute)
 }
 
--- a/internal/quorum/wiped_disk_test.go
+++ b/internal/quorum/wiped_disk_test.go
@@ -20,16 +20,16 @@
 )
 
 // cluster is a set of core machines in a simulated network. It differs from
-// threeDiskCluster in the number of machines and in shorter timeouts.
+// threeDiskCluster in that it has any number of machines and shorter timeouts.
 type cluster struct {
 	seed      uint64
 	startTime time.Time
-	world     *simnet.Network
+	network   *simnet.Network
 	members   []*member
 }
 
 func newCluster(seed uint64, count int) *cluster {
-	c := &cluster{seed: seed, startTime: time.Now(), world: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
+	c := &cluster{seed: seed, startTime: time.Now(), network: simnet.NewNetwork(random.Seeded(seed), func(_, _ string) time.Duration { return time.Millisecond })}
 	for i := range count {
 		c.members = append(c.members, &member{disk: simnet.NewDisk(random.Seeded(seed + uint64(i)))})
 	}
@@ -45,7 +45,7 @@
 	m := c.members[i]
 	m.mount = simnet.NewMount(m.disk)
 	s := base.Scope{
-		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(c.startTime), Net: c.world.At(ip(i), "keel"), Disk: m.mount,
+		Context: context.Background(), Node: address(i), Clock: simnet.NewClock(c.startTime), Net: c.network.At(ip(i), "core"), Disk: m.mount,
 		Rand: random.Seeded(c.seed * 7919), Log: hclog.NewNullLogger(), Journal: base.NewJournal(1000),
 	}
 	s, m.cancel = s.WithCancel()
@@ -71,7 +71,7 @@
 	}
 	m.cancel()
 	m.mount.Unmount()
-	c.world.Crash(ip(i), "", false)
+	c.network.Crash(ip(i), "", false)
 	m.server.Close()
 	m.cancel = nil
 }
@@ -87,7 +87,7 @@
 	for i := range c.members {
 		c.crash(i)
 	}
-	c.world.Close()
+	c.network.Close()
 	time.Sleep(time.Minute)
 }
 
--- a/internal/tracing/exporter_test.go
+++ b/internal/tracing/exporter_test.go
@@ -43,7 +43,7 @@
 		cluster.stops = append(cluster.stops, server.Close)
 		return address, store
 	}
-	ginkgo.It("given control machines that come and go, when spans are sent, then two live ones store each batch, and an unreachable one loses nothing", func() {
+	ginkgo.It("given control machines that become unreachable, when spans are sent, then two live ones store each batch and no span is lost", func() {
 		synctest.Test(suite, func(*testing.T) {
 			defer ginkgo.GinkgoRecover()
 			cluster := &testCluster{network: simnet.NewNetwork(random.Seeded(1), func(_, _ string) time.Duration { return time.Millisecond })}
@@ -82,7 +82,7 @@
 			Expect(spanCounts()[1] + spanCounts()[2] + spanCounts()[3]).To(Equal(3))
 			live, others = addresses[3:], addresses[:1]
 			export("three")
-			Expect(stores[3].PendingCopies()).To(Equal(1), "the only live control machine is to pass a copy on")
+			Expect(stores[3].PendingCopies()).To(Equal(1), "the only live control machine must forward a copy")
 			live, others = nil, addresses[2:3]
 			before := spanCounts()[2]
 			export("four")
--- a/internal/tracing/learner_test.go
+++ b/internal/tracing/learner_test.go
@@ -24,7 +24,7 @@
 				}
 			}
 		},
-		ginkgo.Entry("two identifiers", 2), ginkgo.Entry("a handful", 5), ginkgo.Entry("ten", 10),
+		ginkgo.Entry("two identifiers", 2), ginkgo.Entry("five identifiers", 5), ginkgo.Entry("ten identifiers", 10),
 	)
 
 	ginkgo.It("given empty batches and batches of equal self times, when learned from, then beliefs stay and probabilities stay in range", func() {
--- a/internal/tracing/sampler_test.go
+++ b/internal/tracing/sampler_test.go
@@ -62,7 +62,7 @@
 	})
 })
 
-func BenchmarkKeep(b *testing.B) {
+func BenchmarkSample(b *testing.B) {
 	sampler := NewSampler(random.Seeded(7))
 	table := map[string]float64{}
 	for i := range 500 {
--- a/internal/tracing/tags_test.go
+++ b/internal/tracing/tags_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = ginkgo.Describe("tag correlations", func() {
-	ginkgo.It("given one slow instance, when tags are correlated with latency, then only the tag that tells it from the others is reported", func() {
+	ginkgo.It("given one slow instance, when tags are correlated with latency, then only the tag that distinguishes it from the others is reported", func() {
 		rand := random.Seeded(5)
 		var spans []*wire.Span
 		for i := range 200 {
