--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestFounderThatLostItsDiskFoundsNothingBesideTheFirstGeneration isolates b and c while the bootstrap leader a creates
-// generation 1 and accepts a change together with d and e. Then a loses its disk and hears only b and c, which still wait
-// for the first generation. It must not create a second one.
+// generation 1 and accepts a change together with d and e. Then a loses its disk and reaches only b and c, which still
+// wait for the first generation. It must not create a second one.
 func TestFounderThatLostItsDiskFoundsNothingBesideTheFirstGeneration(t *testing.T) {
 	sim := newSimulation(1, "a:1", "b:1", "c:1")
 	sim.log = t.Logf
@@ -17,7 +17,7 @@
 		sim.isolate(address, "a:1", "d:1", "e:1")
 	}
 	sim.run(2*time.Second, nil)
-	sim.request("a:1", "k", "one;", func(Result) {})
+	sim.requestChange("a:1", "k", "one;", func(Result) {})
 	sim.run(time.Second, nil)
 	sim.wipe("a:1")
 	sim.start("a:1", false)
--- a/internal/replica/checker_test.go
+++ b/internal/replica/checker_test.go
@@ -157,7 +157,7 @@
 }
 
 // tryAbandon drops a first generation that no voter holds on its disk and of which a voter has lost its disk: it
-// has decided nothing and never will. Replicas may still remember it but must not vote in it. It reports whether it was dropped.
+// has decided nothing and never will. Replicas may still know it but must not vote in it. It reports whether it was dropped.
 func (c *checker) tryAbandon(first *wire.Membership) bool {
 	held, diskLost := 0, false
 	for _, voter := range first.Voters {
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -59,12 +59,12 @@
 		return []byte(o.next), nil
 	}
 	h.sim.ask(address, func(m *Machine, ticket uint64) { m.Change(h.sim.now, ticket, key, apply) }, func(result Result) {
-		refused := errors.Is(result.Err, errMismatch)
-		if loseReply || result.Err != nil && !refused {
+		rejected := errors.Is(result.Err, errMismatch)
+		if loseReply || result.Err != nil && !rejected {
 			return
 		}
-		o.returnedAt, o.rejected = h.nextTime(), refused
-		if refused {
+		o.returnedAt, o.rejected = h.nextTime(), rejected
+		if rejected {
 			client.known[key] = o.observed
 		} else {
 			client.known[key] = o.next
@@ -142,8 +142,8 @@
 	return fmt.Sprintf("[%d,%d] change %s from %q to %q", o.calledAt, o.returnedAt, o.key, o.expected, o.next)
 }
 
-// checkLinearizable returns a description of the first violation, or "". A change of unknown outcome whose value nobody
-// has seen may be left out, because it could be ordered after all others.
+// checkLinearizable returns a description of the first violation, or "". A change of unknown outcome whose value
+// no operation observed may be left out, because it could be ordered after all others.
 func (h *history) checkLinearizable() string {
 	keys := map[string][]porcupine.Operation{}
 	for _, o := range h.operations {
--- a/internal/replica/mutation_test.go
+++ b/internal/replica/mutation_test.go
@@ -93,7 +93,7 @@
 	if output, err := exec.Command("go", "vet", "./"+directory).CombinedOutput(); err != nil {
 		t.Fatalf("the mutant does not build: %v\n%s", err, output)
 	}
-	began := time.Now()
+	start := time.Now()
 	command := exec.Command("go", "test", "-count=1", "-run", "^"+m.test+"$", "./"+directory, "-args", "-rapid.nofailfile", "-rapid.shrinktime=0s")
 	output, err := command.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "--- FAIL: "+m.test) {
@@ -103,5 +103,5 @@
 	if found := schedulesRun.FindSubmatch(output); found != nil {
 		schedules = string(found[1])
 	}
-	t.Logf("%s | %s | after %s schedules, %v", m.fault, m.test, schedules, time.Since(began).Round(time.Second))
+	t.Logf("%s | %s | after %s schedules, %v", m.fault, m.test, schedules, time.Since(start).Round(time.Second))
 }
--- a/internal/replica/quorum_read_test.go
+++ b/internal/replica/quorum_read_test.go
@@ -16,10 +16,10 @@
 	sim.start("d:1", false)
 	sim.run(time.Second, nil)
 	sim.intercept = func(m message) delivery { return delivery{lost: m.request.GetAccept().GetKey() == "k"} }
-	sim.request("a:1", "k", "one;", func(Result) {}) // accepted by a alone
+	sim.requestChange("a:1", "k", "one;", func(Result) {}) // accepted by a alone
 	sim.run(100*time.Millisecond, nil)
 	sim.isolate("a:1", "c:1", "d:1")
-	sim.request("c:1", "k", "two;", func(Result) {}) // promised by b and c, accepted by c alone
+	sim.requestChange("c:1", "k", "two;", func(Result) {}) // promised by b and c, accepted by c alone
 	sim.run(100*time.Millisecond, nil)
 	sim.intercept = func(m message) delivery { return delivery{lost: m.request.GetInstall() != nil && m.to == "b:1"} }
 	sim.ask("c:1", func(m *Machine, ticket uint64) { m.Leave(sim.now, ticket) }, func(Result) {})
--- a/internal/replica/replacement_test.go
+++ b/internal/replica/replacement_test.go
@@ -88,7 +88,7 @@
 
 // TestReplacedVoterKeepsItsDiskUntilTheNextGenerationStandsOnAMajority guards against a replaced voter erasing its
 // registers too early. A change is on a, b and c. Then a and b are isolated and replaced by f and g, but only f has
-// installed generation 2. After a and b hear of it, f and c lose their disks: the change must survive the loss of two
+// installed generation 2. After a and b learn of it, f and c lose their disks: the change must survive the loss of two
 // disks of five.
 func TestReplacedVoterKeepsItsDiskUntilTheNextGenerationStandsOnAMajority(t *testing.T) {
 	sim := newSimulation(1, "a:1", "b:1", "c:1", "d:1", "e:1")
@@ -120,7 +120,7 @@
 	sim.intercept = nil
 	sim.reconnect("a:1", sim.names...)
 	sim.reconnect("b:1", sim.names...)
-	sim.run(4*time.Second, nil) // a and b hear of generation 2 from f
+	sim.run(4*time.Second, nil) // a and b learn of generation 2 from f
 	sim.remove("f:1")
 	sim.remove("c:1")
 	for _, address := range []string{"d:1", "e:1", "g:1"} {
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestLateQuestionOfALostLearnerReplacesNobody wipes c twice. A delayed request of the first new identity arrives when the
-// second one is already a voter at that address, and must not cause another replacement.
+// TestLateQuestionOfALostLearnerReplacesNobody wipes the disk of c twice. A delayed request of the first new identity
+// arrives when the second one is already a voter at that address, and must not cause another replacement.
 func TestLateQuestionOfALostLearnerReplacesNobody(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
 	sim.mustChange(t, "a:1", "k", "one;", time.Second)
@@ -236,7 +236,7 @@
 	}
 }
 
-// TestTwoCoordinatorsChooseOneGeneration removes c while only a hears of learner d and only b of learner e. Messages
+// TestTwoCoordinatorsChooseOneGeneration removes c while only a knows learner d and only b knows learner e. Messages
 // between a and b take longer than the pause between their attempts, so their proposals overlap.
 func TestTwoCoordinatorsChooseOneGeneration(t *testing.T) {
 	sim := newRunningSimulation(t, "a:1", "b:1", "c:1")
--- a/internal/replica/schedule_test.go
+++ b/internal/replica/schedule_test.go
@@ -204,9 +204,9 @@
 	r.sim.conditions = conditions{
 		lossPercent:      s.Other % 4 * 5,
 		duplicatePercent: s.Other / 4 % 4 * 10,
-		failPercent:      s.Other / 16 % 2 * 10,
+		saveFailPercent:  s.Other / 16 % 2 * 10,
 		maxDelay:         time.Duration(s.Node*s.Node*3) * time.Millisecond,
-		maxSave:          time.Duration(s.Other/32*s.Node*maxSaveMillis/maxNodes) * time.Millisecond,
+		maxSaveDelay:     time.Duration(s.Other/32*s.Node*maxSaveMillis/maxNodes) * time.Millisecond,
 	}
 }
 
--- a/internal/replica/simulation_test.go
+++ b/internal/replica/simulation_test.go
@@ -69,9 +69,9 @@
 type conditions struct {
 	lossPercent      int
 	duplicatePercent int
-	failPercent      int           // of saves
+	saveFailPercent  int
 	maxDelay         time.Duration // per message
-	maxSave          time.Duration
+	maxSaveDelay     time.Duration
 }
 
 // message is a request or reply in transit.
@@ -336,7 +336,7 @@
 			return
 		}
 		n.saving = nil
-		ok := !n.diskFull && !sim.chance(sim.conditions.failPercent)
+		ok := !n.diskFull && !sim.chance(sim.conditions.saveFailPercent)
 		if ok || !n.diskFull && sim.chance(50) {
 			n.write(save.State)
 		}
@@ -348,7 +348,7 @@
 	if sim.saveDelay != nil {
 		return sim.saveDelay(n)
 	}
-	return simSaveDelay + sim.randomDuration(sim.conditions.maxSave)
+	return simSaveDelay + sim.randomDuration(sim.conditions.maxSaveDelay)
 }
 
 func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
@@ -363,8 +363,8 @@
 // transmit sends a message over the network; deliver may run never, once or twice.
 func (sim *simulation) transmit(m message, deliver func()) {
 	if sim.intercept != nil {
-		if v := sim.intercept(m); !v.lost {
-			sim.scheduleDelivery(m, max(v.delay, simMessageDelay), deliver)
+		if decision := sim.intercept(m); !decision.lost {
+			sim.scheduleDelivery(m, max(decision.delay, simMessageDelay), deliver)
 		}
 		return
 	}
@@ -448,7 +448,8 @@
 	call.reply(response.Reply)
 }
 
-// ask opens a ticket on a machine. done is called with its result, unless the process stops before.
+// ask starts an operation on a machine under a new ticket. done is called with its result, unless the process stops
+// before that.
 func (sim *simulation) ask(address string, start func(m *Machine, ticket uint64), done func(Result)) {
 	n := sim.nodes[address]
 	if n == nil || n.machine == nil {
@@ -463,8 +464,8 @@
 // restart starts a stopped process again with the state on its disk.
 func (sim *simulation) restart(address string) { sim.start(address, false) }
 
-// request opens a change that sets a value unconditionally.
-func (sim *simulation) request(address, key, value string, done func(Result)) {
+// requestChange starts a change at an address that sets a value unconditionally.
+func (sim *simulation) requestChange(address, key, value string, done func(Result)) {
 	sim.ask(address, func(m *Machine, ticket uint64) {
 		m.Change(sim.now, ticket, key, func([]byte) ([]byte, error) { return []byte(value), nil })
 	}, done)
--- a/internal/statestore/cost_test.go
+++ b/internal/statestore/cost_test.go
@@ -43,19 +43,19 @@
 	bytesWritten, syncs, bytesRead int
 }
 
-func (m *countingDisk) Create(name string) (storage.File, error) {
-	file, err := m.Disk.Create(name)
-	return &countingFile{file, m}, err
+func (d *countingDisk) Create(name string) (storage.File, error) {
+	file, err := d.Disk.Create(name)
+	return &countingFile{file, d}, err
 }
 
-func (m *countingDisk) SyncFolder(folder string) error {
-	m.syncs++
-	return m.Disk.SyncFolder(folder)
+func (d *countingDisk) SyncFolder(folder string) error {
+	d.syncs++
+	return d.Disk.SyncFolder(folder)
 }
 
-func (m *countingDisk) Read(name string) ([]byte, error) {
-	raw, err := m.Disk.Read(name)
-	m.bytesRead += len(raw)
+func (d *countingDisk) Read(name string) ([]byte, error) {
+	raw, err := d.Disk.Read(name)
+	d.bytesRead += len(raw)
 	return raw, err
 }
 
