--- a/internal/testing/listedfleet/failure_detection_test.go
+++ b/internal/testing/listedfleet/failure_detection_test.go
@@ -38,7 +38,7 @@
 		}
 	})
 
-	scenario("given links cut for moments in one direction, when machines are alive, then none is listed as absent", []uint64{1, 2, 3}, func(f *Fleet) {
+	scenario("given links cut briefly in one direction, when machines are alive, then none is listed as absent", []uint64{1, 2, 3}, func(f *Fleet) {
 		startAll(f)
 		for round := range 20 {
 			a, b := f.Machines()[round%7], f.Machines()[(round*3+1)%7]
--- a/internal/testing/listedfleet/fleet_size_test.go
+++ b/internal/testing/listedfleet/fleet_size_test.go
@@ -23,9 +23,9 @@
 func (f *Fleet) measureTraffic(length time.Duration) traffic {
 	bytes, packets := f.World.Sent()
 	f.Sleep(length)
-	later, more := f.World.Sent()
+	bytesAfter, packetsAfter := f.World.Sent()
 	nodeSeconds := length.Seconds() * float64(len(f.Nodes))
-	return traffic{float64(later-bytes) / nodeSeconds, float64(more-packets) / nodeSeconds}
+	return traffic{float64(bytesAfter-bytes) / nodeSeconds, float64(packetsAfter-packets) / nodeSeconds}
 }
 
 var _ = ginkgo.Describe("fleet size", func() {
--- a/internal/testing/listedfleet/rollout_test.go
+++ b/internal/testing/listedfleet/rollout_test.go
@@ -262,8 +262,8 @@
 		}
 		var reply *wire.BundleReply
 		Expect(f.WaitUntil(10*time.Second, func() bool {
-			shown, err := f.OperatorClient.Bundle(f.Scope, 2)
-			reply = shown
+			received, err := f.OperatorClient.Bundle(f.Scope, 2)
+			reply = received
 			return err == nil
 		})).To(BeTrue())
 		trust, err := bundle.NewTrust(f.trustedKeys)
--- a/internal/testing/listedfleet/soak_test.go
+++ b/internal/testing/listedfleet/soak_test.go
@@ -212,12 +212,12 @@
 	}},
 	{"machine moved to another zone", func(f *Fleet, rand *random.Source) func() {
 		m := f.Nodes[rand.IntN(len(f.Nodes))]
-		shown, err := f.OperatorClient.Bundle(f.Scope, 0)
+		current, err := f.OperatorClient.Bundle(f.Scope, 0)
 		if err != nil {
 			return func() {}
 		}
 		zone := string(rune('a' + rand.IntN(3)))
-		f.push(fmt.Sprint("zone-", f.Scope.Clock.Mono()), shown.Serial, &wire.Change{Machines: []*wire.Machine{{Name: m.Name, Address: m.Address, Zone: zone}}})
+		f.push(fmt.Sprint("zone-", f.Scope.Clock.Mono()), current.Serial, &wire.Change{Machines: []*wire.Machine{{Name: m.Name, Address: m.Address, Zone: zone}}})
 		return func() {}
 	}},
 	{"replayed and corrupted bundles", func(f *Fleet, rand *random.Source) func() {
@@ -283,9 +283,9 @@
 		for count := 0; s.Err() == nil; count++ {
 			submission := fmt.Sprint("push-", count)
 			attemptScope, cancelAttempt := s.WithTimeout(8 * time.Second)
-			shown, err := f.OperatorClient.Bundle(attemptScope, 0)
+			current, err := f.OperatorClient.Bundle(attemptScope, 0)
 			if err == nil {
-				outcome, err := f.OperatorClient.Apply(attemptScope, submission, &wire.DraftRequest{Base: shown.Serial, Change: f.watchedShareChange(float64(1 + count%7))}, f.OperatorKey)
+				outcome, err := f.OperatorClient.Apply(attemptScope, submission, &wire.DraftRequest{Base: current.Serial, Change: f.watchedShareChange(float64(1 + count%7))}, f.OperatorKey)
 				if err == nil {
 					f.History.RecordOutcome(outcome)
 				}
@@ -329,11 +329,11 @@
 	injected []string
 }
 
-func (d *faultInjector) injectOne() (undo func()) {
-	selected := faultScenarios[d.rand.IntN(len(faultScenarios))]
-	d.injected = append(d.injected, fmt.Sprintf("%s %s", d.Scope.Clock.Mono(), selected.name))
-	endDisturbance := d.StartDisturbance("fleet", selected.name)
-	undoFault := selected.inject(d.Fleet, d.rand)
+func (i *faultInjector) injectOne() (undo func()) {
+	selected := faultScenarios[i.rand.IntN(len(faultScenarios))]
+	i.injected = append(i.injected, fmt.Sprintf("%s %s", i.Scope.Clock.Mono(), selected.name))
+	endDisturbance := i.StartDisturbance("fleet", selected.name)
+	undoFault := selected.inject(i.Fleet, i.rand)
 	return func() {
 		undoFault()
 		endDisturbance()
@@ -341,24 +341,24 @@
 }
 
 // injectRound injects up to three faults that overlap, and undoes them.
-func (d *faultInjector) injectRound() {
+func (i *faultInjector) injectRound() {
 	var undos []func()
-	for range 1 + d.rand.IntN(3) {
-		undos = append(undos, d.injectOne())
-		d.Sleep(time.Duration(d.rand.IntN(600)) * time.Millisecond)
+	for range 1 + i.rand.IntN(3) {
+		undos = append(undos, i.injectOne())
+		i.Sleep(time.Duration(i.rand.IntN(600)) * time.Millisecond)
 	}
-	d.Sleep(time.Duration(500+d.rand.IntN(2500)) * time.Millisecond)
+	i.Sleep(time.Duration(500+i.rand.IntN(2500)) * time.Millisecond)
 	for _, undo := range undos {
 		undo()
 	}
-	d.Sleep(time.Duration(d.rand.IntN(2000)) * time.Millisecond)
+	i.Sleep(time.Duration(i.rand.IntN(2000)) * time.Millisecond)
 }
 
 // repairAll heals all links and restarts all machines that are down.
-func (d *faultInjector) repairAll() {
-	d.World.HealAll()
-	for _, m := range d.Machines() {
-		restartFunc(d.Fleet, m)()
+func (i *faultInjector) repairAll() {
+	i.World.HealAll()
+	for _, m := range i.Machines() {
+		restartFunc(i.Fleet, m)()
 	}
 }
 
--- a/internal/testing/listedfleet/span_recording_test.go
+++ b/internal/testing/listedfleet/span_recording_test.go
@@ -130,7 +130,7 @@
 })
 
 var _ = ginkgo.Describe("fair shares of recorded spans", func() {
-	scenario("given one group that floods the fleet, when another makes its usual requests, then all of the other's calls are recorded at every node and the flood gets the rest of the budget", []uint64{1, 2, 3}, func(f *Fleet) {
+	scenario("given one group that floods the fleet, when another makes its usual requests, then all of the other's calls are recorded at every node and the first gets the rest of the budget", []uint64{1, 2, 3}, func(f *Fleet) {
 		f.Behaviors = []standin.Behavior{{Prefix: "/catalogue", MinDelay: 2, FillerBytes: 50}}
 		f.Plan = []standin.PlannedRequest{
 			{Service: "catalogue", Route: "search", Group: "patrons", Method: "GET", Path: "/catalogue/search?q={n}", Weight: 1},
--- a/internal/testing/listedfleet/suite_test.go
+++ b/internal/testing/listedfleet/suite_test.go
@@ -19,11 +19,11 @@
 	"curlewreach/proto/wire"
 )
 
-// suiteT is the test that runs the suite. synctest.Test needs it.
-var suiteT *testing.T
+// suite is the test that the synctest bubbles of specs belong to.
+var suite *testing.T
 
 func TestFleet(t *testing.T) {
-	suiteT = t
+	suite = t
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	ginkgo.RunSpecs(t, "fleet")
 }
@@ -45,7 +45,7 @@
 
 // runFleet runs a test on a new fleet within a synctest bubble, and closes the fleet.
 func runFleet(seed uint64, initialBundle *wire.Bundle, run func(f *Fleet)) {
-	synctest.Test(suiteT, func(*testing.T) {
+	synctest.Test(suite, func(*testing.T) {
 		defer ginkgo.GinkgoRecover()
 		f := New(seed, initialBundle)
 		f.Behaviors, f.Plan = behaviors, plan
--- a/internal/testing/openfleet/config_faults_test.go
+++ b/internal/testing/openfleet/config_faults_test.go
@@ -15,7 +15,8 @@
 // lowBandwidth limits the traffic into each node in runs with slow links, in bytes per second.
 const lowBandwidth = 275_000
 
-// namedControllerFault disturbs control plane replicas until end is called. m is the replica that it picks on.
+// namedControllerFault is a fault of control plane replicas that lasts until end is called. m is the replica to which
+// a fault of a single replica applies.
 type namedControllerFault struct {
 	name  string
 	start func(f *Fleet, m *Machine, rnd *random.Source) (end func())
--- a/internal/testing/openfleet/controlplane_faults_test.go
+++ b/internal/testing/openfleet/controlplane_faults_test.go
@@ -274,7 +274,7 @@
 		startAll(f)
 		f.StartLoad(30)
 		invalidate := []func(c *wire.Configuration){
-			func(c *wire.Configuration) { c.Routes[0].Service = stringPtr("nobody") },
+			func(c *wire.Configuration) { c.Routes[0].Service = stringPtr("unknown") },
 			func(c *wire.Configuration) {
 				c.Routes[1].Prefix, c.Routes[1].Host = c.Routes[0].Prefix, c.Routes[0].Host
 			},
--- a/internal/testing/openfleet/idle_traffic_test.go
+++ b/internal/testing/openfleet/idle_traffic_test.go
@@ -15,10 +15,10 @@
 		measure := func(what string) {
 			bytes, packets := f.World.Sent()
 			f.Sleep(20 * time.Second)
-			later, more := f.World.Sent()
-			each := float64(later-bytes) / 20 / float64(len(f.Nodes))
-			ginkgo.AddReportEntry("idle "+what, fmt.Sprintf("%.0f B/s and %.1f packets/s per node", each, float64(more-packets)/20/float64(len(f.Nodes))))
-			Expect(each).To(BeNumerically("<", 5500), what)
+			bytesAfter, packetsAfter := f.World.Sent()
+			bytesPerNode := float64(bytesAfter-bytes) / 20 / float64(len(f.Nodes))
+			ginkgo.AddReportEntry("idle "+what, fmt.Sprintf("%.0f B/s and %.1f packets/s per node", bytesPerNode, float64(packetsAfter-packets)/20/float64(len(f.Nodes))))
+			Expect(bytesPerNode).To(BeNumerically("<", 5500), what)
 		}
 		measure("without faults")
 		f.PowerLoss(f.Controllers[2])
--- a/internal/testing/openfleet/partition_test.go
+++ b/internal/testing/openfleet/partition_test.go
@@ -176,7 +176,7 @@
 		f.changeConfiguration(0)
 	})
 
-	spec("given a replica that is frozen while nodes restart and configurations change, when it thaws and sends old responses, then no node takes an old configuration as confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
+	spec("given a replica that is frozen while nodes restart and configurations change, when it resumes and sends old responses, then no node takes an old configuration as confirmed", []uint64{1, 2, 3, 4}, func(f *Fleet) {
 		startAll(f)
 		f.StartLoad(20)
 		f.Sleep(time.Second)
--- a/internal/testing/openfleet/random_faults_test.go
+++ b/internal/testing/openfleet/random_faults_test.go
@@ -11,7 +11,7 @@
 	"curlewreach/proto/wire"
 )
 
-// faultScenario disturbs a machine until end is called.
+// faultScenario injects a fault into a machine, which lasts until end is called.
 type faultScenario func(f *Fleet, m *Machine, rnd *random.Source) (end func())
 
 // mustStart starts the machine's process and expects that to succeed.
--- a/internal/testing/openfleet/report_test.go
+++ b/internal/testing/openfleet/report_test.go
@@ -32,7 +32,7 @@
 			outcome := f.History.outcomes[id]
 			fmt.Println("     ", outcome.EndedAt, outcome.Status, outcome.ErrorKind, outcome.TransportError, "retry after", outcome.RetryAfter)
 			for _, arrival := range f.History.Arrivals(id) {
-				fmt.Println("        ", arrival.ArrivedAt, arrival.Instance, "missed", arrival.Misdirected, "executed", arrival.Executed, "status", arrival.Status, "response broken", arrival.ResponseBroken, "gone", arrival.CallerGone)
+				fmt.Println("        ", arrival.ArrivedAt, arrival.Instance, "misdirected", arrival.Misdirected, "executed", arrival.Executed, "status", arrival.Status, "response broken", arrival.ResponseBroken, "caller gone", arrival.CallerGone)
 			}
 		}
 	}
--- a/internal/testing/openfleet/rules_test.go
+++ b/internal/testing/openfleet/rules_test.go
@@ -10,7 +10,7 @@
 	"curlewreach/proto/wire"
 )
 
-// fixedClock is a clock that stands still.
+// fixedClock is a clock whose times never change.
 type fixedClock struct{}
 
 func (fixedClock) Wall() time.Time     { return time.Time{} }
--- a/internal/testing/openfleet/suite_test.go
+++ b/internal/testing/openfleet/suite_test.go
@@ -17,6 +17,7 @@
 	"curlewreach/proto/wire"
 )
 
+// suite is the test that the synctest bubbles of specs belong to.
 var suite *testing.T
 
 func TestOpen(t *testing.T) {
--- a/internal/testing/openfleet/upstream_faults_test.go
+++ b/internal/testing/openfleet/upstream_faults_test.go
@@ -26,9 +26,10 @@
 
 var _ = ginkgo.Describe("upstream faults", func() {
 	for _, each := range []struct {
-		fault        Fault
-		late         time.Duration
-		once, others float64
+		fault Fault
+		delay time.Duration
+		// minOnce and minRetryable are lower bounds of the success rates of jobs whose routes forbid and allow retries.
+		minOnce, minRetryable float64
 	}{
 		{NoResponse, 0, 0.75, 0.85},
 		{ConnReset, 0, 0.7, 0.95},
@@ -47,22 +48,22 @@
 		{CloseAfterResponse, 0, 0.995, 0.995},
 		{CloseWithoutResponse, 0, 0.7, 0.95},
 	} {
-		specWith(fmt.Sprintf("given upstreams with the fault %q in one response of ten, delay %s, when clients send requests, then no request runs twice and every success is complete and belongs to its request", each.fault, each.late), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+		specWith(fmt.Sprintf("given upstreams with the fault %q in one response of ten, delay %s, when clients send requests, then no request runs twice and every success is complete and belongs to its request", each.fault, each.delay), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
 			f.StartLoad(50)
 			f.Sleep(200 * time.Millisecond)
-			f.setFaults([]string{"books", "loans", "gates"}, FaultRate{each.fault, 0.1, each.late})
+			f.setFaults([]string{"books", "loans", "gates"}, FaultRate{each.fault, 0.1, each.delay})
 			f.Sleep(3 * time.Second)
 			f.StopLoad()
 			checkHistory(f, RuleAtMostOnce, RuleResponseIntegrity, RuleRequestIntegrity, RuleRouting)
 			stats, retryableStats := f.JobStats(0, 0, atMostOnce), f.JobStats(0, 0, retryable)
-			Expect(stats.SuccessRate()).To(BeNumerically(">", each.once), "%s: %s", f.Description, stats)
-			Expect(retryableStats.SuccessRate()).To(BeNumerically(">", each.others), "%s: %s", f.Description, retryableStats)
+			Expect(stats.SuccessRate()).To(BeNumerically(">", each.minOnce), "%s: %s", f.Description, stats)
+			Expect(retryableStats.SuccessRate()).To(BeNumerically(">", each.minRetryable), "%s: %s", f.Description, retryableStats)
 		})
 	}
 })
 
-var _ = ginkgo.Describe("large answers", func() {
+var _ = ginkgo.Describe("large responses", func() {
 	for _, chunks := range []bool{false, true} {
 		specWith(fmt.Sprintf("given upstreams that truncate large responses, chunked: %v, when clients send requests, then no truncated response looks complete", chunks), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			f.Behaviors = []Behavior{{Prefix: "/scans/", Base: 10 * time.Millisecond, Size: 2_600_000, Chunks: chunks}}
@@ -95,10 +96,10 @@
 var allServices = []string{"books", "loans", "gates"}
 
 var _ = ginkgo.Describe("upstream connections and capacity", func() {
-	for _, rest := range []time.Duration{60 * time.Millisecond, time.Second, 2 * time.Second} {
-		specWith(fmt.Sprintf("given upstreams that close connections idle for %s, when clients send requests at a low rate, then no response is lost", rest), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
+	for _, idleTimeout := range []time.Duration{60 * time.Millisecond, time.Second, 2 * time.Second} {
+		specWith(fmt.Sprintf("given upstreams that close connections idle for %s, when clients send requests at a low rate, then no response is lost", idleTimeout), 3, smallServices, []uint64{1, 2}, func(f *Fleet) {
 			startAll(f)
-			f.replaceUpstreams(allServices, func(u *Upstream) { u.IdleTimeout, u.AnnounceIdleTimeout = rest, rest >= time.Second })
+			f.replaceUpstreams(allServices, func(u *Upstream) { u.IdleTimeout, u.AnnounceIdleTimeout = idleTimeout, idleTimeout >= time.Second })
 			f.StartLoad(25)
 			f.Sleep(6 * time.Second)
 			f.StopLoad()
