--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -92,7 +92,7 @@
 // are valid. Fault paths call the destinations "forks".
 func (f *faults) checkTarget(path string, route *wire.ConfigurationRoute, services map[string]bool) {
 	if route.Service == nil && len(route.Destinations) == 0 {
-		f.add(base.Malformed, path, "has neither a service nor destinations")
+		f.add(base.Malformed, path, "names neither a service nor forks")
 	}
 	if route.Service != nil && !services[*route.Service] {
 		f.add(base.DanglingReference, path+".service", "there is no service %q", *route.Service)
@@ -110,7 +110,7 @@
 		total += destination.GetWeight()
 	}
 	if len(route.Destinations) > 0 && !(total > 0) {
-		f.add(base.OutOfRange, path+".forks", "the sum of the weights must be above 0")
+		f.add(base.OutOfRange, path+".forks", "the weights come to nothing")
 	}
 }
 
--- a/internal/config/proposal.go
+++ b/internal/config/proposal.go
@@ -48,7 +48,7 @@
 func checkProposalForm(proposal *wire.ConfigurationProposal) []*base.Fault {
 	var found faults
 	if (proposal.GetConfiguration() == nil) == (proposal.GetChange() == nil) {
-		found.add(base.Malformed, "configuration", "must have either a configuration or a change, not both")
+		found.add(base.Malformed, "configuration", "give a configuration or a change")
 	} else if ProposedSerial(proposal) == 0 {
 		found.add(base.OutOfRange, "serial", "must be above 0")
 	}
--- a/internal/dataplane/local_instance.go
+++ b/internal/dataplane/local_instance.go
@@ -42,7 +42,7 @@
 // left. A leaving instance stays leaving.
 func (l *LocalInstance) Heartbeat(instance *wire.Instance) *base.Fault {
 	if instance.GetId() == "" || instance.Service == "" || instance.Address == "" {
-		return base.NewFault(base.Malformed, "id", "an upstream reports its id, service and address")
+		return base.NewFault(base.Malformed, "id", "an upstream tells its id, service and address")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/peer_server.go
+++ b/internal/dataplane/peer_server.go
@@ -48,7 +48,7 @@
 	}
 	p, ok := n.readPeerRequest(r)
 	if !ok {
-		httpserver.ReplyJSON(w, http.StatusBadRequest, map[string]string{"kind": string(base.Malformed), "reason": "this port serves only other nodes"})
+		httpserver.ReplyJSON(w, http.StatusBadRequest, map[string]string{"kind": string(base.Malformed), "reason": "this door is for peers"})
 		return
 	}
 	n.controlClient.ObservePeerSerial(p.metadata.Serial)
--- a/internal/listedcore/control_plane.go
+++ b/internal/listedcore/control_plane.go
@@ -152,7 +152,7 @@
 		if s.Clock.Mono()-lastChosen < recommitAfter {
 			return
 		}
-		c.scope.Record("unsettled", key, "its newest entry is held by less than a majority of disks; reading it under a new epoch")
+		c.scope.Record("unsettled", key, "its newest change is on too few disks; reading it under a new epoch")
 		callScope, cancel := s.WithTimeout(c.inForceBound)
 		defer cancel()
 		_, _ = c.replica.Read(callScope, key)
@@ -324,7 +324,7 @@
 		return nil, fault
 	}
 	if manifest.Serial != manifest.Base+1 {
-		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial must be base + 1")
+		return nil, base.NewFault(base.Malformed, "manifest.serial", "serial follows base by one")
 	}
 	return manifest, bundle.Check(raw, c.limits)
 }
@@ -334,7 +334,7 @@
 func (c *ControlPlane) Read(_ context.Context, serial uint64) (*wire.BundleReply, error) {
 	current := c.Current()
 	if current == nil {
-		return nil, base.NewFault(base.NotFound, "serial", "no bundle is in force yet")
+		return nil, base.NewFault(base.NotFound, "serial", "no bundle has been taken yet")
 	}
 	if serial == 0 || serial == current.Serial {
 		return &wire.BundleReply{Serial: current.Serial, Bundle: current.Raw, Sealed: current.Sealed}, nil
@@ -349,7 +349,7 @@
 			return &wire.BundleReply{Serial: serial, Bundle: raw, Sealed: head.Sealed}, nil
 		}
 	}
-	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not stored on this controller", serial)
+	return nil, base.NewFault(base.NotFound, "serial", "serial %d is not kept here", serial)
 }
 
 // Holdings returns the serial of the bundle that each machine has, and the listed
--- a/internal/listedcore/news.go
+++ b/internal/listedcore/news.go
@@ -32,10 +32,10 @@
 	c := srv.controlPlane
 	sign := request.Msg.Sign
 	if sign == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "the submission is missing"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "sign", "nothing was handed in"))
 	}
 	if !c.replica.Owns(BundleKey) {
-		return nil, base.NewFault(base.Superseded, BundleKey, "another controller owns the key")
+		return nil, base.NewFault(base.Superseded, BundleKey, "another keel owns it")
 	}
 	var outcome *wire.Outcome
 	if sign.Sealed == nil {
--- a/internal/listedcore/operator_handler.go
+++ b/internal/listedcore/operator_handler.go
@@ -62,7 +62,7 @@
 	serve("GET /v1/state", func(context.Context, any) (any, error) { return c.State(), nil }, rawRequest)
 	serve("POST /v1/adopt", func(ctx context.Context, _ any) (any, error) {
 		if !c.replica.Adopt(c.scope.WithContext(ctx)) {
-			return nil, base.NewFault(base.NoState, "", "this disk could not be recovered now: one intact disk must be reachable")
+			return nil, base.NewFault(base.NoState, "", "this disk could not be adopted now: one whole disk must be reachable")
 		}
 		return c.State(), nil
 	}, rawRequest)
--- a/internal/listedcore/rollout.go
+++ b/internal/listedcore/rollout.go
@@ -105,7 +105,7 @@
 	}
 	now := c.scope.Clock.Mono()
 	if now-c.startedAt < c.requiredSilence {
-		return base.NewFault(base.Uncertain, "forsaken", "this controller has been running for less than %s", c.requiredSilence)
+		return base.NewFault(base.Uncertain, "forsaken", "this keel has listened for less than %s", c.requiredSilence)
 	}
 	heard := map[string]time.Duration{}
 	for sighting := range c.member.View().All() {
@@ -117,10 +117,10 @@
 		path := fmt.Sprintf("forsaken[%d]", i)
 		machine := current.Machine(name)
 		if machine == nil || machine.Core {
-			return base.NewFault(base.DanglingReference, path, "%q is not an application machine in serial %d", name, current.Serial)
+			return base.NewFault(base.DanglingReference, path, "%q is no application machine of serial %d", name, current.Serial)
 		}
 		if silence, known := heard[name]; known && silence < c.requiredSilence {
-			return base.NewFault(base.StillAlive, path, "%q was heard from %s ago; %s of silence are required", name, silence.Round(time.Millisecond), c.requiredSilence)
+			return base.NewFault(base.StillAlive, path, "%q was heard %s ago; %s of silence are needed", name, silence.Round(time.Millisecond), c.requiredSilence)
 		}
 		if confirmed, known := c.confirmations.Get(name); known && now-confirmed.at < c.requiredSilence {
 			return base.NewFault(base.StillAlive, path, "%q asked for news %s ago", name, (now - confirmed.at).Round(time.Millisecond))
@@ -138,7 +138,7 @@
 		}
 	})
 	if name := alive.Load(); name != nil {
-		return base.NewFault(base.StillAlive, "forsaken", "%q still replies", *name)
+		return base.NewFault(base.StillAlive, "forsaken", "%q still answers", *name)
 	}
 	return nil
 }
@@ -309,7 +309,7 @@
 	if c.anyHeard(lostMachines(staged.head.Staged)) {
 		have, need = 0, 1
 	}
-	c.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("confirmed by %d of %d needed", have, need))
+	c.scope.Record("roll-out", staged.head.Submission, fmt.Sprintf("backed by %d of %d needed", have, need))
 	err = c.replica.Change(s, BundleKey, func(old []byte) ([]byte, error) {
 		head, err := decodeHead(old)
 		if err != nil {
@@ -347,7 +347,7 @@
 		_, err := c.resolve(s, false)
 		return nil, err
 	}
-	return rejectedOutcome(submission, base.NewFault(base.NotFound, "submission", "the submission is unknown")), nil
+	return rejectedOutcome(submission, base.NewFault(base.NotFound, "submission", "no such submission was taken")), nil
 }
 
 // resolveAbandoned resolves roll-outs that have been staged for too long, since the
--- a/internal/listednode/admission_queue.go
+++ b/internal/listednode/admission_queue.go
@@ -100,7 +100,7 @@
 	retryAfter := time.Duration(wait * float64(time.Second))
 	if q.serviceTime > 0 && wait > timeLeft {
 		q.mu.Unlock()
-		return nil, base.NewFault(base.Overloaded, "", "the wait in the queue would exceed the deadline").WithRetryAfter(retryAfter)
+		return nil, base.NewFault(base.Overloaded, "", "the wait would outlast the deadline").WithRetryAfter(retryAfter)
 	}
 	if q.waiting >= q.maxWaiting && !q.evict(queue) {
 		q.mu.Unlock()
@@ -167,7 +167,7 @@
 	last := fullest.waiting.PopBack()
 	if !last.abandoned {
 		q.waiting--
-		last.grant <- base.NewFault(base.Overloaded, "", "the queue is full and another group is entitled to the place")
+		last.grant <- base.NewFault(base.Overloaded, "", "the queue is full and another group is owed its place")
 	}
 	return true
 }
@@ -215,7 +215,7 @@
 		queue.waiting.PopFront()
 		if !first.abandoned {
 			q.waiting--
-			first.grant <- base.NewFault(base.Overloaded, "", "too little time was left after the wait in the queue")
+			first.grant <- base.NewFault(base.Overloaded, "", "too little time was left when its turn came")
 		}
 	}
 }
--- a/internal/listednode/call_tracker.go
+++ b/internal/listednode/call_tracker.go
@@ -279,15 +279,15 @@
 	queue, ahead, averageHold := t.join(key, routeID)
 	if ahead > 0 && !mayWait {
 		t.leave(key)
-		return nil, base.NewFault(base.Contended, "", "a request whose further calls could not be told apart is running")
+		return nil, base.NewFault(base.Contended, "", "another such request has the turn here")
 	}
 	if t.clock.Mono()+time.Duration(ahead)*averageHold > deadline {
 		t.leave(key)
-		return nil, base.NewFault(base.Contended, "", "the wait for requests whose further calls could not be told apart would exceed the deadline")
+		return nil, base.NewFault(base.Contended, "", "its turn would come after the deadline")
 	}
 	if !queue.mutex.Lock(s) {
 		t.leave(key)
-		return nil, base.NewFault(base.Expired, "", "the deadline passed while waiting for requests whose further calls could not be told apart")
+		return nil, base.NewFault(base.Expired, "", "the deadline passed while kept apart")
 	}
 	acquiredAt := t.clock.Mono()
 	return func() {
--- a/internal/listednode/client_server.go
+++ b/internal/listednode/client_server.go
@@ -71,7 +71,7 @@
 	s := n.scope.WithContext(ctx)
 	signed := n.bundle.Load()
 	if signed == nil {
-		return nil, base.NewFault(base.Uncertain, "", "this node has no bundle yet")
+		return nil, base.NewFault(base.Uncertain, "", "no bundle is held here yet")
 	}
 	if !n.confirmations.IsCurrent(signed.Serial) {
 		// StaleSerial means that a newer bundle is held by now, which is loaded below.
@@ -112,19 +112,19 @@
 		reserved = min(reserved, incoming.request.ContentLength)
 	}
 	if !n.memory.reserve(reserved) {
-		return nil, nil, base.NewFault(base.Overloaded, "", "not enough memory for the request's body")
+		return nil, nil, base.NewFault(base.Overloaded, "", "no room in memory for the request's body")
 	}
 	release = func() { n.memory.release(reserved) }
 	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(io.LimitReader(incoming.request.Body, int64(maxBytes)+1))
 	if err != nil {
 		release()
-		return nil, nil, base.NewFault(base.Malformed, "", "the request's body is incomplete")
+		return nil, nil, base.NewFault(base.Malformed, "", "the request's body broke off")
 	}
 	_ = http.NewResponseController(incoming.w).SetReadDeadline(time.Time{})
 	if len(body) > maxBytes {
 		release()
-		return nil, nil, base.NewFault(base.TooLarge, "", "the request's body is larger than %d bytes", maxBytes)
+		return nil, nil, base.NewFault(base.TooLarge, "", "%d bytes at most", maxBytes)
 	}
 	return body, release, nil
 }
@@ -313,7 +313,7 @@
 			attempt.State = Indeterminate
 		}
 	default:
-		reason := "the peer ended the attempt without a complete response"
+		reason := "the carrying node broke off"
 		if err != nil {
 			reason = err.Error()
 		}
--- a/internal/listednode/confirmations.go
+++ b/internal/listednode/confirmations.go
@@ -328,7 +328,7 @@
 		}
 		timeLeft := deadline - s.Clock.Mono()
 		if timeLeft <= 0 || s.Err() != nil {
-			return base.NewFault(base.Uncertain, "", "no majority has confirmed to this node that serial %d is the newest", serial)
+			return base.NewFault(base.Uncertain, "", "no majority vouches here that serial %d is the newest", serial)
 		}
 		base.Await(s, timeLeft, adopted)
 	}
--- a/internal/listednode/instances.go
+++ b/internal/listednode/instances.go
@@ -67,7 +67,7 @@
 	}
 	if s.Err() != nil || t.scope.Net.ListenerID(report.Address) != listenerID {
 		_ = probe.Close()
-		return base.NewFault(base.Unreachable, "address", "the instance disconnected or another process took over its address")
+		return base.NewFault(base.Unreachable, "address", "the reporter is gone or its address passed on")
 	}
 	next := &instance{reportedAt: t.scope.Clock.Mono(), probe: probe, listenerID: listenerID, queue: NewAdmissionQueue(t.scope.Clock, int(report.Capacity), t.maxWaiting)}
 	next.report.Store(report)
--- a/internal/listednode/peer_server.go
+++ b/internal/listednode/peer_server.go
@@ -48,10 +48,10 @@
 		return base.NewFault(base.Stopping, "", "this node stops before the attempt's deadline")
 	}
 	if request.Incarnation != n.member.Incarnation() {
-		return base.NewFault(base.Fenced, "", "the attempt is addressed to an earlier process of this node")
+		return base.NewFault(base.Fenced, "", "meant for an earlier process here")
 	}
 	if !n.fences.Register(request.Attempt) {
-		fault := base.NewFault(base.Fenced, "", "the attempt was fenced or arrived twice")
+		fault := base.NewFault(base.Fenced, "", "this attempt was barred or came twice")
 		fault.MayHaveRun = !n.fences.Fence(request.Attempt)
 		return fault
 	}
@@ -60,7 +60,7 @@
 	deadline := time.Duration(request.NotAfterUs) * time.Microsecond
 	timeLeft := deadline - s.Clock.Mono()
 	if timeLeft <= 0 {
-		return base.NewFault(base.Expired, "", "the attempt arrived after its deadline")
+		return base.NewFault(base.Expired, "", "the attempt came after its deadline")
 	}
 	s, cancel := s.WithTimeout(timeLeft)
 	defer cancel()
@@ -79,7 +79,7 @@
 	}
 	match, known := signed.Route(request.Service, request.Route)
 	if !known {
-		return base.NewFault(base.NoRoute, "", "the bundle has no route %s/%s", request.Service, request.Route)
+		return base.NewFault(base.NoRoute, "", "no bundle here names %s/%s", request.Service, request.Route)
 	}
 	instance, fault := n.instances.Find(request.Service, request.Seat)
 	if fault != nil {
@@ -120,14 +120,14 @@
 		if s.Err() == nil {
 			n.instances.Invalidate(upstream, "dial: "+err.Error())
 		}
-		return base.NewFault(base.Unreachable, "", "could not connect to the upstream")
+		return base.NewFault(base.Unreachable, "", "the upstream could not be dialled")
 	}
 	defer conn.Close()
 	if !n.instances.StillListening(upstream) {
 		n.instances.Invalidate(upstream, "another process listens there now")
 	}
 	if now, fault := n.instances.Find(carryRequest.Service, carryRequest.Seat); fault != nil || now != upstream {
-		return base.NewFault(base.NoInstance, "", "the upstream instance was replaced or is gone")
+		return base.NewFault(base.NoInstance, "", "the upstream's standing changed")
 	}
 	headers.Set(serialHeader, strconv.FormatUint(carryRequest.Serial, 10))
 	request := (&http.Request{
@@ -139,10 +139,10 @@
 		request.Body = io.NopCloser(bytes.NewReader(carryRequest.Body))
 	}
 	if !n.confirmations.IsCurrent(carryRequest.Serial) {
-		return base.NewFault(base.StaleSerial, "", "serial %d is no longer confirmed to be the newest", carryRequest.Serial)
+		return base.NewFault(base.StaleSerial, "", "serial %d is no longer sure here", carryRequest.Serial)
 	}
 	if s.Err() != nil || !n.fences.Deliver(carryRequest.Attempt) {
-		return base.NewFault(base.Fenced, "", "the attempt was fenced or its deadline has passed")
+		return base.NewFault(base.Fenced, "", "this attempt was barred or ran out of time")
 	}
 	sampled := call.trail.GetSampled() && n.sampler.Sample(call.match.Identifier()) && n.spanBudget.Spend(call.match.Group)
 	n.callTracker.Begin(call)
@@ -185,7 +185,7 @@
 		if s.Err() != nil {
 			return 0, faultAfterDelivery(base.Expired, "the upstream did not answer in time")
 		}
-		return 0, faultAfterDelivery(base.ResponseLost, "no response from the upstream: %s", err)
+		return 0, faultAfterDelivery(base.ResponseLost, "the upstream's answer was lost: %s", err)
 	}
 	defer response.Body.Close()
 	return response.StatusCode, relayResponse(response, carryRequest.Attempt, send)
@@ -198,23 +198,23 @@
 	declared, hasDigest := contentDigest(response.Header)
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || hasDigest
 	if !framed || response.StatusCode == http.StatusSwitchingProtocols {
-		return faultAfterDelivery(base.InvalidResponse, "the upstream's response has no length, chunked encoding or digest, or switches protocols")
+		return faultAfterDelivery(base.InvalidResponse, "the upstream's answer has no certain end")
 	}
 	head := &wire.CarryHead{Attempt: attempt, Status: uint32(response.StatusCode), Headers: forwardedHeaders(response.Header), Size: response.ContentLength}
 	digest, bodyDigest := newResponseDigest(head), sha256.New()
 	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Head{Head: head}}); err != nil {
-		return faultAfterDelivery(base.ResponseLost, "the requesting node closed the stream")
+		return faultAfterDelivery(base.ResponseLost, "the asking node went away")
 	}
 	size, fault := relayBody(response.Body, io.MultiWriter(digest, bodyDigest), send)
 	if fault != nil {
 		return fault
 	}
 	if hasDigest && !bytes.Equal(declared, bodyDigest.Sum(nil)) {
-		return faultAfterDelivery(base.InvalidResponse, "the upstream's response does not match its digest")
+		return faultAfterDelivery(base.InvalidResponse, "the upstream's answer does not fit its digest")
 	}
 	tail := &wire.CarryTail{Attempt: attempt, Digest: digest.sum(), Size: size}
 	if err := send(&wire.CarryReply{Piece: &wire.CarryReply_Tail{Tail: tail}}); err != nil {
-		return faultAfterDelivery(base.ResponseLost, "the requesting node closed the stream")
+		return faultAfterDelivery(base.ResponseLost, "the asking node went away")
 	}
 	return nil
 }
@@ -228,14 +228,14 @@
 			size += uint64(n)
 			_, _ = digests.Write(chunk[:n])
 			if send(&wire.CarryReply{Piece: &wire.CarryReply_Chunk{Chunk: bytes.Clone(chunk[:n])}}) != nil {
-				return size, faultAfterDelivery(base.ResponseLost, "the requesting node closed the stream")
+				return size, faultAfterDelivery(base.ResponseLost, "the asking node went away")
 			}
 		}
 		if err == io.EOF {
 			return size, nil
 		}
 		if err != nil {
-			return size, faultAfterDelivery(base.InvalidResponse, "the upstream's response ended early: %s", err)
+			return size, faultAfterDelivery(base.InvalidResponse, "the upstream's answer broke off: %s", err)
 		}
 	}
 }
--- a/internal/listednode/response_reader.go
+++ b/internal/listednode/response_reader.go
@@ -26,7 +26,7 @@
 }
 
 // errUnexpectedPiece reports a piece of another attempt, or one out of order.
-var errUnexpectedPiece = base.NewFault(base.InvalidResponse, "", "unexpected piece, perhaps of another attempt's response")
+var errUnexpectedPiece = base.NewFault(base.InvalidResponse, "", "a piece of another attempt's answer")
 
 // accept processes one piece.
 func (r *responseReader) accept(reply *wire.CarryReply) error {
@@ -70,7 +70,7 @@
 // client never gets a complete response that fails the check.
 func (r *responseReader) acceptTail(tail *wire.CarryTail) error {
 	if r.head == nil || tail.Attempt != r.attempt.ID || tail.Size != r.size || !bytes.Equal(tail.Digest, r.digest.sum()) {
-		return base.NewFault(base.InvalidResponse, "", "the response does not match its digest")
+		return base.NewFault(base.InvalidResponse, "", "the seal does not fit the answer")
 	}
 	r.complete = true
 	if r.streaming {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -232,7 +232,7 @@
 // Beat handles a heartbeat, which carries the status of its sender.
 func (s server) Beat(_ context.Context, request *connect.Request[wire.BeatRequest]) (*connect.Response[wire.BeatReply], error) {
 	if request.Msg.GetRoster().GetNode() == "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "has no node name"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "roster", "a roster names its node"))
 	}
 	s.member.view.Observe(request.Msg.Roster, 0)
 	return connect.NewResponse(&wire.BeatReply{Watched: true}), nil
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -99,7 +99,7 @@
 		}
 		entry = &peer{}
 		v.peers[status.Node] = entry
-		v.scope.Record("mate", status.Node, "first heard from")
+		v.scope.Record("mate", status.Node, "first heard")
 	}
 	if slices.Contains(entry.endedIncarnations, status.Incarnation) {
 		return
@@ -111,7 +111,7 @@
 		}
 		entry.status = nil
 		entry.lastHeard = 0
-		v.scope.Record("mate", status.Node, "restarted as a new incarnation")
+		v.scope.Record("mate", status.Node, "born again")
 	}
 	now := v.scope.Clock.Mono()
 	entry.lastHeard = max(entry.lastHeard, now-silence)
--- a/internal/quorum/register.go
+++ b/internal/quorum/register.go
@@ -170,7 +170,7 @@
 		return ownReply.err
 	}
 	if !ownReply.body.Granted {
-		return base.NewFault(base.Superseded, key, "a higher epoch was promised")
+		return base.NewFault(base.Superseded, key, "a higher epoch came first")
 	}
 	replies := r.requestPromises(s, r.acceptors, r.majority(), &wire.PromiseRequest{Key: key, Epoch: epoch})
 	granted, highestPromised, highest := countGrants(replies, epoch)
@@ -179,9 +179,9 @@
 			// Save the higher epoch, so that Owner returns its owner and the next
 			// attempt uses a higher one.
 			_, _, _, _ = r.store.Promise(s, key, &wire.Epoch{Number: highestPromised.Number, Keel: highestPromised.Keel})
-			return base.NewFault(base.Superseded, key, "the higher epoch %d of controller %d was promised", highestPromised.Number, highestPromised.Keel)
+			return base.NewFault(base.Superseded, key, "epoch %d of keel %d goes first", highestPromised.Number, highestPromised.Keel)
 		}
-		return base.NewFault(base.Unreachable, key, "no majority of disks promised the epoch")
+		return base.NewFault(base.Unreachable, key, "no majority of disks promised")
 	}
 	state.epoch, state.serial, state.value = epoch, highest.GetSerial(), highest.GetValue()
 	r.scope.Record("owner", key, r.peers[r.selfIndex].Name)
@@ -226,7 +226,7 @@
 			return nil, err
 		}
 		if !reply.Msg.Granted {
-			return nil, base.NewFault(base.Superseded, key, "the higher epoch %d was promised", reply.Msg.GetPromised().GetNumber())
+			return nil, base.NewFault(base.Superseded, key, "epoch %d goes first", reply.Msg.GetPromised().GetNumber())
 		}
 		return reply.Msg, nil
 	})
--- a/internal/quorum/server.go
+++ b/internal/quorum/server.go
@@ -47,7 +47,7 @@
 // Accept handles the second phase of Paxos.
 func (srv server) Accept(ctx context.Context, request *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptReply], error) {
 	if request.Msg.GetEntry().GetKey() == "" || request.Msg.Entry.GetEpoch().GetNumber() == 0 {
-		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "entry", "an entry must have a key and an epoch"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, base.NewFault(base.Malformed, "entry", "an entry has a key and an epoch"))
 	}
 	granted, promised, err := srv.replica.store.Accept(ctx, request.Msg.Entry)
 	if err != nil {
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -142,11 +142,11 @@
 	}
 	saved := &wire.Brand{}
 	if err := st.read(phaseFile, saved); err != nil {
-		st.scope.Record("blank", "", "no readable phase file")
+		st.scope.Record("blank", "", "no brand")
 		return nil
 	}
 	if !st.loadManifest(names) {
-		st.scope.Record("blank", "", "no readable manifest")
+		st.scope.Record("blank", "", "no roll")
 		return nil
 	}
 	for key, line := range st.manifest.Lines {
@@ -193,7 +193,7 @@
 		}
 	}
 	if state.damaged.Load() {
-		st.scope.Record("damaged-key", key, "a file is missing or corrupt")
+		st.scope.Record("damaged-key", key, "a file is lost or bad")
 	}
 	return state
 }
@@ -333,7 +333,7 @@
 
 // errBusy returns the error of giving up the wait for the lock of a key.
 func errBusy(key string) error {
-	return base.NewFault(base.DiskFailure, key, "the disk is still busy with an earlier operation")
+	return base.NewFault(base.DiskFailure, key, "the disk is still at an earlier change")
 }
 
 // savePromise writes a promise to disk. The caller holds the lock of the key.
--- a/internal/replica/machine.go
+++ b/internal/replica/machine.go
@@ -282,7 +282,7 @@
 	m.now = now
 	if now-m.lastTick > pauseIntervals*m.settings.StatusInterval {
 		m.uninterruptedSince = now
-		m.settings.RecordEvent("standstill", "", "this replica was paused")
+		m.settings.RecordEvent("standstill", "", "this replica stood still")
 	}
 	m.lastTick = now
 	if m.durable.Id == "" {
--- a/internal/replica/owner.go
+++ b/internal/replica/owner.go
@@ -10,10 +10,10 @@
 )
 
 var (
-	errDiskWrite       = base.NewFault(base.DiskFailure, "", "this replica could not save to its disk")
+	errDiskWrite       = base.NewFault(base.DiskFailure, "", "the disk here refused")
 	errNotVoter        = base.NewFault(base.NoState, "", "this replica has no vote")
-	errHigherTerm      = base.NewFault(base.Superseded, "", "a higher term was promised")
-	errNoQuorum        = base.NewFault(base.Unreachable, "", "no majority of replicas promised the term")
+	errHigherTerm      = base.NewFault(base.Superseded, "", "a higher term came first")
+	errNoQuorum        = base.NewFault(base.Unreachable, "", "no majority of replicas promised")
 	errUncertain       = base.NewFault(base.Uncertain, "", "no majority of replicas answered")
 	errGenerationEnded = base.NewFault(base.Superseded, "", "the generation has ended")
 )
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -327,7 +327,7 @@
 		if key == membershipKey || m.now-m.underReplicated[key] < m.settings.RecommitAfter+m.rankDelay() {
 			continue
 		}
-		m.settings.RecordEvent("unsettled", key, "its newest version is held by less than a majority; reading it under a new term")
+		m.settings.RecordEvent("unsettled", key, "its newest version is on too few disks; reading it under a new term")
 		m.underReplicated[key] = m.now
 		m.enqueue(key, &task{done: func(*wire.Version, error) {}})
 	}
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -93,7 +93,7 @@
 	e.pending.PushBack(batch)
 	if e.pending.Len() > maxPendingBatches {
 		e.pending.PopFront()
-		e.scope.Record("batch-lost", "", "too many batches pending: no control machine accepts them")
+		e.scope.Record("batch-lost", "", "no core kept it for long")
 	}
 }
 
--- a/internal/tracing/store.go
+++ b/internal/tracing/store.go
@@ -120,7 +120,7 @@
 	t.pendingCopies.PushBack(batch)
 	if t.pendingCopies.Len() > maxPendingBatches {
 		t.pendingCopies.PopFront()
-		t.scope.Record("copy-lost", "", "too many copies pending: no peer accepts them")
+		t.scope.Record("copy-lost", "", "a mate was away for too long")
 	}
 }
 
