--- a/deploy/daygen/catalogue.go
+++ b/deploy/daygen/catalogue.go
@@ -28,8 +28,8 @@
 type Targeting struct {
 	// Roles allows leader, reader and seed in 'how'.
 	Roles bool
-	// Follow allows meet, race, hard and drain in 'how', after a role.
-	Follow bool
+	// FollowUps allows meet, race, hard and drain in 'how', after a role.
+	FollowUps bool
 	// CutStyles allows reset and refuse in 'how'.
 	CutStyles bool
 }
@@ -66,12 +66,12 @@
 	ControlWeight, RequestWeight int
 	// ConfigWeight is how often the kind is drawn on days that stress the configuration; with 0 it isn't drawn there.
 	ConfigWeight int
-	// OnlyOn restricts the kind to days of one stress; empty: drawn on all.
-	OnlyOn Stress
+	// OnlyStress restricts the kind to days of one stress; empty: drawn on all.
+	OnlyStress Stress
 }
 
 const (
-	onCore        = "core"
+	coreClass     = "core"
 	heavyWeight   = 8
 	raisedWeight  = 4
 	contractPool  = "pool"
@@ -100,9 +100,9 @@
 	{Name: "answer_lost", Section: Faults, Share: Range{.3, .6}, X: Range{.01, .06}, ForS: Range{4, 8}, Variants: []string{"", "reset"}, Place: Place{Service: true}, RequestWeight: heavyWeight},
 	{Name: "garble", Section: Faults, Share: Range{.3, .6}, X: Range{.01, .04}, ForS: Range{4, 8}, Variants: []string{"", "extra", "extra late"}, Place: Place{Service: true}, RequestWeight: heavyWeight},
 	{Name: "node_kill", Section: Faults, Share: Range{.08, .25}, ForS: Range{1, 5}, Variants: []string{"", "power"}, RequestWeight: raisedWeight},
-	{Name: "node_kill", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 5}, Variants: []string{"", "power"}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
+	{Name: "node_kill", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 5}, Variants: []string{"", "power"}, Targeting: Targeting{Roles: true, FollowUps: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "node_freeze", Section: Faults, Share: Range{.08, .2}, ForS: Range{1, 6}, RequestWeight: heavyWeight, ConfigWeight: raisedWeight},
-	{Name: "node_freeze", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 8}, Targeting: Targeting{Roles: true, Follow: true}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
+	{Name: "node_freeze", Section: Faults, OnCore: true, CountUpToTolerated: true, ForS: Range{1, 8}, Targeting: Targeting{Roles: true, FollowUps: true}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
 	{Name: "node_slow", Section: Faults, Share: Range{.08, .2}, X: Range{3, 8}, ForS: Range{2, 6}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "node_slow", Section: Faults, OnCore: true, CountUpToTolerated: true, X: Range{3, 8}, ForS: Range{2, 8}, Targeting: Targeting{Roles: true}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "roll_term", Section: Plan, Share: Range{.3, .6}, X: Range{1, 1}, GapS: Range{1, 1.5}, Modifiers: []string{"busy"}, RequestWeight: raisedWeight, ConfigWeight: heavyWeight},
@@ -122,8 +122,8 @@
 	{Name: "hup", Section: Plan, Share: Range{.2, .6}, GapS: Range{1, 3}, RequestWeight: raisedWeight, ConfigWeight: heavyWeight},
 	{Name: "reset_conns", Section: Faults, Share: Range{.1, .5}, X: Range{.3, .9}, RequestWeight: heavyWeight, ConfigWeight: raisedWeight},
 	{Name: "reset_conns", Section: Faults, OnCore: true, Share: Range{.3, 1}, X: Range{.3, .9}, ControlWeight: raisedWeight, ConfigWeight: raisedWeight},
-	{Name: "core_cut", Section: Faults, CountUpToTolerated: true, ForS: Range{3, 7}, LongForS: Range{16, 20}, Variants: []string{"", "one_way", "seeds", "both"}, Targeting: Targeting{Roles: true, Follow: true, CutStyles: true}, ControlWeight: heavyWeight},
-	{Name: "core_cut", Section: Faults, OnlyOn: StressConfig, CountUpToTolerated: true, ForS: Range{3, 18}, Variants: []string{"", "one_way", "seeds", "both", "oldest", "behind", "split", "lure", "relieve", "near"}, ConfigWeight: 3 * heavyWeight},
+	{Name: "core_cut", Section: Faults, CountUpToTolerated: true, ForS: Range{3, 7}, LongForS: Range{16, 20}, Variants: []string{"", "one_way", "seeds", "both"}, Targeting: Targeting{Roles: true, FollowUps: true, CutStyles: true}, ControlWeight: heavyWeight},
+	{Name: "core_cut", Section: Faults, OnlyStress: StressConfig, CountUpToTolerated: true, ForS: Range{3, 18}, Variants: []string{"", "one_way", "seeds", "both", "oldest", "behind", "split", "lure", "relieve", "near"}, ConfigWeight: 3 * heavyWeight},
 	{Name: "node_cut", Section: Faults, Share: Range{.08, .25}, ForS: Range{3, 8}, Variants: []string{"", "servers"}, Targeting: Targeting{CutStyles: true}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "lossy", Section: Faults, X: Range{.01, .05}, ForS: Range{3, 8}, Place: Place{Zone: true}, RequestWeight: raisedWeight, ConfigWeight: raisedWeight},
 	{Name: "config_change", Section: Plan, Variants: []string{"route", "weights", "timeout", "tenant", "quota", "idle"}, Series: IntRange{3, 8}, ControlWeight: heavyWeight},
--- a/deploy/daygen/draw.go
+++ b/deploy/daygen/draw.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	fewestDraws     = 4
-	mostDraws       = 9
-	earliestS       = 0.5
+	minDraws        = 4
+	maxDraws        = 9
+	firstEntryS     = 0.5
 	closingMarginS  = 2.0
 	closingChance   = 0.75
 	roleChance      = 0.6
@@ -22,19 +22,19 @@
 	placeChance     = 0.3
 	seriesSpacingS  = 3.0
 	daySeedBound    = 1 << 28
-	shortestDownS   = 0.4
-	longestDownS    = 2.0
-	decimals        = 1000
-	randomStreamDay = 17
-	fewestPauseS    = 0.6
-	morePauseS      = 2.5
+	minDownS        = 0.4
+	maxDownS        = 2.0
+	roundingFactor  = 1000
+	dayRandomStream = 17
+	minPauseS       = 0.6
+	maxExtraPauseS  = 2.5
 )
 
 var (
-	machineRoles  = []string{"leader", "reader", "seed"}
-	followingWork = []string{"meet", "race", "hard", "drain"}
-	cutStyles     = []string{"reset", "refuse"}
-	changesDrawn  = []string{"route", "route", "weights", "timeout", "idle"}
+	machineRoles   = []string{"leader", "reader", "seed"}
+	followUps      = []string{"meet", "race", "hard", "drain"}
+	cutStyles      = []string{"reset", "refuse"}
+	changeVariants = []string{"route", "route", "weights", "timeout", "idle"}
 )
 
 // DrawSettings says what to draw.
@@ -56,7 +56,7 @@
 
 // DrawDay draws a day for a site. The same site and settings always yield the same day.
 func DrawDay(site Site, settings DrawSettings) (Day, error) {
-	d := drawer{DrawSettings: settings, site: site, random: rand.New(rand.NewPCG(settings.Seed, randomStreamDay))}
+	d := drawer{DrawSettings: settings, site: site, random: rand.New(rand.NewPCG(settings.Seed, dayRandomStream))}
 	kinds := d.eligibleKinds()
 	if len(kinds) == 0 {
 		return Day{}, errors.New("no kind of trouble is left to draw from")
@@ -66,18 +66,18 @@
 		Comment: d.comment(),
 		Seed:    d.random.Uint64N(daySeedBound),
 	}
-	draws := d.whole(IntRange{fewestDraws, mostDraws})
+	draws := d.intIn(IntRange{minDraws, maxDraws})
 	if d.Entries > 0 {
 		draws = d.Entries
 	}
 	for range draws {
-		d.addTo(&day, d.drawKind(kinds))
+		d.addEntries(&day, d.drawKind(kinds))
 	}
 	if d.Stress == StressConfig {
 		day.Plan = append(day.Plan, d.drawChanges()...)
 	}
-	slices.SortStableFunc(day.Plan, earlier)
-	slices.SortStableFunc(day.Faults, earlier)
+	slices.SortStableFunc(day.Plan, compareTimes)
+	slices.SortStableFunc(day.Faults, compareTimes)
 	day.Closing = d.drawClosing()
 	return day, nil
 }
@@ -85,14 +85,14 @@
 // drawChanges lists changes of the configuration from the beginning of a day to its end.
 func (d drawer) drawChanges() []Entry {
 	var changes []Entry
-	pauses := Range{fewestPauseS, fewestPauseS + d.between(Range{0, morePauseS})}
-	for at := earliestS; at < d.site.LengthS-closingMarginS; at = round(at + d.between(pauses)) {
-		changes = append(changes, Entry{At: at, Kind: "config_change", How: pick(d.random, changesDrawn)})
+	pauses := Range{minPauseS, minPauseS + d.floatIn(Range{0, maxExtraPauseS})}
+	for at := firstEntryS; at < d.site.LengthS-closingMarginS; at = round(at + d.floatIn(pauses)) {
+		changes = append(changes, Entry{At: at, Kind: "config_change", How: pick(d.random, changeVariants)})
 	}
 	return changes
 }
 
-func earlier(a, b Entry) int { return cmp.Compare(a.At, b.At) }
+func compareTimes(a, b Entry) int { return cmp.Compare(a.At, b.At) }
 
 func (d drawer) comment() string {
 	text := fmt.Sprintf("daygen day --seed %d --stress %s", d.Seed, d.Stress)
@@ -117,7 +117,7 @@
 		if slices.Contains(d.Without, kind.Name) {
 			continue
 		}
-		if kind.OnlyOn != "" && kind.OnlyOn != d.Stress || kind.weight(d.Stress) == 0 {
+		if kind.OnlyStress != "" && kind.OnlyStress != d.Stress || kind.weight(d.Stress) == 0 {
 			continue
 		}
 		if len(d.Only) > 0 && !slices.Contains(d.Only, kind.Name) {
@@ -143,12 +143,12 @@
 	panic("weights don't sum up")
 }
 
-// addTo adds one entry of the kind, or a series of them, to the section that the kind belongs to.
-func (d drawer) addTo(day *Day, kind Kind) {
-	at := d.between(Range{earliestS, d.site.LengthS - closingMarginS})
+// addEntries adds one entry of the kind, or a series of them, to the section that the kind belongs to.
+func (d drawer) addEntries(day *Day, kind Kind) {
+	at := d.floatIn(Range{firstEntryS, d.site.LengthS - closingMarginS})
 	entries := 1
 	if d.Stress == StressControl && kind.Series.High > 0 {
-		entries = d.whole(kind.Series)
+		entries = d.intIn(kind.Series)
 	}
 	for range entries {
 		entry := d.drawEntry(kind, at)
@@ -157,27 +157,27 @@
 		} else {
 			day.Faults = append(day.Faults, entry)
 		}
-		at = round(math.Min(at+d.between(Range{earliestS, seriesSpacingS}), d.site.LengthS-closingMarginS))
+		at = round(math.Min(at+d.floatIn(Range{firstEntryS, seriesSpacingS}), d.site.LengthS-closingMarginS))
 	}
 }
 
 func (d drawer) drawEntry(kind Kind, at float64) Entry {
 	entry := Entry{
 		At: at, Kind: kind.Name,
-		Share: d.between(kind.Share), X: d.between(kind.X), GapS: d.between(kind.GapS),
-		ForS: d.between(d.duration(kind)), Count: d.whole(kind.Count), How: d.drawHow(kind),
+		Share: d.floatIn(kind.Share), X: d.floatIn(kind.X), GapS: d.floatIn(kind.GapS),
+		ForS: d.floatIn(d.durationRange(kind)), Count: d.intIn(kind.Count), How: d.drawHow(kind),
 	}
 	if kind.OnCore {
-		entry.On = onCore
+		entry.On = coreClass
 	}
 	if kind.CountUpToTolerated {
-		entry.Count = d.whole(IntRange{1, max(d.site.Tolerate.Machines, 1)})
+		entry.Count = d.intIn(IntRange{1, max(d.site.Tolerate.Machines, 1)})
 	}
 	d.drawPlace(&entry, kind.Place)
 	return entry
 }
 
-func (d drawer) duration(kind Kind) Range {
+func (d drawer) durationRange(kind Kind) Range {
 	if d.Stress == StressControl && kind.LongForS.High > 0 {
 		return kind.LongForS
 	}
@@ -196,10 +196,10 @@
 	if kind.Targeting.CutStyles && d.chance(modifierChance) {
 		words = append(words, pick(d.random, cutStyles))
 	}
-	if kind.Targeting.Follow {
-		words = append(words, d.some(followingWork)...)
+	if kind.Targeting.FollowUps {
+		words = append(words, d.sample(followUps)...)
 	}
-	words = append(words, d.some(kind.Modifiers)...)
+	words = append(words, d.sample(kind.Modifiers)...)
 	words = slices.DeleteFunc(words, func(word string) bool { return word == "" })
 	return strings.Join(words, " ")
 }
@@ -229,13 +229,13 @@
 		return nil
 	}
 	kind := pick(d.random, closingKinds)
-	return &Closing{Kind: kind.Name, DownS: d.between(Range{shortestDownS, longestDownS}), How: pick(d.random, kind.Variants)}
+	return &Closing{Kind: kind.Name, DownS: d.floatIn(Range{minDownS, maxDownS}), How: pick(d.random, kind.Variants)}
 }
 
 func (d drawer) chance(probability float64) bool { return d.random.Float64() < probability }
 
-// some returns each of the words with the chance of a modifier.
-func (d drawer) some(words []string) []string {
+// sample returns each of the words with the chance of a modifier.
+func (d drawer) sample(words []string) []string {
 	var chosen []string
 	for _, word := range words {
 		if d.chance(modifierChance) {
@@ -245,14 +245,14 @@
 	return chosen
 }
 
-func (d drawer) between(bounds Range) float64 {
+func (d drawer) floatIn(bounds Range) float64 {
 	return round(bounds.Low + d.random.Float64()*(bounds.High-bounds.Low))
 }
 
-func (d drawer) whole(bounds IntRange) int {
+func (d drawer) intIn(bounds IntRange) int {
 	return bounds.Low + d.random.IntN(bounds.High-bounds.Low+1)
 }
 
-func round(value float64) float64 { return math.Round(value*decimals) / decimals }
+func round(value float64) float64 { return math.Round(value*roundingFactor) / roundingFactor }
 
 func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
--- a/deploy/daygen/site.go
+++ b/deploy/daygen/site.go
@@ -26,7 +26,7 @@
 		return Site{}, errors.Wrap(err, "site file")
 	}
 	switch {
-	case site.LengthS <= earliestS+closingMarginS:
+	case site.LengthS <= firstEntryS+closingMarginS:
 		return Site{}, errors.Errorf("site file %s: length_s %v is too short", path, site.LengthS)
 	case len(site.Zones) == 0:
 		return Site{}, errors.Errorf("site file %s: no zones", path)
--- a/deploy/daygen/summary.go
+++ b/deploy/daygen/summary.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// mostUnserved is the share of requests refused or failed above which a day fails its gate.
-const mostUnserved = 0.6
+// maxUnserved is the share of requests refused or failed above which a day fails its gate.
+const maxUnserved = 0.6
 
 // Report holds the fields of a bench's report on one day that its summary needs.
 type Report struct {
@@ -22,18 +22,18 @@
 	Worth    float64 `json:"served"`
 	Unserved float64 `json:"unserved"`
 	Fault    any     `json:"fault"`
-	// Short names what lies below a floor of the gate.
-	Short []any `json:"short"`
-	// Breaks counts the breaks of each rule.
-	Breaks map[string]any `json:"breaks"`
-	// First tells the first breaks.
-	First []Break `json:"first"`
+	// BelowFloor names what lies below a floor of the gate.
+	BelowFloor []any `json:"short"`
+	// Violations counts the breaks of each rule.
+	Violations map[string]any `json:"breaks"`
+	// FirstViolations tells the first breaks.
+	FirstViolations []Violation `json:"first"`
 	// Missed names duties that were missed.
 	Missed []any `json:"missed"`
 }
 
-// Break is one break of a rule, as the bench tells it.
-type Break struct {
+// Violation is one break of a rule, as the bench tells it.
+type Violation struct {
 	AtS  float64 `json:"at_s"`
 	Rule string  `json:"rule"`
 	What string  `json:"what"`
@@ -49,11 +49,11 @@
 }
 
 // Broken tells whether a rule was broken or the day had a fault.
-func (r Report) Broken() bool { return len(r.Breaks) > 0 || r.Fault != nil }
+func (r Report) Broken() bool { return len(r.Violations) > 0 || r.Fault != nil }
 
 // GatePassed tells whether the day passes the gate.
 func (r Report) GatePassed() bool {
-	return !r.Broken() && len(r.Short) == 0 && r.Unserved <= mostUnserved
+	return !r.Broken() && len(r.BelowFloor) == 0 && r.Unserved <= maxUnserved
 }
 
 // Summary returns one line on the day.
@@ -63,18 +63,18 @@
 		gate = "GATE passed"
 	}
 	parts := []string{fmt.Sprintf("%-30s %s, worth %.3f, score %.3f", name, gate, r.Worth, r.Score)}
-	if len(r.Breaks) == 0 {
+	if len(r.Violations) == 0 {
 		parts = append(parts, "no rule broken")
 	}
-	for _, rule := range slices.Sorted(maps.Keys(r.Breaks)) {
-		parts = append(parts, fmt.Sprintf("BROKEN %s: %v", rule, r.Breaks[rule]))
+	for _, rule := range slices.Sorted(maps.Keys(r.Violations)) {
+		parts = append(parts, fmt.Sprintf("BROKEN %s: %v", rule, r.Violations[rule]))
 	}
 	if r.Fault != nil {
 		parts = append(parts, fmt.Sprintf("FAULT %v", r.Fault))
 	}
-	parts = appendList(parts, "short", r.Short)
+	parts = appendList(parts, "short", r.BelowFloor)
 	parts = appendList(parts, "missed", r.Missed)
-	for _, first := range r.First {
+	for _, first := range r.FirstViolations {
 		parts = append(parts, fmt.Sprintf("%s at %.3f s: %s", first.Rule, first.AtS, first.What))
 	}
 	return strings.Join(parts, "; ")
--- a/deploy/daygen/variant.go
+++ b/deploy/daygen/variant.go
@@ -180,7 +180,7 @@
 func coreEntries(site document) []document {
 	var cores []document
 	for _, machine := range machineEntries(site) {
-		if machine["class"] == onCore {
+		if machine["class"] == coreClass {
 			cores = append(cores, machine)
 		}
 	}
--- a/internal/command/ctl/exit.go
+++ b/internal/command/ctl/exit.go
@@ -11,35 +11,41 @@
 	"curlewreach/proto/wire"
 )
 
+// Exit codes. They tell a rejected change apart from one whose outcome is unknown.
 const (
-	exitFault       = 1
-	exitBadFile     = 2
-	exitRejected    = 3
-	exitUnknown     = 4
-	exitUnreachable = 5
+	exitFailure        = 1
+	exitInvalidFile    = 2
+	exitRejected       = 3
+	exitOutcomeUnknown = 4
+	exitUnreachable    = 5
 )
 
-type badFile struct{ error }
+// invalidFileError is an error in a file that the operator gave.
+type invalidFileError struct{ error }
 
-var errUnknown = errors.New("not known yet; ask again with status")
+// errOutcomeUnknown means that a submission was neither accepted nor rejected yet.
+var errOutcomeUnknown = errors.New("the outcome is not known yet; ask again with the subcommand status")
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var fault *base.Fault
-	var bad badFile
+	var bad invalidFileError
 	switch {
 	case errors.As(err, &bad):
-		return exitBadFile
-	case errors.Is(err, errUnknown):
-		return exitUnknown
+		return exitInvalidFile
+	case errors.Is(err, errOutcomeUnknown):
+		return exitOutcomeUnknown
 	case errors.Is(err, listedcore.ErrNoController):
 		return exitUnreachable
 	case errors.As(err, &fault):
 		return exitRejected
 	}
-	return exitFault
+	return exitFailure
 }
 
-func (a *args) outcome(outcome *wire.Outcome, err error) error {
+// printOutcome prints the outcome of a submission. It returns an error unless the submission
+// was accepted.
+func (a *args) printOutcome(outcome *wire.Outcome, err error) error {
 	if err != nil {
 		return err
 	}
@@ -52,7 +58,7 @@
 		return &base.Fault{Kind: base.Kind(fault.Kind), Path: fault.Path, Reason: fault.Reason}
 	}
 	if outcome.Verdict == wire.Verdict_UNKNOWN {
-		return errUnknown
+		return errOutcomeUnknown
 	}
 	return nil
 }
--- a/internal/command/ctl/tell.go
+++ b/internal/command/ctl/journals.go
@@ -12,6 +12,7 @@
 	"curlewreach/proto/wire"
 )
 
+// state prints the state of each controller. It fails only if none replies.
 func (a *args) state(ctx context.Context, client *listedcore.Client) error {
 	answered := 0
 	for controller, one := range client.Each() {
@@ -42,7 +43,8 @@
 	return nil
 }
 
-func tellWhy(reply *wire.ToldReply) {
+// printEvents prints the events of all nodes by time.
+func printEvents(reply *wire.ToldReply) {
 	type line struct {
 		at   int64
 		text string
@@ -61,10 +63,12 @@
 	if len(lines) == 0 {
 		fmt.Println("no node remembers it")
 	}
-	tellSilent(reply)
+	printSilent(reply)
 }
 
-func tellShares(reply *wire.ToldReply) {
+// printShares prints the requests carried and the spans recorded per node and group, and the
+// totals per group.
+func printShares(reply *wire.ToldReply) {
 	fmt.Printf("%-16s %-16s %-10s %s\n", "NODE", "GROUP", "CARRIED", "WATCHED")
 	carried, watched := map[string]uint64{}, map[string]uint64{}
 	for _, each := range reply.Told {
@@ -77,23 +81,26 @@
 	for _, group := range slices.Sorted(maps.Keys(watched)) {
 		fmt.Printf("%-16s %-16s %-10d %d\n", "all", group, carried[group], watched[group])
 	}
-	tellSilent(reply)
+	printSilent(reply)
 }
 
-func tellCounts(reply *wire.ToldReply) {
+// printCounts prints the event counters of each node.
+func printCounts(reply *wire.ToldReply) {
 	for _, each := range reply.Told {
-		fmt.Println(each.Node, sorted(each.Counts))
+		fmt.Println(each.Node, formatCounts(each.Counts))
 	}
-	tellSilent(reply)
+	printSilent(reply)
 }
 
-func tellSilent(reply *wire.ToldReply) {
+// printSilent prints the nodes that didn't reply.
+func printSilent(reply *wire.ToldReply) {
 	for _, node := range reply.Silent {
 		fmt.Printf("%s did not reply\n", node)
 	}
 }
 
-func sorted(counts map[string]uint64) string {
+// formatCounts formats counters as name=value pairs, sorted by name.
+func formatCounts(counts map[string]uint64) string {
 	var pairs []string
 	for _, topic := range slices.Sorted(maps.Keys(counts)) {
 		pairs = append(pairs, fmt.Sprintf("%s=%d", topic, counts[topic]))
--- a/internal/command/ctl/main.go
+++ b/internal/command/ctl/main.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command: it makes keys, drafts and signs bundles,
-// submits them, and shows what a fleet is doing.
+// Package ctl implements the operators' command. It generates keys, drafts, signs and
+// submits bundles, and shows the state of a fleet.
 package ctl
 
 import (
@@ -15,7 +15,8 @@
 	"curlewreach/internal/listedcore"
 )
 
-// Main runs the command with the arguments of the process.
+// Main runs the command with the process's arguments and exits with one of the exit codes of
+// this package.
 func Main() {
 	var a args
 	parser := arg.MustParse(&a)
@@ -27,37 +28,40 @@
 		parser.WriteHelpForSubcommand(os.Stderr, "open")
 		os.Exit(2)
 	}
-	ask := a.once
+	run := a.runOnce
 	if a.Shell != nil {
-		ask = a.shell
+		run = a.shell
 	}
-	if err := ask(); err != nil {
+	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, program+":", err)
 		os.Exit(exitCode(err))
 	}
 }
 
+// controllers returns the addresses given with --controllers.
 func (a *args) controllers() []string {
 	return strings.FieldsFunc(a.Controllers, func(r rune) bool { return r == ',' })
 }
 
-func (a *args) once() error {
+// runOnce runs the subcommand with a timeout of 10 s.
+func (a *args) runOnce() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return a.run(ctx)
 }
 
+// run runs the subcommand.
 func (a *args) run(ctx context.Context) error {
 	client := &listedcore.Client{Web: http.DefaultClient, Controllers: a.controllers()}
-	if known, err := a.operate(ctx, client); known {
+	if known, err := a.runWriteCommand(ctx, client); known {
 		return err
 	}
-	return a.look(ctx, client)
+	return a.runReadCommand(ctx, client)
 }
 
-// operate runs the commands that make keys and drafts or change the fleet. It
-// reports whether the command is one of them.
-func (a *args) operate(ctx context.Context, client *listedcore.Client) (known bool, err error) {
+// runWriteCommand runs the subcommands that create keys or drafts or change the fleet. It
+// reports whether the subcommand is one of them.
+func (a *args) runWriteCommand(ctx context.Context, client *listedcore.Client) (known bool, err error) {
 	switch {
 	case a.Keygen != nil:
 		return true, a.Keygen.run()
@@ -75,11 +79,11 @@
 	return false, nil
 }
 
-// look runs the commands that change nothing.
-func (a *args) look(ctx context.Context, client *listedcore.Client) error {
+// runReadCommand runs the subcommands that change nothing.
+func (a *args) runReadCommand(ctx context.Context, client *listedcore.Client) error {
 	switch {
 	case a.Status != nil:
-		return a.outcome(client.Status(ctx, a.Status.ID))
+		return a.printOutcome(client.Status(ctx, a.Status.ID))
 	case a.Show != nil:
 		return a.show(ctx, client)
 	case a.Diff != nil:
@@ -90,18 +94,18 @@
 		return a.nodes(ctx, client)
 	case a.Odds != nil:
 		reply, err := client.Odds(ctx)
-		return a.table(reply, err, func() { a.tellOdds(reply) })
+		return a.printReply(reply, err, func() { a.printOdds(reply) })
 	case a.State != nil:
 		return a.state(ctx, client)
 	case a.Why != nil:
 		reply, err := client.Why(ctx, a.Why.ID)
-		return a.table(reply, err, func() { tellWhy(reply) })
+		return a.printReply(reply, err, func() { printEvents(reply) })
 	case a.Shares != nil:
 		reply, err := client.Why(ctx, "")
-		return a.table(reply, err, func() { tellShares(reply) })
+		return a.printReply(reply, err, func() { printShares(reply) })
 	case a.Counts != nil:
 		reply, err := client.Why(ctx, "")
-		return a.table(reply, err, func() { tellCounts(reply) })
+		return a.printReply(reply, err, func() { printCounts(reply) })
 	case a.Wrong != nil:
 		return a.wrong(ctx, client)
 	case a.Open != nil:
--- a/internal/command/ctl/openwrong.go
+++ b/internal/command/ctl/openwrong.go
@@ -11,27 +11,31 @@
 )
 
 const (
-	wholePhase = "founded"
-	catchingUp = "catching-up"
-	// fewestSpared is the least number of voters that can bear a loss.
-	fewestSpared = 3
-	muchBehind   = 100
+	// phaseFounded is the phase of a controller with a complete disk.
+	phaseFounded = "founded"
+	// phaseCatchingUp is the phase of a controller that isn't a voter yet.
+	phaseCatchingUp = "catching-up"
+	// minRedundantVoters is the smallest number of voters that keeps a majority when one is lost.
+	minRedundantVoters = 3
+	// maxBacklogMs is the backlog of a node's link above which it is reported.
+	maxBacklogMs = 100
 )
 
-// wrong says in plain words what is wrong now; configuration is nil if no controller could tell it.
-func (l *look) wrong(configuration *wire.Configuration) (found []string) {
+// problems lists what is wrong with the fleet. configuration is nil if no controller could
+// return it.
+func (fleet *fleetView) problems(configuration *wire.Configuration) (found []string) {
 	add := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
-	for _, address := range l.silent {
+	for _, address := range fleet.silentControllers {
 		add("controller %s can't be reached", address)
 	}
 	newest := configuration.GetSerial()
-	for _, controller := range l.controllers {
+	for _, controller := range fleet.controllers {
 		newest = max(newest, controller.Serial)
 	}
-	for _, address := range slices.Sorted(maps.Keys(l.controllers)) {
-		l.controllerWrong(l.controllers[address], newest, add)
+	for _, address := range slices.Sorted(maps.Keys(fleet.controllers)) {
+		fleet.checkController(fleet.controllers[address], newest, add)
 	}
-	l.copiesWrong(add)
+	fleet.checkCopies(add)
 	switch {
 	case configuration == nil:
 		add("no controller can tell the configuration: no majority of disks answers")
@@ -39,8 +43,8 @@
 		add("there is no configuration yet: nodes serve nobody")
 	}
 	offered := map[string]bool{}
-	for _, name := range slices.Sorted(maps.Keys(l.observations)) {
-		if instance := l.nodeSeen(name, newest, add); instance != nil && !instance.Leaving {
+	for _, name := range slices.Sorted(maps.Keys(fleet.observations)) {
+		if instance := fleet.checkNode(name, newest, add); instance != nil && !instance.Leaving {
 			offered[instance.Service] = true
 		}
 	}
@@ -52,30 +56,32 @@
 	return found
 }
 
-// nodeSeen adds what is wrong with a node and returns its upstream, as far as
-// it is known; nil if the node is gone.
-func (l *look) nodeSeen(name string, newest uint64, add func(string, ...any)) *wire.Instance {
-	node, view := l.observations[name], l.views[name]
-	if node.gone() {
-		add("node %s is absent, silent for %s", name, span(node.silenceMs))
+// checkNode adds what is wrong with a node and returns its upstream as far as it is known, or
+// nil if the node is absent.
+func (fleet *fleetView) checkNode(name string, newest uint64, add func(string, ...any)) *wire.Instance {
+	node, view := fleet.observations[name], fleet.nodeViews[name]
+	if node.isAbsent() {
+		add("node %s is absent, silent for %s", name, formatMillis(node.silenceMs))
 		return nil
 	}
-	if len(node.absent) > 0 {
-		add("node %s is not heard by %s, though by %s", name, strings.Join(node.absent, ", "), strings.Join(node.there, ", "))
+	if len(node.absentAt) > 0 {
+		add("node %s is not heard by %s, though by %s", name, strings.Join(node.absentAt, ", "), strings.Join(node.presentAt, ", "))
 	}
 	if view == nil {
-		add("node %s did not reply at its door for views (%s)", name, node.post.Peers)
-		return node.post.Instance
+		add("node %s did not reply at its door for views (%s)", name, node.status.Peers)
+		return node.status.Instance
 	}
-	nodeWrong(name, view, newest, add)
+	checkNodeView(name, view, newest, add)
 	return view.Instance
 }
 
-func (l *look) controllerWrong(controller *wire.ControllerView, newest uint64, add func(string, ...any)) {
+// checkController adds what is wrong with a controller; newest is the newest serial that any
+// controller reports.
+func (fleet *fleetView) checkController(controller *wire.ControllerView, newest uint64, add func(string, ...any)) {
 	name := controller.Controller
 	switch controller.Phase {
-	case wholePhase:
-	case catchingUp:
+	case phaseFounded:
+	case phaseCatchingUp:
 		add("controller %s has no vote, and generation %d has its voters", name, controller.Generation)
 	default:
 		add("controller %s has not recovered its disk: %s", name, controller.Phase)
@@ -83,7 +89,7 @@
 	if !controller.Settled {
 		agreed := "never did"
 		if controller.AgreedMs != nil {
-			agreed = "last did " + span(controller.GetAgreedMs()) + " ago"
+			agreed = "last did " + formatMillis(controller.GetAgreedMs()) + " ago"
 		}
 		add("controller %s does not agree with a majority of disks; it %s", name, agreed)
 	}
@@ -94,20 +100,21 @@
 		add("controller %s is stopping", name)
 	}
 	for _, peer := range controller.Peers {
-		if !peer.Heard && l.controllers[peer.Address] != nil {
+		if !peer.Heard && fleet.controllers[peer.Address] != nil {
 			add("controller %s does not hear controller %s", name, peer.Address)
 		}
 	}
-	controllerRepairs(controller, add)
-	controllerMembers(controller, add)
-	if newest > 0 && controller.Phase == wholePhase && controller.Learner == "" {
+	checkRepairs(controller, add)
+	checkVoters(controller, add)
+	if newest > 0 && controller.Phase == phaseFounded && controller.Learner == "" {
 		add("controller %s knows of nobody who learns the odds", name)
 	}
 }
 
-// controllerMembers tells what stands between a controller's voters and the next loss.
-func controllerMembers(controller *wire.ControllerView, add func(string, ...any)) {
-	if controller.Phase == wholePhase && len(controller.Peers) >= fewestSpared && controller.Spare < 1 {
+// checkVoters adds what would make the loss of one more voter stop changes, and learners that
+// aren't caught up.
+func checkVoters(controller *wire.ControllerView, add func(string, ...any)) {
+	if controller.Phase == phaseFounded && len(controller.Peers) >= minRedundantVoters && controller.Spare < 1 {
 		add("controller %s hears so few of the %d voters of generation %d that one more lost would stop changes", controller.Controller, len(controller.Peers), controller.Generation)
 	}
 	if controller.Sealed {
@@ -120,7 +127,9 @@
 	}
 }
 
-func controllerRepairs(controller *wire.ControllerView, add func(string, ...any)) {
+// checkRepairs adds keys that the controller repairs and spans that it has yet to deliver to
+// peers.
+func checkRepairs(controller *wire.ControllerView, add func(string, ...any)) {
 	for _, key := range controller.Keys {
 		if key.Sick {
 			add("controller %s repairs the key %s on its disk", controller.Controller, key.Key)
@@ -131,10 +140,11 @@
 	}
 }
 
-// copiesWrong tells once of each key that is not on every disk, by the controller that sees the fewest copies.
-func (l *look) copiesWrong(add func(string, ...any)) {
+// checkCopies adds each key that isn't on every disk, once, with the smallest number of copies
+// that any controller sees.
+func (fleet *fleetView) checkCopies(add func(string, ...any)) {
 	fewest, of := map[string]int{}, map[string]int{}
-	for _, controller := range l.controllers {
+	for _, controller := range fleet.controllers {
 		for _, key := range controller.Keys {
 			copies, known := fewest[key.Key]
 			if key.Copies > 0 && (!known || int(key.Copies) < copies) {
@@ -144,17 +154,18 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(fewest)) {
 		if fewest[key] < of[key] {
-			add("the newest %s is on %d of %d disks", keyName(key), fewest[key], of[key])
+			add("the newest %s is on %d of %d disks", displayName(key), fewest[key], of[key])
 		}
 	}
 }
 
-func nodeWrong(name string, view *wire.NodeView, newest uint64, add func(string, ...any)) {
+// checkNodeView adds what is wrong according to a node's own view.
+func checkNodeView(name string, view *wire.NodeView, newest uint64, add func(string, ...any)) {
 	if view.Serial > 0 && !view.Confirmed && len(view.Polled) > 0 {
 		add("node %s serves a configuration that no majority has vouched for since it started", name)
 	}
 	if view.ConfigStale {
-		add("node %s last knew its configuration to be the newest %s ago", name, span(view.ConfigAgeMs))
+		add("node %s last knew its configuration to be the newest %s ago", name, formatMillis(view.ConfigAgeMs))
 	}
 	switch {
 	case view.Stopping:
@@ -168,10 +179,10 @@
 		add("the upstream beside node %s is silent", name)
 	}
 	if gate := view.Gate; gate.GetWaiting() > 0 && gate.GetFlying() >= gate.GetLimit() {
-		add("the gate at node %s is full: %d of %d taken, %d wait, a new request would wait %s", name, gate.Flying, gate.Limit, gate.Waiting, span(gate.RestMs))
+		add("the gate at node %s is full: %d of %d taken, %d wait, a new request would wait %s", name, gate.Flying, gate.Limit, gate.Waiting, formatMillis(gate.RestMs))
 	}
-	if view.BacklogMs > muchBehind {
-		add("the link of node %s is behind by %s", name, span(view.BacklogMs))
+	if view.BacklogMs > maxBacklogMs {
+		add("the link of node %s is behind by %s", name, formatMillis(view.BacklogMs))
 	}
 	for _, budget := range view.RetryBudgets {
 		if budget.Spent {
@@ -185,7 +196,8 @@
 	}
 }
 
-func (a *args) openWrong(found []string) error {
+// printOpenProblems prints the problems found and returns errUnhealthy if there are any.
+func (a *args) printOpenProblems(found []string) error {
 	if a.JSON {
 		body, err := json.MarshalIndent(map[string][]string{"wrong": append([]string{}, found...)}, "", "  ")
 		if err != nil {
@@ -201,13 +213,14 @@
 		}
 	}
 	if len(found) > 0 {
-		return errWrong
+		return errUnhealthy
 	}
 	return nil
 }
 
-// keyName is what a register is called; its key may be stored under an older name.
-func keyName(key string) string {
+// displayName returns the name of a key for operators; the configuration is stored under an
+// older name.
+func displayName(key string) string {
 	if key == "chart" {
 		return "configuration"
 	}
--- a/internal/command/ctl/place.go
+++ b/internal/command/ctl/place.go
@@ -12,24 +12,27 @@
 	"curlewreach/proto/wire"
 )
 
-var errClash = errors.New("these can't all hold")
+// errUnsatisfiable means that no placement satisfies all constraints.
+var errUnsatisfiable = errors.New("these constraints can't all be satisfied")
 
+// place computes and prints a placement. If there is none, it prints a set of constraints that
+// contradict each other.
 func (a *args) place() error {
 	plan := &wire.PerchPlan{}
 	if err := readProto(a.Place.File, plan); err != nil {
-		return badFile{err}
+		return invalidFileError{err}
 	}
 	if err := placement.Check(plan); err != nil {
-		return badFile{errors.New(strings.Join(base.ErrorLines(err), "\n  "))}
+		return invalidFileError{errors.New(strings.Join(base.ErrorLines(err), "\n  "))}
 	}
-	seats, clash := placement.Solve(plan)
-	if len(clash) > 0 {
-		for _, each := range clash {
+	seats, conflicts := placement.Solve(plan)
+	if len(conflicts) > 0 {
+		for _, each := range conflicts {
 			fmt.Fprintln(os.Stderr, " ", each)
 		}
-		return errClash
+		return errUnsatisfiable
 	}
-	t := tableOf("SERVICE", "MACHINE", "ZONE")
+	t := newTable("SERVICE", "MACHINE", "ZONE")
 	for _, seat := range seats {
 		t.add(seat.Service, seat.Machine, seat.Zone)
 	}
--- a/internal/command/ctl/look.go
+++ b/internal/command/ctl/queries.go
@@ -14,6 +14,7 @@
 	"curlewreach/proto/wire"
 )
 
+// show prints a bundle as JSON.
 func (a *args) show(ctx context.Context, client *listedcore.Client) error {
 	reply, err := client.Show(ctx, a.Show.Serial)
 	if err != nil {
@@ -22,6 +23,7 @@
 	return printProto(reply.Bundle)
 }
 
+// diff prints the differences between the bundles of two serials.
 func (a *args) diff(ctx context.Context, client *listedcore.Client) error {
 	before, err := client.Show(ctx, a.Diff.Before)
 	if err != nil {
@@ -35,11 +37,12 @@
 	return nil
 }
 
+// holdings prints the serial that each node uses.
 func (a *args) holdings(ctx context.Context, client *listedcore.Client) error {
 	reply, err := client.Holdings(ctx)
-	return a.table(reply, err, func() {
+	return a.printReply(reply, err, func() {
 		fmt.Printf("newest serial %d\n", reply.Serial)
-		t := tableOf("NODE", "SERIAL", "ODDS", "STANDING")
+		t := newTable("NODE", "SERIAL", "ODDS", "STANDING")
 		for _, each := range reply.Holdings {
 			t.add(each.Node, each.Serial, each.Odds, each.Standing)
 		}
@@ -50,10 +53,11 @@
 	})
 }
 
+// nodes prints the machines as a controller sees them.
 func (a *args) nodes(ctx context.Context, client *listedcore.Client) error {
 	reply, err := client.Nodes(ctx)
-	return a.table(reply, err, func() {
-		t := tableOf("NODE", "ZONE", "KIND", "STANDING", "SILENT", "UPSTREAMS")
+	return a.printReply(reply, err, func() {
+		t := newTable("NODE", "ZONE", "KIND", "STANDING", "SILENT", "UPSTREAMS")
 		for _, each := range reply.Sightings {
 			kind := "node"
 			if each.Roster.Core {
@@ -63,28 +67,31 @@
 			for _, seat := range each.Roster.Seats {
 				seats = append(seats, seat.Service+"@"+seat.Address)
 			}
-			t.add(each.Roster.Node, each.Roster.Zone, kind, each.Standing, human(each.SilenceUs), strings.Join(seats, " "))
+			t.add(each.Roster.Node, each.Roster.Zone, kind, each.Standing, formatMicros(each.SilenceUs), strings.Join(seats, " "))
 		}
 		t.print(a.Sort, a.Filter)
 	})
 }
 
+// trace prints the spans of a trace by start time.
 func (a *args) trace(ctx context.Context, client *listedcore.Client) error {
 	reply, err := client.Trace(ctx, a.Trace.ID)
-	return a.table(reply, err, func() {
+	return a.printReply(reply, err, func() {
 		sort.Slice(reply.Spans, func(i, j int) bool { return reply.Spans[i].StartedUs < reply.Spans[j].StartedUs })
-		t := tableOf("SPAN", "PARENT", "SIDE", "IDENTIFIER", "TOOK", "SELF", "STATUS", "NODE", "STATE")
+		t := newTable("SPAN", "PARENT", "SIDE", "IDENTIFIER", "TOOK", "SELF", "STATUS", "NODE", "STATE")
 		for _, span := range reply.Spans {
-			t.add(span.Id, span.Parent, cmp.Or(span.Side, "far"), span.Service+"/"+span.Route, human(span.DurationUs), human(span.SelfUs), span.Status, span.Node, strings.TrimSpace(span.Tags["state"]+" "+span.Tags["kind"]))
+			t.add(span.Id, span.Parent, cmp.Or(span.Side, "far"), span.Service+"/"+span.Route, formatMicros(span.DurationUs), formatMicros(span.SelfUs), span.Status, span.Node, strings.TrimSpace(span.Tags["state"]+" "+span.Tags["kind"]))
 		}
 		t.print(a.Sort, a.Filter)
 	})
 }
 
-func (a *args) tellOdds(reply *wire.Learning) {
+// printOdds prints the learned sampling odds by falling utility, and the tags that correlate
+// with latency.
+func (a *args) printOdds(reply *wire.Learning) {
 	sort.Slice(reply.Beliefs, func(i, j int) bool { return reply.Beliefs[i].Utility > reply.Beliefs[j].Utility })
 	fmt.Printf("cycle %d, learner %s\n", reply.Cycle, reply.Holder)
-	t := tableOf("IDENTIFIER", "UTILITY", "MEAN", "CONFIDENCE", "ODDS", "SPANS")
+	t := newTable("IDENTIFIER", "UTILITY", "MEAN", "CONFIDENCE", "ODDS", "SPANS")
 	for _, each := range reply.Beliefs {
 		t.add(each.Identifier, fmt.Sprintf("%.0f", each.Utility), fmt.Sprintf("%.3f", each.Alpha/(each.Alpha+each.Beta)), fmt.Sprintf("%.1f", each.Alpha+each.Beta), fmt.Sprintf("%.3f", each.Odds), each.Samples)
 	}
@@ -94,7 +101,9 @@
 	}
 }
 
-func (a *args) table(reply proto.Message, err error, text func()) error {
+// printReply prints a reply as JSON if JSON was asked for, else by calling text. It passes an
+// error on.
+func (a *args) printReply(reply proto.Message, err error, text func()) error {
 	if err != nil {
 		return err
 	}
--- a/internal/command/ctl/shell.go
+++ b/internal/command/ctl/shell.go
@@ -12,12 +12,14 @@
 	"github.com/pkg/errors"
 )
 
-var commands = []string{
+// shellCommands are the commands that the shell completes.
+var shellCommands = []string{
 	"draft", "sign", "submit", "apply", "status", "show", "diff", "holdings", "nodes", "odds", "trace", "state", "shares", "why", "counts", "wrong", "watch", "place", "adopt", "open", "exit",
 }
 
+// shell reads commands from the terminal and runs them until 'exit' or the end of the input.
 func (a *args) shell() error {
-	lines, err := readline.NewEx(terminal())
+	lines, err := readline.NewEx(readlineConfig())
 	if err != nil {
 		return err
 	}
@@ -40,19 +42,19 @@
 		if words[0] == "exit" {
 			return nil
 		}
-		a.line(words)
+		a.runLine(words)
 	}
 }
 
-// terminal returns how lines are read: with the commands completed, and a
-// history in the user's home folder if there is one.
-func terminal() *readline.Config {
+// readlineConfig returns the settings of the line editor: completion of commands and, if the
+// user has a home folder, a history file in it.
+func readlineConfig() *readline.Config {
 	var inner []readline.PrefixCompleterInterface
-	for _, each := range views {
+	for _, each := range openViews {
 		inner = append(inner, readline.PcItem(each))
 	}
 	var items []readline.PrefixCompleterInterface
-	for _, name := range commands {
+	for _, name := range shellCommands {
 		if name == "open" {
 			items = append(items, readline.PcItem(name, inner...))
 			continue
@@ -66,7 +68,9 @@
 	return config
 }
 
-func (a *args) line(words []string) {
+// runLine runs one line of the shell. Options given to the shell itself are the defaults.
+// Errors are printed.
+func (a *args) runLine(words []string) {
 	next := args{Controllers: a.Controllers, JSON: a.JSON}
 	parser, err := arg.NewParser(arg.Config{Program: program}, &next)
 	if err == nil {
@@ -79,13 +83,13 @@
 		fmt.Println("fault:", err)
 		parser.WriteUsage(os.Stdout)
 	case next.Shell != nil:
-		fmt.Println("fault: this is the shell")
+		fmt.Println("fault: the shell is running already")
 	default:
 		if next.Controllers == "" {
 			next.Controllers = a.Controllers
 		}
 		next.JSON = next.JSON || a.JSON
-		if err := next.once(); err != nil {
+		if err := next.runOnce(); err != nil {
 			fmt.Println("fault:", err)
 		}
 	}
--- a/internal/command/ctl/sign.go
+++ b/internal/command/ctl/sign.go
@@ -18,35 +18,40 @@
 	"curlewreach/proto/wire"
 )
 
+// submit submits a signed bundle from a file.
 func (a *args) submit(ctx context.Context, client *listedcore.Client) error {
 	sealed := &wire.Sealed{}
 	if err := readProto(a.Submit.Sealed, sealed); err != nil {
 		return err
 	}
-	return a.outcome(client.Sign(ctx, a.Submit.ID, sealed))
+	return a.printOutcome(client.Sign(ctx, a.Submit.ID, sealed))
 }
 
+// apply drafts, signs and submits a change in one step.
 func (a *args) apply(ctx context.Context, client *listedcore.Client) error {
-	request, err := request(a.Apply.Base, a.Apply.Bundle, a.Apply.Change, a.Apply.Forsake)
+	request, err := newDraftRequest(a.Apply.Base, a.Apply.Bundle, a.Apply.Change, a.Apply.Forsake)
 	if err != nil {
 		return err
 	}
-	key, err := readKey(a.Apply.Key)
+	key, err := readPrivateKey(a.Apply.Key)
 	if err != nil {
 		return err
 	}
-	return a.outcome(client.Apply(ctx, a.Apply.ID, request, key))
+	return a.printOutcome(client.Apply(ctx, a.Apply.ID, request, key))
 }
 
+// adopt lets a controller recover from the only intact disk.
 func (a *args) adopt(ctx context.Context, client *listedcore.Client) error {
 	if len(a.controllers()) != 1 {
 		return errors.New("adopt takes exactly one controller")
 	}
 	reply, err := client.Adopt(ctx)
-	return a.table(reply, err, func() { fmt.Printf("%s is %s\n", reply.Keel, reply.Phase) })
+	return a.printReply(reply, err, func() { fmt.Printf("%s is %s\n", reply.Keel, reply.Phase) })
 }
 
-func (k *keygen) run() error {
+// run writes a new private key to a file that only its owner can read, and prints the public
+// key.
+func (k *keygenArgs) run() error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return err
@@ -58,12 +63,13 @@
 	return nil
 }
 
-func (d *draft) run(ctx context.Context, client *listedcore.Client) error {
-	ask, err := request(d.Base, d.Bundle, d.Change, d.Forsake)
+// run requests a draft, prints its differences, and writes it to a file if one is named.
+func (d *draftArgs) run(ctx context.Context, client *listedcore.Client) error {
+	request, err := newDraftRequest(d.Base, d.Bundle, d.Change, d.Forsake)
 	if err != nil {
 		return err
 	}
-	reply, err := client.Draft(ctx, ask)
+	reply, err := client.Draft(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -78,19 +84,21 @@
 	return os.WriteFile(d.Out, body, 0o644)
 }
 
-func (s *sign) run() error {
+// run signs a draft. It first checks that the manifest to sign belongs to the bundle that the
+// draft shows, so that nothing unseen is signed.
+func (s *signArgs) run() error {
 	reply := &wire.DraftReply{}
 	if err := readProto(s.Draft, reply); err != nil {
 		return err
 	}
-	shown, fault := bundle.Decode(reply.Sealed)
+	decoded, fault := bundle.Decode(reply.Sealed)
 	if fault != nil {
 		return fault
 	}
-	if !proto.Equal(shown, reply.Bundle) {
-		return errors.New("the manifest does not fit the bundle shown")
+	if !proto.Equal(decoded, reply.Bundle) {
+		return errors.New("the manifest of the draft does not match the bundle that the draft shows")
 	}
-	key, err := readKey(s.Key)
+	key, err := readPrivateKey(s.Key)
 	if err != nil {
 		return err
 	}
@@ -102,34 +110,37 @@
 	return os.WriteFile(s.Out, body, 0o644)
 }
 
-func request(serial uint64, signed, change string, forsaken []string) (*wire.DraftRequest, error) {
-	ask := &wire.DraftRequest{Base: serial, Forsaken: forsaken}
-	if signed != "" {
-		ask.Bundle = &wire.Bundle{}
-		if err := readProto(signed, ask.Bundle); err != nil {
+// newDraftRequest returns the request for a draft on top of a base serial, with a bundle or a
+// change read from files. With only forsaken machines given, the change drops them.
+func newDraftRequest(serial uint64, bundleFile, changeFile string, forsaken []string) (*wire.DraftRequest, error) {
+	request := &wire.DraftRequest{Base: serial, Forsaken: forsaken}
+	if bundleFile != "" {
+		request.Bundle = &wire.Bundle{}
+		if err := readProto(bundleFile, request.Bundle); err != nil {
 			return nil, err
 		}
 	}
-	if change == "" && signed == "" && len(forsaken) > 0 {
-		ask.Change = &wire.Change{DropMachines: forsaken}
+	if changeFile == "" && bundleFile == "" && len(forsaken) > 0 {
+		request.Change = &wire.Change{DropMachines: forsaken}
 	}
-	if change != "" {
-		ask.Change = &wire.Change{}
-		if err := readProto(change, ask.Change); err != nil {
+	if changeFile != "" {
+		request.Change = &wire.Change{}
+		if err := readProto(changeFile, request.Change); err != nil {
 			return nil, err
 		}
 	}
-	return ask, nil
+	return request, nil
 }
 
-func readKey(file string) (ed25519.PrivateKey, error) {
+// readPrivateKey reads a private key from a file that holds its seed in base64.
+func readPrivateKey(file string) (ed25519.PrivateKey, error) {
 	body, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(body)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, errors.Errorf("%s holds no private key", file)
+		return nil, errors.Errorf("%s holds no base64-encoded Ed25519 private key", file)
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
--- a/internal/command/ctl/wrong.go
+++ b/internal/command/ctl/wrong.go
@@ -15,112 +15,123 @@
 	"curlewreach/proto/wire"
 )
 
-const wholeCopies = 3
+// bundleCopies is the number of core disks that must hold the newest bundle.
+const bundleCopies = 3
 
-type findings struct {
-	Wrong  []string `json:"wrong"`
-	Shares []string `json:"shares"`
+// healthReport is what 'wrong' prints: problems, and how the load is shared between groups.
+type healthReport struct {
+	Problems []string `json:"wrong"`
+	Shares   []string `json:"shares"`
 }
 
-func (w *findings) add(format string, args ...any) {
-	w.Wrong = append(w.Wrong, fmt.Sprintf(format, args...))
+// add adds a problem.
+func (report *healthReport) add(format string, args ...any) {
+	report.Problems = append(report.Problems, fmt.Sprintf(format, args...))
 }
 
-var errWrong = errors.New("something is wrong")
+// errUnhealthy makes the command exit with 1 if the fleet has problems or a roll-out takes too
+// long.
+var errUnhealthy = errors.New("something is wrong")
 
+// wrong prints what is wrong with a fleet of listed machines.
 func (a *args) wrong(ctx context.Context, client *listedcore.Client) error {
-	w := &findings{Wrong: []string{}}
-	w.core(ctx, client)
-	if err := w.nodes(ctx, client); err != nil {
+	report := &healthReport{Problems: []string{}}
+	report.checkCore(ctx, client)
+	if err := report.checkNodes(ctx, client); err != nil {
 		return err
 	}
-	if told, err := client.Why(ctx, ""); err == nil {
-		for _, node := range told.Silent {
-			w.add("%s did not reply", node)
+	if reply, err := client.Why(ctx, ""); err == nil {
+		for _, node := range reply.Silent {
+			report.add("%s did not reply", node)
 		}
-		w.shares(ctx, client, told)
+		report.addShares(ctx, client, reply)
 	}
 	if a.JSON {
-		body, err := json.MarshalIndent(w, "", "  ")
+		body, err := json.MarshalIndent(report, "", "  ")
 		if err != nil {
 			return err
 		}
 		fmt.Println(string(body))
 	} else {
-		for _, line := range w.Wrong {
+		for _, line := range report.Problems {
 			fmt.Println("!", line)
 		}
-		if len(w.Wrong) == 0 {
+		if len(report.Problems) == 0 {
 			fmt.Println("nothing is wrong")
 		}
-		for _, line := range w.Shares {
+		for _, line := range report.Shares {
 			fmt.Println(" ", line)
 		}
 	}
-	if len(w.Wrong) > 0 {
-		return errWrong
+	if len(report.Problems) > 0 {
+		return errUnhealthy
 	}
 	return nil
 }
 
-func (w *findings) core(ctx context.Context, client *listedcore.Client) {
+// checkCore adds problems of the controllers.
+func (report *healthReport) checkCore(ctx context.Context, client *listedcore.Client) {
 	for controller, one := range client.Each() {
 		state, err := one.State(ctx)
 		if err != nil {
-			w.add("controller %s can't be reached", controller)
+			report.add("controller %s can't be reached", controller)
 			continue
 		}
-		w.controller(state)
+		report.checkController(state)
 	}
 }
 
-func (w *findings) controller(state *wire.StateReply) {
-	if state.Phase != wholePhase {
-		w.add("%s has not recovered its disk: %s", state.Keel, state.Phase)
+// checkController adds problems in the state of one controller.
+func (report *healthReport) checkController(state *wire.StateReply) {
+	if state.Phase != phaseFounded {
+		report.add("%s has not recovered its disk: %s", state.Keel, state.Phase)
 	}
 	if state.Staged > 0 {
-		w.add("%s sees serial %d staged and not settled", state.Keel, state.Staged)
+		report.add("%s sees serial %d staged and not settled", state.Keel, state.Staged)
 	}
 	if state.Owed > 0 {
-		w.add("%s owes %d batches of spans to a mate", state.Keel, state.Owed)
+		report.add("%s owes %d batches of spans to a mate", state.Keel, state.Owed)
 	}
 	for _, key := range state.Keys {
 		if key.Sick {
-			w.add("key %s is under repair at %s", key.Key, state.Keel)
+			report.add("key %s is under repair at %s", key.Key, state.Keel)
 		}
-		if key.Key == listedcore.BundleKey && key.Copies > 0 && key.Copies < wholeCopies {
-			w.add("the newest %s has %d copies, seen from %s", key.Key, key.Copies, state.Keel)
+		if key.Key == listedcore.BundleKey && key.Copies > 0 && key.Copies < bundleCopies {
+			report.add("the newest %s has %d copies, seen from %s", key.Key, key.Copies, state.Keel)
 		}
 	}
 }
 
-func (w *findings) nodes(ctx context.Context, client *listedcore.Client) error {
+// checkNodes adds nodes that aren't alive, were never heard from or use an older serial.
+func (report *healthReport) checkNodes(ctx context.Context, client *listedcore.Client) error {
 	holdings, err := client.Holdings(ctx)
 	if err != nil {
 		return err
 	}
 	for _, each := range holdings.Holdings {
 		if each.Standing != membership.Alive {
-			w.add("%s is %s", each.Node, each.Standing)
+			report.add("%s is %s", each.Node, each.Standing)
 		}
 		if each.Serial < holdings.Serial {
-			w.add("%s is on serial %d, the newest is %d", each.Node, each.Serial, holdings.Serial)
+			report.add("%s is on serial %d, the newest is %d", each.Node, each.Serial, holdings.Serial)
 		}
 	}
 	for _, silent := range holdings.Silent {
-		w.add("%s was never heard", silent)
+		report.add("%s was never heard", silent)
 	}
 	return nil
 }
 
-func (w *findings) shares(ctx context.Context, client *listedcore.Client, told *wire.ToldReply) {
+// addShares adds the share of requests and spans that each group got, next to the share that
+// the bundle assigns to it.
+func (report *healthReport) addShares(ctx context.Context, client *listedcore.Client, reply *wire.ToldReply) {
 	shown, err := client.Show(ctx, 0)
 	if err != nil {
 		return
 	}
 	carried, watched := map[string]uint64{}, map[string]uint64{}
 	var allCarried, allWatched uint64
-	for _, each := range told.Told {
+	for _, each := range reply.Told {
 		for group, count := range each.Carried {
 			carried[group] += count
 			allCarried += count
@@ -130,53 +141,57 @@
 			allWatched += count
 		}
 	}
-	var oweCarried, oweWatched float64
-	owed := map[string]*wire.Share{}
+	var weightCarried, weightWatched float64
+	assigned := map[string]*wire.Share{}
 	for _, share := range shown.Bundle.GetCommon().GetShares() {
-		oweCarried += share.Carried
-		oweWatched += share.Watched
-		owed[share.Group] = share
+		weightCarried += share.Carried
+		weightWatched += share.Watched
+		assigned[share.Group] = share
 	}
-	for _, group := range slices.Sorted(maps.Keys(owed)) {
-		w.Shares = append(w.Shares, fmt.Sprintf("%-16s carried %3.0f%% (owed %.0f%% when all ask), watched %3.0f%% (owed %.0f%%)", group,
-			part(carried[group], allCarried), 100*owed[group].Carried/oweCarried, part(watched[group], allWatched), 100*owed[group].Watched/oweWatched))
+	for _, group := range slices.Sorted(maps.Keys(assigned)) {
+		report.Shares = append(report.Shares, fmt.Sprintf("%-16s carried %3.0f%% (owed %.0f%% when all ask), watched %3.0f%% (owed %.0f%%)", group,
+			percent(carried[group], allCarried), 100*assigned[group].Carried/weightCarried, percent(watched[group], allWatched), 100*assigned[group].Watched/weightWatched))
 	}
 }
 
-func part(count, all uint64) float64 {
+// percent returns count as a percentage of all, or 0 if all is 0.
+func percent(count, all uint64) float64 {
 	if all == 0 {
 		return 0
 	}
 	return 100 * float64(count) / float64(all)
 }
 
+// watch polls the serials of the nodes and prints each change. It returns once every node uses
+// the newest serial and that is at least the one waited for, or errUnhealthy when the time is
+// up.
 func (a *args) watch(ctx context.Context, client *listedcore.Client) error {
 	last := ""
-	for begun := time.Now(); ; {
+	for started := time.Now(); ; {
 		holdings, err := client.Holdings(ctx)
 		if err != nil {
 			return err
 		}
-		on, behind := 0, []string{}
+		current, behind := 0, []string{}
 		for _, each := range holdings.Holdings {
 			if each.Serial >= holdings.Serial {
-				on++
+				current++
 			} else {
 				behind = append(behind, each.Node)
 			}
 		}
 		behind = append(behind, holdings.Silent...)
 		slices.Sort(behind)
-		line := fmt.Sprintf("serial %d held by %d, behind or silent: %v", holdings.Serial, on, behind)
+		line := fmt.Sprintf("serial %d held by %d, behind or silent: %v", holdings.Serial, current, behind)
 		if line != last {
-			fmt.Printf("%6s %s\n", time.Since(begun).Round(100*time.Millisecond), line)
+			fmt.Printf("%6s %s\n", time.Since(started).Round(100*time.Millisecond), line)
 			last = line
 		}
 		if len(behind) == 0 && holdings.Serial >= a.Watch.Serial {
 			return nil
 		}
-		if time.Since(begun) > time.Duration(a.Watch.Seconds)*time.Second {
-			return errWrong
+		if time.Since(started) > time.Duration(a.Watch.Seconds)*time.Second {
+			return errUnhealthy
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
