--- a/deploy/daygen/catalogue.go
+++ b/deploy/daygen/catalogue.go
@@ -1,85 +1,85 @@
 package main
 
-// Stress says which side of the system a drawn day weighs on.
+// Stress is the side of the system that a day puts most load on.
 type Stress string
 
 const (
 	// StressNone draws every kind with the same weight.
 	StressNone Stress = "none"
-	// StressControl favours troubles of core machines, disks, clocks and configuration.
+	// StressControl favours events on core machines, disks, clocks and configuration.
 	StressControl Stress = "control"
-	// StressRequests favours troubles of requests, upstreams and connections.
+	// StressRequests favours events on requests, upstreams and connections.
 	StressRequests Stress = "requests"
-	// StressConfig draws changes of the configuration throughout the day, and troubles that delay them on their way from
-	// an acknowledgement to the nodes.
+	// StressConfig draws changes of the configuration throughout the day, and events that delay their distribution to the
+	// nodes after the acknowledgement.
 	StressConfig Stress = "config"
 )
 
-// stresses lists all of them.
+// stresses lists all values of Stress.
 var stresses = []Stress{StressNone, StressControl, StressRequests, StressConfig}
 
-// Range bounds a number that is drawn evenly. The zero Range means that the field is left out.
+// Range bounds a number drawn from a uniform distribution. The zero Range leaves the field out.
 type Range struct{ Low, High float64 }
 
-// IntRange bounds a whole number that is drawn evenly, both ends included.
+// IntRange bounds an integer drawn from a uniform distribution. Both ends are included.
 type IntRange struct{ Low, High int }
 
-// Targeting says how the machines of an entry may be chosen and what else may happen to them.
+// Targeting says which words of 'how' choose the machines of an entry and what follows on them.
 type Targeting struct {
-	// Roles allows leader, reader and seed in 'how'.
+	// Roles allows the words leader, reader and seed.
 	Roles bool
-	// FollowUps allows meet, race, hard and drain in 'how', after a role.
+	// FollowUps allows the words meet, race, hard and drain, after a role.
 	FollowUps bool
-	// CutStyles allows reset and refuse in 'how'.
+	// CutStyles allows the words reset and refuse.
 	CutStyles bool
 }
 
-// Place says which fields of an entry name a place.
+// Place says which fields of an entry may name a place.
 type Place struct {
 	Zone, ToZone, Service, Class bool
 }
 
-// Kind describes a kind of trouble: its fields, the ranges that they are drawn from, and its weights.
+// Kind describes a kind of event: its fields, the ranges that they are drawn from, and its weights.
 type Kind struct {
 	Name    string
 	Section Section
-	// Contract must be open at a site for the kind to be accepted there; empty: accepted everywhere.
+	// Contract must be in force at a site for the kind to be accepted there. If empty, the kind is accepted everywhere.
 	Contract string
-	// OnCore means that the entry strikes core machines.
+	// OnCore means that the entry affects core machines.
 	OnCore bool
-	// Variants are the alternatives of 'how', one of which is drawn.
+	// Variants are alternatives for 'how', one of which is drawn.
 	Variants []string
-	// Modifiers are words that may be added to 'how', each by itself.
+	// Modifiers are words that may be added to 'how', independently of each other.
 	Modifiers []string
 	Targeting Targeting
 	Place     Place
 	Count     IntRange
-	// CountUpToTolerated draws count from 1 to the number of core machines that the site tolerates to lose.
+	// CountUpToTolerated draws the count from 1 to the number of core machines whose loss the site tolerates.
 	CountUpToTolerated bool
 	Share, X           Range
 	ForS, GapS         Range
 	// LongForS replaces ForS on days that stress the control side.
 	LongForS Range
-	// Series is how many entries of the kind follow each other on days that stress the control side.
+	// Series is the number of successive entries of the kind on days that stress the control side.
 	Series IntRange
-	// ControlWeight and RequestWeight are how often the kind is drawn on days that stress that side; 0 counts as 1.
+	// ControlWeight and RequestWeight are the weights of the kind on days that stress that side. 0 counts as 1.
 	ControlWeight, RequestWeight int
-	// ConfigWeight is how often the kind is drawn on days that stress the configuration; with 0 it isn't drawn there.
+	// ConfigWeight is the weight of the kind on days that stress the configuration. With 0 it isn't drawn there.
 	ConfigWeight int
-	// OnlyStress restricts the kind to days of one stress; empty: drawn on all.
+	// OnlyStress restricts the kind to days of one stress. If empty, it is drawn on all.
 	OnlyStress Stress
 }
 
 const (
-	coreClass     = "core"
-	heavyWeight   = 8
-	raisedWeight  = 4
-	contractPool  = "pool"
-	contractCheck = "health"
+	coreClass      = "core"
+	heavyWeight    = 8
+	raisedWeight   = 4
+	contractPool   = "pool"
+	contractHealth = "health"
 )
 
-// catalogue lists each kind of trouble, in the order of the bench's own list. A kind that may strike
-// core machines as well as others stands twice.
+// catalogue lists each kind of event, in the order of the bench's own list. A kind that may affect core machines as well
+// as others has two entries.
 var catalogue = []Kind{
 	{Name: "burst", Section: Faults, X: Range{1.3, 2}, ForS: Range{2, 5}, Place: Place{Zone: true, Class: true}, RequestWeight: raisedWeight, ConfigWeight: 1},
 	{Name: "shift", Section: Faults, Share: Range{.3, .6}, ForS: Range{4, 8}, Place: Place{Zone: true, ToZone: true}},
@@ -88,10 +88,10 @@
 	{Name: "srv_crash", Section: Faults, Share: Range{.08, .25}, ForS: Range{2, 6}, Variants: []string{"", "dark"}, Modifiers: []string{"across", "all"}, Place: Place{Service: true}, RequestWeight: raisedWeight},
 	{Name: "srv_crash", Section: Faults, Share: Range{.08, .25}, ForS: Range{2, 6}, Variants: []string{"gone", "dark gone"}, Modifiers: []string{"across"}, Place: Place{Service: true}, RequestWeight: raisedWeight},
 	{Name: "srv_slow", Section: Faults, Share: Range{.1, .25}, X: Range{3, 6}, ForS: Range{4, 8}, Modifiers: []string{"across", "all"}, Place: Place{Service: true}, RequestWeight: raisedWeight},
-	{Name: "srv_grey", Section: Faults, Contract: contractCheck, Share: Range{.08, .25}, X: Range{.2, .7}, ForS: Range{4, 8}, Variants: []string{"errors", "shed", "busy", "hang", "reset", "mute"}, Modifiers: []string{"one_zone", "across"}, Place: Place{Service: true, ToZone: true}, RequestWeight: heavyWeight},
-	{Name: "srv_grey", Section: Faults, Contract: contractCheck, Share: Range{.08, .25}, X: Range{4, 10}, ForS: Range{4, 8}, Variants: []string{"slow"}, Modifiers: []string{"one_zone", "across"}, Place: Place{Service: true, ToZone: true}, RequestWeight: raisedWeight},
-	{Name: "srv_lying_health", Section: Faults, Contract: contractCheck, Share: Range{.08, .25}, ForS: Range{4, 8}, Variants: []string{"errors", "hang", "reset", "bad"}, Place: Place{Service: true}, RequestWeight: raisedWeight},
-	{Name: "srv_flap", Section: Faults, Contract: contractCheck, Share: Range{.06, .2}, ForS: Range{4, 8}, GapS: Range{.8, 2}, Place: Place{Service: true}, RequestWeight: raisedWeight},
+	{Name: "srv_grey", Section: Faults, Contract: contractHealth, Share: Range{.08, .25}, X: Range{.2, .7}, ForS: Range{4, 8}, Variants: []string{"errors", "shed", "busy", "hang", "reset", "mute"}, Modifiers: []string{"one_zone", "across"}, Place: Place{Service: true, ToZone: true}, RequestWeight: heavyWeight},
+	{Name: "srv_grey", Section: Faults, Contract: contractHealth, Share: Range{.08, .25}, X: Range{4, 10}, ForS: Range{4, 8}, Variants: []string{"slow"}, Modifiers: []string{"one_zone", "across"}, Place: Place{Service: true, ToZone: true}, RequestWeight: raisedWeight},
+	{Name: "srv_lying_health", Section: Faults, Contract: contractHealth, Share: Range{.08, .25}, ForS: Range{4, 8}, Variants: []string{"errors", "hang", "reset", "bad"}, Place: Place{Service: true}, RequestWeight: raisedWeight},
+	{Name: "srv_flap", Section: Faults, Contract: contractHealth, Share: Range{.06, .2}, ForS: Range{4, 8}, GapS: Range{.8, 2}, Place: Place{Service: true}, RequestWeight: raisedWeight},
 	{Name: "release", Section: Plan, Share: Range{.3, .55}, X: Range{1, 3}, GapS: Range{.7, 1.3}},
 	{Name: "replace_with_reuse", Section: Faults, Share: Range{.12, .25}, Variants: []string{"", "drain", "dark"}, RequestWeight: raisedWeight},
 	{Name: "scale_in", Section: Plan, Share: Range{.08, .16}, Variants: []string{"", "spot"}},
@@ -133,7 +133,7 @@
 	{Name: "ack_lost", Section: Faults, X: Range{.4, .9}, ForS: Range{4, 12}, ControlWeight: heavyWeight, ConfigWeight: raisedWeight},
 }
 
-// closingKinds lists the closing faults with the variants of 'how' of each.
+// closingKinds lists the faults that may end a day, with the variants of 'how' of each.
 var closingKinds = []struct {
 	Name     string
 	Variants []string
@@ -143,6 +143,7 @@
 	{"kill_all", []string{"", "timed", "taken"}},
 }
 
+// weight returns the relative frequency of the kind on days of the stress.
 func (k Kind) weight(stress Stress) int {
 	switch stress {
 	case StressControl:
--- a/deploy/daygen/day.go
+++ b/deploy/daygen/day.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Section is the part of a day file in which an entry is written.
+// Section is the part of a day file that an entry is written to.
 type Section string
 
 const (
-	// Plan holds planned work.
+	// Plan contains planned work.
 	Plan Section = "plan"
-	// Faults holds everything else.
+	// Faults contains everything else.
 	Faults Section = "faults"
 )
 
-// Entry is one trouble of a day. Fields with a zero value are left out of the file.
+// Entry is one event of a day: planned work or a fault. Fields with a zero value are left out of the file.
 type Entry struct {
 	At      float64
 	Kind    string
@@ -40,7 +40,7 @@
 	How   string
 }
 
-// Day is a day of a deployment, as the bench reads it from a TOML file.
+// Day is a test scenario for a deployment. The bench reads it from a TOML file.
 type Day struct {
 	Name    string
 	Comment string
@@ -50,7 +50,7 @@
 	Closing *Closing
 }
 
-// TOML returns the text of the day file.
+// TOML returns the contents of the day file.
 func (d Day) TOML() string {
 	var text strings.Builder
 	if d.Comment != "" {
@@ -99,7 +99,7 @@
 	return table.String()
 }
 
-// inlineTable collects the fields of a TOML inline table and skips zero values.
+// inlineTable collects the fields of a TOML inline table. Zero values are skipped.
 type inlineTable struct{ fields []string }
 
 func (t *inlineTable) addString(key, value string) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// addFloat writes a decimal point in every case, since the bench tells floats from integers.
+// addFloat always writes a decimal point, since the bench distinguishes floats from integers.
 func (t *inlineTable) addFloat(key string, value float64) {
 	if value == 0 {
 		return
--- a/deploy/daygen/daygen_test.go
+++ b/deploy/daygen/daygen_test.go
@@ -47,7 +47,7 @@
 seed = 1
 `
 
-// writeSite writes the example site into a folder of the test and returns its path.
+// writeSite writes a site file to a temporary folder and returns its path.
 func writeSite(text string) string {
 	path := filepath.Join(ginkgo.GinkgoT().TempDir(), "example.toml")
 	Expect(os.WriteFile(path, []byte(text), 0o644)).To(Succeed())
@@ -60,7 +60,7 @@
 	return site
 }
 
-// decode reads TOML text, and fails the test if it isn't valid.
+// decode decodes TOML, and fails the test if it isn't valid.
 func decode(text string) document {
 	var decoded document
 	_, err := toml.Decode(text, &decoded)
--- a/deploy/daygen/draw.go
+++ b/deploy/daygen/draw.go
@@ -12,24 +12,34 @@
 )
 
 const (
-	minDraws        = 4
-	maxDraws        = 9
-	firstEntryS     = 0.5
-	closingMarginS  = 2.0
-	closingChance   = 0.75
-	roleChance      = 0.6
-	modifierChance  = 0.35
-	placeChance     = 0.3
-	seriesSpacingS  = 3.0
-	daySeedBound    = 1 << 28
-	minDownS        = 0.4
-	maxDownS        = 2.0
-	roundingFactor  = 1000
+	minDraws = 4
+	maxDraws = 9
+	// firstEntryS is the earliest time of an entry, in seconds from the start of the day, and the shortest time between
+	// two entries of a series.
+	firstEntryS = 0.5
+	// closingMarginS is the shortest time between the last entry and the end of the traffic.
+	closingMarginS = 2.0
+	closingChance  = 0.75
+	roleChance     = 0.6
+	modifierChance = 0.35
+	placeChance    = 0.3
+	// seriesSpacingS is the longest time between two entries of a series.
+	seriesSpacingS = 3.0
+	daySeedBound   = 1 << 28
+	// minDownS and maxDownS bound how long machines are down at the end of a day.
+	minDownS = 0.4
+	maxDownS = 2.0
+	// roundingFactor rounds numbers to three decimals.
+	roundingFactor = 1000
+	// dayRandomStream selects the random sequence. Another value gives other days for the same seeds.
 	dayRandomStream = 17
-	minPauseS       = 0.6
-	maxExtraPauseS  = 2.5
+	// minPauseS is the shortest pause between two changes of the configuration; the longest pause of a day is up to
+	// maxExtraPauseS longer.
+	minPauseS      = 0.6
+	maxExtraPauseS = 2.5
 )
 
+// Words for 'how'. A word that is listed twice is drawn twice as often.
 var (
 	machineRoles   = []string{"leader", "reader", "seed"}
 	followUps      = []string{"meet", "race", "hard", "drain"}
@@ -37,29 +47,31 @@
 	changeVariants = []string{"route", "route", "weights", "timeout", "idle"}
 )
 
-// DrawSettings says what to draw.
+// DrawSettings are the options for drawing a day.
 type DrawSettings struct {
-	Seed    uint64
-	Stress  Stress
+	Seed   uint64
+	Stress Stress
+	// Without names the kinds to leave out.
 	Without []string
-	Only    []string
-	// Entries is how many times a kind is drawn; 0 draws that number, too. Long days want more.
+	// Only names the only kinds to draw; empty means all.
+	Only []string
+	// Entries is the number of draws; with 0 the number is drawn as well. Long days need more draws than that gives.
 	Entries int
 }
 
-// drawer draws the entries of one day from one source of random numbers.
+// drawer draws the entries of one day with one random number generator.
 type drawer struct {
 	DrawSettings
 	site   Site
 	random *rand.Rand
 }
 
-// DrawDay draws a day for a site. The same site and settings always yield the same day.
+// DrawDay draws a day for a site. The same site and settings always give the same day.
 func DrawDay(site Site, settings DrawSettings) (Day, error) {
 	d := drawer{DrawSettings: settings, site: site, random: rand.New(rand.NewPCG(settings.Seed, dayRandomStream))}
 	kinds := d.eligibleKinds()
 	if len(kinds) == 0 {
-		return Day{}, errors.New("no kind of trouble is left to draw from")
+		return Day{}, errors.New("no kind of event is left to draw from")
 	}
 	day := Day{
 		Name:    fmt.Sprintf("drawn-%s-%d", settings.Stress, settings.Seed),
@@ -82,7 +94,7 @@
 	return day, nil
 }
 
-// drawChanges lists changes of the configuration from the beginning of a day to its end.
+// drawChanges returns changes of the configuration from the beginning of the day to its end.
 func (d drawer) drawChanges() []Entry {
 	var changes []Entry
 	pauses := Range{minPauseS, minPauseS + d.floatIn(Range{0, maxExtraPauseS})}
@@ -92,8 +104,10 @@
 	return changes
 }
 
+// compareTimes orders entries by time.
 func compareTimes(a, b Entry) int { return cmp.Compare(a.At, b.At) }
 
+// comment returns the command that generates the day, without the site.
 func (d drawer) comment() string {
 	text := fmt.Sprintf("daygen day --seed %d --stress %s", d.Seed, d.Stress)
 	if len(d.Without) > 0 {
@@ -108,6 +122,7 @@
 	return text
 }
 
+// eligibleKinds returns the kinds that the site and the settings allow.
 func (d drawer) eligibleKinds() []Kind {
 	var kinds []Kind
 	for _, kind := range catalogue {
@@ -128,6 +143,7 @@
 	return kinds
 }
 
+// drawKind draws a kind by weight.
 func (d drawer) drawKind(kinds []Kind) Kind {
 	total := 0
 	for _, kind := range kinds {
@@ -143,7 +159,7 @@
 	panic("weights don't sum up")
 }
 
-// addEntries adds one entry of the kind, or a series of them, to the section that the kind belongs to.
+// addEntries adds one entry of the kind, or a series of them, to the kind's section.
 func (d drawer) addEntries(day *Day, kind Kind) {
 	at := d.floatIn(Range{firstEntryS, d.site.LengthS - closingMarginS})
 	entries := 1
@@ -161,6 +177,7 @@
 	}
 }
 
+// drawEntry draws the fields of an entry.
 func (d drawer) drawEntry(kind Kind, at float64) Entry {
 	entry := Entry{
 		At: at, Kind: kind.Name,
@@ -177,6 +194,7 @@
 	return entry
 }
 
+// durationRange returns the range of an entry's duration.
 func (d drawer) durationRange(kind Kind) Range {
 	if d.Stress == StressControl && kind.LongForS.High > 0 {
 		return kind.LongForS
@@ -184,7 +202,7 @@
 	return kind.ForS
 }
 
-// drawHow joins a variant, a role, a cut style, what follows, and modifiers, as far as the kind allows them.
+// drawHow joins a role, a variant, a cut style, follow-ups and modifiers, as far as the kind allows them.
 func (d drawer) drawHow(kind Kind) string {
 	var words []string
 	if kind.Targeting.Roles && d.chance(roleChance) {
@@ -204,7 +222,7 @@
 	return strings.Join(words, " ")
 }
 
-// drawPlace names a zone, service or class in some of the entries; in the others the bench picks one.
+// drawPlace names a zone, service or class in some of the entries. In the others the bench chooses one.
 func (d drawer) drawPlace(entry *Entry, place Place) {
 	zones := d.site.zoneNames()
 	if place.ToZone {
@@ -224,6 +242,7 @@
 	}
 }
 
+// drawClosing draws the fault that ends the day, or none.
 func (d drawer) drawClosing() *Closing {
 	if !d.chance(closingChance) {
 		return nil
@@ -232,9 +251,10 @@
 	return &Closing{Kind: kind.Name, DownS: d.floatIn(Range{minDownS, maxDownS}), How: pick(d.random, kind.Variants)}
 }
 
+// chance returns true with the given probability.
 func (d drawer) chance(probability float64) bool { return d.random.Float64() < probability }
 
-// sample returns each of the words with the chance of a modifier.
+// sample returns each of the words with the probability modifierChance.
 func (d drawer) sample(words []string) []string {
 	var chosen []string
 	for _, word := range words {
@@ -245,10 +265,12 @@
 	return chosen
 }
 
+// floatIn draws a number.
 func (d drawer) floatIn(bounds Range) float64 {
 	return round(bounds.Low + d.random.Float64()*(bounds.High-bounds.Low))
 }
 
+// intIn draws an integer.
 func (d drawer) intIn(bounds IntRange) int {
 	return bounds.Low + d.random.IntN(bounds.High-bounds.Low+1)
 }
--- a/deploy/daygen/main.go
+++ b/deploy/daygen/main.go
@@ -1,5 +1,6 @@
-// Command daygen draws days of trouble for a deployment's site file, writes changed copies of site files,
-// and sums up reports on played days. It starts no process; deploy/days/play plays what it draws.
+// Command daygen generates random days for a deployment's site file. A day is a test scenario of planned work and
+// faults, which the bench plays. daygen also writes changed copies of site files and summarizes the bench's reports. It
+// starts no process; deploy/days/play plays the days that it generates.
 package main
 
 import (
@@ -16,46 +17,51 @@
 const (
 	exitFailure = 1
 	exitUsage   = 2
-	exitBroken  = 3
+	// exitBroken is the exit code of 'summary' for a day that broke a rule or ended with a fault.
+	exitBroken = 3
 )
 
+// dayArgs are the options of 'day'.
 type dayArgs struct {
-	Site    string   `arg:"--site,required" help:"site file that the day is drawn for"`
-	Seed    uint64   `arg:"--seed,required" help:"the same seed draws the same day"`
-	Stress  Stress   `arg:"--stress" default:"none" help:"none, control, requests or config"`
-	Without []string `arg:"--without" help:"kinds that aren't drawn"`
-	Only    []string `arg:"--only" help:"the only kinds that are drawn"`
-	Entries int      `arg:"--entries" help:"how many times a kind is drawn; 4 to 9 when left out"`
-	Out     string   `arg:"--out" help:"day file to write; standard output when left out"`
+	Site    string   `arg:"--site,required" help:"site file to generate the day for"`
+	Seed    uint64   `arg:"--seed,required" help:"seed of the random numbers; the same seed and options give the same day"`
+	Stress  Stress   `arg:"--stress" default:"none" help:"which side of the system to stress: none, control, requests or config"`
+	Without []string `arg:"--without" help:"kinds of events to leave out"`
+	Only    []string `arg:"--only" help:"the only kinds of events to draw"`
+	Entries int      `arg:"--entries" help:"number of draws; 4 to 9 if left out"`
+	Out     string   `arg:"--out" help:"day file to write; standard output if left out"`
 }
 
+// siteArgs are the options of 'site'. Options that are left out leave the site file's values as they are.
 type siteArgs struct {
 	Site        string           `arg:"--site,required" help:"site file to copy"`
-	Out         string           `arg:"--out,required" help:"folder of the copy"`
-	LengthS     float64          `arg:"--length-s" help:"seconds of traffic"`
-	CoreCount   int              `arg:"--cores" help:"core machines in all"`
-	Tolerate    int              `arg:"--tolerate" help:"core machines that may be lost at once"`
-	CrossZoneMs float64          `arg:"--cross-zone-ms" help:"delay between zones"`
-	CPUFactor   float64          `arg:"--cpu-factor" help:"share of each machine's processor that is left, such as 0.5"`
-	LagMs       int64            `arg:"--lag-ms" help:"lag of the discovery list"`
-	BeatMs      int64            `arg:"--beat-ms" help:"time between an upstream's beats"`
+	Out         string           `arg:"--out,required" help:"folder to write the copy to"`
+	LengthS     float64          `arg:"--length-s" help:"length of the traffic in seconds"`
+	CoreCount   int              `arg:"--cores" help:"total number of core machines"`
+	Tolerate    int              `arg:"--tolerate" help:"number of core machines that may be lost at once"`
+	CrossZoneMs float64          `arg:"--cross-zone-ms" help:"network delay between zones in milliseconds"`
+	CPUFactor   float64          `arg:"--cpu-factor" help:"factor for the processor share of each machine, such as 0.5"`
+	LagMs       int64            `arg:"--lag-ms" help:"delay of the discovery list in milliseconds"`
+	BeatMs      int64            `arg:"--beat-ms" help:"interval between an upstream's heartbeats in milliseconds"`
 	Contracts   []string         `arg:"--contracts" help:"contracts in force"`
-	Bounds      map[string]int64 `arg:"--bounds" help:"bounds as name=value"`
+	Bounds      map[string]int64 `arg:"--bounds" help:"bounds to replace, as name=value"`
 }
 
+// summaryArgs are the options of 'summary'.
 type summaryArgs struct {
-	Report string `arg:"--report,required" help:"report of the bench on one day"`
-	Name   string `arg:"--name,required" help:"name to begin the line with"`
+	Report string `arg:"--report,required" help:"the bench's report on one day"`
+	Name   string `arg:"--name,required" help:"name at the start of the line"`
 }
 
+// args are the subcommands of daygen.
 type args struct {
-	Day     *dayArgs     `arg:"subcommand:day" help:"draw a day file"`
+	Day     *dayArgs     `arg:"subcommand:day" help:"generate a day file"`
 	Site    *siteArgs    `arg:"subcommand:site" help:"write a changed copy of a site file"`
-	Summary *summaryArgs `arg:"subcommand:summary" help:"print a line on a played day; exit code 3 if it broke a rule"`
+	Summary *summaryArgs `arg:"subcommand:summary" help:"print a line about a played day; exits with 3 if it broke a rule"`
 }
 
 func (args) Description() string {
-	return "draws days of trouble for a site file, copies site files with changes, sums up reports on days"
+	return "generates random days of planned work and faults for a site file, copies site files with changes, summarizes reports on days"
 }
 
 func main() {
@@ -75,7 +81,7 @@
 	os.Exit(code)
 }
 
-// problems lists all that is wrong with the settings.
+// problems returns everything that is wrong with the options, so that all of it is reported at once.
 func (a args) problems() []string {
 	switch {
 	case a.Day != nil:
@@ -94,7 +100,7 @@
 	}
 	for _, name := range slices.Concat(a.Without, a.Only) {
 		if !slices.ContainsFunc(catalogue, func(kind Kind) bool { return kind.Name == name }) {
-			problems = append(problems, fmt.Sprintf("no kind is called %q", name))
+			problems = append(problems, fmt.Sprintf("there is no kind of event %q", name))
 		}
 	}
 	if a.Entries < 0 {
@@ -128,6 +134,7 @@
 	return problems
 }
 
+// run runs the subcommand and returns the exit code.
 func (a args) run(out io.Writer) (int, error) {
 	switch {
 	case a.Day != nil:
--- a/deploy/daygen/site.go
+++ b/deploy/daygen/site.go
@@ -5,7 +5,7 @@
 	"github.com/pkg/errors"
 )
 
-// Site holds the fields of a site file that days are drawn from.
+// Site contains the fields of a site file that days are generated from.
 type Site struct {
 	Name      string
 	LengthS   float64 `toml:"length_s"`
@@ -19,7 +19,7 @@
 	Tolerate struct{ Machines int }
 }
 
-// ReadSite reads a site file and checks that it holds what days are drawn from.
+// ReadSite reads a site file and checks that it contains what generating days needs.
 func ReadSite(path string) (Site, error) {
 	var site Site
 	if _, err := toml.DecodeFile(path, &site); err != nil {
@@ -33,7 +33,7 @@
 	case len(site.Services) == 0:
 		return Site{}, errors.Errorf("site file %s: no services", path)
 	case len(site.outerClasses()) == 0:
-		return Site{}, errors.Errorf("site file %s: no classes that clients ask for", path)
+		return Site{}, errors.Errorf("site file %s: no classes of client requests", path)
 	}
 	return site, nil
 }
@@ -46,7 +46,7 @@
 	return names
 }
 
-// outerClasses returns the classes of requests that clients send; upstreams send the inner ones.
+// outerClasses returns the classes of requests that clients send. Inner classes are sent by upstreams only.
 func (s Site) outerClasses() []string {
 	var names []string
 	for _, class := range s.Classes {
--- a/deploy/daygen/summary.go
+++ b/deploy/daygen/summary.go
@@ -11,28 +11,30 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnserved is the share of requests refused or failed above which a day fails its gate.
+// maxUnserved is the share of refused or failed requests above which a day fails the gate.
 const maxUnserved = 0.6
 
-// Report holds the fields of a bench's report on one day that its summary needs.
+// Report contains the fields of the bench's report on one day that the summary needs.
 type Report struct {
-	// Score is the weighted worth less prices.
+	// Score is the weighted worth minus prices.
 	Score float64 `json:"G"`
-	// Worth is the worth earned divided by the worth owed over the whole day.
-	Worth    float64 `json:"served"`
+	// Worth is the worth earned as a share of the worth owed over the whole day.
+	Worth float64 `json:"served"`
+	// Unserved is the share of requests that were refused or failed.
 	Unserved float64 `json:"unserved"`
-	Fault    any     `json:"fault"`
-	// BelowFloor names what lies below a floor of the gate.
+	// Fault is set if the day had a fault.
+	Fault any `json:"fault"`
+	// BelowFloor names what is below a minimum of the gate.
 	BelowFloor []any `json:"short"`
-	// Violations counts the breaks of each rule.
+	// Violations counts the violations by rule.
 	Violations map[string]any `json:"breaks"`
-	// FirstViolations tells the first breaks.
+	// FirstViolations describes the first violations.
 	FirstViolations []Violation `json:"first"`
-	// Missed names duties that were missed.
+	// Missed names the duties that the deployment missed.
 	Missed []any `json:"missed"`
 }
 
-// Violation is one break of a rule, as the bench tells it.
+// Violation describes one violation of a rule, in the bench's words.
 type Violation struct {
 	AtS  float64 `json:"at_s"`
 	Rule string  `json:"rule"`
@@ -48,15 +50,15 @@
 	return report, nil
 }
 
-// Broken tells whether a rule was broken or the day had a fault.
+// Broken reports whether a rule was violated or the day had a fault.
 func (r Report) Broken() bool { return len(r.Violations) > 0 || r.Fault != nil }
 
-// GatePassed tells whether the day passes the gate.
+// GatePassed reports whether the day passes the gate.
 func (r Report) GatePassed() bool {
 	return !r.Broken() && len(r.BelowFloor) == 0 && r.Unserved <= maxUnserved
 }
 
-// Summary returns one line on the day.
+// Summary returns one line about the day.
 func (r Report) Summary(name string) string {
 	gate := "GATE failed"
 	if r.GatePassed() {
@@ -80,6 +82,7 @@
 	return strings.Join(parts, "; ")
 }
 
+// appendList appends a labelled list unless it is empty.
 func appendList(parts []string, label string, list []any) []string {
 	if len(list) == 0 {
 		return parts
--- a/deploy/daygen/variant.go
+++ b/deploy/daygen/variant.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Variant says what a changed copy of a site file has different. Zero values leave a field as it is.
+// Variant is a set of changes to a site file. Zero values leave a field as it is.
 type Variant struct {
 	LengthS     float64
 	CoreCount   int
@@ -20,25 +20,25 @@
 	LagMs     int64
 	BeatMs    int64
 	Contracts []string
-	// Bounds are whole numbers that replace those of the table of that name.
+	// Bounds are integers that replace those in the table 'bounds', by name.
 	Bounds map[string]int64
 }
 
 // document is a decoded TOML table.
 type document = map[string]any
 
-// CopySite writes a changed copy of a site file, and the files beside it that it refers to, into a folder.
-// It returns the path of the copy.
+// CopySite writes a changed copy of a site file, and copies of the files next to it that it refers to, to a folder. It
+// returns the path of the copy.
 func CopySite(path, folder string, variant Variant) (string, error) {
 	var site document
 	if _, err := toml.DecodeFile(path, &site); err != nil {
-		return "", errors.Wrap(err, "site file")
+		return "", errors.Wrap(err, "read the site file")
 	}
 	if err := variant.apply(site); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return "", errors.Wrap(err, "folder of the copy")
+		return "", errors.Wrap(err, "create the folder of the copy")
 	}
 	if err := copyCompanions(path, folder, site); err != nil {
 		return "", err
@@ -51,7 +51,7 @@
 	return target, errors.Wrap(os.WriteFile(target, text, 0o644), "write the copy")
 }
 
-// copyCompanions copies the file of wire examples and the recorded days, where a site has them.
+// copyCompanions copies the file of wire examples and the recorded days, if the site has them.
 func copyCompanions(path, folder string, site document) error {
 	names := []string{strings.TrimSuffix(filepath.Base(path), ".toml") + ".days"}
 	if wire, ok := site["wire"].(string); ok {
@@ -63,15 +63,16 @@
 			continue
 		}
 		if err != nil {
-			return errors.Wrap(err, "file beside the site file")
+			return errors.Wrap(err, "read a file next to the site file")
 		}
 		if err := os.WriteFile(filepath.Join(folder, name), content, 0o644); err != nil {
-			return errors.Wrap(err, "file beside the copy")
+			return errors.Wrap(err, "write a file next to the copy")
 		}
 	}
 	return nil
 }
 
+// apply changes a decoded site file.
 func (v Variant) apply(site document) error {
 	if v.LengthS > 0 {
 		site["length_s"] = v.LengthS
@@ -104,7 +105,7 @@
 	value any
 }
 
-// fields lists what the variant changes in the site file's tables.
+// fields returns the changes to fields in the site file's tables.
 func (v Variant) fields() []siteField {
 	var changed []siteField
 	if v.Tolerate > 0 {
@@ -125,7 +126,7 @@
 	return changed
 }
 
-// setField replaces a field that exists, so that a misspelt name isn't passed over.
+// setField replaces a field that exists. An unknown field is an error, since its name is probably misspelled.
 func setField(site document, table, field string, value any) error {
 	fields, ok := site[table].(document)
 	if !ok {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// scaleProcessors multiplies the processor share of every machine.
+// scaleProcessors multiplies the processor share of every machine by a factor.
 func scaleProcessors(site document, factor float64) error {
 	machines := machineEntries(site)
 	if len(machines) == 0 {
@@ -157,14 +158,14 @@
 	return nil
 }
 
-// setCoreCount spreads the core machines evenly over the entries that the site file has for them.
+// setCoreCount distributes the core machines evenly over the entries that the site file has for them.
 func setCoreCount(site document, count int) error {
 	cores := coreEntries(site)
 	if len(cores) == 0 {
 		return errors.New("the site file has no core machines")
 	}
 	if count < len(cores) {
-		return errors.Errorf("the site file has core machines in %d places, so %d are too few", len(cores), count)
+		return errors.Errorf("the site file has %d entries of core machines, so %d machines are too few", len(cores), count)
 	}
 	for i, machine := range cores {
 		share := count / len(cores)
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// coreEntries returns the entries of core machines, one a place.
+// coreEntries returns the entries of core machines, one per place.
 func coreEntries(site document) []document {
 	var cores []document
 	for _, machine := range machineEntries(site) {
@@ -187,7 +188,7 @@
 	return cores
 }
 
-// machineEntries returns the entries of machines, whether the file lists them inline or not.
+// machineEntries returns the entries of machines, whether the file has them as inline tables or not.
 func machineEntries(site document) []document {
 	machines, _ := site["machines"].([]document)
 	if inline, ok := site["machines"].([]any); ok {
--- a/proto/mint/main.go
+++ b/proto/mint/main.go
@@ -1,6 +1,6 @@
-// Command mint generates the Go code of proto/*.proto into proto/wire, with
-// the generators declared as tools in go.mod. It is run at the project's
-// root and needs no protoc.
+// Command mint generates the Go code in proto/wire from proto/*.proto. It uses the
+// generators declared as tools in go.mod, so it needs no protoc. Run it in the root folder
+// of the project.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	log.SetFlags(0)
 	schemas, err := filepath.Glob("proto/*.proto")
 	if err != nil || len(schemas) == 0 {
-		log.Fatal("mint runs at the project's root, beside proto/")
+		log.Fatal("no schema found in proto/: run mint in the root folder of the project")
 	}
 	names := make([]string, len(schemas))
 	for i, schema := range schemas {
@@ -59,6 +59,7 @@
 	}
 }
 
+// generate runs a generator plugin and writes the files that it returns.
 func generate(plugin string, request *pluginpb.CodeGeneratorRequest) error {
 	input, err := proto.Marshal(request)
 	if err != nil {
