--- a/deploy/daygen/draw.go
+++ b/deploy/daygen/draw.go
@@ -12,88 +12,102 @@
 )
 
 const (
-	fewestDraws     = 4
-	mostDraws       = 9
-	earliestS       = 0.5
-	closingMarginS  = 2.0
-	closingChance   = 0.75
-	roleChance      = 0.6
-	modifierChance  = 0.35
-	placeChance     = 0.3
-	seriesSpacingS  = 3.0
-	daySeedBound    = 1 << 28
-	shortestDownS   = 0.4
-	longestDownS    = 2.0
-	decimals        = 1000
-	randomStreamDay = 17
-	fewestPauseS    = 0.6
-	morePauseS      = 2.5
+	minDraws = 4
+	maxDraws = 9
+	// firstEntryS is the earliest time of an entry, in seconds from the start of the day, and the shortest time between
+	// two entries of a series.
+	firstEntryS = 0.5
+	// closingMarginS is the shortest time between the last entry and the end of the traffic.
+	closingMarginS = 2.0
+	closingChance  = 0.75
+	roleChance     = 0.6
+	modifierChance = 0.35
+	placeChance    = 0.3
+	// seriesSpacingS is the longest time between two entries of a series.
+	seriesSpacingS = 3.0
+	daySeedBound   = 1 << 28
+	// minDownS and maxDownS bound how long machines are down at the end of a day.
+	minDownS = 0.4
+	maxDownS = 2.0
+	// roundingFactor rounds numbers to three decimals.
+	roundingFactor = 1000
+	// dayRandomStream selects the random sequence. Another value gives other days for the same seeds.
+	dayRandomStream = 17
+	// minPauseS is the shortest pause between two changes of the configuration; the longest pause of a day is up to
+	// maxExtraPauseS longer.
+	minPauseS      = 0.6
+	maxExtraPauseS = 2.5
 )
 
+// Words for 'how'. A word that is listed twice is drawn twice as often.
 var (
-	machineRoles  = []string{"leader", "reader", "seed"}
-	followingWork = []string{"meet", "race", "hard", "drain"}
-	cutStyles     = []string{"reset", "refuse"}
-	changesDrawn  = []string{"route", "route", "weights", "timeout", "idle"}
+	machineRoles   = []string{"leader", "reader", "seed"}
+	followUps      = []string{"meet", "race", "hard", "drain"}
+	cutStyles      = []string{"reset", "refuse"}
+	changeVariants = []string{"route", "route", "weights", "timeout", "idle"}
 )
 
-// DrawSettings says what to draw.
+// DrawSettings are the options for drawing a day.
 type DrawSettings struct {
-	Seed    uint64
-	Stress  Stress
+	Seed   uint64
+	Stress Stress
+	// Without names the kinds to leave out.
 	Without []string
-	Only    []string
-	// Entries is how many times a kind is drawn; 0 draws that number, too. Long days want more.
+	// Only names the only kinds to draw; empty means all.
+	Only []string
+	// Entries is the number of draws; with 0 the number is drawn as well. Long days need more draws than that gives.
 	Entries int
 }
 
-// drawer draws the entries of one day from one source of random numbers.
+// drawer draws the entries of one day with one random number generator.
 type drawer struct {
 	DrawSettings
 	site   Site
 	random *rand.Rand
 }
 
-// DrawDay draws a day for a site. The same site and settings always yield the same day.
+// DrawDay draws a day for a site. The same site and settings always give the same day.
 func DrawDay(site Site, settings DrawSettings) (Day, error) {
-	d := drawer{DrawSettings: settings, site: site, random: rand.New(rand.NewPCG(settings.Seed, randomStreamDay))}
+	d := drawer{DrawSettings: settings, site: site, random: rand.New(rand.NewPCG(settings.Seed, dayRandomStream))}
 	kinds := d.eligibleKinds()
 	if len(kinds) == 0 {
-		return Day{}, errors.New("no kind of trouble is left to draw from")
+		return Day{}, errors.New("no kind of event is left to draw from")
 	}
 	day := Day{
 		Name:    fmt.Sprintf("drawn-%s-%d", settings.Stress, settings.Seed),
 		Comment: d.comment(),
 		Seed:    d.random.Uint64N(daySeedBound),
 	}
-	draws := d.whole(IntRange{fewestDraws, mostDraws})
+	draws := d.intIn(IntRange{minDraws, maxDraws})
 	if d.Entries > 0 {
 		draws = d.Entries
 	}
 	for range draws {
-		d.addTo(&day, d.drawKind(kinds))
+		d.addEntries(&day, d.drawKind(kinds))
 	}
 	if d.Stress == StressConfig {
 		day.Plan = append(day.Plan, d.drawChanges()...)
 	}
-	slices.SortStableFunc(day.Plan, earlier)
-	slices.SortStableFunc(day.Faults, earlier)
+	slices.SortStableFunc(day.Plan, compareTimes)
+	slices.SortStableFunc(day.Faults, compareTimes)
 	day.Closing = d.drawClosing()
 	return day, nil
 }
 
-// drawChanges lists changes of the configuration from the beginning of a day to its end.
+// drawChanges returns changes of the configuration from the beginning of the day to its end.
 func (d drawer) drawChanges() []Entry {
 	var changes []Entry
-	pauses := Range{fewestPauseS, fewestPauseS + d.between(Range{0, morePauseS})}
-	for at := earliestS; at < d.site.LengthS-closingMarginS; at = round(at + d.between(pauses)) {
-		changes = append(changes, Entry{At: at, Kind: "config_change", How: pick(d.random, changesDrawn)})
+	pauses := Range{minPauseS, minPauseS + d.floatIn(Range{0, maxExtraPauseS})}
+	for at := firstEntryS; at < d.site.LengthS-closingMarginS; at = round(at + d.floatIn(pauses)) {
+		changes = append(changes, Entry{At: at, Kind: "config_change", How: pick(d.random, changeVariants)})
 	}
 	return changes
 }
 
-func earlier(a, b Entry) int { return cmp.Compare(a.At, b.At) }
+// compareTimes orders entries by time.
+func compareTimes(a, b Entry) int { return cmp.Compare(a.At, b.At) }
 
+// comment returns the command that generates the day, without the site.
 func (d drawer) comment() string {
 	text := fmt.Sprintf("daygen day --seed %d --stress %s", d.Seed, d.Stress)
 	if len(d.Without) > 0 {
@@ -108,6 +122,7 @@
 	return text
 }
 
+// eligibleKinds returns the kinds that the site and the settings allow.
 func (d drawer) eligibleKinds() []Kind {
 	var kinds []Kind
 	for _, kind := range catalogue {
@@ -117,7 +132,7 @@
 		if slices.Contains(d.Without, kind.Name) {
 			continue
 		}
-		if kind.OnlyOn != "" && kind.OnlyOn != d.Stress || kind.weight(d.Stress) == 0 {
+		if kind.OnlyStress != "" && kind.OnlyStress != d.Stress || kind.weight(d.Stress) == 0 {
 			continue
 		}
 		if len(d.Only) > 0 && !slices.Contains(d.Only, kind.Name) {
@@ -128,6 +143,7 @@
 	return kinds
 }
 
+// drawKind draws a kind by weight.
 func (d drawer) drawKind(kinds []Kind) Kind {
 	total := 0
 	for _, kind := range kinds {
@@ -143,12 +159,12 @@
 	panic("weights don't sum up")
 }
 
-// addTo adds one entry of the kind, or a series of them, to the section that the kind belongs to.
-func (d drawer) addTo(day *Day, kind Kind) {
-	at := d.between(Range{earliestS, d.site.LengthS - closingMarginS})
+// addEntries adds one entry of the kind, or a series of them, to the kind's section.
+func (d drawer) addEntries(day *Day, kind Kind) {
+	at := d.floatIn(Range{firstEntryS, d.site.LengthS - closingMarginS})
 	entries := 1
 	if d.Stress == StressControl && kind.Series.High > 0 {
-		entries = d.whole(kind.Series)
+		entries = d.intIn(kind.Series)
 	}
 	for range entries {
 		entry := d.drawEntry(kind, at)
@@ -157,34 +173,36 @@
 		} else {
 			day.Faults = append(day.Faults, entry)
 		}
-		at = round(math.Min(at+d.between(Range{earliestS, seriesSpacingS}), d.site.LengthS-closingMarginS))
+		at = round(math.Min(at+d.floatIn(Range{firstEntryS, seriesSpacingS}), d.site.LengthS-closingMarginS))
 	}
 }
 
+// drawEntry draws the fields of an entry.
 func (d drawer) drawEntry(kind Kind, at float64) Entry {
 	entry := Entry{
 		At: at, Kind: kind.Name,
-		Share: d.between(kind.Share), X: d.between(kind.X), GapS: d.between(kind.GapS),
-		ForS: d.between(d.duration(kind)), Count: d.whole(kind.Count), How: d.drawHow(kind),
+		Share: d.floatIn(kind.Share), X: d.floatIn(kind.X), GapS: d.floatIn(kind.GapS),
+		ForS: d.floatIn(d.durationRange(kind)), Count: d.intIn(kind.Count), How: d.drawHow(kind),
 	}
 	if kind.OnCore {
-		entry.On = onCore
+		entry.On = coreClass
 	}
 	if kind.CountUpToTolerated {
-		entry.Count = d.whole(IntRange{1, max(d.site.Tolerate.Machines, 1)})
+		entry.Count = d.intIn(IntRange{1, max(d.site.Tolerate.Machines, 1)})
 	}
 	d.drawPlace(&entry, kind.Place)
 	return entry
 }
 
-func (d drawer) duration(kind Kind) Range {
+// durationRange returns the range of an entry's duration.
+func (d drawer) durationRange(kind Kind) Range {
 	if d.Stress == StressControl && kind.LongForS.High > 0 {
 		return kind.LongForS
 	}
 	return kind.ForS
 }
 
-// drawHow joins a variant, a role, a cut style, what follows, and modifiers, as far as the kind allows them.
+// drawHow joins a role, a variant, a cut style, follow-ups and modifiers, as far as the kind allows them.
 func (d drawer) drawHow(kind Kind) string {
 	var words []string
 	if kind.Targeting.Roles && d.chance(roleChance) {
@@ -196,15 +214,15 @@
 	if kind.Targeting.CutStyles && d.chance(modifierChance) {
 		words = append(words, pick(d.random, cutStyles))
 	}
-	if kind.Targeting.Follow {
-		words = append(words, d.some(followingWork)...)
+	if kind.Targeting.FollowUps {
+		words = append(words, d.sample(followUps)...)
 	}
-	words = append(words, d.some(kind.Modifiers)...)
+	words = append(words, d.sample(kind.Modifiers)...)
 	words = slices.DeleteFunc(words, func(word string) bool { return word == "" })
 	return strings.Join(words, " ")
 }
 
-// drawPlace names a zone, service or class in some of the entries; in the others the bench picks one.
+// drawPlace names a zone, service or class in some of the entries. In the others the bench chooses one.
 func (d drawer) drawPlace(entry *Entry, place Place) {
 	zones := d.site.zoneNames()
 	if place.ToZone {
@@ -224,18 +242,20 @@
 	}
 }
 
+// drawClosing draws the fault that ends the day, or none.
 func (d drawer) drawClosing() *Closing {
 	if !d.chance(closingChance) {
 		return nil
 	}
 	kind := pick(d.random, closingKinds)
-	return &Closing{Kind: kind.Name, DownS: d.between(Range{shortestDownS, longestDownS}), How: pick(d.random, kind.Variants)}
+	return &Closing{Kind: kind.Name, DownS: d.floatIn(Range{minDownS, maxDownS}), How: pick(d.random, kind.Variants)}
 }
 
+// chance returns true with the given probability.
 func (d drawer) chance(probability float64) bool { return d.random.Float64() < probability }
 
-// some returns each of the words with the chance of a modifier.
-func (d drawer) some(words []string) []string {
+// sample returns each of the words with the probability modifierChance.
+func (d drawer) sample(words []string) []string {
 	var chosen []string
 	for _, word := range words {
 		if d.chance(modifierChance) {
@@ -245,14 +265,16 @@
 	return chosen
 }
 
-func (d drawer) between(bounds Range) float64 {
+// floatIn draws a number.
+func (d drawer) floatIn(bounds Range) float64 {
 	return round(bounds.Low + d.random.Float64()*(bounds.High-bounds.Low))
 }
 
-func (d drawer) whole(bounds IntRange) int {
+// intIn draws an integer.
+func (d drawer) intIn(bounds IntRange) int {
 	return bounds.Low + d.random.IntN(bounds.High-bounds.Low+1)
 }
 
-func round(value float64) float64 { return math.Round(value*decimals) / decimals }
+func round(value float64) float64 { return math.Round(value*roundingFactor) / roundingFactor }
 
 func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
--- a/deploy/daygen/summary.go
+++ b/deploy/daygen/summary.go
@@ -11,29 +11,31 @@
 	"github.com/pkg/errors"
 )
 
-// mostUnserved is the share of requests refused or failed above which a day fails its gate.
-const mostUnserved = 0.6
+// maxUnserved is the share of refused or failed requests above which a day fails the gate.
+const maxUnserved = 0.6
 
-// Report holds the fields of a bench's report on one day that its summary needs.
+// Report contains the fields of the bench's report on one day that the summary needs.
 type Report struct {
-	// Score is the weighted worth less prices.
+	// Score is the weighted worth minus prices.
 	Score float64 `json:"G"`
-	// Worth is the worth earned divided by the worth owed over the whole day.
-	Worth    float64 `json:"served"`
+	// Worth is the worth earned as a share of the worth owed over the whole day.
+	Worth float64 `json:"served"`
+	// Unserved is the share of requests that were refused or failed.
 	Unserved float64 `json:"unserved"`
-	Fault    any     `json:"fault"`
-	// Short names what lies below a floor of the gate.
-	Short []any `json:"short"`
-	// Breaks counts the breaks of each rule.
-	Breaks map[string]any `json:"breaks"`
-	// First tells the first breaks.
-	First []Break `json:"first"`
-	// Missed names duties that were missed.
+	// Fault is set if the day had a fault.
+	Fault any `json:"fault"`
+	// BelowFloor names what is below a minimum of the gate.
+	BelowFloor []any `json:"short"`
+	// Violations counts the violations by rule.
+	Violations map[string]any `json:"breaks"`
+	// FirstViolations describes the first violations.
+	FirstViolations []Violation `json:"first"`
+	// Missed names the duties that the deployment missed.
 	Missed []any `json:"missed"`
 }
 
-// Break is one break of a rule, as the bench tells it.
-type Break struct {
+// Violation describes one violation of a rule, in the bench's words.
+type Violation struct {
 	AtS  float64 `json:"at_s"`
 	Rule string  `json:"rule"`
 	What string  `json:"what"`
@@ -48,38 +50,39 @@
 	return report, nil
 }
 
-// Broken tells whether a rule was broken or the day had a fault.
-func (r Report) Broken() bool { return len(r.Breaks) > 0 || r.Fault != nil }
+// Broken reports whether a rule was violated or the day had a fault.
+func (r Report) Broken() bool { return len(r.Violations) > 0 || r.Fault != nil }
 
-// GatePassed tells whether the day passes the gate.
+// GatePassed reports whether the day passes the gate.
 func (r Report) GatePassed() bool {
-	return !r.Broken() && len(r.Short) == 0 && r.Unserved <= mostUnserved
+	return !r.Broken() && len(r.BelowFloor) == 0 && r.Unserved <= maxUnserved
 }
 
-// Summary returns one line on the day.
+// Summary returns one line about the day.
 func (r Report) Summary(name string) string {
 	gate := "GATE failed"
 	if r.GatePassed() {
 		gate = "GATE passed"
 	}
 	parts := []string{fmt.Sprintf("%-30s %s, worth %.3f, score %.3f", name, gate, r.Worth, r.Score)}
-	if len(r.Breaks) == 0 {
+	if len(r.Violations) == 0 {
 		parts = append(parts, "no rule broken")
 	}
-	for _, rule := range slices.Sorted(maps.Keys(r.Breaks)) {
-		parts = append(parts, fmt.Sprintf("BROKEN %s: %v", rule, r.Breaks[rule]))
+	for _, rule := range slices.Sorted(maps.Keys(r.Violations)) {
+		parts = append(parts, fmt.Sprintf("BROKEN %s: %v", rule, r.Violations[rule]))
 	}
 	if r.Fault != nil {
 		parts = append(parts, fmt.Sprintf("FAULT %v", r.Fault))
 	}
-	parts = appendList(parts, "short", r.Short)
+	parts = appendList(parts, "short", r.BelowFloor)
 	parts = appendList(parts, "missed", r.Missed)
-	for _, first := range r.First {
+	for _, first := range r.FirstViolations {
 		parts = append(parts, fmt.Sprintf("%s at %.3f s: %s", first.Rule, first.AtS, first.What))
 	}
 	return strings.Join(parts, "; ")
 }
 
+// appendList appends a labelled list unless it is empty.
 func appendList(parts []string, label string, list []any) []string {
 	if len(list) == 0 {
 		return parts
